--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -13,8 +13,12 @@
 
 import structlog
 
-from cleatyoke import BEGAN, api, quick  # noqa: F401  quick: before anything imports aiohttp
-from cleatyoke.config import (
+from cleatyoke.process import fast_import  # noqa: F401  before anything imports aiohttp
+
+# isort: split
+from cleatyoke import BEGAN
+from cleatyoke.admin.control import Commands, ControlListener
+from cleatyoke.config.deployment import (
     FRONTS,
     Address,
     BadConfig,
@@ -24,29 +28,29 @@
     read_config,
 )
 from cleatyoke.core import Core
-from cleatyoke.directory import Directory
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.lifecycle import Lifecycle, Notice, Order, Stage, Status
-from cleatyoke.logs import set_up_log
-from cleatyoke.net.boxes import Boxes
-from cleatyoke.net.discovery import Discovery
-from cleatyoke.net.handover import HoldFile, Lives
-from cleatyoke.net.listings import read_listing
-from cleatyoke.net.messages import BadMessage
-from cleatyoke.net.ops import Commands, ControlListener
-from cleatyoke.net.server import Front
-from cleatyoke.net.sockets import NotListening
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.discovery.listings import read_listing
+from cleatyoke.discovery.watch import Discovery
+from cleatyoke.http.backends import Boxes
+from cleatyoke.http.messages import BadMessage
+from cleatyoke.http.server import Front
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.handover import HoldFile, Lives
+from cleatyoke.process.lifecycle import Lifecycle, Notice, Order, Stage, Status
+from cleatyoke.process.logs import set_up_log
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling import api
+from cleatyoke.transport.sockets import NotListening
 
 if TYPE_CHECKING:
+    from cleatyoke.admin.prometheus import MetricsListener
     from cleatyoke.distribution.contents import Settings
-    from cleatyoke.net.distribution import Subscription
-    from cleatyoke.net.fleet import FleetView
-    from cleatyoke.net.metrics import MetricsListener
-    from cleatyoke.net.probes import Probes
-    from cleatyoke.net.startup import Startup
-    from cleatyoke.sftp.front import FileFront
-    from cleatyoke.vrrp import Carrier
+    from cleatyoke.distribution.network import Subscription
+    from cleatyoke.fleet.startup import Startup
+    from cleatyoke.fleet.view import FleetView
+    from cleatyoke.http.load_probes import Probes
+    from cleatyoke.sftp.server import FileFront
+    from cleatyoke.vrrp.instance import Carrier
 
 FIRST_WORD = 1.0  # seconds for discovery's first word where there is no old list to serve by
 HELD_BY = 0.5  # seconds that an operator's call waits at the most for the other fronts to have it
@@ -64,9 +68,9 @@
     async def start(cls, config: Config, core: Core, directory: Directory) -> FileService:
         if config.sftp is None:
             return cls()
-        from cleatyoke.sftp.boxes import FileBoxes  # imported only where the front is on: a start is dear
-        from cleatyoke.sftp.front import FileFront
-        from cleatyoke.vrrp import Carrier
+        from cleatyoke.sftp.backends import FileBoxes  # imported only where the front is on: a start is dear
+        from cleatyoke.sftp.server import FileFront
+        from cleatyoke.vrrp.instance import Carrier
 
         sessions = config.shares.sessions
         boxes = FileBoxes(directory, config.sftp.box_port, config.dial_timeout, config.idle_close, sessions)
@@ -184,8 +188,10 @@
             self.control.start()
 
     def start_probes(self, config: Config) -> Probes:
-        from cleatyoke.load.probes import Prober  # imported only where load is told by probes alone
-        from cleatyoke.net.probes import Probes
+        from cleatyoke.http.load_probes import Probes
+        from cleatyoke.scheduling.load_probes import (
+            Prober,  # imported only where load is told by probes alone
+        )
 
         settings = config.settings
         prober = Prober(settings.hosts, settings.safety.ramp, config.seed)
@@ -197,8 +203,8 @@
         """What comes before the door opens where fronts keep a view of one another: the own memory, the
         peers' view, the list; each waited for within a bound (``fleet.recovery``)."""
         try:
-            from cleatyoke.net.fleet import FleetView  # an optional extra, imported only where it is on
-            from cleatyoke.net.startup import Startup
+            from cleatyoke.fleet.startup import Startup
+            from cleatyoke.fleet.view import FleetView  # an optional extra, imported only where it is on
 
             config, directory, discovery = self.config, self.directory, self.discovery
             self.startup = startup = Startup()
@@ -222,7 +228,7 @@
     def subscribe(self, relays: DistributionRelays) -> Subscription:
         """Distributed configuration, from now on. Serving waits for none of it."""
         try:
-            from cleatyoke.net.distribution import Subscription  # imported only where it is on
+            from cleatyoke.distribution.network import Subscription  # imported only where it is on
         except ImportError as error:
             raise BadConfig(f"distribution: {error}") from error
         config = self.config
@@ -232,7 +238,7 @@
 
     def open_metrics(self, address: Address) -> MetricsListener:
         try:
-            from cleatyoke.net.metrics import (
+            from cleatyoke.admin.prometheus import (
                 MetricsListener,  # an optional extra, imported only where it is on
             )
 
--- /dev/null
+++ b/cleatyoke/admin/__init__.py
@@ -0,0 +1,1 @@
+"""Administration: the control listener, operator holds and the Prometheus exporter."""
--- a/cleatyoke/net/metrics.py
+++ b/cleatyoke/admin/prometheus.py
@@ -15,9 +15,9 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
-from cleatyoke.config import Address
-from cleatyoke.figures import OUTCOMES, Figures
-from cleatyoke.net.sockets import Listener
+from cleatyoke.config.deployment import Address
+from cleatyoke.process.metrics import OUTCOMES, Figures
+from cleatyoke.transport.sockets import Listener
 
 MOST = 8  # connections at a time: a scraper or two
 IDLE = 5.0  # seconds that one may stand without a request
--- /dev/null
+++ b/cleatyoke/config/__init__.py
@@ -0,0 +1,1 @@
+"""Configuration: reading, checking and reloading of settings."""
--- a/cleatyoke/config.py
+++ b/cleatyoke/config/deployment.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke import api
-from cleatyoke.bodies import MOST_UPLOAD
-from cleatyoke.retune import Places, follow_settings, follow_writes, missing, shape
+from cleatyoke.config.reload import Places, follow_settings, follow_writes, missing, shape
+from cleatyoke.http.body_limits import MOST_UPLOAD
+from cleatyoke.scheduling import api
 
 REPEATS = {"repeatable": api.Repeat.FREE, "by_key": api.Repeat.KEYED, "once": api.Repeat.ONCE}
 LOADS = ("util", "cpu")  # what a load report may call the part of a box's power in use
@@ -24,7 +24,7 @@
 MOST_SESSIONS = 32
 USUAL_GRACE = 1.0  # seconds of the rule on drains where the settings name none
 FLEET_TIMES = {"period": 0.5, "answer": 0.15, "gossip": 0.1, "sync": 10.0, "departed": 1.0, "join": 1.0}
-FRONTS = Path(__file__).resolve().parent.parent / "deploy" / "fronts.toml"
+FRONTS = Path(__file__).resolve().parent.parent.parent / "deploy" / "fronts.toml"
 
 
 class BadConfig(ValueError):
--- a/cleatyoke/retune.py
+++ b/cleatyoke/config/reload.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, TypeVar
 
-from cleatyoke import api
+from cleatyoke.scheduling import api
 
 T = TypeVar("T")
 RETIRED = 1e-9  # worth of a class that is gone: it takes no part in what is shared out by worth
--- a/cleatyoke/fleet/meters.py
+++ b/cleatyoke/coordination/demand.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from cleatyoke.fleet.wire import HOME
+from cleatyoke.membership.wire import HOME
 
 SPAN = 0.25  # seconds over which what is asked for is summed up
 IDLE = 30.0  # seconds without a request after which a thing is no longer kept account of
--- a/cleatyoke/fleet/sharing.py
+++ b/cleatyoke/coordination/hold_replication.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from cleatyoke.fleet.replicas import MOST_ACTORS, Holds, decode, merge
-from cleatyoke.fleet.wire import Id
+from cleatyoke.coordination.replicated_holds import MOST_ACTORS, Holds, decode, merge
+from cleatyoke.membership.wire import Id
 
 
 @dataclass(slots=True)
--- a/cleatyoke/fleet/rights.py
+++ b/cleatyoke/coordination/quota_leases.py
@@ -22,7 +22,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cleatyoke.fleet.wire import HOME, Grant, Id, Want
+from cleatyoke.membership.wire import HOME, Grant, Id, Want
 
 KEPT = 250  # of these, what is never lent, and so is a new life's at once
 MOST_RESOURCES = 4096  # that are kept account of; of one more nothing is lent or borrowed
--- a/cleatyoke/fleet/replicas.py
+++ b/cleatyoke/coordination/replicated_holds.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from cleatyoke.fleet.wire import Count, Id, Text
+from cleatyoke.membership.wire import Count, Id, Text
 
 MOST_BOXES = 4096  # entries of a copy; what is over it is refused as a whole
 MOST_ACTORS = 4096
--- a/cleatyoke/fleet/cold.py
+++ b/cleatyoke/coordination/slow_start_leases.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from cleatyoke import api
-from cleatyoke.fleet.meters import Meters
-from cleatyoke.fleet.rights import Rights
-from cleatyoke.fleet.wire import HOME
+from cleatyoke.coordination.demand import Meters
+from cleatyoke.coordination.quota_leases import Rights
+from cleatyoke.membership.wire import HOME
+from cleatyoke.scheduling import api
 
 
 @dataclass(slots=True, frozen=True)
--- a/cleatyoke/core.py
+++ b/cleatyoke/core.py
@@ -15,8 +15,8 @@
 
 import structlog
 
-from cleatyoke import api
-from cleatyoke.rules import Policy
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.scheduler import Policy
 
 T = TypeVar("T")
 # The first two are in no setting: they are what this process's own loop may run late by.
--- a/cleatyoke/directory.py
+++ b/cleatyoke/discovery/directory.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, replace
 from itertools import count
 
-from cleatyoke import api
-from cleatyoke.config import Address
-from cleatyoke.maintenance import Holds
+from cleatyoke.admin.maintenance import Holds
+from cleatyoke.config.deployment import Address
+from cleatyoke.scheduling import api
 
 MOST_GONE = 1024  # boxes that went and whose numbers are kept, as they may return or a call may name them
 
--- a/cleatyoke/net/listings.py
+++ b/cleatyoke/discovery/listings.py
@@ -15,10 +15,10 @@
 
 from aiohttp import StreamReader
 
-from cleatyoke import api
-from cleatyoke.config import BadConfig, read_address
-from cleatyoke.directory import Instance, Listing
-from cleatyoke.net.messages import BadMessage
+from cleatyoke.config.deployment import BadConfig, read_address
+from cleatyoke.discovery.directory import Instance, Listing
+from cleatyoke.http.messages import BadMessage
+from cleatyoke.scheduling import api
 
 MOST_LIST = 16 * 1024 * 1024  # bytes of a list: 25,000 nodes at four times what one takes on the wire
 AT_ONCE = 500  # nodes of a list that are decoded or applied in one turn of the event loop
--- a/cleatyoke/net/discovery.py
+++ b/cleatyoke/discovery/watch.py
@@ -16,12 +16,10 @@
 import aiohttp
 import structlog
 
-from cleatyoke import api
-from cleatyoke.config import Address
-from cleatyoke.directory import Directory, Instance, Listing
-from cleatyoke.faults import Faults, keep_up
-from cleatyoke.figures import Figures
-from cleatyoke.net.listings import (
+from cleatyoke.config.deployment import Address
+from cleatyoke.discovery.backoff import Pace
+from cleatyoke.discovery.directory import Directory, Instance, Listing
+from cleatyoke.discovery.listings import (
     AT_ONCE,
     LONG,
     ListTooLong,
@@ -31,8 +29,10 @@
     read_body,
     read_lines,
 )
-from cleatyoke.net.messages import BadMessage
-from cleatyoke.recovery import Pace
+from cleatyoke.http.messages import BadMessage
+from cleatyoke.process.faults import Faults, keep_up
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling import api
 
 TOLD = 6.0  # seconds after which a change counts as told (protocol page, Figures)
 BEAT = 2.0  # seconds between the empty lines of a watch on which nothing changes (protocol page, Discovery)
--- a/cleatyoke/distribution/__main__.py
+++ b/cleatyoke/distribution/__main__.py
@@ -12,15 +12,15 @@
 import click
 import structlog
 
-from cleatyoke.commands import run_command
-from cleatyoke.config import Address, BadConfig, read_address
+from cleatyoke.config.deployment import Address, BadConfig, read_address
 from cleatyoke.distribution.contents import lane_of
 from cleatyoke.distribution.folder import BadEpoch, Folder, next_epoch
+from cleatyoke.distribution.network import Poller, PollListener
 from cleatyoke.distribution.relay import Relay, Source
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.logs import set_up_log
-from cleatyoke.net.distribution import Poller, PollListener
+from cleatyoke.process.command_line import run_command
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.logs import set_up_log
+from cleatyoke.process.metrics import Figures
 
 log = structlog.get_logger()
 
--- a/cleatyoke/net/distribution.py
+++ b/cleatyoke/distribution/network.py
@@ -14,9 +14,9 @@
 
 import structlog
 
-from cleatyoke.api import NodeState
-from cleatyoke.config import Address, DistributionRelays, read_address
-from cleatyoke.directory import Listing
+from cleatyoke.config.deployment import Address, DistributionRelays, read_address
+from cleatyoke.discovery.directory import Listing
+from cleatyoke.discovery.listings import read_instance
 from cleatyoke.distribution.contents import Settings, listed_nodes, settings_entries
 from cleatyoke.distribution.records import MOST_MESSAGE, Entry, Lane
 from cleatyoke.distribution.status import Status
@@ -30,10 +30,10 @@
     Subscriber,
     Timing,
 )
-from cleatyoke.faults import Faults, keep_up
-from cleatyoke.net.framing import read_message, write_message
-from cleatyoke.net.listings import read_instance
-from cleatyoke.net.messages import BadMessage
+from cleatyoke.http.messages import BadMessage
+from cleatyoke.process.faults import Faults, keep_up
+from cleatyoke.scheduling.api import NodeState
+from cleatyoke.transport.framing import read_message, write_message
 
 AGAIN = 1.0  # seconds until the duty is taken up again after a fault of our own
 MOST_STREAMS = 512  # open at once at a control machine; one more is closed unread
--- a/cleatyoke/distribution/records.py
+++ b/cleatyoke/distribution/records.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from cleatyoke.fleet.wire import Count, Refused, Text, sealed, unsealed
+from cleatyoke.membership.wire import Count, Refused, Text, sealed, unsealed
 
 FORM = 1  # of these messages; another one is refused
 MARK = b"\xc1"  # in front of each message
--- a/cleatyoke/distribution/relay.py
+++ b/cleatyoke/distribution/relay.py
@@ -33,7 +33,7 @@
     Subscriber,
     Timing,
 )
-from cleatyoke.fleet.wire import Refused
+from cleatyoke.membership.wire import Refused
 
 RELAY_TIMING = Timing(poll=1.0, spread=1.0, spread_most=4.0, rate=1e6, burst=1e6)
 
--- a/cleatyoke/durable/__main__.py
+++ b/cleatyoke/durability/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cleatyoke.durable``: what a front's disk remembers, read offline, checked and explained.
+"""``python -m cleatyoke.durability``: what a front's disk remembers, read offline, checked and explained.
 Wants the extra ``tools``. It writes nothing."""
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 import click
 
-from cleatyoke.durable.records import Memory, read
-from cleatyoke.durable.store import NAMES, Unreadable, rows_in
+from cleatyoke.durability.records import Memory, read
+from cleatyoke.durability.store import NAMES, Unreadable, rows_in
 
 
 def front_of(rows: list[tuple[object, ...]]) -> str:
@@ -66,4 +66,4 @@
 
 
 if __name__ == "__main__":
-    main(prog_name="python -m cleatyoke.durable")
+    main(prog_name="python -m cleatyoke.durability")
--- a/cleatyoke/durable/records.py
+++ b/cleatyoke/durability/records.py
@@ -24,8 +24,8 @@
 
 import msgspec
 
-from cleatyoke.fleet.replicas import Holds, decode
-from cleatyoke.fleet.wire import Count, Text
+from cleatyoke.coordination.replicated_holds import Holds, decode
+from cleatyoke.membership.wire import Count, Text
 
 FORM = 1  # of the rows written; up to this, all are read
 MOST_PEERS = 64
--- a/cleatyoke/durable/store.py
+++ b/cleatyoke/durability/store.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke.durable.records import FORM, Doubt, Memory, Row, read, rows_of
+from cleatyoke.durability.records import FORM, Doubt, Memory, Row, read, rows_of
 
 APPLICATION = 0x436C5431  # sqlite's application_id: "ClT1"
 NAMES = ("front-a.sqlite", "front-b.sqlite")
--- a/cleatyoke/durable/writer.py
+++ b/cleatyoke/durability/writer.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from cleatyoke.durable.records import Doubt, Memory, next_boot
+from cleatyoke.durability.records import Doubt, Memory, next_boot
 
 AGAIN = 1.0  # seconds until a write that failed is tried again
 FLUSH = 0.3  # seconds that an orderly exit waits at the most for what is not yet written
--- a/cleatyoke/emulate/__main__.py
+++ b/cleatyoke/emulation/__main__.py
@@ -1,5 +1,5 @@
-"""``python -m cleatyoke.emulate``: play drawn fault scripts, or one from its line; exit status 1 where
-one broke. ``python -m cleatyoke.emulate capacity``: make the capacity page."""
+"""``python -m cleatyoke.emulation``: play drawn fault scripts, or one from its line; exit status 1 where
+one broke. ``python -m cleatyoke.emulation capacity``: make the capacity page."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 import click
 
-from cleatyoke.commands import run_command
-from cleatyoke.emulate.capacity.command import capacity
-from cleatyoke.emulate.distribution_measure import distribution
-from cleatyoke.emulate.script import draw, line, play, shrink
+from cleatyoke.emulation.capacity.command import capacity
+from cleatyoke.emulation.distribution_measure import distribution
+from cleatyoke.emulation.fault_script import draw, line, play, shrink
+from cleatyoke.process.command_line import run_command
 
 
 @click.group(invoke_without_command=True, help=__doc__)
@@ -49,7 +49,7 @@
 
 def main(words: Sequence[str] | None = None) -> int:
     """Returns the exit status; 2, after one line that begins with the option's name, for a bad option."""
-    return run_command(commands, words, "python -m cleatyoke.emulate")
+    return run_command(commands, words, "python -m cleatyoke.emulation")
 
 
 if __name__ == "__main__":
--- a/cleatyoke/emulate/baselines.py
+++ b/cleatyoke/emulation/baselines.py
@@ -8,10 +8,18 @@
 from collections.abc import Sequence
 from typing import Any
 
-from cleatyoke.fleet.interface import Heard, Send, Timing
-from cleatyoke.fleet.member_records import Life
-from cleatyoke.fleet.members import Members
-from cleatyoke.fleet.wire import Datagram, Gossip, Refused, Rumour, State, decode_datagram, encode_datagram
+from cleatyoke.membership.interface import Heard, Send, Timing
+from cleatyoke.membership.member_records import Life
+from cleatyoke.membership.members import Members
+from cleatyoke.membership.wire import (
+    Datagram,
+    Gossip,
+    Refused,
+    Rumour,
+    State,
+    decode_datagram,
+    encode_datagram,
+)
 
 MISSED = 4.0  # periods of silence after which a heartbeat's absence is a death; a suspicion of SWIM lasts
 # as long times the logarithm (to 10) of the members, which is the least that our own lasts
--- a/cleatyoke/emulate/capacity/command.py
+++ b/cleatyoke/emulation/capacity/command.py
@@ -1,4 +1,4 @@
-"""``python -m cleatyoke.emulate capacity --out docs``: measure, fit, and make the capacity page again."""
+"""``python -m cleatyoke.emulation capacity --out docs``: measure, fit, and make the capacity page again."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     page_only: bool,
 ) -> None:
     """Measure what each duty costs at several sizes, and make CAPACITY.md, its table and its plots again."""
-    from cleatyoke.emulate.capacity import measure, results
+    from cleatyoke.emulation.capacity import measure, results
 
     checked_folder(out)
     duties = [one.duty for one in measure.SERIES]
@@ -85,7 +85,7 @@
 
 
 def write_page(found: object, out: Path) -> None:
-    from cleatyoke.emulate.capacity import page, results
+    from cleatyoke.emulation.capacity import page, results
 
     assert isinstance(found, results.Results)
     path = out / PAGE
--- a/cleatyoke/emulate/capacity/duties.py
+++ b/cleatyoke/emulation/capacity/duties.py
@@ -6,20 +6,20 @@
 import zlib
 from dataclasses import dataclass
 
-from cleatyoke import api
-from cleatyoke.durable.records import Memory, rows_of
-from cleatyoke.emulate.capacity.cost import processor_seconds
-from cleatyoke.emulate.capacity.nodes import NOW, ListedFront, settings
-from cleatyoke.emulate.capacity.plan import PLAN
-from cleatyoke.figures import Figures
-from cleatyoke.fleet.replicas import Holds
-from cleatyoke.fleet.rights import Need, Peers, Rights
-from cleatyoke.fleet.sharing import Sharing
-from cleatyoke.fleet.wire import Id, Rumour, State, decode_view, encode_view
-from cleatyoke.load.probes import Prober
-from cleatyoke.net.discovery import EACH, LEAST, MOST, PERIOD
-from cleatyoke.net.fleet import TRADE
-from cleatyoke.recovery import Pace
+from cleatyoke.coordination.hold_replication import Sharing
+from cleatyoke.coordination.quota_leases import Need, Peers, Rights
+from cleatyoke.coordination.replicated_holds import Holds
+from cleatyoke.discovery.backoff import Pace
+from cleatyoke.discovery.watch import EACH, LEAST, MOST, PERIOD
+from cleatyoke.durability.records import Memory, rows_of
+from cleatyoke.emulation.capacity.cost import processor_seconds
+from cleatyoke.emulation.capacity.nodes import NOW, ListedFront, settings
+from cleatyoke.emulation.capacity.plan import PLAN
+from cleatyoke.fleet.view import TRADE
+from cleatyoke.membership.wire import Id, Rumour, State, decode_view, encode_view
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.load_probes import Prober
 
 RESOURCES = 10  # limits and cold nodes that a front needs parts of at one time
 OUTAGE = 60.0  # seconds for which discovery is down
--- a/cleatyoke/emulate/capacity/hollow.py
+++ b/cleatyoke/emulation/capacity/hollow.py
@@ -13,12 +13,12 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from cleatyoke.emulate.capacity.cost import resident_bytes
-from cleatyoke.emulate.fleet import Fleet, Process
-from cleatyoke.emulate.network import Network
-from cleatyoke.fleet.member_records import Life, mark_of
-from cleatyoke.fleet.members import Members
-from cleatyoke.fleet.wire import Id, Rumour, State
+from cleatyoke.emulation.capacity.cost import resident_bytes
+from cleatyoke.emulation.fleet import Fleet, Process
+from cleatyoke.emulation.network import Network
+from cleatyoke.membership.member_records import Life, mark_of
+from cleatyoke.membership.members import Members
+from cleatyoke.membership.wire import Id, Rumour, State
 
 LOSS = 0.01
 QUIET_SECONDS = 10.0
--- a/cleatyoke/emulate/capacity/measure.py
+++ b/cleatyoke/emulation/capacity/measure.py
@@ -9,8 +9,8 @@
 from enum import Enum
 from multiprocessing import get_context
 
-from cleatyoke.emulate.capacity import duties, hollow, nodes, processes
-from cleatyoke.emulate.capacity.plan import PLAN
+from cleatyoke.emulation.capacity import duties, hollow, nodes, processes
+from cleatyoke.emulation.capacity.plan import PLAN
 
 Values = dict[str, float]
 Run = Callable[[int, int], Values]  # of a size and a seed
--- a/cleatyoke/emulate/capacity/needs.py
+++ b/cleatyoke/emulation/capacity/needs.py
@@ -6,15 +6,15 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from cleatyoke.config import Shares
-from cleatyoke.emulate.capacity import duties
-from cleatyoke.emulate.capacity.measure import Kind
-from cleatyoke.emulate.capacity.plan import DAY, PLAN, Plan
-from cleatyoke.emulate.capacity.results import Results, Spread
-from cleatyoke.fleet.replicas import MOST_ACTORS
-from cleatyoke.fleet.wire import MOST_COPIES, MOST_STREAM
-from cleatyoke.net.discovery import BEAT, EACH
-from cleatyoke.net.listings import MOST_LIST
+from cleatyoke.config.deployment import Shares
+from cleatyoke.coordination.replicated_holds import MOST_ACTORS
+from cleatyoke.discovery.listings import MOST_LIST
+from cleatyoke.discovery.watch import BEAT, EACH
+from cleatyoke.emulation.capacity import duties
+from cleatyoke.emulation.capacity.measure import Kind
+from cleatyoke.emulation.capacity.plan import DAY, PLAN, Plan
+from cleatyoke.emulation.capacity.results import Results, Spread
+from cleatyoke.membership.wire import MOST_COPIES, MOST_STREAM
 
 LOAD = 0.7  # of a core that a process of the data path may be kept at
 ENTRIES = 3  # of the list for one machine that is replaced: drains, went, came
--- a/cleatyoke/emulate/capacity/nodes.py
+++ b/cleatyoke/emulation/capacity/nodes.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass, replace
 from unittest import mock
 
-from cleatyoke import api
-from cleatyoke.config import Address
+from cleatyoke.config.deployment import Address
 from cleatyoke.core import Core
-from cleatyoke.directory import Directory, Listing
-from cleatyoke.emulate.capacity.cost import Cost, count, processor_seconds, resident_bytes
-from cleatyoke.load.probes import Prober
-from cleatyoke.net.discovery import Discovery, Watch
-from cleatyoke.net.listings import decode_listing
-from cleatyoke.rules import Policy
+from cleatyoke.discovery.directory import Directory, Listing
+from cleatyoke.discovery.listings import decode_listing
+from cleatyoke.discovery.watch import Discovery, Watch
+from cleatyoke.emulation.capacity.cost import Cost, count, processor_seconds, resident_bytes
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.load_probes import Prober
+from cleatyoke.scheduling.scheduler import Policy
 
 NOW = 1.8e9  # Unix time at which a measurement begins
 CHANGES = 50  # that a mean is taken over
--- a/cleatyoke/emulate/capacity/page.py
+++ b/cleatyoke/emulation/capacity/page.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from cleatyoke.emulate.capacity.needs import Need, all_needs, workers
-from cleatyoke.emulate.capacity.plan import PLAN
-from cleatyoke.emulate.capacity.results import Figure, Results
-from cleatyoke.emulate.capacity.situations import situations
+from cleatyoke.emulation.capacity.needs import Need, all_needs, workers
+from cleatyoke.emulation.capacity.plan import PLAN
+from cleatyoke.emulation.capacity.results import Figure, Results
+from cleatyoke.emulation.capacity.situations import situations
 
 BEGIN, END = "<!-- table {}: made by the command -->", "<!-- end of table {} -->"
 PLOTS = (
--- a/cleatyoke/emulate/capacity/processes.py
+++ b/cleatyoke/emulation/capacity/processes.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from cleatyoke.emulate.capacity.cost import PAGE
-from cleatyoke.emulate.capacity.nodes import list_text
-from cleatyoke.standin.play import ROOT, Play
-from cleatyoke.standin.scenario import Scenario, make_scenario, settings_of
+from cleatyoke.emulation.capacity.cost import PAGE
+from cleatyoke.emulation.capacity.nodes import list_text
+from cleatyoke.testbed.runner import ROOT, Play
+from cleatyoke.testbed.scenario import Scenario, make_scenario, settings_of
 
 TICKS = os.sysconf("SC_CLK_TCK")
 START_SECONDS = 60.0  # that are waited for a front to be ready
--- a/cleatyoke/emulate/capacity/results.py
+++ b/cleatyoke/emulation/capacity/results.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from statistics import fmean
 
-from cleatyoke.emulate.capacity.fit import Fit, fit
-from cleatyoke.emulate.capacity.measure import SERIES, Row
+from cleatyoke.emulation.capacity.fit import Fit, fit
+from cleatyoke.emulation.capacity.measure import SERIES, Row
 
 
 @dataclass(slots=True, frozen=True)
--- a/cleatyoke/emulate/capacity/situations.py
+++ b/cleatyoke/emulation/capacity/situations.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from cleatyoke.emulate.capacity import duties
-from cleatyoke.emulate.capacity.needs import ENTRIES, ENTRY_HEAD, PROBE_BYTES, entry_bytes
-from cleatyoke.emulate.capacity.plan import PLAN, Plan
-from cleatyoke.emulate.capacity.results import Results
+from cleatyoke.emulation.capacity import duties
+from cleatyoke.emulation.capacity.needs import ENTRIES, ENTRY_HEAD, PROBE_BYTES, entry_bytes
+from cleatyoke.emulation.capacity.plan import PLAN, Plan
+from cleatyoke.emulation.capacity.results import Results
 
 WINDOW = 13.0
 NONE = "no mechanism"
--- a/cleatyoke/emulate/distribution_measure.py
+++ b/cleatyoke/emulation/distribution_measure.py
@@ -1,4 +1,4 @@
-"""``python -m cleatyoke.emulate distribution --out docs``: how soon changes are known at all fronts, and at
+"""``python -m cleatyoke.emulation distribution --out docs``: how soon changes are known at all fronts, and at
 what cost, at the size that is planned: hollow subscribers in virtual time, a real relay on loopback.
 """
 
@@ -20,14 +20,14 @@
 
 from cleatyoke.distribution.records import FORM, Lane, Poll, Position, decode_reply, encode
 from cleatyoke.distribution.subscriber import Timing
-from cleatyoke.emulate.capacity.command import BadOption, checked_folder
-from cleatyoke.emulate.capacity.page import BEGIN, END, short, table
-from cleatyoke.emulate.capacity.plan import HOUR, PLAN
-from cleatyoke.emulate.capacity.processes import Used
-from cleatyoke.emulate.capacity.results import Spread
-from cleatyoke.emulate.distribution import Measured, Tree
-from cleatyoke.net.framing import read_message, write_message
-from cleatyoke.standin.play import ROOT
+from cleatyoke.emulation.capacity.command import BadOption, checked_folder
+from cleatyoke.emulation.capacity.page import BEGIN, END, short, table
+from cleatyoke.emulation.capacity.plan import HOUR, PLAN
+from cleatyoke.emulation.capacity.processes import Used
+from cleatyoke.emulation.capacity.results import Spread
+from cleatyoke.emulation.distribution import Measured, Tree
+from cleatyoke.testbed.runner import ROOT
+from cleatyoke.transport.framing import read_message, write_message
 
 SETTINGS, NODES = 1000, 200  # keys that are known before a measurement begins
 VALUE = 200  # bytes of a changed value
--- a/cleatyoke/emulate/durability.py
+++ b/cleatyoke/emulation/durability.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from cleatyoke.durable.records import Memory, Row, next_boot, read, rows_of
-from cleatyoke.emulate.fleet import Fleet
-from cleatyoke.emulate.network import Network
-from cleatyoke.fleet.members import Members
-from cleatyoke.fleet.sharing import Sharing
+from cleatyoke.coordination.hold_replication import Sharing
+from cleatyoke.durability.records import Memory, Row, next_boot, read, rows_of
+from cleatyoke.emulation.fleet import Fleet
+from cleatyoke.emulation.network import Network
+from cleatyoke.membership.members import Members
 
 DISK = 0.02  # seconds until what is written is kept
 SETTLES = 45.0
--- a/cleatyoke/emulate/script.py
+++ b/cleatyoke/emulation/fault_script.py
@@ -13,10 +13,10 @@
 import random
 from typing import Any
 
-from cleatyoke.emulate.fleet import Fleet, Make
-from cleatyoke.emulate.network import Network
-from cleatyoke.fleet.interface import Timing
-from cleatyoke.fleet.members import Members
+from cleatyoke.emulation.fleet import Fleet, Make
+from cleatyoke.emulation.network import Network
+from cleatyoke.membership.interface import Timing
+from cleatyoke.membership.members import Members
 
 STOP = 8.0  # seconds that a stopped process stands
 START = 12.0  # seconds until the fleet has one view, and faults begin
--- a/cleatyoke/emulate/fleet.py
+++ b/cleatyoke/emulation/fleet.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from cleatyoke.emulate.network import Network
-from cleatyoke.fleet.conclude import Conclusion, Known, conclude
-from cleatyoke.fleet.interface import (
+from cleatyoke.emulation.network import Network
+from cleatyoke.membership.conclusions import Conclusion, Known, conclude
+from cleatyoke.membership.interface import (
     Answered,
     Asked,
     Change,
@@ -23,9 +23,9 @@
     Timing,
     Told,
 )
-from cleatyoke.fleet.member_records import HEARD_OF, rank
-from cleatyoke.fleet.members import Members
-from cleatyoke.fleet.wire import Id, State
+from cleatyoke.membership.member_records import HEARD_OF, rank
+from cleatyoke.membership.members import Members
+from cleatyoke.membership.wire import Id, State
 
 PATIENCE = 1.0  # seconds after which an exchange without an answer is given up
 Make = Callable[..., Members]
--- a/cleatyoke/emulate/measure.py
+++ b/cleatyoke/emulation/measure.py
@@ -1,4 +1,4 @@
-"""``python -m cleatyoke.emulate.measure --out docs``: what the fleet's view costs and how soon it knows, at
+"""``python -m cleatyoke.emulation.measure --out docs``: what the fleet's view costs and how soon it knows, at
 several sizes, against the baselines, in virtual time. Writes ``fleet-view.csv`` and, with the extra
 ``plots``, ``fleet-view-*.svg``. The same seeds give the same figures."""
 
@@ -14,11 +14,11 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke.emulate.baselines import Heartbeats, PlainSwim
-from cleatyoke.emulate.fleet import Fleet
-from cleatyoke.emulate.network import Network
-from cleatyoke.fleet.interface import Timing
-from cleatyoke.fleet.members import Members
+from cleatyoke.emulation.baselines import Heartbeats, PlainSwim
+from cleatyoke.emulation.fleet import Fleet
+from cleatyoke.emulation.network import Network
+from cleatyoke.membership.interface import Timing
+from cleatyoke.membership.members import Members
 
 KINDS: dict[str, type[Members]] = {"ours": Members, "plain SWIM": PlainSwim, "heartbeats": Heartbeats}
 SIZES = (10, 50, 200, 1000)
@@ -181,7 +181,7 @@
 
 
 def main(words: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m cleatyoke.emulate.measure", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m cleatyoke.emulation.measure", description=__doc__)
     parser.add_argument("--out", type=Path, required=True)
     parser.add_argument("--sizes", type=int, nargs="+", default=SIZES)
     parser.add_argument("--jobs", type=int, default=6)
--- a/cleatyoke/emulate/lending.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from cleatyoke.emulate.network import Network
-from cleatyoke.fleet.rights import Came, Need, Peers, Rights, Terms
-from cleatyoke.fleet.wire import HOME, Grant, Id, Want
+from cleatyoke.coordination.quota_leases import Came, Need, Peers, Rights, Terms
+from cleatyoke.emulation.network import Network
+from cleatyoke.membership.wire import HOME, Grant, Id, Want
 
 RESOURCE = "limit:1"
 TICK = 0.05  # seconds between two steps that nothing else brings about
--- a/cleatyoke/emulate/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -1,6 +1,6 @@
-"""``python -m cleatyoke.emulate.recovery --out docs``: what is earned from a loss of all power on, in virtual
-time and by processes, and what of a limit is used under a skewed load. Writes ``recovery.csv`` and, with the
-extra ``plots``, pictures. The same seeds give the same figures, but for the processes' own."""
+"""``python -m cleatyoke.emulation.recovery --out docs``: what is earned from a loss of all power on, in
+virtual time and by processes, and what of a limit is used under a skewed load. Writes ``recovery.csv`` and,
+with the extra ``plots``, pictures. The same seeds give the same figures, but for the processes' own."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 import structlog
 
-from cleatyoke import api
 from cleatyoke.core import Core
-from cleatyoke.emulate import earnings
-from cleatyoke.emulate.earnings import Wish
-from cleatyoke.emulate.traffic import UNIX, Emulation, core_of, emulate
-from cleatyoke.standin.scenario import Scenario, make_scenario
-from cleatyoke.standin.search import play_values
+from cleatyoke.emulation import value as earnings
+from cleatyoke.emulation.traffic import UNIX, Emulation, core_of, emulate
+from cleatyoke.emulation.value import Wish
+from cleatyoke.scheduling import api
+from cleatyoke.testbed.scenario import Scenario, make_scenario
+from cleatyoke.testbed.search import play_values
 
 LOST, BACK = 5, 9  # seconds: the power is lost, and the fronts are back; the boxes a little sooner
 COLD = range(BACK, 22)  # seconds while boxes are cold
@@ -218,7 +218,7 @@
 
 
 def main(words: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m cleatyoke.emulate.recovery", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m cleatyoke.emulation.recovery", description=__doc__)
     parser.add_argument("--out", type=Path, required=True)
     parser.add_argument("--sizes", type=int, nargs="+", default=(40, 200))
     parser.add_argument("--seeds", type=int, nargs="+", default=(1, 2))
--- a/cleatyoke/emulate/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -13,20 +13,20 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cleatyoke import api
-from cleatyoke.config import FLEET_TIMES, BadConfig, FleetPeers, read_settings
+from cleatyoke.config.deployment import FLEET_TIMES, BadConfig, FleetPeers, read_settings
 from cleatyoke.core import Core, Ending, Failed, Refused, Served
-from cleatyoke.directory import Directory, Instance, Listing
-from cleatyoke.emulate.clock import run
-from cleatyoke.emulate.earnings import Wish
-from cleatyoke.emulate.network import Fault, Network
-from cleatyoke.emulate.view import Ether, VirtualView, address_of
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.standin.judge import Asked, Judge
-from cleatyoke.standin.load import Drawn, requests
-from cleatyoke.standin.model import BoxModel, Fate
-from cleatyoke.standin.scenario import Scenario, Trouble, settings_of
+from cleatyoke.discovery.directory import Directory, Instance, Listing
+from cleatyoke.emulation.clock import run
+from cleatyoke.emulation.network import Fault, Network
+from cleatyoke.emulation.value import Wish
+from cleatyoke.emulation.view import Ether, VirtualView, address_of
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling import api
+from cleatyoke.testbed.backend_model import BoxModel, Fate
+from cleatyoke.testbed.checker import Asked, Judge
+from cleatyoke.testbed.scenario import Scenario, Trouble, settings_of
+from cleatyoke.testbed.workload import Drawn, requests
 
 UNIX = 1e9  # Unix time at the loop's 0
 LATENCY = 0.001  # seconds to a box, and back
--- a/cleatyoke/emulate/earnings.py
+++ b/cleatyoke/emulation/value.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from cleatyoke.standin.scenario import WITHIN, Kind, Scenario
+from cleatyoke.testbed.scenario import WITHIN, Kind, Scenario
 
 SLOT = 0.25  # seconds, of the ideal's time
 
--- a/cleatyoke/emulate/view.py
+++ b/cleatyoke/emulation/view.py
@@ -6,11 +6,11 @@
 import asyncio
 from collections.abc import Callable
 
-from cleatyoke.config import Address, FleetPeers
-from cleatyoke.emulate.network import Network
-from cleatyoke.faults import Faults
-from cleatyoke.fleet.interface import Action, Answered, Asked, Exchange, Heard, Reply, Send
-from cleatyoke.net.fleet import PATIENCE, FleetView, told
+from cleatyoke.config.deployment import Address, FleetPeers
+from cleatyoke.emulation.network import Network
+from cleatyoke.fleet.view import PATIENCE, FleetView, told
+from cleatyoke.membership.interface import Action, Answered, Asked, Exchange, Heard, Reply, Send
+from cleatyoke.process.faults import Faults
 
 
 class Ether:
--- a/cleatyoke/net/recall.py
+++ b/cleatyoke/fleet/restore.py
@@ -12,11 +12,11 @@
 
 import structlog
 
-from cleatyoke.durable.records import MOST_PEERS, Doubt, Memory
-from cleatyoke.durable.store import Disk
-from cleatyoke.durable.writer import Recalled, Writer
-from cleatyoke.faults import Beat, Faults
-from cleatyoke.fleet.replicas import Holds
+from cleatyoke.coordination.replicated_holds import Holds
+from cleatyoke.durability.records import MOST_PEERS, Doubt, Memory
+from cleatyoke.durability.store import Disk
+from cleatyoke.durability.writer import Recalled, Writer
+from cleatyoke.process.faults import Beat, Faults
 
 SETTLE = 5.0  # seconds between looks whether the peers to ask at a next start have changed
 log = structlog.get_logger()
--- a/cleatyoke/net/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -9,12 +9,12 @@
 
 import structlog
 
-from cleatyoke.config import FleetPeers
-from cleatyoke.faults import Faults
-from cleatyoke.fleet.recovery import Evidence, Recovery, Stage
-from cleatyoke.fleet.rights import Terms
-from cleatyoke.net.fleet import FleetView
-from cleatyoke.net.recall import Recall
+from cleatyoke.config.deployment import FleetPeers
+from cleatyoke.coordination.quota_leases import Terms
+from cleatyoke.coordination.staged_start import Evidence, Recovery, Stage
+from cleatyoke.fleet.restore import Recall
+from cleatyoke.fleet.view import FleetView
+from cleatyoke.process.faults import Faults
 
 log = structlog.get_logger()
 
--- a/cleatyoke/net/fleet.py
+++ b/cleatyoke/fleet/view.py
@@ -20,13 +20,15 @@
 
 import structlog
 
-from cleatyoke import api
-from cleatyoke.config import Address, BadConfig, FleetPeers, read_address
+from cleatyoke.config.deployment import Address, BadConfig, FleetPeers, read_address
+from cleatyoke.coordination.hold_replication import Sharing
+from cleatyoke.coordination.quota_leases import Came, Need, Part, Peers, Rights
+from cleatyoke.coordination.quota_leases import Event as RightsEvent
+from cleatyoke.coordination.rate_limit_leases import Limits
+from cleatyoke.coordination.slow_start_leases import ColdShares
 from cleatyoke.core import Core
-from cleatyoke.faults import Beat, Faults
-from cleatyoke.fleet.cold import ColdShares
-from cleatyoke.fleet.conclude import Conclusion, Known, conclude
-from cleatyoke.fleet.interface import (
+from cleatyoke.membership.conclusions import Conclusion, Known, conclude
+from cleatyoke.membership.interface import (
     Action,
     Answered,
     Asked,
@@ -42,18 +44,16 @@
     Timing,
     Told,
 )
-from cleatyoke.fleet.limits import Limits
-from cleatyoke.fleet.members import Members
-from cleatyoke.fleet.rights import Came, Need, Part, Peers, Rights
-from cleatyoke.fleet.rights import Event as RightsEvent
-from cleatyoke.fleet.sharing import Sharing
-from cleatyoke.fleet.wire import MOST_STREAM, State
-from cleatyoke.net.framing import read_message, write_message
-from cleatyoke.net.handover import HoldFile
+from cleatyoke.membership.members import Members
+from cleatyoke.membership.wire import MOST_STREAM, State
+from cleatyoke.process.faults import Beat, Faults
+from cleatyoke.process.handover import HoldFile
+from cleatyoke.scheduling import api
+from cleatyoke.transport.framing import read_message, write_message
 
 if TYPE_CHECKING:
-    from cleatyoke.durable.records import Memory
-    from cleatyoke.net.recall import Recall
+    from cleatyoke.durability.records import Memory
+    from cleatyoke.fleet.restore import Recall
 
 MOST_HEARD = 2000  # datagrams taken in a second; more are dropped, so that a flood costs no request its time
 MOST_STREAMS = 16  # open at once, each way; one more is refused
--- /dev/null
+++ b/cleatyoke/http/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's HTTP protocol: server, backend connections and messages."""
--- a/cleatyoke/net/boxes.py
+++ b/cleatyoke/http/backends.py
@@ -13,12 +13,10 @@
 from collections.abc import Callable
 from functools import partial
 
-from cleatyoke.api import Outcome
-from cleatyoke.config import Address
+from cleatyoke.config.deployment import Address
 from cleatyoke.core import Ending, May
-from cleatyoke.directory import Directory
-from cleatyoke.figures import Figures
-from cleatyoke.net.messages import (
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.http.messages import (
     Answer,
     AnswerReader,
     Ask,
@@ -30,7 +28,9 @@
     encode_attempt,
     encode_probe,
 )
-from cleatyoke.net.sockets import unread
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling.api import Outcome
+from cleatyoke.transport.sockets import unread
 
 IDLE_SHARE = 0.5  # of the boxes' idle limit (settings), after which a pooled connection is dropped
 REST = 0.02  # seconds that a connection rests after an answer: a second one comes "some milliseconds" later
--- a/cleatyoke/net/probes.py
+++ b/cleatyoke/http/load_probes.py
@@ -8,11 +8,11 @@
 import asyncio
 import math
 
-from cleatyoke import api
 from cleatyoke.core import Core
-from cleatyoke.faults import Faults, keep_up
-from cleatyoke.load.probes import Prober
-from cleatyoke.net.boxes import Boxes
+from cleatyoke.http.backends import Boxes
+from cleatyoke.process.faults import Faults, keep_up
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.load_probes import Prober
 
 SLEEP = 0.5  # seconds between looks while there is nothing to ask
 AGAIN = 1.0  # seconds until the duty is taken up again after a fault of our own
--- a/cleatyoke/net/messages.py
+++ b/cleatyoke/http/messages.py
@@ -14,8 +14,8 @@
 from aiohttp.http_exceptions import HttpProcessingError
 from multidict import CIMultiDictProxy
 
-from cleatyoke import api
-from cleatyoke.config import Address, Config
+from cleatyoke.config.deployment import Address, Config
+from cleatyoke.scheduling import api
 
 MOST_WHOLE = 64 * 1024  # bytes of an answer's body that is read whole; a longer one passes on as it comes
 MOST_ANSWER = 64 * 1024 * 1024  # bytes of the longest body of a box's answer: twice what boxes send
--- a/cleatyoke/net/server.py
+++ b/cleatyoke/http/server.py
@@ -14,13 +14,14 @@
 from aiohttp.http import RawRequestMessage
 from aiohttp.web_protocol import RequestHandler
 
-from cleatyoke import api, bodies
-from cleatyoke.config import Address, Config
+from cleatyoke.admin.maintenance import Drain
+from cleatyoke.config.deployment import Address, Config
 from cleatyoke.core import ATTEMPT_MARGIN, Core, Ending, Failed, May, Refused, Served
-from cleatyoke.maintenance import Drain
-from cleatyoke.net.boxes import Boxes, LongBody
-from cleatyoke.net.messages import Ask, BadKey, BadMessage, SpoiltAnswer, decode_ask
-from cleatyoke.net.sockets import Listener, PartingTransport, ended, unread
+from cleatyoke.http import body_limits as bodies
+from cleatyoke.http.backends import Boxes, LongBody
+from cleatyoke.http.messages import Ask, BadKey, BadMessage, SpoiltAnswer, decode_ask
+from cleatyoke.scheduling import api
+from cleatyoke.transport.sockets import Listener, PartingTransport, ended, unread
 
 # Of clients the settings tell only how long they wait for an answer, and the protocol page nothing of how
 # long they keep a connection: these times are about descriptors and bad clients, and cost no request taken.
--- a/cleatyoke/fleet/conclude.py
+++ b/cleatyoke/membership/conclusions.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cleatyoke.fleet.wire import Id, Rumour, State
+from cleatyoke.membership.wire import Id, Rumour, State
 
 FRESH = 2.0  # seconds for which one that was heard directly is certainly up, as far as anything is certain
 
--- a/cleatyoke/fleet/interface.py
+++ b/cleatyoke/membership/interface.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Protocol
 
-from cleatyoke.fleet.wire import Grant, Id, Want
+from cleatyoke.membership.wire import Grant, Id, Want
 
 
 @dataclass(slots=True, frozen=True)
--- a/cleatyoke/fleet/member_records.py
+++ b/cleatyoke/membership/member_records.py
@@ -6,7 +6,7 @@
 import zlib
 from dataclasses import dataclass, field
 
-from cleatyoke.fleet.wire import Id, Rumour, State
+from cleatyoke.membership.wire import Id, Rumour, State
 
 HEARD_OF = (State.ALIVE, State.SUSPECT)
 
--- a/cleatyoke/fleet/members.py
+++ b/cleatyoke/membership/members.py
@@ -19,7 +19,7 @@
 import zlib
 from collections.abc import Iterable, Iterator, Sequence
 
-from cleatyoke.fleet.interface import (
+from cleatyoke.membership.interface import (
     Action,
     Answered,
     Asked,
@@ -36,9 +36,9 @@
     Timing,
     Told,
 )
-from cleatyoke.fleet.member_records import HEARD_OF, Life, RelayedPing, mark_of, rank
-from cleatyoke.fleet.probing import UNHEALTHY, Probing
-from cleatyoke.fleet.wire import (
+from cleatyoke.membership.member_records import HEARD_OF, Life, RelayedPing, mark_of, rank
+from cleatyoke.membership.probing import UNHEALTHY, Probing
+from cleatyoke.membership.wire import (
     Ack,
     Ask,
     Body,
--- a/cleatyoke/fleet/probing.py
+++ b/cleatyoke/membership/probing.py
@@ -6,10 +6,10 @@
 import math
 import random
 
-from cleatyoke.fleet.beliefs import ACCUSERS, Beliefs
-from cleatyoke.fleet.interface import Timing
-from cleatyoke.fleet.member_records import HEARD_OF, Figures, Life, Probe, RelayedPing
-from cleatyoke.fleet.wire import Ack, Ask, Body, Id, Ping, Rumour, State
+from cleatyoke.membership.interface import Timing
+from cleatyoke.membership.member_records import HEARD_OF, Figures, Life, Probe, RelayedPing
+from cleatyoke.membership.suspicion import ACCUSERS, Beliefs
+from cleatyoke.membership.wire import Ack, Ask, Body, Id, Ping, Rumour, State
 
 UNHEALTHY = 8  # most that local health counts
 
--- a/cleatyoke/fleet/beliefs.py
+++ b/cleatyoke/membership/suspicion.py
@@ -4,9 +4,9 @@
 
 import math
 
-from cleatyoke.fleet.interface import Timing
-from cleatyoke.fleet.member_records import HEARD_OF, Life, mark_of
-from cleatyoke.fleet.wire import Id, State
+from cleatyoke.membership.interface import Timing
+from cleatyoke.membership.member_records import HEARD_OF, Life, mark_of
+from cleatyoke.membership.wire import Id, State
 
 ACCUSERS = 3  # independent ones by which a suspicion is as short as it gets
 
--- a/cleatyoke/middleware.py
+++ b/cleatyoke/middleware.py
@@ -11,9 +11,9 @@
 from aiohttp import web
 from aiohttp.typedefs import Handler, Middleware
 
-from cleatyoke import api
-from cleatyoke.api import Outcome
 from cleatyoke.core import Core, Ending, May, Refused, Served
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import Outcome
 
 NODE = web.RequestKey("node", int)
 
--- a/cleatyoke/faults.py
+++ b/cleatyoke/process/faults.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from cleatyoke.figures import Figures
+from cleatyoke.process.metrics import Figures
 
 log = structlog.get_logger()
 
--- a/cleatyoke/net/handover.py
+++ b/cleatyoke/process/handover.py
@@ -15,10 +15,10 @@
 
 import structlog
 
-from cleatyoke import api
 from cleatyoke.core import Core
-from cleatyoke.directory import Directory
-from cleatyoke.faults import Beat, Faults
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.process.faults import Beat, Faults
+from cleatyoke.scheduling import api
 
 NAME = "cleatyoke-holds.json"
 LOOK = 0.25  # seconds between looks at the file
--- a/cleatyoke/load/probes.py
+++ b/cleatyoke/scheduling/load_probes.py
@@ -11,8 +11,8 @@
 import math
 import random
 
-from cleatyoke import api
-from cleatyoke.load.rounds import RandomRounds
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.random_rounds import RandomRounds
 
 PERIOD = 1.0  # seconds between two probes of a node, of all hosts together
 LEAST = 0.15  # seconds between two probes of a host
--- a/cleatyoke/node_table.py
+++ b/cleatyoke/scheduling/node_table.py
@@ -9,8 +9,8 @@
 import random
 from collections.abc import Callable, Iterable
 
-from cleatyoke.load.rounds import RandomRounds
-from cleatyoke.state import Node
+from cleatyoke.scheduling.random_rounds import RandomRounds
+from cleatyoke.scheduling.records import Node
 
 IsCold = Callable[[Node], bool]
 
--- a/cleatyoke/state.py
+++ b/cleatyoke/scheduling/records.py
@@ -6,7 +6,7 @@
 from collections import defaultdict, deque
 from heapq import heappop, heappush
 
-from cleatyoke import api
+from cleatyoke.scheduling import api
 
 
 class Request:
--- a/cleatyoke/rules.py
+++ b/cleatyoke/scheduling/scheduler.py
@@ -11,11 +11,20 @@
 from collections import deque
 from heapq import heapify, heappop, heapreplace
 
-from cleatyoke import api
-from cleatyoke.api import Ended, ListKind, NodeState, Outcome, Repeat, Scope
-from cleatyoke.fits import GAIN, clamp, fit, short_mean
-from cleatyoke.node_table import NodeTable
-from cleatyoke.state import Agenda, Lending, Node, Request, ShareClock, Store, Volume, forget_before
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import Ended, ListKind, NodeState, Outcome, Repeat, Scope
+from cleatyoke.scheduling.node_table import NodeTable
+from cleatyoke.scheduling.records import (
+    Agenda,
+    Lending,
+    Node,
+    Request,
+    ShareClock,
+    Store,
+    Volume,
+    forget_before,
+)
+from cleatyoke.scheduling.regression import GAIN, clamp, fit, short_mean
 
 INTERVAL = 1.0  # seconds between control rounds; the paper's two seconds trail a surge
 FIT = 5  # intervals in a slope fit: the design's
--- a/cleatyoke/sftp/boxes.py
+++ b/cleatyoke/sftp/backends.py
@@ -6,9 +6,9 @@
 from collections import defaultdict
 from dataclasses import dataclass, replace
 
-from cleatyoke.api import Outcome
 from cleatyoke.core import Ending, May
-from cleatyoke.directory import Directory
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.scheduling.api import Outcome
 from cleatyoke.sftp.packets import (
     VERSION,
     Attrs,
--- a/cleatyoke/sftp/front.py
+++ b/cleatyoke/sftp/server.py
@@ -10,10 +10,10 @@
 
 import structlog
 
-from cleatyoke import api
-from cleatyoke.config import SftpFront, VolumePath
+from cleatyoke.config.deployment import SftpFront, VolumePath
 from cleatyoke.core import Core, Refused, Served
-from cleatyoke.sftp.boxes import Command, FileBoxes, List, ReadRange, Simple, Upload, changes
+from cleatyoke.scheduling import api
+from cleatyoke.sftp.backends import Command, FileBoxes, List, ReadRange, Simple, Upload, changes
 from cleatyoke.sftp.packets import (
     VERSION,
     Attrs,
--- a/cleatyoke/simhost.py
+++ b/cleatyoke/simulator.py
@@ -7,10 +7,10 @@
 import sys
 from typing import Any, TextIO
 
-from cleatyoke import api
-from cleatyoke.config import LOADS, read_settings
-from cleatyoke.load.probes import Prober
-from cleatyoke.rules import Policy
+from cleatyoke.config.deployment import LOADS, read_settings
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.load_probes import Prober
+from cleatyoke.scheduling.scheduler import Policy
 
 OUTCOMES = {
     "completed": api.Outcome.SERVED,
--- a/cleatyoke/standin/__main__.py
+++ b/cleatyoke/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cleatyoke.standin FILE...``: play scenarios, report each; status 1 for a broken rule."""
+"""``python -m cleatyoke.testbed FILE...``: play scenarios, report each; status 1 for a broken rule."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import sys
 from pathlib import Path
 
-from cleatyoke.config import BadConfig
-from cleatyoke.standin.play import play
-from cleatyoke.standin.scenario import read_scenario
+from cleatyoke.config.deployment import BadConfig
+from cleatyoke.testbed.runner import play
+from cleatyoke.testbed.scenario import read_scenario
 
 
 def main(names: list[str]) -> int:
     if not names:
-        print("usage: python -m cleatyoke.standin FILE...", file=sys.stderr)
+        print("usage: python -m cleatyoke.testbed FILE...", file=sys.stderr)
         return 2
     broken = False
     for name in names:
--- a/cleatyoke/standin/box.py
+++ b/cleatyoke/testbed/backend.py
@@ -9,9 +9,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-from cleatyoke.standin.judge import Attempt, Form, Judge
-from cleatyoke.standin.model import BoxModel, Fate
-from cleatyoke.standin.peer import Peer, TimedReader
+from cleatyoke.testbed.backend_model import BoxModel, Fate
+from cleatyoke.testbed.checker import Attempt, Form, Judge
+from cleatyoke.testbed.peer import Peer, TimedReader
 
 FULL = b"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 PROBES = ("/alive", "/metrics/load")
--- a/cleatyoke/standin/model.py
+++ b/cleatyoke/testbed/backend_model.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from cleatyoke.standin.scenario import BoxPower
+from cleatyoke.testbed.scenario import BoxPower
 
 
 class Fate(Enum):
--- a/cleatyoke/standin/judge.py
+++ b/cleatyoke/testbed/checker.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from cleatyoke.api import Repeat, Scope
-from cleatyoke.standin.scenario import Kind, Plan, Terms
+from cleatyoke.scheduling.api import Repeat, Scope
+from cleatyoke.testbed.scenario import Kind, Plan, Terms
 
 SLACK = 0.05  # seconds by which every limit in time is longer (protocol page)
 LATE = 0.5  # seconds past its deadline up to which an answer only earns nothing (standing test's page)
--- a/cleatyoke/standin/clients.py
+++ b/cleatyoke/testbed/clients.py
@@ -7,11 +7,11 @@
 from collections import deque
 from collections.abc import Callable
 
-from cleatyoke.api import Repeat
-from cleatyoke.emulate.earnings import Wish
-from cleatyoke.standin.judge import Asked, Form, Judge
-from cleatyoke.standin.load import Drawn, requests
-from cleatyoke.standin.scenario import Scenario
+from cleatyoke.emulation.value import Wish
+from cleatyoke.scheduling.api import Repeat
+from cleatyoke.testbed.checker import Asked, Form, Judge
+from cleatyoke.testbed.scenario import Scenario
+from cleatyoke.testbed.workload import Drawn, requests
 
 RECENT = 16  # objects written just before, which reads go to
 CROSSED = 0.1  # seconds after a request in which the end of its connection can have crossed it
--- a/cleatyoke/standin/agent.py
+++ b/cleatyoke/testbed/discovery_agent.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from cleatyoke.standin.judge import Judge
-from cleatyoke.standin.peer import Peer
+from cleatyoke.testbed.checker import Judge
+from cleatyoke.testbed.peer import Peer
 
 IDLE = 2.0  # seconds after which an empty line comes
 
--- a/cleatyoke/standin/relay.py
+++ b/cleatyoke/testbed/fault_relay.py
@@ -12,8 +12,8 @@
 from functools import partial
 from typing import Any
 
-from cleatyoke.emulate.network import Network
-from cleatyoke.standin.peer import hold_port
+from cleatyoke.emulation.network import Network
+from cleatyoke.testbed.peer import hold_port
 
 HELD = 2.0  # seconds for which a stream across a cut stands without a word
 CHUNK = 65536
--- a/cleatyoke/standin/draw.py
+++ b/cleatyoke/testbed/generator.py
@@ -13,9 +13,9 @@
 import random
 from typing import Any
 
-from cleatyoke import api
-from cleatyoke.config import REPEATS
-from cleatyoke.standin.scenario import BOX_TROUBLES, FRONT_TROUBLES, LIST_TROUBLES, REPORTS
+from cleatyoke.config.deployment import REPEATS
+from cleatyoke.scheduling import api
+from cleatyoke.testbed.scenario import BOX_TROUBLES, FRONT_TROUBLES, LIST_TROUBLES, REPORTS
 
 MOST_RATE = 130.0  # requests a second: what the stand-ins of one play can serve without running late
 BOX_UNITS = (10.0, 20.0, 40.0)  # a second, of a warm box
--- a/cleatyoke/standin/play.py
+++ b/cleatyoke/testbed/runner.py
@@ -16,16 +16,16 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke.emulate.earnings import Wish
-from cleatyoke.emulate.network import Fault
-from cleatyoke.standin.agent import Agent, Registry
-from cleatyoke.standin.box import Box
-from cleatyoke.standin.clients import Clients, Door
-from cleatyoke.standin.judge import Judge
-from cleatyoke.standin.model import BoxModel
-from cleatyoke.standin.peer import hold_port
-from cleatyoke.standin.relay import Relay
-from cleatyoke.standin.scenario import (
+from cleatyoke.emulation.network import Fault
+from cleatyoke.emulation.value import Wish
+from cleatyoke.testbed.backend import Box
+from cleatyoke.testbed.backend_model import BoxModel
+from cleatyoke.testbed.checker import Judge
+from cleatyoke.testbed.clients import Clients, Door
+from cleatyoke.testbed.discovery_agent import Agent, Registry
+from cleatyoke.testbed.fault_relay import Relay
+from cleatyoke.testbed.peer import hold_port
+from cleatyoke.testbed.scenario import (
     BOX_TROUBLES,
     CALL_TROUBLES,
     FRONT_TROUBLES,
@@ -34,7 +34,7 @@
     Trouble,
     settings_of,
 )
-from cleatyoke.standin.views import View, ViewJudge, read_view
+from cleatyoke.testbed.view_checks import View, ViewJudge, read_view
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 START = 15.0  # seconds for a front to be ready
--- a/cleatyoke/standin/scenario.py
+++ b/cleatyoke/testbed/scenario.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke import api
-from cleatyoke.config import REPEATS, BadConfig, Table
+from cleatyoke.config.deployment import REPEATS, BadConfig, Table
+from cleatyoke.scheduling import api
 
 BOX_TROUBLES = ("replace", "drain", "restart", "silence", "stall", "reset", "lose_answers", "spoil", "slow")
 FRONT_TROUBLES = ("roll", "kill", "reload", "pause", "powercut")
--- a/cleatyoke/standin/search.py
+++ b/cleatyoke/testbed/search.py
@@ -1,4 +1,4 @@
-"""``python -m cleatyoke.standin.search``: play drawn scenarios, and keep the shortest that breaks a rule.
+"""``python -m cleatyoke.testbed.search``: play drawn scenarios, and keep the shortest that breaks a rule.
 
 Each play has a process of its own, a few at a time, so that no stand-in runs late for another's sake. A
 scenario that breaks a rule is made shorter while a shorter one still breaks that rule: troubles, classes and
@@ -16,9 +16,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from cleatyoke.standin.draw import SPAN, THEMES, Values, draw, dump
-from cleatyoke.standin.play import ROOT, Report, play
-from cleatyoke.standin.scenario import make_scenario
+from cleatyoke.testbed.generator import SPAN, THEMES, Values, draw, dump
+from cleatyoke.testbed.runner import ROOT, Report, play
+from cleatyoke.testbed.scenario import make_scenario
 
 JOBS = 3  # plays at once
 TRIES = 2  # plays of a shorter scenario: what depends on the moment need not show in the first
@@ -104,7 +104,7 @@
 
 
 def main(words: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(prog="python -m cleatyoke.standin.search", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m cleatyoke.testbed.search", description=__doc__)
     parser.add_argument("--theme", choices=THEMES, default="trouble")
     parser.add_argument("--draws", type=int, default=100)
     parser.add_argument("--first", type=int, default=1, help="number of the first draw")
--- a/cleatyoke/standin/views.py
+++ b/cleatyoke/testbed/view_checks.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from cleatyoke.config import BadConfig
+from cleatyoke.config.deployment import BadConfig
 
 
 @dataclass(slots=True)
--- a/cleatyoke/standin/load.py
+++ b/cleatyoke/testbed/workload.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from cleatyoke.standin.scenario import Kind, Scenario
+from cleatyoke.testbed.scenario import Kind, Scenario
 
 STEP = 0x9E3779B97F4A7C15  # from one id to the next: an odd number, so that few meet another's
 
--- /dev/null
+++ b/cleatyoke/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Stream helpers shared by the servers: listeners, framing, orderly close."""
--- a/cleatyoke/vrrp.py
+++ b/cleatyoke/vrrp/instance.py
@@ -15,7 +15,7 @@
 
 import structlog
 
-from cleatyoke.config import Address, VrrpPeers
+from cleatyoke.config.deployment import Address, VrrpPeers
 
 log = structlog.get_logger()
 
--- a/tests/host.py
+++ b/tests/host.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any
 
-from cleatyoke import api
-from cleatyoke.rules import Policy
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.scheduler import Policy
 
 
 def class_spec(**changes: Any) -> api.ClassSpec:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -7,7 +7,7 @@
 import unittest
 from collections.abc import AsyncIterator
 
-from cleatyoke.bodies import MOST_UPLOAD, WHOLE, Room, patience
+from cleatyoke.http.body_limits import MOST_UPLOAD, WHOLE, Room, patience
 from tests.test_http_front import TARGET, FrontCase
 from tests.wire import answer
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -19,13 +19,13 @@
 
 from cleatyoke import __main__ as daemon_module
 from cleatyoke.__main__ import Daemon
-from cleatyoke.api import Outcome
-from cleatyoke.config import read_config
+from cleatyoke.config.deployment import read_config
 from cleatyoke.core import Ending
-from cleatyoke.directory import Directory
-from cleatyoke.lifecycle import Status
-from cleatyoke.net.boxes import Boxes
-from cleatyoke.net.server import Front
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.http.backends import Boxes
+from cleatyoke.http.server import Front
+from cleatyoke.process.lifecycle import Status
+from cleatyoke.scheduling.api import Outcome
 from tests.test_http_front import HEADERS, ROOT, TARGET, DaemonCase, FrontCase, ask, entry
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer, instance, listed
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from cleatyoke.emulate.__main__ import main
-from cleatyoke.emulate.capacity import cost, hollow, nodes, page, results
-from cleatyoke.emulate.capacity.fit import fit
-from cleatyoke.emulate.capacity.measure import SERIES, Kind, Row, plan_jobs
-from cleatyoke.emulate.capacity.needs import Need, all_needs, workers
-from cleatyoke.emulate.capacity.plan import PLAN
-from cleatyoke.emulate.network import Network
-from cleatyoke.fleet.members import Members
+from cleatyoke.emulation.__main__ import main
+from cleatyoke.emulation.capacity import cost, hollow, nodes, page, results
+from cleatyoke.emulation.capacity.fit import fit
+from cleatyoke.emulation.capacity.measure import SERIES, Kind, Row, plan_jobs
+from cleatyoke.emulation.capacity.needs import Need, all_needs, workers
+from cleatyoke.emulation.capacity.plan import PLAN
+from cleatyoke.emulation.network import Network
+from cleatyoke.membership.members import Members
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 FLAT = 0.1  # exponent under which a cost counts as not growing
@@ -59,7 +59,7 @@
 
 
 def test_a_scan_of_all_nodes_for_one_change_worsens_the_exponent() -> None:
-    from cleatyoke.directory import Directory
+    from cleatyoke.discovery.directory import Directory
 
     real = Directory.put
 
@@ -153,7 +153,7 @@
 def test_the_page_has_the_tables_of_its_table() -> None:
     found = measured()
     text = (DOCS / "CAPACITY.md").read_text()
-    assert page.fill(text, found) == text, "make it again: python -m cleatyoke.emulate capacity --page-only"
+    assert page.fill(text, found) == text, "make it again: python -m cleatyoke.emulation capacity --page-only"
     assert workers(found) > 1
 
 
--- a/tests/test_cold_shares.py
+++ b/tests/test_cold_shares.py
@@ -4,10 +4,10 @@
 
 import random
 
-from cleatyoke import api
-from cleatyoke.fleet.cold import ColdShares, resource
-from cleatyoke.fleet.rights import KEPT, Came, Need, Peers, Rights
-from cleatyoke.fleet.wire import HOME, Grant, Id, Want
+from cleatyoke.coordination.quota_leases import KEPT, Came, Need, Peers, Rights
+from cleatyoke.coordination.slow_start_leases import ColdShares, resource
+from cleatyoke.membership.wire import HOME, Grant, Id, Want
+from cleatyoke.scheduling import api
 from tests.host import Host, entry, settings
 
 BOX, LIVE, DRAINING = 7, api.NodeState.LIVE, api.NodeState.DRAINING
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from cleatyoke import api
-from cleatyoke.rules import Policy
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.scheduler import Policy
 from tests.host import class_spec, entry, plan_spec, settings
 
 MEAN, POWER, VOLUMES = 2.0, 50.0, 24  # units of a request, units a second of a warm node, volumes on it
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from cleatyoke import api
-from cleatyoke.api import Outcome
-from cleatyoke.rules import LOST, MARGIN, Policy
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import Outcome
+from cleatyoke.scheduling.scheduler import LOST, MARGIN, Policy
 from tests.host import Host, entry, settings
 
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -51,8 +51,8 @@
     Subscriber,
     Timing,
 )
-from cleatyoke.emulate.distribution import SOURCE, Links, Measured, Tree
-from cleatyoke.fleet.wire import Refused
+from cleatyoke.emulation.distribution import SOURCE, Links, Measured, Tree
+from cleatyoke.membership.wire import Refused
 
 AMPLE = Timing(rate=1e6, burst=1e6, jitter=0.0)
 S, N = Lane.SETTINGS, Lane.NODES
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -20,7 +20,8 @@
 
 import pytest
 
-from cleatyoke.config import Address, BadConfig, DistributionRelays, read_config, read_fronts
+from cleatyoke.admin.control import Commands, answer
+from cleatyoke.config.deployment import Address, BadConfig, DistributionRelays, read_config, read_fronts
 from cleatyoke.distribution.__main__ import main
 from cleatyoke.distribution.contents import (
     BadValue,
@@ -30,16 +31,15 @@
     settings_entries,
 )
 from cleatyoke.distribution.folder import BadEpoch, Folder, next_epoch
+from cleatyoke.distribution.network import Subscription
 from cleatyoke.distribution.records import MOST_VALUE, Entry, Lane, Version
 from cleatyoke.distribution.subscriber import Deliver
-from cleatyoke.emulate.network import Network
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.net.distribution import Subscription
-from cleatyoke.net.framing import MessageTooLong, read_message
-from cleatyoke.net.ops import Commands, answer
-from cleatyoke.standin.peer import Peer, hold_port
-from cleatyoke.standin.scenario import make_scenario, settings_of
+from cleatyoke.emulation.network import Network
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.metrics import Figures
+from cleatyoke.testbed.peer import Peer, hold_port
+from cleatyoke.testbed.scenario import make_scenario, settings_of
+from cleatyoke.transport.framing import MessageTooLong, read_message
 
 ROOT = Path(__file__).resolve().parent.parent
 FRONTS = 8
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -18,12 +18,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.durable.__main__ import main
-from cleatyoke.durable.records import FORM, Doubt, Memory, next_boot, read, rows_of, sealed
-from cleatyoke.durable.store import NAMES, Disk, rows_in
-from cleatyoke.durable.writer import Recalled, Writer
-from cleatyoke.fleet.replicas import Holds
-from cleatyoke.fleet.wire import Id
+from cleatyoke.coordination.replicated_holds import Holds
+from cleatyoke.durability.__main__ import main
+from cleatyoke.durability.records import FORM, Doubt, Memory, next_boot, read, rows_of, sealed
+from cleatyoke.durability.store import NAMES, Disk, rows_in
+from cleatyoke.durability.writer import Recalled, Writer
+from cleatyoke.membership.wire import Id
 
 ROOT = Path(__file__).resolve().parent.parent
 FRONT = "ours/n1"
@@ -154,10 +154,10 @@
 FULL = """
 import resource, signal, sys
 from pathlib import Path
-from cleatyoke.durable.records import Memory
-from cleatyoke.durable.store import Disk
-from cleatyoke.fleet.replicas import Holds
-from cleatyoke.fleet.wire import Id
+from cleatyoke.durability.records import Memory
+from cleatyoke.durability.store import Disk
+from cleatyoke.coordination.replicated_holds import Holds
+from cleatyoke.membership.wire import Id
 disk, holds = Disk(Path(sys.argv[1]), "ours/n1"), Holds().hold(Id("n1", 7), "s-003")
 assert disk.save(Memory(holds, 7)) == []
 signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
@@ -228,10 +228,10 @@
 WRITES = """
 import sys
 from pathlib import Path
-from cleatyoke.durable.records import Memory
-from cleatyoke.durable.store import Disk
-from cleatyoke.fleet.replicas import Holds
-from cleatyoke.fleet.wire import Id
+from cleatyoke.durability.records import Memory
+from cleatyoke.durability.store import Disk
+from cleatyoke.coordination.replicated_holds import Holds
+from cleatyoke.membership.wire import Id
 disk = Disk(Path(sys.argv[1]), "ours/n1")
 memory, doubts = disk.load()
 assert not doubts, doubts
@@ -276,14 +276,14 @@
 
 
 def test_it_is_not_imported_while_it_is_off() -> None:
-    ours = ("cleatyoke.durable", "sqlite3", "click", "cleatyoke.net.startup", "cleatyoke.net.recall")
+    ours = ("cleatyoke.durability", "sqlite3", "click", "cleatyoke.fleet")
     look = f"import sys, cleatyoke.__main__; sys.exit(any(n.startswith({ours}) for n in sys.modules))"
     assert subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode == 0
 
 
 @pytest.mark.parametrize("folder", ['"relative"', "7"])
 def test_a_folder_that_cannot_be_one_is_named(folder: str, tmp_path: Path) -> None:
-    from cleatyoke.config import BadConfig, read_fronts
+    from cleatyoke.config.deployment import BadConfig, read_fronts
 
     path = tmp_path / "fronts.toml"
     path.write_text(
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,15 +9,15 @@
 from typing import Any
 from unittest import mock
 
-from cleatyoke import api
-from cleatyoke.api import Outcome, Repeat
 from cleatyoke.core import Core, Ending, May, Served
-from cleatyoke.directory import Directory
-from cleatyoke.net import server as server_module
-from cleatyoke.net import sockets
-from cleatyoke.net.boxes import Line
-from cleatyoke.net.server import Client
-from cleatyoke.net.sockets import PartingTransport, ended, unread
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.http import server as server_module
+from cleatyoke.http.backends import Line
+from cleatyoke.http.server import Client
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import Outcome, Repeat
+from cleatyoke.transport import sockets
+from cleatyoke.transport.sockets import PartingTransport, ended, unread
 from tests.host import Host, class_spec, entry, settings
 from tests.test_http_front import FrontCase, ask
 from tests.wire import answer, config, instance, listed
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -16,14 +16,14 @@
 from hypothesis import strategies as st
 
 from cleatyoke import __main__ as daemon
-from cleatyoke import api
-from cleatyoke.config import Address, BadConfig, read_config
+from cleatyoke.config.deployment import Address, BadConfig, read_config
 from cleatyoke.core import Call, Core, Ending, Failed, May, Refused
-from cleatyoke.directory import Directory
-from cleatyoke.faults import Beat, Faults
-from cleatyoke.figures import Figures
-from cleatyoke.lifecycle import Lifecycle, Notice, Order, Stage, Status
-from cleatyoke.net.discovery import Discovery
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.discovery.watch import Discovery
+from cleatyoke.process.faults import Beat, Faults
+from cleatyoke.process.lifecycle import Lifecycle, Notice, Order, Stage, Status
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling import api
 from tests.host import class_spec, entry
 from tests.host import settings as host_settings
 from tests.test_upgrade import start
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,15 +10,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.emulate.fleet import Fleet
-from cleatyoke.emulate.network import Network
-from cleatyoke.emulate.script import FAULTS, draw, play, shrink
-from cleatyoke.fleet import wire
-from cleatyoke.fleet.conclude import Known, conclude
-from cleatyoke.fleet.interface import Asked, Change, Heard, Leave, Reply, Send, Timing, Told
-from cleatyoke.fleet.member_records import Probe
-from cleatyoke.fleet.members import Members
-from cleatyoke.fleet.wire import Gossip, Id, Ping, Rumour, State
+from cleatyoke.emulation.fault_script import FAULTS, draw, play, shrink
+from cleatyoke.emulation.fleet import Fleet
+from cleatyoke.emulation.network import Network
+from cleatyoke.membership import wire
+from cleatyoke.membership.conclusions import Known, conclude
+from cleatyoke.membership.interface import Asked, Change, Heard, Leave, Reply, Send, Timing, Told
+from cleatyoke.membership.member_records import Probe
+from cleatyoke.membership.members import Members
+from cleatyoke.membership.wire import Gossip, Id, Ping, Rumour, State
 
 SIZE = 12
 HEAL = 3.0  # seconds until there is one view again
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -17,20 +17,20 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from cleatyoke import api
-from cleatyoke.config import BadConfig, FleetPeers, read_address, read_fronts
-from cleatyoke.emulate.network import Fault, Network
-from cleatyoke.emulate.traffic import emulate
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.fleet import wire
-from cleatyoke.fleet.wire import Gossip, Id, Rumour, State
-from cleatyoke.net.fleet import MOST_HEARD, FleetView
-from cleatyoke.net.ops import Commands, answer
-from cleatyoke.standin.play import Report
-from cleatyoke.standin.scenario import make_scenario
-from cleatyoke.standin.search import play_values, pool, rules
-from cleatyoke.standin.views import View, ViewJudge, read_view
+from cleatyoke.admin.control import Commands, answer
+from cleatyoke.config.deployment import BadConfig, FleetPeers, read_address, read_fronts
+from cleatyoke.emulation.network import Fault, Network
+from cleatyoke.emulation.traffic import emulate
+from cleatyoke.fleet.view import MOST_HEARD, FleetView
+from cleatyoke.membership import wire
+from cleatyoke.membership.wire import Gossip, Id, Rumour, State
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling import api
+from cleatyoke.testbed.runner import Report
+from cleatyoke.testbed.scenario import make_scenario
+from cleatyoke.testbed.search import play_values, pool, rules
+from cleatyoke.testbed.view_checks import View, ViewJudge, read_view
 from tests.host import settings
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -286,7 +286,8 @@
     def test_nothing_of_it_is_imported_while_it_is_off_and_the_operators_are_told_so(self) -> None:
         look = (
             "import sys, cleatyoke.__main__; sys.exit(any(name.startswith(('cleatyoke.fleet', 'msgspec', "
-            "'cleatyoke.net.fleet', 'cleatyoke.emulate')) for name in sys.modules))"
+            "'cleatyoke.membership', 'cleatyoke.coordination', 'cleatyoke.emulation')) "
+            "for name in sys.modules))"
         )
         self.assertEqual(subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode, 0)
         off = Commands(lambda: True, list, bool, bool, lambda: None, lambda: None)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from cleatyoke import api
-from cleatyoke.api import Outcome, Repeat, Scope
-from cleatyoke.node_table import FadingMeans
-from cleatyoke.rules import LOST
-from cleatyoke.state import Request
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import Outcome, Repeat, Scope
+from cleatyoke.scheduling.node_table import FadingMeans
+from cleatyoke.scheduling.records import Request
+from cleatyoke.scheduling.scheduler import LOST
 from tests.host import Host, class_spec, entry, plan_spec, settings
 
 ONCE = class_spec(repeat=Repeat.ONCE)
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -18,21 +18,21 @@
 
 import aiohttp
 
-from cleatyoke import api
-from cleatyoke import directory as directory_module
-from cleatyoke.api import NodeState, Outcome
-from cleatyoke.bodies import Room
-from cleatyoke.config import Address, BadConfig, read_config, read_fronts
+from cleatyoke.config.deployment import Address, BadConfig, read_config, read_fronts
 from cleatyoke.core import Core, Ending
-from cleatyoke.directory import Directory
-from cleatyoke.net import boxes as boxes_module
-from cleatyoke.net import server as server_module
-from cleatyoke.net.boxes import Boxes, LongBody
-from cleatyoke.net.discovery import Discovery
-from cleatyoke.net.listings import read_listing
-from cleatyoke.net.messages import Ask, decode_busy
-from cleatyoke.net.server import Front
-from cleatyoke.rules import Policy
+from cleatyoke.discovery import directory as directory_module
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.discovery.listings import read_listing
+from cleatyoke.discovery.watch import Discovery
+from cleatyoke.http import backends as boxes_module
+from cleatyoke.http import server as server_module
+from cleatyoke.http.backends import Boxes, LongBody
+from cleatyoke.http.body_limits import Room
+from cleatyoke.http.messages import Ask, decode_busy
+from cleatyoke.http.server import Front
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import NodeState, Outcome
+from cleatyoke.scheduling.scheduler import Policy
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer, config, instance, listed
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -623,7 +623,7 @@
         server = await asyncio.start_server(agent, "127.0.0.1", 0)
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
         hosts = []
-        with unittest.mock.patch("cleatyoke.net.discovery.SILENCE", 0.6):
+        with unittest.mock.patch("cleatyoke.discovery.watch.SILENCE", 0.6):
             for seed in range(12):
                 directory = Directory({})
                 hosts.append(Discovery(address, directory, lambda event: None, 200, seed, pushed=True))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -4,7 +4,7 @@
 
 from structlog.testing import capture_logs
 
-from cleatyoke import api
+from cleatyoke.scheduling import api
 from tests.host import class_spec
 from tests.test_http_front import FrontCase
 from tests.wire import answer
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -16,19 +16,19 @@
 import pytest
 import structlog
 
-from cleatyoke import api
-from cleatyoke.api import ListKind, NodeState
-from cleatyoke.config import Address
+from cleatyoke.config.deployment import Address
 from cleatyoke.core import Core
-from cleatyoke.directory import Directory, Instance, Listing
-from cleatyoke.emulate.capacity import cost, nodes
-from cleatyoke.load.probes import Prober
-from cleatyoke.load.rounds import RandomRounds
-from cleatyoke.net import listings
-from cleatyoke.net.discovery import Discovery, Watch
-from cleatyoke.net.listings import AT_ONCE, decode_listing
-from cleatyoke.net.messages import BadMessage
-from cleatyoke.rules import Policy
+from cleatyoke.discovery import listings
+from cleatyoke.discovery.directory import Directory, Instance, Listing
+from cleatyoke.discovery.listings import AT_ONCE, decode_listing
+from cleatyoke.discovery.watch import Discovery, Watch
+from cleatyoke.emulation.capacity import cost, nodes
+from cleatyoke.http.messages import BadMessage
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import ListKind, NodeState
+from cleatyoke.scheduling.load_probes import Prober
+from cleatyoke.scheduling.random_rounds import RandomRounds
+from cleatyoke.scheduling.scheduler import Policy
 from tests.wire import DiscoveryAgent
 
 FEW, MANY = 1000, 8000
@@ -214,8 +214,8 @@
             directory, heard = Directory({}), asyncio.Event()
             with (
                 mock.patch.object(listings, "AT_ONCE", 100),
-                mock.patch("cleatyoke.net.discovery.AT_ONCE", 100),
-                mock.patch("cleatyoke.net.discovery.SILENCE", 0.05),
+                mock.patch("cleatyoke.discovery.watch.AT_ONCE", 100),
+                mock.patch("cleatyoke.discovery.watch.SILENCE", 0.05),
                 structlog.testing.capture_logs() as logs,
             ):
                 real = listings.read_instance
@@ -246,7 +246,7 @@
         self.directory.apply(Listing(4, True, [known]))
         with (
             mock.patch.object(listings, "MOST_LIST", 2000),
-            mock.patch("cleatyoke.net.discovery.PERIOD", 0.02),
+            mock.patch("cleatyoke.discovery.watch.PERIOD", 0.02),
             structlog.testing.capture_logs() as logs,
         ):
             address = Address("127.0.0.1", agent.port)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from cleatyoke import api
-from cleatyoke.fits import fit
-from cleatyoke.rules import arbitrate
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.regression import fit
+from cleatyoke.scheduling.scheduler import arbitrate
 from tests.host import Host, class_spec, entry, plan_spec, settings
 
 
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -7,10 +7,10 @@
 from aiohttp import web
 from aiohttp.test_utils import TestClient, TestServer
 
-from cleatyoke import api
 from cleatyoke.core import Core
-from cleatyoke.directory import Directory
+from cleatyoke.discovery.directory import Directory
 from cleatyoke.middleware import NODE, NeverRan, scheduled
+from cleatyoke.scheduling import api
 from tests.host import plan_spec
 from tests.wire import instance, listed, two_classes
 
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from cleatyoke import api
-from cleatyoke.api import Outcome
-from cleatyoke.simhost import read_entry, read_settings
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import Outcome
+from cleatyoke.simulator import read_entry, read_settings
 from tests.host import Host, class_spec, entry, plan_spec, settings
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,18 +13,18 @@
 
 import aiohttp
 
-from cleatyoke import api
-from cleatyoke.config import Address
+from cleatyoke.admin.control import Commands, ControlListener, answer
+from cleatyoke.admin.maintenance import Holds
+from cleatyoke.admin.prometheus import MetricsListener
+from cleatyoke.config.deployment import Address
 from cleatyoke.core import Core
-from cleatyoke.directory import Directory
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.maintenance import Holds
-from cleatyoke.net.boxes import Boxes
-from cleatyoke.net.handover import HoldFile
-from cleatyoke.net.metrics import MetricsListener
-from cleatyoke.net.ops import Commands, ControlListener, answer
-from cleatyoke.net.server import Front
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.http.backends import Boxes
+from cleatyoke.http.server import Front
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.handover import HoldFile
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling import api
 from tests.wire import HttpBox, config, instance, listed
 from tests.wire import answer as box_answer
 
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -12,15 +12,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke import api, simhost
-from cleatyoke.config import read_settings
+from cleatyoke import simulator as simhost
+from cleatyoke.config.deployment import read_settings
 from cleatyoke.core import Core
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.load.probes import ENOUGH, FRESH, LEAST, PERIOD, Prober
-from cleatyoke.net.boxes import Boxes
-from cleatyoke.net.messages import Answer, decode_probe
-from cleatyoke.net.probes import Probes
+from cleatyoke.http.backends import Boxes
+from cleatyoke.http.load_probes import Probes
+from cleatyoke.http.messages import Answer, decode_probe
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.load_probes import ENOUGH, FRESH, LEAST, PERIOD, Prober
 from tests.test_simhost import FACTS, ROOT, SHELF
 from tests.wire import Directory, HttpBox, answer, config, instance, listed
 
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke import api
-from cleatyoke.api import NodeState, Outcome, Repeat, Scope
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import NodeState, Outcome, Repeat, Scope
 from tests.host import Host, class_spec, entry, plan_spec
 from tests.host import settings as host_settings
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -4,7 +4,7 @@
 
 import random
 
-from cleatyoke.recovery import Pace
+from cleatyoke.discovery.backoff import Pace
 
 PERIOD = 3.6
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -11,13 +11,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.emulate.fleet import Fleet
-from cleatyoke.fleet import replicas, wire
-from cleatyoke.fleet.interface import Asked
-from cleatyoke.fleet.members import Members
-from cleatyoke.fleet.replicas import Highest, Holds, Latest
-from cleatyoke.fleet.sharing import Sharing
-from cleatyoke.fleet.wire import Id, Rumour, State
+from cleatyoke.coordination import replicated_holds as replicas
+from cleatyoke.coordination.hold_replication import Sharing
+from cleatyoke.coordination.replicated_holds import Highest, Holds, Latest
+from cleatyoke.emulation.fleet import Fleet
+from cleatyoke.membership import wire
+from cleatyoke.membership.interface import Asked
+from cleatyoke.membership.members import Members
+from cleatyoke.membership.wire import Id, Rumour, State
 
 LIVES = [Id(name, boot) for name in "abc" for boot in (1, 2)]
 Step = tuple[str, int, int, str]
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,9 +12,9 @@
 
 import aiohttp
 
-from cleatyoke import api
-from cleatyoke.config import BadConfig, read_config
-from cleatyoke.retune import Places, missing, shape
+from cleatyoke.config.deployment import BadConfig, read_config
+from cleatyoke.config.reload import Places, missing, shape
+from cleatyoke.scheduling import api
 from tests.host import Host, class_spec, entry, settings
 from tests.test_http_front import HEADERS, TARGET, DaemonCase
 from tests.test_http_front import entry as listed
--- a/tests/test_rights.py
+++ b/tests/test_rights.py
@@ -12,11 +12,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.emulate.lending import RESOURCE, Lenders
-from cleatyoke.emulate.network import Network
-from cleatyoke.fleet.meters import SPAN, Meters
-from cleatyoke.fleet.rights import KEPT, Came, Need, Part, Peers, Post, Rights, Terms
-from cleatyoke.fleet.wire import HOME, Grant, Id, Want
+from cleatyoke.coordination.demand import SPAN, Meters
+from cleatyoke.coordination.quota_leases import KEPT, Came, Need, Part, Peers, Post, Rights, Terms
+from cleatyoke.emulation.network import Network
+from cleatyoke.emulation.quota_leases import RESOURCE, Lenders
+from cleatyoke.membership.wire import HOME, Grant, Id, Want
 
 
 class KeptOverRestart(Rights):
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -9,11 +9,11 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from cleatyoke.config import REPEATS
-from cleatyoke.standin.draw import THEMES, Values, draw, dump
-from cleatyoke.standin.play import ROOT, Report
-from cleatyoke.standin.scenario import make_scenario
-from cleatyoke.standin.search import play_values, pool, rules, shorten
+from cleatyoke.config.deployment import REPEATS
+from cleatyoke.testbed.generator import THEMES, Values, draw, dump
+from cleatyoke.testbed.runner import ROOT, Report
+from cleatyoke.testbed.scenario import make_scenario
+from cleatyoke.testbed.search import play_values, pool, rules, shorten
 
 JOBS = 5
 TROUBLES, SETTINGS = range(1, 6), (*range(1, 21), 123)
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -7,14 +7,14 @@
 from dataclasses import replace
 from typing import Any
 
-from cleatyoke import api
-from cleatyoke.api import NodeState
-from cleatyoke.config import Address, SftpFront, VolumePath
+from cleatyoke.config.deployment import Address, SftpFront, VolumePath
 from cleatyoke.core import Core
-from cleatyoke.directory import Directory
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import NodeState
 from cleatyoke.sftp import packets as p
-from cleatyoke.sftp.boxes import FileBoxes
-from cleatyoke.sftp.front import FileFront
+from cleatyoke.sftp.backends import FileBoxes
+from cleatyoke.sftp.server import FileFront
 from tests.host import plan_spec
 from tests.wire import FileBox, instance, listed, two_classes
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cleatyoke import simhost
+from cleatyoke import simulator as simhost
 
 ROOT = Path(__file__).resolve().parent.parent
 FACTS: dict[str, Any] = {
@@ -138,7 +138,7 @@
     ["tea", "[]", '{"TsS":1}', '{"TsS":1,"round":1,"news":[{"type":"TEA","Head":0}]}', '{"TsS":1,"round":1,'],
 )
 def test_malformed_line_ends_with_one_plain_message(line: str) -> None:
-    command = [sys.executable, "-B", "-m", "cleatyoke.simhost"]
+    command = [sys.executable, "-B", "-m", "cleatyoke.simulator"]
     result = subprocess.run(command, cwd=ROOT, input=line + "\n", capture_output=True, text=True)
     assert result.returncode == 2
     assert result.stdout == ""
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -9,14 +9,14 @@
 from typing import Any
 from unittest import mock
 
-from cleatyoke import api
-from cleatyoke.config import BadConfig
-from cleatyoke.standin.agent import Agent, Registry
-from cleatyoke.standin.box import Box
-from cleatyoke.standin.judge import Asked, Form, Judge
-from cleatyoke.standin.model import BoxModel, Fate, chance
-from cleatyoke.standin.play import Report, play
-from cleatyoke.standin.scenario import BoxPower, make_scenario, read_scenario
+from cleatyoke.config.deployment import BadConfig
+from cleatyoke.scheduling import api
+from cleatyoke.testbed.backend import Box
+from cleatyoke.testbed.backend_model import BoxModel, Fate, chance
+from cleatyoke.testbed.checker import Asked, Form, Judge
+from cleatyoke.testbed.discovery_agent import Agent, Registry
+from cleatyoke.testbed.runner import Report, play
+from cleatyoke.testbed.scenario import BoxPower, make_scenario, read_scenario
 
 SCENARIOS = Path(__file__).resolve().parent / "scenarios"
 FLEET = {"fronts": 2, "boxes": 4, "seconds": 3.0, "limit": 10}
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -24,22 +24,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.config import FLEET_TIMES, FleetPeers, read_address
-from cleatyoke.durable.records import Doubt, Memory, Row
-from cleatyoke.durable.store import Disk
-from cleatyoke.emulate import durability
-from cleatyoke.emulate.durability import recalls
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.fleet.recovery import BOUNDS, ORDER, Evidence, Recovery, Stage
-from cleatyoke.fleet.replicas import Holds
-from cleatyoke.fleet.sharing import Sharing
-from cleatyoke.fleet.wire import Id
-from cleatyoke.net.fleet import FleetView
-from cleatyoke.net.startup import Startup
-from cleatyoke.standin.play import Report
-from cleatyoke.standin.scenario import read_scenario, settings_of
-from cleatyoke.standin.search import play_values, pool
+from cleatyoke.config.deployment import FLEET_TIMES, FleetPeers, read_address
+from cleatyoke.coordination.hold_replication import Sharing
+from cleatyoke.coordination.replicated_holds import Holds
+from cleatyoke.coordination.staged_start import BOUNDS, ORDER, Evidence, Recovery, Stage
+from cleatyoke.durability.records import Doubt, Memory, Row
+from cleatyoke.durability.store import Disk
+from cleatyoke.emulation import durability
+from cleatyoke.emulation.durability import recalls
+from cleatyoke.fleet.startup import Startup
+from cleatyoke.fleet.view import FleetView
+from cleatyoke.membership.wire import Id
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.metrics import Figures
+from cleatyoke.testbed.runner import Report
+from cleatyoke.testbed.scenario import read_scenario, settings_of
+from cleatyoke.testbed.search import play_values, pool
 
 ROOT = Path(__file__).resolve().parent.parent
 Looks = list[tuple[float, list[Stage]]]  # seconds since the last one, and the evidence that came
@@ -308,7 +308,7 @@
         listen = read_address(f"127.0.0.1:{self.ports[3]}", "listen")
         peers = FleetPeers("ours", listen, listen, [], 0, FLEET_TIMES, durable=self.durable)
         faults, startup = Faults(Figures()), Startup()
-        with unittest.mock.patch("cleatyoke.net.recall.Disk", Late):
+        with unittest.mock.patch("cleatyoke.fleet.restore.Disk", Late):
             recall = await startup.recall(peers, "n1", faults)
         assert recall
         self.assertEqual([one.what for one in startup.recovery.passed], ["bound"])
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -13,13 +13,13 @@
 import aiohttp
 import pytest
 
-from cleatyoke import api
-from cleatyoke.api import NodeState
-from cleatyoke.config import Address
-from cleatyoke.directory import Directory, Listing
-from cleatyoke.emulate import clock
-from cleatyoke.net import discovery as module
-from cleatyoke.net.discovery import Discovery, Watch
+from cleatyoke.config.deployment import Address
+from cleatyoke.discovery import watch as module
+from cleatyoke.discovery.directory import Directory, Listing
+from cleatyoke.discovery.watch import Discovery, Watch
+from cleatyoke.emulation import clock
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.api import NodeState
 from tests.wire import DiscoveryAgent, instance
 
 FRONTS = 200
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -11,13 +11,14 @@
 import pytest
 import structlog
 
-from cleatyoke import api
 from cleatyoke.core import Core
-from cleatyoke.emulate import earnings, recovery
-from cleatyoke.emulate.clock import Idle, run
-from cleatyoke.emulate.earnings import Wish
-from cleatyoke.emulate.traffic import UNIX, Emulation, emulate
-from cleatyoke.standin.scenario import Scenario, make_scenario
+from cleatyoke.emulation import recovery
+from cleatyoke.emulation import value as earnings
+from cleatyoke.emulation.clock import Idle, run
+from cleatyoke.emulation.traffic import UNIX, Emulation, emulate
+from cleatyoke.emulation.value import Wish
+from cleatyoke.scheduling import api
+from cleatyoke.testbed.scenario import Scenario, make_scenario
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,13 +14,13 @@
 
 import aiohttp
 
-from cleatyoke import api
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.net.handover import HEARD, MARK, Lives
-from cleatyoke.net.sockets import NotListening, take_listening
-from cleatyoke.rules import Policy
-from cleatyoke.state import ShareClock
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.handover import HEARD, MARK, Lives
+from cleatyoke.process.metrics import Figures
+from cleatyoke.scheduling import api
+from cleatyoke.scheduling.records import ShareClock
+from cleatyoke.scheduling.scheduler import Policy
+from cleatyoke.transport.sockets import NotListening, take_listening
 from tests.host import class_spec, entry, plan_spec, settings
 from tests.wire import FACTS, config
 
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -5,8 +5,8 @@
 import asyncio
 import unittest
 
-from cleatyoke.config import Address, VrrpPeers
-from cleatyoke.vrrp import Advertisement, BadAdvertisement, Carrier, Router, State, decode, encode
+from cleatyoke.config.deployment import Address, VrrpPeers
+from cleatyoke.vrrp.instance import Advertisement, BadAdvertisement, Carrier, Router, State, decode, encode
 
 
 def said(priority: int, interval: float = 1.0) -> Advertisement:
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -9,11 +9,11 @@
 from dataclasses import replace
 from typing import Any
 
-from cleatyoke import api
-from cleatyoke.config import Address, Config, Shares
-from cleatyoke.directory import Directory, Instance, Listing
+from cleatyoke.config.deployment import Address, Config, Shares
+from cleatyoke.discovery.directory import Directory, Instance, Listing
+from cleatyoke.scheduling import api
 from cleatyoke.sftp import packets as p
-from cleatyoke.standin.peer import Peer
+from cleatyoke.testbed.peer import Peer
 from tests.host import class_spec, plan_spec, settings
 
 FACTS: dict[str, Any] = {
