--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -17,39 +17,39 @@
 
 # isort: split
 from cleatyoke import BEGAN
-from cleatyoke.admin.control import Commands, ControlListener
+from cleatyoke.admin.control import ControlCommands, ControlListener
 from cleatyoke.config.deployment import (
     FRONTS,
     Address,
-    BadConfig,
     Config,
-    DistributionRelays,
-    FleetPeers,
+    ConfigError,
+    DistributionSettings,
+    FleetSettings,
     read_config,
 )
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.discovery.listings import read_listing
 from cleatyoke.discovery.watch import Discovery
-from cleatyoke.http.backends import Boxes
-from cleatyoke.http.messages import BadMessage
-from cleatyoke.http.server import Front
+from cleatyoke.http.backends import BackendPools
+from cleatyoke.http.messages import MessageError
+from cleatyoke.http.server import HttpServer
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.handover import HoldFile, Lives
+from cleatyoke.process.handover import HoldFile, SiblingProcesses
 from cleatyoke.process.lifecycle import Lifecycle, Notice, Order, Stage, Status
-from cleatyoke.process.logs import set_up_log
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling import api
-from cleatyoke.transport.sockets import NotListening
+from cleatyoke.process.logs import configure_logging
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.events import SettingsReloaded, UpdateKind
+from cleatyoke.transport.sockets import NotListeningError
 
 if TYPE_CHECKING:
     from cleatyoke.admin.prometheus import MetricsListener
-    from cleatyoke.distribution.contents import Settings
+    from cleatyoke.distribution.contents import DistributedSettings
     from cleatyoke.distribution.network import Subscription
-    from cleatyoke.fleet.startup import Startup
+    from cleatyoke.fleet.startup import StagedStartRunner
     from cleatyoke.fleet.view import FleetView
-    from cleatyoke.http.load_probes import Probes
-    from cleatyoke.sftp.server import FileFront
+    from cleatyoke.http.load_probes import LoadProbeRunner
+    from cleatyoke.sftp.server import SftpServer
     from cleatyoke.vrrp.instance import Carrier
 
 FIRST_WORD = 1.0  # seconds for discovery's first word where there is no old list to serve by
@@ -61,20 +61,24 @@
 class FileService:
     """The front for file commands, where it is on; with VRRP it is open while this instance is master."""
 
-    def __init__(self, front: FileFront | None = None, carrier: Carrier | None = None) -> None:
+    def __init__(self, front: SftpServer | None = None, carrier: Carrier | None = None) -> None:
         self.front, self.carrier = front, carrier
 
     @classmethod
     async def start(cls, config: Config, core: Core, directory: Directory) -> FileService:
         if config.sftp is None:
             return cls()
-        from cleatyoke.sftp.backends import FileBoxes  # imported only where the front is on: a start is dear
-        from cleatyoke.sftp.server import FileFront
+        from cleatyoke.sftp.backends import (
+            SftpBackends,  # imported only where the front is on: a start is dear
+        )
+        from cleatyoke.sftp.server import SftpServer
         from cleatyoke.vrrp.instance import Carrier
 
         sessions = config.shares.sessions
-        boxes = FileBoxes(directory, config.sftp.box_port, config.dial_timeout, config.idle_close, sessions)
-        front = FileFront(config.sftp, core, boxes, sessions)
+        boxes = SftpBackends(
+            directory, config.sftp.box_port, config.dial_timeout, config.idle_close, sessions
+        )
+        front = SftpServer(config.sftp, core, boxes, sessions)
         if config.vrrp is None:
             await front.open()
             return cls(front)
@@ -104,13 +108,13 @@
         self.signalled = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.asked)
-        self.figures = Figures()
+        self.figures = Metrics()
         self.faults = Faults(self.figures)
         self.faults.watch(self.loop)
         # first: an older process hears of this one at once
-        self.lives = Lives(config.state_dir, settings, self.faults, BEGAN)
+        self.lives = SiblingProcesses(config.state_dir, settings, self.faults, BEGAN)
         self.core, self.directory = Core(settings), Directory(config.zones)
-        self.boxes = Boxes(
+        self.boxes = BackendPools(
             self.directory, config.dial_timeout, config.idle_close, config.shares.boxes, self.figures
         )
         self.handed = HoldFile(config.state_dir, self.directory, self.core, self.faults)
@@ -118,17 +122,17 @@
             config.discovery,
             self.directory,
             self.core.tell,
-            settings.hosts,
+            settings.front_count,
             config.seed,
             self.faults,
-            pushed=not settings.must_watch,
+            pushed=not settings.watches_endpoints,
             grace=config.drain_grace,
         )
         self.control: ControlListener | None = None
         self.metrics: MetricsListener | None = None
-        self.probes: Probes | None = None
+        self.probes: LoadProbeRunner | None = None
         self.fleet: FleetView | None = None
-        self.startup: Startup | None = None
+        self.startup: StagedStartRunner | None = None
         self.subscription: Subscription | None = None
         self.distributed: Callable[[Any], Any] = lambda own: own  # of the file's settings, those in force
         self.files = FileService()
@@ -141,17 +145,17 @@
     async def start(self) -> None:
         """All that can fail before anybody is served; a ``BadConfig`` ends the process by its key."""
         config, directory = self.config, self.directory
-        if config.settings.probes:
+        if config.settings.load_by_probes:
             self.probes = self.start_probes(config)
         if config.known:
             try:
-                self.discovery.take(read_listing(config.known), api.ListKind.OLD_COPY)
-            except BadMessage as error:
+                self.discovery.take(read_listing(config.known), UpdateKind.CACHED)
+            except MessageError as error:
                 log.warning("known_list_skipped", why=str(error))
         # With an old list it serves at once. Guards a fleet that is killed as one: while its hosts waited for
         # an overbooked discovery, all that came through them was lost, which no stale entry of a list costs.
         patient_until = self.loop.time() + (FIRST_WORD if not directory.boxes else 0.0)
-        self.front = Front(
+        self.front = HttpServer(
             config,
             self.core,
             self.boxes,
@@ -168,10 +172,10 @@
         try:
             self.front.listen()
             self.files = await FileService.start(config, self.core, directory)
-        except NotListening as error:
-            raise BadConfig(f"RELAY_ACCEPT_FD: {error}") from error
+        except NotListeningError as error:
+            raise ConfigError(f"RELAY_ACCEPT_FD: {error}") from error
         except OSError as error:
-            raise BadConfig(f"listen: {error}") from error
+            raise ConfigError(f"listen: {error}") from error
         if not self.control:
             self.open_control()
         if config.metrics:
@@ -184,33 +188,33 @@
             try:
                 self.control = ControlListener(self.config.ops, self.commands())
             except OSError as error:
-                raise BadConfig(f"ops: {error}") from error
+                raise ConfigError(f"ops: {error}") from error
             self.control.start()
 
-    def start_probes(self, config: Config) -> Probes:
-        from cleatyoke.http.load_probes import Probes
+    def start_probes(self, config: Config) -> LoadProbeRunner:
+        from cleatyoke.http.load_probes import LoadProbeRunner
         from cleatyoke.scheduling.load_probes import (
-            Prober,  # imported only where load is told by probes alone
+            LoadProber,  # imported only where load is told by probes alone
         )
 
         settings = config.settings
-        prober = Prober(settings.hosts, settings.safety.ramp, config.seed)
-        probes = Probes(self.core, self.boxes, prober, config.dial_timeout, self.faults)
+        prober = LoadProber(settings.front_count, settings.safety.slow_start_duration, config.seed)
+        probes = LoadProbeRunner(self.core, self.boxes, prober, config.dial_timeout, self.faults)
         probes.start()
         return probes
 
-    async def recover(self, peers: FleetPeers) -> None:
+    async def recover(self, peers: FleetSettings) -> None:
         """What comes before the door opens where fronts keep a view of one another: the own memory, the
         peers' view, the list; each waited for within a bound (``fleet.recovery``)."""
         try:
-            from cleatyoke.fleet.startup import Startup
+            from cleatyoke.fleet.startup import StagedStartRunner
             from cleatyoke.fleet.view import FleetView  # an optional extra, imported only where it is on
 
             config, directory, discovery = self.config, self.directory, self.discovery
-            self.startup = startup = Startup()
+            self.startup = startup = StagedStartRunner()
             recall = await startup.recall(peers, config.name, self.faults)
             boot = recall.last.boot if recall else 0
-            view = FleetView(peers, config.name, config.settings.hosts, config.seed, self.faults, boot)
+            view = FleetView(peers, config.name, config.settings.front_count, config.seed, self.faults, boot)
             if recall:
                 recall.serve(view)
             view.share(self.handed, config.state_dir)
@@ -220,17 +224,17 @@
             view.say(config.settings)
             await view.start()
         except (ImportError, OSError) as error:
-            raise BadConfig(f"fleet: {error}") from error
+            raise ConfigError(f"fleet: {error}") from error
         self.fleet = view
         await startup.meet(view)
         await startup.hear_of_boxes(bool(directory.boxes), discovery.heard)
 
-    def subscribe(self, relays: DistributionRelays) -> Subscription:
+    def subscribe(self, relays: DistributionSettings) -> Subscription:
         """Distributed configuration, from now on. Serving waits for none of it."""
         try:
             from cleatyoke.distribution.network import Subscription  # imported only where it is on
         except ImportError as error:
-            raise BadConfig(f"distribution: {error}") from error
+            raise ConfigError(f"distribution: {error}") from error
         config = self.config
         return Subscription(
             relays, config.name, config.seed, self.faults, self.put_in_force, self.discovery.take
@@ -249,9 +253,9 @@
                 lambda: self.subscription.gauges() if self.subscription else {},
             )
         except (ImportError, OSError) as error:
-            raise BadConfig(f"metrics: {error}") from error
+            raise ConfigError(f"metrics: {error}") from error
 
-    def commands(self) -> Commands:
+    def commands(self) -> ControlCommands:
         front, directory = self.front, self.directory
 
         def figures() -> list[str]:
@@ -264,10 +268,10 @@
         def held(box: str, hold: bool) -> tuple[int, int]:
             if self.fleet:
                 return self.fleet.held_by(box, hold, HELD_BY)
-            return 1, self.config.settings.hosts  # it is still starting
+            return 1, self.config.settings.front_count  # it is still starting
 
         kept = bool(self.config.fleet)
-        return Commands(
+        return ControlCommands(
             ready=lambda: bool(front.listener) and not front.closing and front.drain.says_up(front.ready()),
             figures=figures,
             disable=self.handed.disable,
@@ -286,7 +290,7 @@
         if why := self.take_settings(self.distributed):
             log.error("reload_failed", why=why)
 
-    def put_in_force(self, settings: Settings) -> str:
+    def put_in_force(self, settings: DistributedSettings) -> str:
         """Distributed settings, by the path of SIGHUP: they win over the file's. Returns why not, if so."""
         why = self.take_settings(settings.merged)
         if not why:
@@ -311,7 +315,7 @@
             classes=list(self.config.classes),
         )
         if taken.retired is not None:
-            self.core.tell(api.Retuned(settings, taken.retired))
+            self.core.tell(SettingsReloaded(settings, taken.retired))
             self.life.retime(self.notice())
             if self.fleet:
                 self.fleet.say(settings)
@@ -322,7 +326,9 @@
 
     def notice(self) -> Notice:
         classes = self.config.settings.classes
-        return Notice.of(self.config.notice(), [classes[place].aim for place in self.config.classes.values()])
+        return Notice.of(
+            self.config.notice(), [classes[place].latency_objective for place in self.config.classes.values()]
+        )
 
     async def serve(self) -> None:
         """From the first client to the last answer."""
@@ -384,11 +390,11 @@
     daemon = Daemon(config, fronts)
     try:
         await daemon.start()
-    except BadConfig:
+    except ConfigError:
         raise
     except Exception as error:
         daemon.faults.told("start_fault", error)
-        raise BadConfig(f"start: {type(error).__name__}: {error}") from error
+        raise ConfigError(f"start: {type(error).__name__}: {error}") from error
     try:
         await daemon.serve()
     except Exception as error:
@@ -399,15 +405,15 @@
 def main(words: Sequence[str] = ()) -> int:
     """``--fronts FILE``: another fronts file than the one under ``deploy/``."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it, it would end the process
-    set_up_log()
+    configure_logging()
     try:
         fronts = FRONTS
         if words:
             if len(words) != 2 or words[0] != "--fronts":
-                raise BadConfig(f"arguments: want none or --fronts FILE, found {' '.join(words)}")
+                raise ConfigError(f"arguments: want none or --fronts FILE, found {' '.join(words)}")
             fronts = Path(words[1])
         return asyncio.run(run(read_config(os.environ, fronts), fronts)).value
-    except BadConfig as error:
+    except ConfigError as error:
         print(f"cleatyoke: {error}", file=sys.stderr)
         return Status.START.value
 
--- a/cleatyoke/admin/control.py
+++ b/cleatyoke/admin/control.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Commands:
+class ControlCommands:
     """What each call does; each returns whether it is owed a yes, or the lines of its answer."""
 
     ready: Callable[[], bool]
@@ -42,7 +42,7 @@
     config: Callable[[], list[str]] | None = None  # what is in force of distributed configuration
 
 
-def answer(commands: Commands, line: str) -> list[str]:
+def answer(commands: ControlCommands, line: str) -> list[str]:
     """The answer to one call, line by line."""
     word, _, rest = line.strip().partition(" ")
     argument = rest.strip()
@@ -78,7 +78,7 @@
     return ["FAILURE unknown command"]
 
 
-class Caller:
+class ControlSession:
     __slots__ = ("came", "got", "out", "socket")
 
     def __init__(self, connection: socket.socket, now: float) -> None:
@@ -88,13 +88,13 @@
 class ControlListener:
     """A listener with blocking sockets and a selector, in a daemon thread."""
 
-    def __init__(self, address: Address, commands: Commands) -> None:
+    def __init__(self, address: Address, commands: ControlCommands) -> None:
         self.commands = commands
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         self.socket = socket.create_server((address.host, address.port), family=family, backlog=64)
         self.socket.setblocking(False)
         self.address = Address(*self.socket.getsockname()[:2])
-        self.callers: dict[int, Caller] = {}
+        self.callers: dict[int, ControlSession] = {}
         self.stopped = False
         self.faults = 0
         self.thread = threading.Thread(target=self.serve, name="ops", daemon=True)
@@ -130,11 +130,11 @@
             except OSError:
                 return
             connection.setblocking(False)
-            caller = Caller(connection, time.monotonic())
+            caller = ControlSession(connection, time.monotonic())
             self.callers[connection.fileno()] = caller
             self.selector.register(connection, selectors.EVENT_READ)
 
-    def turn(self, caller: Caller, events: int) -> None:
+    def turn(self, caller: ControlSession, events: int) -> None:
         if events & selectors.EVENT_WRITE:
             return self.send(caller)
         try:
@@ -165,7 +165,7 @@
         self.send(caller)
         return None
 
-    def send(self, caller: Caller) -> None:
+    def send(self, caller: ControlSession) -> None:
         try:
             sent = caller.socket.send(caller.out)
         except BlockingIOError:
@@ -176,7 +176,7 @@
         if not caller.out:
             self.close(caller)
 
-    def fault(self, caller: Caller, why: str, word: str | None) -> None:
+    def fault(self, caller: ControlSession, why: str, word: str | None) -> None:
         self.faults += 1
         log.info("ops_bad_call", why=why)
         with contextlib.suppress(OSError):
@@ -188,7 +188,7 @@
                     break
         self.close(caller)
 
-    def close(self, caller: Caller) -> None:
+    def close(self, caller: ControlSession) -> None:
         self.callers.pop(caller.socket.fileno(), None)
         with contextlib.suppress(KeyError, ValueError):
             self.selector.unregister(caller.socket)
--- a/cleatyoke/admin/maintenance.py
+++ b/cleatyoke/admin/maintenance.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class Holds:
+class OperatorHolds:
     """Boxes by instance id that nothing is sent to until they are released. A hold is not counted: two calls
     to disable need one call back. A released box comes back as one started anew, so it is paced as cold."""
 
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Drain:
+class FrontDrain:
     """A front that drains says no to ``GET /up``, ends each answer with its connection, keeps no idle one."""
 
     draining: bool = False
--- a/cleatyoke/admin/prometheus.py
+++ b/cleatyoke/admin/prometheus.py
@@ -16,7 +16,7 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
 from cleatyoke.config.deployment import Address
-from cleatyoke.process.metrics import OUTCOMES, Figures
+from cleatyoke.process.metrics import OUTCOMES, Metrics
 from cleatyoke.transport.sockets import Listener
 
 MOST = 8  # connections at a time: a scraper or two
@@ -24,11 +24,11 @@
 log = structlog.get_logger()
 
 
-class FiguresCollector:
+class MetricsCollector:
     """Reads the one record of figures at each scrape and keeps none of its own."""
 
     def __init__(
-        self, figures: Figures, hosts: Callable[[], tuple[int, int]], gauges: Callable[[], dict[str, float]]
+        self, figures: Metrics, hosts: Callable[[], tuple[int, int]], gauges: Callable[[], dict[str, float]]
     ) -> None:
         self.figures, self.hosts, self.gauges = figures, hosts, gauges
 
@@ -65,12 +65,12 @@
     def __init__(
         self,
         address: Address,
-        figures: Figures,
+        figures: Metrics,
         hosts: Callable[[], tuple[int, int]],
         gauges: Callable[[], dict[str, float]] = dict,
     ) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
-        self.registry.register(FiguresCollector(figures, hosts, gauges))
+        self.registry.register(MetricsCollector(figures, hosts, gauges))
         self.server = web.Server(self.handle)
         self.listener = Listener(address.host, address.port, self.room, self.make)
         self.address = Address(*self.listener.socket.getsockname()[:2])
--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -10,11 +10,22 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke.config.reload import Places, follow_settings, follow_writes, missing, shape
+from cleatyoke.config.reload import IndexAllocator, follow_settings, follow_writes, missing, shape
 from cleatyoke.http.body_limits import MOST_UPLOAD
-from cleatyoke.scheduling import api
-
-REPEATS = {"repeatable": api.Repeat.FREE, "by_key": api.Repeat.KEYED, "once": api.Repeat.ONCE}
+from cleatyoke.scheduling.settings import (
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    SafetyLimits,
+    SchedulerSettings,
+    VolumePlan,
+)
+
+REPEATS = {
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.KEYED,
+    "once": Idempotency.NOT_IDEMPOTENT,
+}
 LOADS = ("util", "cpu")  # what a load report may call the part of a box's power in use
 MOST_WRITE = 64 * 1024  # bytes of a body, and so of an upload, unless the fronts file says less
 MOST_SOCKETS = 1024  # where the file says nothing: the deployment page's most
@@ -27,7 +38,7 @@
 FRONTS = Path(__file__).resolve().parent.parent.parent / "deploy" / "fronts.toml"
 
 
-class BadConfig(ValueError):
+class ConfigError(ValueError):
     """A value that cannot be used; the text begins with its key."""
 
 
@@ -53,7 +64,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SftpFront:
+class SftpSettings:
     listen: Address
     volumes: list[VolumePath]
     read_class: int
@@ -67,7 +78,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class VrrpPeers:
+class VrrpSettings:
     listen: Address
     peers: list[Address]
     router: int
@@ -78,7 +89,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FleetPeers:
+class FleetSettings:
     """Talk among the fronts of one deployment (``docs/fleet-view.md``)."""
 
     deployment: str
@@ -93,7 +104,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DistributionRelays:
+class DistributionSettings:
     """Where distributed configuration is asked for (``docs/distribution.md``)."""
 
     deployment: str
@@ -105,7 +116,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Shares:
+class SocketBudget:
     """How the descriptors of the process are dealt out. A request in work holds a client's connection and at
     most one to a box, so as many are kept for boxes as for clients, and no attempt wants for one."""
 
@@ -115,14 +126,14 @@
     sessions: int  # of the file front: a client's connection, one at work and an idle one to a box
 
     @classmethod
-    def of(cls, sockets: int, files: bool) -> Shares:
+    def of(cls, sockets: int, files: bool) -> SocketBudget:
         sessions = min(MOST_SESSIONS, (sockets - SPARE_SOCKETS) // 12) if files else 0
         half = (sockets - SPARE_SOCKETS - 3 * sessions) // 2
         return cls(half, sockets // 6, half, sessions)
 
 
 @dataclass(slots=True, frozen=True)
-class Reloaded:
+class ReloadResult:
     """What a reload took."""
 
     moved: bool  # discovery is at another address
@@ -136,9 +147,9 @@
     listen: Address
     discovery: Address
     seed: int
-    shares: Shares
+    shares: SocketBudget
     known: Any  # the old list in discovery's form, decoded by the platform front
-    settings: api.Settings
+    settings: SchedulerSettings
     classes: dict[str, int]
     plans: dict[str, int]
     give_up: list[float]  # by class: seconds that its clients wait at the most; infinite: not said
@@ -150,28 +161,30 @@
     idle_close: float
     drain_grace: float  # seconds after a drain was told in which its box may still be sent to
     file_discovery: Address  # as the file has it, whatever RELAY_DISCOVERY says
-    sftp: SftpFront | None = None
-    vrrp: VrrpPeers | None = None
-    fleet: FleetPeers | None = None
-    distribution: DistributionRelays | None = None
+    sftp: SftpSettings | None = None
+    vrrp: VrrpSettings | None = None
+    fleet: FleetSettings | None = None
+    distribution: DistributionSettings | None = None
     metrics: Address | None = None  # where the figures are told to Prometheus
     accept_fd: int | None = None  # a listening socket handed down by the platform, in place of ``listen``
     ops: Address | None = None  # the operators' control address
     state_dir: Path = Path("/tmp")  # $TMPDIR: what both processes of an upgrade share
     keys: frozenset[str] = frozenset()  # that the file holds, as paths
-    places: tuple[Places, Places] | None = None  # of classes and plans, once a reload has changed them
+    places: tuple[IndexAllocator, IndexAllocator] | None = (
+        None  # of classes and plans, once a reload has changed them
+    )
 
     def notice(self) -> float:
         """Seconds from SIGTERM to SIGKILL: the longest deadline, 3 s at the most, and 0.7 s more."""
         return min(3.0, max(self.give_up[place] for place in self.classes.values())) + 0.7
 
-    def reload(self, new: Config) -> Reloaded:
+    def reload(self, new: Config) -> ReloadResult:
         """Take what a reload takes: the settings (of classes and plans, attempts, limits), and the address of
         discovery, where the file names a new one. That wins over RELAY_DISCOVERY, as a running process cannot
         be given another. ``known`` and ``seed`` count at a start only. A file that lacks a key that the last
         one had is a ``BadConfig``, and nothing is taken from it."""
         if lost := missing(self.keys, new.keys):
-            raise BadConfig(f"{lost}: missing, and the file had it before")
+            raise ConfigError(f"{lost}: missing, and the file had it before")
         kept = (
             "name",
             "listen",
@@ -194,12 +207,12 @@
         self.file_discovery, self.drain_grace = new.file_discovery, new.drain_grace
         if moved:
             self.discovery = new.file_discovery
-        return Reloaded(moved, waiting, retired)
+        return ReloadResult(moved, waiting, retired)
 
     def follow(self, new: Config) -> frozenset[int] | None:
         """Take the new settings; the places of classes that are gone, or None where nothing changed."""
         names, plan_names = list(new.classes), list(new.plans)
-        old = self.places or (Places.of(list(self.classes)), Places.of(list(self.plans)))
+        old = self.places or (IndexAllocator.of(list(self.classes)), IndexAllocator.of(list(self.plans)))
         classes, plans = old[0].follow(names), old[1].follow(plan_names)
         settings = follow_settings(self.settings, new.settings, classes, names, plans, plan_names)
         give_up = classes.arrange(self.give_up, names, new.give_up)
@@ -220,8 +233,8 @@
     path: str
     used: set[str] = field(default_factory=set)
 
-    def fail(self, key: str, why: str) -> BadConfig:
-        return BadConfig(f"{self.path}{key}: {why}")
+    def fail(self, key: str, why: str) -> ConfigError:
+        return ConfigError(f"{self.path}{key}: {why}")
 
     def get(self, key: str, default: Any = None) -> Any:
         self.used.add(key)
@@ -304,35 +317,37 @@
 def read_address(text: str, key: str) -> Address:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= 65535:
-        raise BadConfig(f"{key}: want HOST:PORT, found {text!r}")
+        raise ConfigError(f"{key}: want HOST:PORT, found {text!r}")
     return Address(host.strip("[]"), int(port))
 
 
-def read_settings(facts: Mapping[str, Any], seed: int) -> api.Settings:
+def read_settings(facts: Mapping[str, Any], seed: int) -> SchedulerSettings:
     """Translate the settings: unknown keys are passed over, an absent or null figure is 0."""
     root = Table(facts, "settings.")
     safety, limits, extra = root.table("Safety", {}), root.table("PolicyLimits"), root.table("Extra", {})
     classes = [
-        api.ClassSpec(
-            aim=lane.positive("AimS"),
-            worth=lane.number("Worth"),
-            late_share=lane.number("LateShare", 0.0),
-            repeat=lane.one_of("Repeat", REPEATS),
-            scope=lane.one_of("DedupScope", {scope.value: scope for scope in api.Scope}, "all"),
-            memory=lane.number("MemorySpanS", 0.0),
+        RequestClass(
+            latency_objective=lane.positive("AimS"),
+            priority_weight=lane.number("Worth"),
+            late_value=lane.number("LateShare", 0.0),
+            idempotency=lane.one_of("Repeat", REPEATS),
+            idempotency_scope=lane.one_of(
+                "DedupScope", {scope.value: scope for scope in IdempotencyScope}, "all"
+            ),
+            idempotency_window=lane.number("MemorySpanS", 0.0),
             ordered=lane.flag("ByArrival"),
         )
         for lane in root.tables("Lanes")
     ]
     plans = [
-        api.PlanSpec(
-            worth=plan.number("WorthFactor"),
-            rate=plan.number("BaseRate", 0.0),
-            reserve=plan.number("FloorRate", 0.0),
-            weight=plan.number("Proportion"),
-            limit=plan.number("Limit", 0.0),
-            limit_burst=plan.number("LimitBurst", 0.0),
-            limit_slack=plan.number("CapSlack", 0.0),
+        VolumePlan(
+            priority_weight=plan.number("WorthFactor"),
+            base_rate=plan.number("BaseRate", 0.0),
+            reserved_rate=plan.number("FloorRate", 0.0),
+            fair_share_weight=plan.number("Proportion"),
+            rate_limit=plan.number("Limit", 0.0),
+            rate_limit_burst=plan.number("LimitBurst", 0.0),
+            rate_limit_slack=plan.number("CapSlack", 0.0),
         )
         for plan in root.tables("Contracts")
     ]
@@ -343,32 +358,32 @@
     def optional(key: str) -> float | None:
         return None if safety.values.get(key) is None else safety.number(key)
 
-    return api.Settings(
+    return SchedulerSettings(
         classes=classes,
         plans=plans,
-        safety=api.Safety(
-            cold_from=safety.number("ColdFrom", 0.0),
-            ramp=safety.number("RampTimeS", 0.0),
-            tip_multiple=safety.number("TipMultiple", 0.0),
-            tip_after=safety.number("TipAfterS", 0.0),
-            ask_every=optional("AskEveryS"),
-            key_rest=safety.number("KeyRestS", 0.0),
-            extra_free=optional("FreeResends"),
-            extra_ratio=optional("ExtraRatio"),
-            extra_window=optional("LookBackS"),
+        safety=SafetyLimits(
+            slow_start_initial_fraction=safety.number("ColdFrom", 0.0),
+            slow_start_duration=safety.number("RampTimeS", 0.0),
+            overload_multiple=safety.number("TipMultiple", 0.0),
+            overload_after=safety.number("TipAfterS", 0.0),
+            poll_interval=optional("AskEveryS"),
+            ordering_pause=safety.number("KeyRestS", 0.0),
+            retry_budget_minimum=optional("FreeResends"),
+            retry_budget_ratio=optional("ExtraRatio"),
+            retry_budget_window=optional("LookBackS"),
         ),
         seed=seed,
-        hosts=int(root.number("Siblings", 0)),
-        must_watch=facts.get("Discovery") == "subscribe",
+        front_count=int(root.number("Siblings", 0)),
+        watches_endpoints=facts.get("Discovery") == "subscribe",
         max_attempts=limits.whole("SendCap", 1, 1000),
-        cancel=limits.flag("Cancel"),
-        cold_units=extra.number("ColdUnits", 0.0),
-        largest=extra.number("Largest", 0.0),
-        mean=extra.number("MeanUnits", 0.0),
-        tells_others=extra.flag("SaysOthers"),
-        within_share=extra.number("WithinShare", 0.0),
-        retry_after=limits.number("MaxRetryAfterS", 0.0) if limits.flag("RetryAfter") else 0.0,
-        probes=asked and any(name in report.rows("Fields", []) for name in LOADS),
+        can_cancel=limits.flag("Cancel"),
+        slow_start_units=extra.number("ColdUnits", 0.0),
+        max_request_units=extra.number("Largest", 0.0),
+        mean_request_units=extra.number("MeanUnits", 0.0),
+        reports_usage_by_others=extra.flag("SaysOthers"),
+        unreserved_value=extra.number("WithinShare", 0.0),
+        max_retry_after=limits.number("MaxRetryAfterS", 0.0) if limits.flag("RetryAfter") else 0.0,
+        load_by_probes=asked and any(name in report.rows("Fields", []) for name in LOADS),
     )
 
 
@@ -383,22 +398,22 @@
     file's settings, those that hold, where others were distributed."""
     path = environment.get("RELAY_CONFIG", "")
     if not path:
-        raise BadConfig("RELAY_CONFIG: missing")
+        raise ConfigError("RELAY_CONFIG: missing")
     try:
         values = json.loads(Path(path).read_bytes())
     except OSError as error:
-        raise BadConfig(f"RELAY_CONFIG: cannot read {path}: {error.strerror}") from error
+        raise ConfigError(f"RELAY_CONFIG: cannot read {path}: {error.strerror}") from error
     except (ValueError, RecursionError) as error:
-        raise BadConfig(f"RELAY_CONFIG: {path} is no JSON: {error}") from error
+        raise ConfigError(f"RELAY_CONFIG: {path} is no JSON: {error}") from error
     if not isinstance(values, dict):
-        raise BadConfig(f"RELAY_CONFIG: {path} holds no object")
+        raise ConfigError(f"RELAY_CONFIG: {path} holds no object")
     values = {**values, "settings": settings(values.get("settings"))}
     root = Table(values, "")
     seed_text = root.text("seed", "0")
     try:
         seed = int(seed_text, 16)
     except ValueError as error:
-        raise BadConfig(f"seed: want hex digits, found {seed_text!r}") from error
+        raise ConfigError(f"seed: want hex digits, found {seed_text!r}") from error
     facts = root.table("settings")
     limits = facts.table("PolicyLimits")
     lanes, extra = facts.tables("Lanes"), facts.table("Extra", {})
@@ -418,7 +433,7 @@
         discovery=address("RELAY_DISCOVERY", "discovery"),
         file_discovery=root.address("discovery") if "discovery" in values else Address("", 0),
         seed=seed,
-        shares=Shares.of(sockets, sftp is not None),
+        shares=SocketBudget.of(sockets, sftp is not None),
         known=root.get("known", {}),
         settings=read_settings(facts.values, seed),
         classes=classes,
@@ -453,20 +468,26 @@
     if text is None or text == "":
         return None
     if not text.isascii() or not text.isdecimal() or not 0 <= int(text) < 1 << 20:
-        raise BadConfig(f"RELAY_ACCEPT_FD: want a descriptor number, found {text!r}")
+        raise ConfigError(f"RELAY_ACCEPT_FD: want a descriptor number, found {text!r}")
     return int(text)
 
 
 def read_fronts(
     path: Path, classes: Mapping[str, int], plans: Mapping[str, int]
-) -> tuple[SftpFront | None, VrrpPeers | None, Address | None, FleetPeers | None, DistributionRelays | None]:
+) -> tuple[
+    SftpSettings | None,
+    VrrpSettings | None,
+    Address | None,
+    FleetSettings | None,
+    DistributionSettings | None,
+]:
     """The fronts file of the deployment; a front whose table is absent or not ``enabled`` is off."""
     try:
         values = tomllib.loads(path.read_text())
     except FileNotFoundError:
         return None, None, None, None, None
     except (OSError, ValueError) as error:
-        raise BadConfig(f"{path.name}: {error}") from error
+        raise ConfigError(f"{path.name}: {error}") from error
     root = Table(values, f"{path.name}: ")
     sftp = read_sftp(root.table("sftp", {}), classes, plans)
     vrrp = read_vrrp(root.table("vrrp", {}))
@@ -477,7 +498,7 @@
     return sftp, vrrp, metrics, fleet, distribution
 
 
-def read_distribution(table: Table) -> DistributionRelays | None:
+def read_distribution(table: Table) -> DistributionSettings | None:
     if not table.flag("enabled"):
         return None
     deployment = table.text("deployment")
@@ -496,7 +517,7 @@
         raise table.fail("poll_s", f"want 0.1 to 60 seconds, found {poll:g}")
     if not 500 <= rate <= 1e9:
         raise table.fail("bytes_s", f"want 500 to 1e9, found {rate:g}")
-    relays = DistributionRelays(
+    relays = DistributionSettings(
         deployment=deployment,
         relays=found["relays"],
         others=found["others"],
@@ -508,7 +529,7 @@
     return relays
 
 
-def read_fleet(table: Table) -> FleetPeers | None:
+def read_fleet(table: Table) -> FleetSettings | None:
     if not table.flag("enabled"):
         return None
     deployment = table.text("deployment")
@@ -530,7 +551,7 @@
     folder = table.text("durable", "")
     if folder and not Path(folder).is_absolute():
         raise table.fail("durable", f"want an absolute path, found {folder!r}")
-    fleet = FleetPeers(
+    fleet = FleetSettings(
         deployment=deployment,
         listen=listen,
         advertise=table.address("advertise") if "advertise" in table.values else listen,
@@ -553,7 +574,7 @@
     return listen
 
 
-def read_sftp(table: Table, classes: Mapping[str, int], plans: Mapping[str, int]) -> SftpFront | None:
+def read_sftp(table: Table, classes: Mapping[str, int], plans: Mapping[str, int]) -> SftpSettings | None:
     enabled = table.flag("enabled")
     if not enabled:
         return None
@@ -570,7 +591,7 @@
         plan, cell = entry.one_of("plan", plans), entry.whole("shard", -1, 1 << 31)
         volumes.append(VolumePath(prefix, volume, plan, cell, entry.whole("hosts", 1, 1 << 16, 1)))
         entry.nothing_else()
-    front = SftpFront(
+    front = SftpSettings(
         listen=table.address("listen"),
         volumes=sorted(volumes, key=lambda volume: -len(volume.prefix)),
         read_class=table.one_of("read_class", classes, "tile-read"),
@@ -586,7 +607,7 @@
     return front
 
 
-def read_vrrp(table: Table) -> VrrpPeers | None:
+def read_vrrp(table: Table) -> VrrpSettings | None:
     enabled = table.flag("enabled")
     if not enabled:
         return None
@@ -594,7 +615,7 @@
     for key, value in (("peers", peers), ("addresses", addresses)):
         if not isinstance(value, list) or not value or not all(isinstance(one, str) for one in value):
             raise table.fail(key, "want a list of texts")
-    vrrp = VrrpPeers(
+    vrrp = VrrpSettings(
         listen=table.address("listen"),
         peers=[read_address(peer, f"{table.path}peers") for peer in peers],
         router=table.whole("router", 1, 255),
--- a/cleatyoke/config/reload.py
+++ b/cleatyoke/config/reload.py
@@ -11,29 +11,29 @@
 from dataclasses import dataclass, replace
 from typing import Any, TypeVar
 
-from cleatyoke.scheduling import api
+from cleatyoke.scheduling.settings import SchedulerSettings
 
 T = TypeVar("T")
 RETIRED = 1e-9  # worth of a class that is gone: it takes no part in what is shared out by worth
 
 
 @dataclass(slots=True, frozen=True)
-class Places:
+class IndexAllocator:
     """Names with their places, and all names that ever had one."""
 
     live: dict[str, int]
     ever: dict[str, int]
 
     @classmethod
-    def of(cls, names: Sequence[str]) -> Places:
+    def of(cls, names: Sequence[str]) -> IndexAllocator:
         places = {name: place for place, name in enumerate(names)}
         return cls(places, dict(places))
 
-    def follow(self, names: Sequence[str]) -> Places:
+    def follow(self, names: Sequence[str]) -> IndexAllocator:
         ever = dict(self.ever)
         for name in names:
             ever.setdefault(name, len(ever))
-        return Places({name: ever[name] for name in names}, ever)
+        return IndexAllocator({name: ever[name] for name in names}, ever)
 
     def retired(self) -> frozenset[int]:
         return frozenset(self.ever.values()) - frozenset(self.live.values())
@@ -47,31 +47,31 @@
 
 
 def follow_settings(
-    old: api.Settings,
-    new: api.Settings,
-    classes: Places,
+    old: SchedulerSettings,
+    new: SchedulerSettings,
+    classes: IndexAllocator,
     class_names: Sequence[str],
-    plans: Places,
+    plans: IndexAllocator,
     plan_names: Sequence[str],
-) -> api.Settings:
+) -> SchedulerSettings:
     """The settings that hold from now on: the new ones with every class and plan at its place, and what
     belongs to this life of the process (its seed, when it began) as it was."""
     kinds = classes.arrange(old.classes, class_names, new.classes)
     for place in classes.retired():
-        kinds[place] = replace(kinds[place], worth=RETIRED)
+        kinds[place] = replace(kinds[place], priority_weight=RETIRED)
     return replace(
         new,
         classes=kinds,
         plans=plans.arrange(old.plans, plan_names, new.plans),
         seed=old.seed,
-        quiet_since=old.quiet_since,
-        limit_share=old.limit_share,
-        taken_over=old.taken_over,
+        idle_since=old.idle_since,
+        initial_quota_share=old.initial_quota_share,
+        replaces_process=old.replaces_process,
     )
 
 
 def follow_writes(
-    old: Sequence[bool | None], had: Mapping[str, int], classes: Places, new: Sequence[bool | None]
+    old: Sequence[bool | None], had: Mapping[str, int], classes: IndexAllocator, new: Sequence[bool | None]
 ) -> list[bool | None]:
     """Which classes change data, by place. A new list counts where it names as many as there are classes. The
     platform's stays as it was while classes come and go, and would then be read for the wrong ones: a class
--- a/cleatyoke/coordination/demand.py
+++ b/cleatyoke/coordination/demand.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Meter:
+class DemandMeter:
     home: float  # units a second that the home part gives
     asked: float = 0.0  # units, in the span that runs ...
     times: int = 0  # ... by so many requests
@@ -29,16 +29,16 @@
     last: float = 0.0  # when one was asked for
 
 
-class Meters(Generic[Key]):
+class DemandMeters(Generic[Key]):
     def __init__(self) -> None:
-        self.by_key: dict[Key, Meter] = {}
+        self.by_key: dict[Key, DemandMeter] = {}
         self.span_at = 0.0
 
     def asked(self, now: float, key: Key, units: float, home: float) -> None:
         """``home``: units a second. Of one thing more than can be kept account of nothing is noted."""
         if key not in self.by_key and len(self.by_key) >= MOST:
             return
-        meter = self.by_key.setdefault(key, Meter(home))
+        meter = self.by_key.setdefault(key, DemandMeter(home))
         meter.home, meter.last = home, now
         meter.asked += units
         meter.times += 1
--- a/cleatyoke/coordination/hold_replication.py
+++ b/cleatyoke/coordination/hold_replication.py
@@ -12,20 +12,20 @@
 
 import msgspec
 
-from cleatyoke.coordination.replicated_holds import MOST_ACTORS, Holds, decode, merge
-from cleatyoke.membership.wire import Id
+from cleatyoke.coordination.replicated_holds import MOST_ACTORS, HoldSet, decode, merge
+from cleatyoke.membership.wire import MemberId
 
 
 @dataclass(slots=True)
-class Sharing:
+class HoldReplication:
     """``changed`` hears of boxes that others hold from now on, and of those that they have released."""
 
-    me: Callable[[], Id]
+    me: Callable[[], MemberId]
     changed: Callable[[frozenset[str], frozenset[str]], None] = lambda held, released: None
-    holds: Holds = field(default_factory=Holds)
-    told: dict[Id, Holds] = field(default_factory=dict)  # what each life had when it was last heard
+    holds: HoldSet = field(default_factory=HoldSet)
+    told: dict[MemberId, HoldSet] = field(default_factory=dict)  # what each life had when it was last heard
     merged: int = 0  # copies that differed, and were settled by the rule
-    digested: tuple[Holds, int] | None = None  # the holds that were last summed up, and their sum
+    digested: tuple[HoldSet, int] | None = None  # the holds that were last summed up, and their sum
 
     def hold(self, box: str) -> None:
         self.holds = self.holds.hold(self.me(), box)
@@ -51,7 +51,7 @@
     def dump(self) -> bytes:
         return msgspec.msgpack.encode(self.holds)
 
-    def load(self, sender: Id, data: bytes) -> bool:
+    def load(self, sender: MemberId, data: bytes) -> bool:
         """Merge a dump; whether anything here is new by it. Raises ``ValueError``, and takes nothing of one
         that cannot be."""
         copy = decode("holds", data)
@@ -76,7 +76,7 @@
         for box in held - self.holds.boxes():
             self.hold(box)
 
-    def lacks(self, life: Id) -> bool:
+    def lacks(self, life: MemberId) -> bool:
         """Whether this life is not known to have all that is known here."""
         copy = self.told.get(life)
         return copy is None or not copy.has(self.holds) or copy.boxes() != self.holds.boxes()
--- a/cleatyoke/coordination/quota_leases.py
+++ b/cleatyoke/coordination/quota_leases.py
@@ -22,7 +22,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cleatyoke.membership.wire import HOME, Grant, Id, Want
+from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
 
 KEPT = 250  # of these, what is never lent, and so is a new life's at once
 MOST_RESOURCES = 4096  # that are kept account of; of one more nothing is lent or borrowed
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class LeaseTerms:
     lease: float = 2.0  # seconds
     drift: float = 0.001  # of two monotonic clocks against each other, as a part
     slack: float = 0.05  # seconds more for the lender, less for the borrower
@@ -50,13 +50,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Came:
-    sender: Id
-    message: Want | Grant
+class LeaseMessageReceived:
+    sender: MemberId
+    message: LeaseRequest | LeaseGrant
 
 
 @dataclass(slots=True, frozen=True)
-class Need:
+class DemandChanged:
     """What this front could use of each resource now, in parts of a home. It is at home in these and in no
     others: who has never had a request for a volume may not be one of its fronts."""
 
@@ -64,27 +64,27 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Peers:
+class PeersChanged:
     """Who can be asked."""
 
-    ids: tuple[Id, ...]
+    ids: tuple[MemberId, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
+class QuotaFractionChanged:
     """How much of all this a process may use, where two of one front live, as in an upgrade. Who uses this
     scales by it; here, what is under 1 neither lends nor borrows, so that soon all is as it was before."""
 
     part: float
 
 
-Event = Came | Need | Peers | Part
+LeaseEvent = LeaseMessageReceived | DemandChanged | PeersChanged | QuotaFractionChanged
 
 
 @dataclass(slots=True, frozen=True)
-class Post:
-    receiver: Id
-    message: Want | Grant
+class SendLeaseMessage:
+    receiver: MemberId
+    message: LeaseRequest | LeaseGrant
 
 
 @dataclass(slots=True)
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class Debt:
+class BorrowedLease:
     """Borrowed from one lender: the number in force, and the question that is out."""
 
     number: int = -1
@@ -113,14 +113,16 @@
 
 
 @dataclass(slots=True)
-class Account:
+class LeaseAccount:
     """One resource."""
 
     need: float = 0.0
     home: bool = False
-    loans: dict[Id, Loan] = field(default_factory=dict)
-    debts: dict[Id, Debt] = field(default_factory=dict)
-    poor: dict[Id, float] = field(default_factory=dict)  # who had nothing to lend, and until when that counts
+    loans: dict[MemberId, Loan] = field(default_factory=dict)
+    debts: dict[MemberId, BorrowedLease] = field(default_factory=dict)
+    poor: dict[MemberId, float] = field(
+        default_factory=dict
+    )  # who had nothing to lend, and until when that counts
     parts: int = 0  # what was usable when it was last summed up, and until when that holds by itself
     parts_until: float = -math.inf
 
@@ -128,14 +130,14 @@
         self.parts_until = -math.inf
 
 
-class Rights:
+class QuotaLeases:
     """One life's rights. ``usable`` is to be asked directly before each use."""
 
-    def __init__(self, began: float, rng: random.Random, terms: Terms | None = None) -> None:
-        self.terms, self.rng = terms or Terms(), rng
+    def __init__(self, began: float, rng: random.Random, terms: LeaseTerms | None = None) -> None:
+        self.terms, self.rng = terms or LeaseTerms(), rng
         self.whole_at = self.terms.lender(began)  # by then all that the life before lent has ended
-        self.accounts: dict[str, Account] = {}
-        self.peers: tuple[Id, ...] = ()
+        self.accounts: dict[str, LeaseAccount] = {}
+        self.peers: tuple[MemberId, ...] = ()
         self.part = 1.0
         self.homes: frozenset[str] = frozenset()  # what the last need named
         self.number = 0
@@ -155,13 +157,13 @@
             account.parts_until = self.next_end(account, now)
         return account.parts
 
-    def next_end(self, account: Account, now: float) -> float:
+    def next_end(self, account: LeaseAccount, now: float) -> float:
         """When what is usable of it changes next by time alone."""
         ends = [self.whole_at, *(debt.end for debt in account.debts.values())]
         ends += [end for loan in account.loans.values() for _, end in loan.leases.values()]
         return min((end for end in ends if end > now), default=math.inf)
 
-    def spare(self, account: Account, now: float, borrower: Id) -> int:
+    def spare(self, account: LeaseAccount, now: float, borrower: MemberId) -> int:
         """What can be lent to this one, with what it has: what is not needed here, nor owed to others."""
         if now < self.whole_at or not account.home or self.part < 1.0:
             return 0
@@ -171,32 +173,32 @@
 
     def next_change(self, now: float) -> float:
         """When ``usable`` changes next by time alone."""
-        return min(self.next_end(account, now) for account in (Account(), *self.accounts.values()))
+        return min(self.next_end(account, now) for account in (LeaseAccount(), *self.accounts.values()))
 
     # The step
 
-    def step(self, now: float, events: Iterable[Event] = ()) -> list[Post]:
-        out: list[Post] = []
+    def step(self, now: float, events: Iterable[LeaseEvent] = ()) -> list[SendLeaseMessage]:
+        out: list[SendLeaseMessage] = []
         met: set[str] = set()  # what a grant came for: what it lacked is asked for elsewhere at once
         everything = False
         for event in events:
-            everything = everything or not isinstance(event, Came)
+            everything = everything or not isinstance(event, LeaseMessageReceived)
             match event:
-                case Came(sender, Want() as want):
+                case LeaseMessageReceived(sender, LeaseRequest() as want):
                     out += self.lend(now, sender, want)
-                case Came(sender, Grant() as grant):
+                case LeaseMessageReceived(sender, LeaseGrant() as grant):
                     self.take(now, sender, grant)
                     met.add(grant.resource)
-                case Need(parts):
+                case DemandChanged(parts):
                     self.homes = frozenset(parts)
                     for resource, account in self.accounts.items():
                         account.need = parts.get(resource, 0.0)
                     for resource, need in parts.items():
                         if mine := self.account(resource):
                             mine.need, mine.home = need, True
-                case Peers(ids):
+                case PeersChanged(ids):
                     self.peers = ids
-                case Part(part):
+                case QuotaFractionChanged(part):
                     self.part = part
         asked = 0
         for resource in list(self.accounts) if everything else sorted(met & self.accounts.keys()):
@@ -214,15 +216,15 @@
                 out += posts
         return out
 
-    def account(self, resource: str) -> Account | None:
+    def account(self, resource: str) -> LeaseAccount | None:
         if resource not in self.accounts:
             if len(self.accounts) >= MOST_RESOURCES:
                 self.refused += 1
                 return None
-            self.accounts[resource] = Account()
+            self.accounts[resource] = LeaseAccount()
         return self.accounts[resource]
 
-    def forget(self, now: float, account: Account) -> None:
+    def forget(self, now: float, account: LeaseAccount) -> None:
         for borrower, loan in list(account.loans.items()):
             loan.leases = {number: lease for number, lease in loan.leases.items() if lease[1] > now}
             if not loan.leases and borrower not in self.peers:
@@ -231,10 +233,10 @@
 
     # Lending
 
-    def lend(self, now: float, borrower: Id, want: Want) -> list[Post]:
+    def lend(self, now: float, borrower: MemberId, want: LeaseRequest) -> list[SendLeaseMessage]:
         account = self.accounts.get(want.resource)
         if account is None or not account.home:
-            return [Post(borrower, Grant(want.resource, want.number, 0, 0))]
+            return [SendLeaseMessage(borrower, LeaseGrant(want.resource, want.number, 0, 0))]
         account.changed()
         loan = account.loans.setdefault(borrower, Loan())
         if want.number in loan.leases:
@@ -251,11 +253,15 @@
                 parts = 0
             if parts:
                 loan.leases[want.number] = parts, self.terms.lender(now)
-        return [Post(borrower, Grant(want.resource, want.number, parts, self.spare(account, now, borrower)))]
+        return [
+            SendLeaseMessage(
+                borrower, LeaseGrant(want.resource, want.number, parts, self.spare(account, now, borrower))
+            )
+        ]
 
     # Borrowing
 
-    def take(self, now: float, lender: Id, grant: Grant) -> None:
+    def take(self, now: float, lender: MemberId, grant: LeaseGrant) -> None:
         account = self.accounts.get(grant.resource)
         debt = account.debts.get(lender) if account else None
         if account is None or debt is None or debt.asked is None or debt.asked[0] != grant.number:
@@ -270,7 +276,7 @@
         if grant.parts < parts:
             account.poor[lender] = now + self.terms.lease / 2
 
-    def settle(self, now: float, resource: str, account: Account) -> list[Post]:
+    def settle(self, now: float, resource: str, account: LeaseAccount) -> list[SendLeaseMessage]:
         """Ask for more, renew what is needed on, give back what is not."""
         terms, out = self.terms, []
         for lender, debt in list(account.debts.items()):
@@ -297,17 +303,19 @@
             lenders = [id for id in self.peers if id not in account.poor and id not in account.debts]
             if lenders:
                 lender = self.rng.choice(lenders)
-                debt = account.debts[lender] = Debt()
+                debt = account.debts[lender] = BorrowedLease()
                 out.append(self.ask(now, resource, lender, debt, min(lack, HOME - KEPT)))
         return out
 
-    def ask(self, now: float, resource: str, lender: Id, debt: Debt, parts: int) -> Post:
+    def ask(
+        self, now: float, resource: str, lender: MemberId, debt: BorrowedLease, parts: int
+    ) -> SendLeaseMessage:
         self.number += 1
         debt.asked = self.number, now, parts
-        return Post(lender, Want(resource, self.number, parts))
+        return SendLeaseMessage(lender, LeaseRequest(resource, self.number, parts))
 
-    def give_back(self, resource: str, lender: Id, debt: Debt) -> Post:
+    def give_back(self, resource: str, lender: MemberId, debt: BorrowedLease) -> SendLeaseMessage:
         """First not to use it any more, then to say so."""
         self.number += 1
         debt.parts, debt.end, debt.asked = 0, -math.inf, None
-        return Post(lender, Want(resource, self.number, 0))
+        return SendLeaseMessage(lender, LeaseRequest(resource, self.number, 0))
--- a/cleatyoke/coordination/replicated_holds.py
+++ b/cleatyoke/coordination/replicated_holds.py
@@ -17,37 +17,37 @@
 
 import msgspec
 
-from cleatyoke.membership.wire import Count, Id, Text
+from cleatyoke.membership.wire import Count, MemberId, Text
 
 MOST_BOXES = 4096  # entries of a copy; what is over it is refused as a whole
 MOST_ACTORS = 4096
 MOST_WORD = 1024  # bytes of an origin's word
 
-Dot = tuple[Id, Count]
+Dot = tuple[MemberId, Count]
 
 
-class Holds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class HoldSet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """``clock``: how many dots of each life this copy knows of; ``held``: by box the dots of its holds."""
 
-    clock: Annotated[dict[Id, Count], msgspec.Meta(max_length=MOST_ACTORS)] = {}
+    clock: Annotated[dict[MemberId, Count], msgspec.Meta(max_length=MOST_ACTORS)] = {}
     held: Annotated[dict[Text, frozenset[Dot]], msgspec.Meta(max_length=MOST_BOXES)] = {}
 
     def boxes(self) -> frozenset[str]:
         return frozenset(self.held)
 
-    def hold(self, me: Id, box: str) -> Holds:
+    def hold(self, me: MemberId, box: str) -> HoldSet:
         """Hold a box. The new dot stands for all holds of it that are known here."""
         number = self.clock.get(me, 0) + 1
-        return Holds({**self.clock, me: number}, {**self.held, box: frozenset({(me, number)})})
+        return HoldSet({**self.clock, me: number}, {**self.held, box: frozenset({(me, number)})})
 
-    def release(self, box: str) -> Holds:
+    def release(self, box: str) -> HoldSet:
         """Take away the holds of it that are known here."""
-        return Holds(self.clock, {other: dots for other, dots in self.held.items() if other != box})
+        return HoldSet(self.clock, {other: dots for other, dots in self.held.items() if other != box})
 
     def covers(self, dot: Dot) -> bool:
         return self.clock.get(dot[0], 0) >= dot[1]
 
-    def merge(self, other: Holds) -> Holds:
+    def merge(self, other: HoldSet) -> HoldSet:
         """A dot stands where both have it, or where one has it and the other has never heard of it."""
         clock = dict(self.clock)
         for life, number in other.clock.items():
@@ -59,13 +59,13 @@
             stands |= {dot for dot in theirs - mine if not self.covers(dot)}
             if stands:
                 held[box] = frozenset(stands)
-        return Holds(clock, held)
+        return HoldSet(clock, held)
 
-    def has(self, other: Holds) -> bool:
+    def has(self, other: HoldSet) -> bool:
         """Whether all that the other copy knows is known here."""
         return all(self.clock.get(life, 0) >= number for life, number in other.clock.items())
 
-    def forget(self, stopped: Collection[Id], everywhere: Collection[Holds]) -> Holds:
+    def forget(self, stopped: Collection[MemberId], everywhere: Collection[HoldSet]) -> HoldSet:
         """Drop the numbers of lives that are certainly over, of which no hold is left and whose dots every
         copy that may still be merged has. Should an older copy come back all the same, what was released
         there is held again, which is the safe side."""
@@ -77,10 +77,10 @@
             and life not in left
             and all(copy.clock.get(life, 0) >= self.clock[life] for copy in everywhere)
         }
-        return Holds({life: number for life, number in self.clock.items() if life not in gone}, self.held)
+        return HoldSet({life: number for life, number in self.clock.items() if life not in gone}, self.held)
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class TimestampedValue(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What an origin says; ``number`` rises with each word of its life, and ``at`` is its wall clock, told to
     people only."""
 
@@ -89,38 +89,40 @@
     at: float = 0.0
 
 
-class Latest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    words: Annotated[dict[Id, Word], msgspec.Meta(max_length=MOST_ACTORS)] = {}
+class LatestValues(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    words: Annotated[dict[MemberId, TimestampedValue], msgspec.Meta(max_length=MOST_ACTORS)] = {}
 
-    def say(self, me: Id, value: str, at: float) -> Latest:
+    def say(self, me: MemberId, value: str, at: float) -> LatestValues:
         before = self.words.get(me)
-        return Latest({**self.words, me: Word(before.number + 1 if before else 1, value, at)})
+        return LatestValues(
+            {**self.words, me: TimestampedValue(before.number + 1 if before else 1, value, at)}
+        )
 
-    def merge(self, other: Latest) -> Latest:
+    def merge(self, other: LatestValues) -> LatestValues:
         words = dict(self.words)
         for origin, word in other.words.items():
             mine = words.get(origin)
             # Two words of one number are no honest origin's; the greater value, so that all settle alike.
             if mine is None or (word.number, word.value, word.at) > (mine.number, mine.value, mine.at):
                 words[origin] = word
-        return Latest(words)
+        return LatestValues(words)
 
 
-class Highest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MaximumValues(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     numbers: Annotated[dict[Text, Count], msgspec.Meta(max_length=MOST_BOXES)] = {}
 
-    def raised(self, key: str, number: int) -> Highest:
-        return Highest({**self.numbers, key: max(number, self.numbers.get(key, 0))})
+    def raised(self, key: str, number: int) -> MaximumValues:
+        return MaximumValues({**self.numbers, key: max(number, self.numbers.get(key, 0))})
 
-    def merge(self, other: Highest) -> Highest:
+    def merge(self, other: MaximumValues) -> MaximumValues:
         keys = self.numbers.keys() | other.numbers.keys()
-        return Highest({key: max(self.numbers.get(key, 0), other.numbers.get(key, 0)) for key in keys})
+        return MaximumValues({key: max(self.numbers.get(key, 0), other.numbers.get(key, 0)) for key in keys})
 
 
 MERGES: dict[str, tuple[type[Any], Callable[[Any, Any], Any]]] = {
-    "holds": (Holds, Holds.merge),
-    "latest": (Latest, Latest.merge),
-    "highest": (Highest, Highest.merge),
+    "holds": (HoldSet, HoldSet.merge),
+    "latest": (LatestValues, LatestValues.merge),
+    "highest": (MaximumValues, MaximumValues.merge),
 }
 
 
@@ -132,7 +134,7 @@
         copy = msgspec.msgpack.decode(data, type=MERGES[kind][0])
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise ValueError("unreadable") from error
-    if isinstance(copy, Holds):
+    if isinstance(copy, HoldSet):
         for dots in copy.held.values():
             if not dots or not all(copy.covers(dot) for dot in dots):
                 raise ValueError("holds without their numbers")
--- a/cleatyoke/coordination/staged_start.py
+++ b/cleatyoke/coordination/staged_start.py
@@ -24,7 +24,7 @@
 from enum import Enum
 
 
-class Stage(Enum):
+class StartStage(Enum):
     DISK = "disk"
     PEERS = "peers"
     LIST = "list"
@@ -32,60 +32,64 @@
     OPEN = "open"
 
 
-ORDER = list(Stage)
-BOUNDS = {Stage.DISK: 0.5, Stage.PEERS: 1.0, Stage.LIST: 1.0}  # seconds, each from the stage's begin
+ORDER = list(StartStage)
+BOUNDS = {
+    StartStage.DISK: 0.5,
+    StartStage.PEERS: 1.0,
+    StartStage.LIST: 1.0,
+}  # seconds, each from the stage's begin
 
 
 @dataclass(slots=True, frozen=True)
 class Evidence:
     """Event: what passes this stage, in a few words for the log."""
 
-    stage: Stage
+    stage: StartStage
     what: str
 
 
 @dataclass(slots=True, frozen=True)
-class Passed:
+class StagePassed:
     """Action: the log is told. ``what`` is the evidence; "bound" where it did not come in time."""
 
-    stage: Stage
+    stage: StartStage
     what: str
     waited: float  # seconds in it
 
 
-class Recovery:
+class StagedStart:
     """One life's start. ``lent_until``: on its own clock, when all is over that the life before can have
     lent."""
 
     def __init__(self, began: float, lent_until: float) -> None:
-        self.stage, self.since, self.lent_until = Stage.DISK, began, lent_until
-        self.evidence: dict[Stage, str] = {}
-        self.passed: list[Passed] = []
+        self.stage, self.since, self.lent_until = StartStage.DISK, began, lent_until
+        self.evidence: dict[StartStage, str] = {}
+        self.passed: list[StagePassed] = []
 
     def door_open(self) -> bool:
-        return ORDER.index(self.stage) >= ORDER.index(Stage.LENT)
+        return ORDER.index(self.stage) >= ORDER.index(StartStage.LENT)
 
     def ends_at(self) -> float:
         """When this stage is passed whatever comes."""
-        if self.stage is Stage.OPEN:
+        if self.stage is StartStage.OPEN:
             return math.inf
-        if self.stage is Stage.LENT:
+        if self.stage is StartStage.LENT:
             return self.lent_until
         return self.since + BOUNDS[self.stage]
 
-    def step(self, now: float, events: Iterable[Evidence] = ()) -> list[Passed]:
+    def step(self, now: float, events: Iterable[Evidence] = ()) -> list[StagePassed]:
         for event in events:
-            if event.stage is not Stage.LENT:  # no word of anybody shortens a lease
+            if event.stage is not StartStage.LENT:  # no word of anybody shortens a lease
                 self.evidence.setdefault(event.stage, event.what)
         out = []
-        while self.stage is not Stage.OPEN:
+        while self.stage is not StartStage.OPEN:
             what = self.evidence.get(self.stage)
             if what is None and now < self.ends_at():
                 break
             if what is None:
-                what = "time" if self.stage is Stage.LENT else "bound"
+                what = "time" if self.stage is StartStage.LENT else "bound"
             # A look that comes late passes a stage late; the next one's time runs from there.
-            out.append(Passed(self.stage, what, now - self.since))
+            out.append(StagePassed(self.stage, what, now - self.since))
             self.stage, self.since = ORDER[ORDER.index(self.stage) + 1], now
         self.passed += out
         return out
@@ -97,6 +101,6 @@
             f"recovery.passed {one.stage.value} by={one.what.replace(' ', '-')} waited={one.waited:.3f}"
             for one in self.passed
         ]
-        if self.stage is not Stage.OPEN:
+        if self.stage is not StartStage.OPEN:
             out.append(f"recovery.waits {self.stage.value} for={max(0.0, self.ends_at() - now):.3f}")
         return out
--- a/cleatyoke/core.py
+++ b/cleatyoke/core.py
@@ -15,8 +15,25 @@
 
 import structlog
 
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.scheduler import Policy
+from cleatyoke.scheduling.actions import (
+    CancelAttempt,
+    FailRequest,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointUpdate,
+    RequestArrived,
+    SchedulerEvent,
+    TimerFired,
+)
+from cleatyoke.scheduling.scheduler import Scheduler
+from cleatyoke.scheduling.settings import SchedulerSettings
 
 T = TypeVar("T")
 # The first two are in no setting: they are what this process's own loop may run late by.
@@ -27,18 +44,18 @@
 
 
 @dataclass(slots=True)
-class Ending(Generic[T]):
+class AttemptResult(Generic[T]):
     """How an attempt ended, its answer, and the units of its volume that the node served by other hosts
     and the part of its power that it reports in use."""
 
-    outcome: api.Outcome
+    outcome: AttemptOutcome
     value: T | None = None
     elsewhere: float = 0.0
     busy: float | None = None
 
 
-May = Callable[[], bool]  # whether an attempt may begin: asked directly before its first byte
-Attempt = Callable[[int, May], Awaitable[Ending[T]]]  # of the node
+MayBegin = Callable[[], bool]  # whether an attempt may begin: asked directly before its first byte
+Attempt = Callable[[int, MayBegin], Awaitable[AttemptResult[T]]]  # of the node
 
 
 @dataclass(slots=True)
@@ -47,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class Refused:
+class Rejected:
     """Turned away, and trying again is harmless, best after ``wait`` seconds."""
 
     wait: float
@@ -58,13 +75,13 @@
     """No promise about its effect."""
 
 
-class Call:
+class PendingRequest:
     """A request being served: what the policy says of it, and the timer of the attempt that is out."""
 
     __slots__ = ("attempts", "limit", "out", "words")
 
     def __init__(self) -> None:
-        self.words: asyncio.Queue[api.Send | api.Refuse | api.Fail] = asyncio.Queue()
+        self.words: asyncio.Queue[SendAttempt | Reject | FailRequest] = asyncio.Queue()
         self.limit: asyncio.Timeout | None = None  # of its answer
         self.out: asyncio.Timeout | None = None
         self.attempts = 0
@@ -73,20 +90,22 @@
 class Core:
     """Owner of the one policy. Every event of one turn of the loop goes into one step."""
 
-    def __init__(self, settings: api.Settings, unix: float | None = None) -> None:
+    def __init__(self, settings: SchedulerSettings, unix: float | None = None) -> None:
         """``unix``: Unix time at the loop's 0, where it is not the system's, as in virtual time."""
         self.loop = asyncio.get_running_loop()
         # Once: the clock goes on evenly if the system's jumps.
         self.offset = time.time() - self.loop.time() if unix is None else unix
-        self.policy = Policy(settings)
-        self.calls: dict[str, Call] = {}
-        self.events: list[api.Event] = []
+        self.policy = Scheduler(settings)
+        self.calls: dict[str, PendingRequest] = {}
+        self.events: list[SchedulerEvent] = []
         self.wake_timer: asyncio.TimerHandle | None = None
         self.numbered = 0
         self.last = math.inf  # by when every answer is due, whatever the request's own deadline
-        self.listeners: list[Callable[[api.NodeList], None]] = []  # who else hears of the nodes
+        self.listeners: list[Callable[[EndpointUpdate], None]] = []  # who else hears of the nodes
         # What the policy has to know before it decides anything now, as leases that have ended meanwhile.
-        self.before: Callable[[float, list[api.Event]], list[api.Event]] = lambda now, events: events
+        self.before: Callable[[float, list[SchedulerEvent]], list[SchedulerEvent]] = lambda now, events: (
+            events
+        )
 
     def now(self) -> float:
         """Unix time, by the monotonic clock."""
@@ -97,11 +116,11 @@
         self.numbered += 1
         return str(self.numbered)
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: SchedulerEvent) -> None:
         if not self.events:
             self.loop.call_soon(self.step)
         self.events.append(event)
-        if isinstance(event, api.NodeList):
+        if isinstance(event, EndpointUpdate):
             for listener in self.listeners:
                 listener(event)
 
@@ -115,19 +134,21 @@
             return
         for action in actions:
             match action:
-                case api.Send(request) | api.Refuse(request) | api.Fail(request):
+                case SendAttempt(request) | Reject(request) | FailRequest(request):
                     if call := self.calls.get(request):
                         call.words.put_nowait(action)
-                case api.Cancel(request, attempt):
+                case CancelAttempt(request, attempt):
                     call = self.calls.get(request)
                     out = call.out if call and attempt == call.attempts - 1 else None
                     if out and not out.expired():  # a process that stood still finds both due at once
                         out.reschedule(self.loop.time())
-                case api.Wake(after, token):
+                case SetTimer(after, token):
                     if self.wake_timer:
                         self.wake_timer.cancel()
-                    self.wake_timer = self.loop.call_at(self.loop.time() + after, self.tell, api.Woken(token))
-                case api.Watch():
+                    self.wake_timer = self.loop.call_at(
+                        self.loop.time() + after, self.tell, TimerFired(token)
+                    )
+                case WatchEndpoints():
                     pass  # the platform's discovery is watched from the start
 
     def hurry(self, last: float) -> None:
@@ -140,9 +161,9 @@
                 if timer and not timer.expired() and (timer.when() or 0.0) > at:
                     timer.reschedule(at)
 
-    async def serve(self, ask: api.Arrival, attempt: Attempt[T]) -> Served[T] | Refused | Failed:
+    async def serve(self, ask: RequestArrived, attempt: Attempt[T]) -> Served[T] | Rejected | Failed:
         """The life of a request, from its arrival to its one answer. Cancelled: the client has left."""
-        call = self.calls[ask.request] = Call()
+        call = self.calls[ask.request_id] = PendingRequest()
         self.tell(ask)
         try:
             # A client that waits for less than the margin still hears the policy's word, which comes at once.
@@ -150,38 +171,50 @@
             async with asyncio.timeout_at(max(due, self.loop.time() + SOONEST)) as call.limit:
                 while True:
                     match await call.words.get():
-                        case api.Send(_, node) if self.now() >= self.last - ATTEMPT_MARGIN:
+                        case SendAttempt(_, node) if self.now() >= self.last - ATTEMPT_MARGIN:
                             self.end(
-                                ask, call.attempts, node, Ending(api.Outcome.NOT_SENT), 0.0, settled=True
+                                ask,
+                                call.attempts,
+                                node,
+                                AttemptResult(AttemptOutcome.NOT_SENT),
+                                0.0,
+                                settled=True,
                             )
-                        case api.Send(_, node, before):
+                        case SendAttempt(_, node, before):
                             ending = await self.attempt(ask, call, node, before, attempt)
-                            if ending.outcome is api.Outcome.SERVED:
+                            if ending.outcome is AttemptOutcome.SERVED:
                                 return Served(ending.value)
-                        case api.Refuse(_, wait):
-                            return Refused(wait)
-                        case api.Fail():
+                        case Reject(_, wait):
+                            return Rejected(wait)
+                        case FailRequest():
                             return Failed()
         except asyncio.CancelledError:
-            self.tell(api.Withdrawn(ask.request))
+            self.tell(ClientDisconnected(ask.request_id))
             raise
         except TimeoutError:
-            self.tell(api.Withdrawn(ask.request))
+            self.tell(ClientDisconnected(ask.request_id))
             if self.last < ask.deadline:  # the process ends: what was never sent may be tried elsewhere
-                return Failed() if call.attempts else Refused(0.0)
+                return Failed() if call.attempts else Rejected(0.0)
             # Guards against a silent policy and a loop that ran late: the client is owed an answer in time.
-            log.warning("answer_forced", request=ask.request, attempts=call.attempts)
+            log.warning("answer_forced", request=ask.request_id, attempts=call.attempts)
             return Failed()
         finally:
-            del self.calls[ask.request]
+            del self.calls[ask.request_id]
             while not call.words.empty():
                 # Guards the policy's count of slots: a word to send that came too late is an attempt to it.
-                if isinstance(word := call.words.get_nowait(), api.Send):
-                    self.end(ask, call.attempts, word.node, Ending(api.Outcome.NOT_SENT), 0.0, settled=True)
+                if isinstance(word := call.words.get_nowait(), SendAttempt):
+                    self.end(
+                        ask,
+                        call.attempts,
+                        word.node_id,
+                        AttemptResult(AttemptOutcome.NOT_SENT),
+                        0.0,
+                        settled=True,
+                    )
 
     async def attempt(
-        self, ask: api.Arrival, call: Call, node: int, before: float, attempt: Attempt[T]
-    ) -> Ending[T]:
+        self, ask: RequestArrived, call: PendingRequest, node: int, before: float, attempt: Attempt[T]
+    ) -> AttemptResult[T]:
         """One attempt, until its timer ends it or the policy calls it off by the same timer. Its end is told
         once its connection is free or closed, so that there are never two out. What it is allowed by, the
         time ``before`` which nodes know its request and its own time, is looked at again directly before its
@@ -192,28 +225,42 @@
             return self.now() < min(before, self.until(ask))
 
         call.attempts += 1
-        ending, settled = Ending[T](api.Outcome.CANCELLED), True  # a client that leaves takes it along
+        ending, settled = (
+            AttemptResult[T](AttemptOutcome.CANCELLED),
+            True,
+        )  # a client that leaves takes it along
         try:
             async with asyncio.timeout_at(self.until(ask) - self.offset) as call.out:
                 ending = await attempt(node, may)
-            settled = ending.outcome is api.Outcome.SERVED
+            settled = ending.outcome is AttemptOutcome.SERVED
         except TimeoutError:
             settled = False
-            ending = Ending(api.Outcome.TIMEOUT if self.now() >= self.until(ask) else api.Outcome.CANCELLED)
+            ending = AttemptResult(
+                AttemptOutcome.TIMEOUT if self.now() >= self.until(ask) else AttemptOutcome.CANCELLED
+            )
         except Exception:
             log.exception("attempt_fault", node=node)
-            ending, settled = Ending(api.Outcome.RESET), False  # in doubt, it may have run
+            ending, settled = (
+                AttemptResult(AttemptOutcome.CONNECTION_RESET),
+                False,
+            )  # in doubt, it may have run
         finally:
             call.out = None
             self.end(ask, number, node, ending, self.now() - sent, settled)
         return ending
 
-    def until(self, ask: api.Arrival) -> float:
+    def until(self, ask: RequestArrived) -> float:
         """When its attempt ends at the latest."""
         return min(ask.deadline, self.last) - ATTEMPT_MARGIN
 
     def end(
-        self, ask: api.Arrival, number: int, node: int, ending: Ending[T], spent: float, settled: bool
+        self,
+        ask: RequestArrived,
+        number: int,
+        node: int,
+        ending: AttemptResult[T],
+        spent: float,
+        settled: bool,
     ) -> None:
         told = ending.elsewhere, ending.busy
-        self.tell(api.Ended(ask.request, number, node, ending.outcome, spent, settled, *told))
+        self.tell(AttemptFinished(ask.request_id, number, node, ending.outcome, spent, settled, *told))
--- a/cleatyoke/discovery/backoff.py
+++ b/cleatyoke/discovery/backoff.py
@@ -14,7 +14,7 @@
 import random
 
 
-class Pace:
+class Backoff:
     """Waits before calls to a shared service, which all ``hosts`` may want at once.
 
     ``each`` is the time that the service is given for one host's call, in seconds, so that a span of ``hosts
--- a/cleatyoke/discovery/directory.py
+++ b/cleatyoke/discovery/directory.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, replace
 from itertools import count
 
-from cleatyoke.admin.maintenance import Holds
+from cleatyoke.admin.maintenance import OperatorHolds
 from cleatyoke.config.deployment import Address
-from cleatyoke.scheduling import api
+from cleatyoke.scheduling.events import Endpoint, EndpointState
 
 MOST_GONE = 1024  # boxes that went and whose numbers are kept, as they may return or a call may name them
 
@@ -21,12 +21,12 @@
     address: Address
     zone: str
     cell: int
-    state: api.NodeState
+    state: EndpointState
     started: float  # Unix time; 0 for long ago
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class EndpointList:
     """A list, or the changes to one."""
 
     version: int
@@ -46,11 +46,11 @@
         self.leaving: set[int] = set()  # of these, those that discovery lists as not live
         self.version: int | None = None
         self.watchers: list[Callable[[int], None]] = []
-        self.holds = Holds()  # boxes disabled by hand, by id
+        self.holds = OperatorHolds()  # boxes disabled by hand, by id
 
     def serves(self, node: int) -> bool:
         box = self.boxes.get(node)
-        return box is not None and box.state is api.NodeState.LIVE and not self.holds.holds(box.name)
+        return box is not None and box.state is EndpointState.LIVE and not self.holds.holds(box.name)
 
     def knows(self, name: str) -> bool:
         """Whether any list named the box; safe from another thread."""
@@ -61,13 +61,13 @@
         node = self.numbers.get(name)
         return None if node is None else self.boxes.get(node)
 
-    def entry(self, node: int, box: Instance) -> api.NodeEntry:
+    def entry(self, node: int, box: Instance) -> Endpoint:
         """A box as the policy sees it: one held by hand drains, one released was started anew."""
-        state = api.NodeState.DRAINING if self.holds.holds(box.name) else box.state
+        state = EndpointState.DRAINING if self.holds.holds(box.name) else box.state
         zone = self.zones.setdefault(box.zone, len(self.zones))
-        return api.NodeEntry(node, box.cell, zone, state, self.holds.started(box.name, box.started))
+        return Endpoint(node, box.cell, zone, state, self.holds.started(box.name, box.started))
 
-    def changed(self, names: list[str]) -> list[api.NodeEntry]:
+    def changed(self, names: list[str]) -> list[Endpoint]:
         """Holds were taken or given back: the entries that change for the policy, and the watchers told."""
         entries = []
         for name in names:
@@ -83,13 +83,13 @@
         held = (self.numbers.get(name) for name in list(self.holds.held))
         return len(self.leaving | {node for node in held if node in self.boxes})
 
-    def apply(self, listing: Listing) -> list[api.NodeEntry]:
+    def apply(self, listing: EndpointList) -> list[Endpoint]:
         """Take in a list and return its entries for the policy. Changes cost by how many they are."""
         before: dict[int, Instance] = {}
         if listing.whole:
             for box in self.absent({box.name for box in listing.instances}):
                 before[self.numbers[box.name]] = box
-                self.put(replace(box, state=api.NodeState.GONE))
+                self.put(replace(box, state=EndpointState.REMOVED))
         entries = []
         for box in listing.instances:
             if (node := self.numbers.get(box.name)) is not None and (known := self.boxes.get(node)):
@@ -113,13 +113,13 @@
             self.numbers[box.name] = next(self.counted)
         node = self.numbers[box.name]
         self.leaving.discard(node)
-        if box.state is api.NodeState.GONE:
+        if box.state is EndpointState.REMOVED:
             self.boxes.pop(node, None)
             self.gone.setdefault(box.name)
             return node
         self.boxes[node] = box
         self.gone.pop(box.name, None)
-        if box.state is not api.NodeState.LIVE:
+        if box.state is not EndpointState.LIVE:
             self.leaving.add(node)
         return node
 
--- a/cleatyoke/discovery/listings.py
+++ b/cleatyoke/discovery/listings.py
@@ -15,22 +15,22 @@
 
 from aiohttp import StreamReader
 
-from cleatyoke.config.deployment import BadConfig, read_address
-from cleatyoke.discovery.directory import Instance, Listing
-from cleatyoke.http.messages import BadMessage
-from cleatyoke.scheduling import api
+from cleatyoke.config.deployment import ConfigError, read_address
+from cleatyoke.discovery.directory import EndpointList, Instance
+from cleatyoke.http.messages import MessageError
+from cleatyoke.scheduling.events import EndpointState
 
 MOST_LIST = 16 * 1024 * 1024  # bytes of a list: 25,000 nodes at four times what one takes on the wire
 AT_ONCE = 500  # nodes of a list that are decoded or applied in one turn of the event loop
 LONG = 128 * 1024  # bytes: a shorter text holds some 900 nodes, which are decoded in 5 ms
 STATES = {
-    "SERVING": api.NodeState.LIVE,
-    "DRAINING": api.NodeState.DRAINING,
-    "DELETED": api.NodeState.GONE,
+    "SERVING": EndpointState.LIVE,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
 }
 
 
-class ListTooLong(ValueError):
+class ListTooLongError(ValueError):
     """A list of more than ``MOST_LIST`` bytes, which is not read to its end."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
     async for chunk in content.iter_any():
         body += chunk
         if len(body) > MOST_LIST:
-            raise ListTooLong
+            raise ListTooLongError
     return bytes(body)
 
 
@@ -68,7 +68,7 @@
         for piece in chunk.splitlines(keepends=True):  # of bytes: LF, CR and CRLF end a line
             line += piece
             if len(line) > MOST_LIST:
-                raise ListTooLong
+                raise ListTooLongError
             if piece.endswith(b"\n"):
                 yield bytes(line)
                 line.clear()
@@ -76,7 +76,7 @@
         yield bytes(line)
 
 
-async def decode_long_listing(text: bytes) -> Listing:
+async def decode_long_listing(text: bytes) -> EndpointList:
     """As ``decode_listing``, but the event loop goes on between parts of the text."""
     import msgspec  # only for lists longer than the platform's: it takes time to import
 
@@ -93,51 +93,51 @@
             instances += [read_instance(msgspec.json.decode(raw)) for raw in part]
             await asyncio.sleep(0)
     except msgspec.MsgspecError as error:
-        raise BadMessage(str(error)) from error
-    return Listing(version, whole, instances)
+        raise MessageError(str(error)) from error
+    return EndpointList(version, whole, instances)
 
 
-def decode_listing(text: str | bytes) -> Listing:
+def decode_listing(text: str | bytes) -> EndpointList:
     try:
         return read_listing(json.loads(text))
     except ValueError as error:
-        raise BadMessage(str(error)) from error
+        raise MessageError(str(error)) from error
 
 
-def read_listing(value: Any) -> Listing:
+def read_listing(value: Any) -> EndpointList:
     version, whole = read_head(value)
-    return Listing(version, whole, [read_instance(entry) for entry in value["instances"]])
+    return EndpointList(version, whole, [read_instance(entry) for entry in value["instances"]])
 
 
 def read_head(value: Any) -> tuple[int, bool]:
     """The version, and whether the list is a whole one."""
     if not isinstance(value, dict):
-        raise BadMessage("want an object")
+        raise MessageError("want an object")
     version, entries = value.get("generation"), value.get("instances")
     if not isinstance(version, int) or isinstance(version, bool):
-        raise BadMessage(f"generation: want a whole number, found {version!r}")
+        raise MessageError(f"generation: want a whole number, found {version!r}")
     if not isinstance(entries, list):
-        raise BadMessage("instances: want a list")
+        raise MessageError("instances: want a list")
     return version, value.get("reset") is True
 
 
 def read_instance(entry: Any) -> Instance:
     if not isinstance(entry, dict):
-        raise BadMessage("instances: want objects")
+        raise MessageError("instances: want objects")
     name, state, cell = entry.get("instanceId"), entry.get("lifecycle"), entry.get("cell")
     started = entry.get("startedAtMs") or 0
     if not isinstance(name, str) or not name:
-        raise BadMessage(f"instanceId: want a text, found {name!r}")
+        raise MessageError(f"instanceId: want a text, found {name!r}")
     if state not in STATES:
-        raise BadMessage(f"lifecycle: unknown state {state!r}")
+        raise MessageError(f"lifecycle: unknown state {state!r}")
     if cell is not None and (isinstance(cell, bool) or not isinstance(cell, int)):
-        raise BadMessage(f"cell: want a whole number, found {cell!r}")
+        raise MessageError(f"cell: want a whole number, found {cell!r}")
     if isinstance(started, bool) or not isinstance(started, int | float):
-        raise BadMessage(f"startedAtMs: want a number, found {started!r}")
+        raise MessageError(f"startedAtMs: want a number, found {started!r}")
     try:
         address = read_address(str(entry.get("hostPort")), "hostPort")
-    except BadConfig as error:
-        raise BadMessage(str(error)) from error
+    except ConfigError as error:
+        raise MessageError(str(error)) from error
     return Instance(
         name, address, str(entry.get("zone")), -1 if cell is None else cell, STATES[state], started / 1000
     )
--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -17,22 +17,22 @@
 import structlog
 
 from cleatyoke.config.deployment import Address
-from cleatyoke.discovery.backoff import Pace
-from cleatyoke.discovery.directory import Directory, Instance, Listing
+from cleatyoke.discovery.backoff import Backoff
+from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.discovery.listings import (
     AT_ONCE,
     LONG,
-    ListTooLong,
+    ListTooLongError,
     collection_put_off,
     decode_listing,
     decode_long_listing,
     read_body,
     read_lines,
 )
-from cleatyoke.http.messages import BadMessage
+from cleatyoke.http.messages import MessageError
 from cleatyoke.process.faults import Faults, keep_up
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling import api
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, SchedulerEvent, UpdateKind
 
 TOLD = 6.0  # seconds after which a change counts as told (protocol page, Figures)
 BEAT = 2.0  # seconds between the empty lines of a watch on which nothing changes (protocol page, Discovery)
@@ -60,7 +60,7 @@
         self,
         address: Address,
         directory: Directory,
-        tell: Callable[[api.Event], None],
+        tell: Callable[[SchedulerEvent], None],
         hosts: int = 1,
         seed: int = 0,
         faults: Faults | None = None,
@@ -74,21 +74,21 @@
         self.keep_pace(grace)
         self.address, self.directory, self.tell = address, directory, tell
         self.hosts, self.rng = hosts if hosts > 0 else math.inf, random.Random(seed)
-        self.faults = faults or Faults(Figures())
+        self.faults = faults or Faults(Metrics())
         self.heard = asyncio.Event()  # something, in this life
         self.watches: list[Watch] = []  # the last one is on the address that counts
         self.retired: set[Watch] = set()  # those that it has replaced, for their last words
         self.down: dict[tuple[str, float], tuple[float, Watch]] = {}  # lives that leave: when told, by whom
         self.withheld: dict[str, Instance] = {}  # what a list said of nodes that another agent had said leave
 
-    def take(self, listing: Listing, kind: api.ListKind | None = None, watch: Watch | None = None) -> None:
+    def take(self, listing: EndpointList, kind: UpdateKind | None = None, watch: Watch | None = None) -> None:
         """A list goes to the directory and, in the same turn, to the policy."""
         if watch:
             listing = self.compare(listing, watch)
-        whole = api.ListKind.FULL if listing.whole else api.ListKind.CHANGES
-        self.tell(api.NodeList(kind or whole, self.directory.apply(listing)))
+        whole = UpdateKind.SNAPSHOT if listing.whole else UpdateKind.DELTA
+        self.tell(EndpointUpdate(kind or whole, self.directory.apply(listing)))
 
-    async def take_long(self, listing: Listing, watch: Watch) -> None:
+    async def take_long(self, listing: EndpointList, watch: Watch) -> None:
         """A long list, in parts between which the event loop goes on; it is empty afterwards. Who drains or
         is gone comes first, in one turn; nodes of which nothing new is said are passed over. The directory's
         version is the new one only once all is taken."""
@@ -96,8 +96,8 @@
         names, version = frozenset(latest), directory.version or 0
         listing.instances.clear()  # given back in parts, as to free them all in one turn takes long
         await asyncio.sleep(0)
-        leaving = [box for box in latest.values() if box.state is not api.NodeState.LIVE]
-        self.take(Listing(version, False, leaving + self.not_in(listing, names, watch)), None, watch)
+        leaving = [box for box in latest.values() if box.state is not EndpointState.LIVE]
+        self.take(EndpointList(version, False, leaving + self.not_in(listing, names, watch)), None, watch)
         for box in leaving:
             del latest[box.name]
         while latest:
@@ -106,36 +106,36 @@
                 return
             part = [latest.popitem()[1] for _ in range(min(AT_ONCE, len(latest)))]
             if news := [box for box in part if directory.latest(box.name) != box]:
-                self.take(Listing(version, False, news), None, watch)
+                self.take(EndpointList(version, False, news), None, watch)
         await asyncio.sleep(0)
         # Again, as another watch may have told of more nodes meanwhile.
-        self.take(Listing(listing.version, False, self.not_in(listing, names, watch)), None, watch)
+        self.take(EndpointList(listing.version, False, self.not_in(listing, names, watch)), None, watch)
 
-    def not_in(self, listing: Listing, names: Collection[str], watch: Watch) -> list[Instance]:
+    def not_in(self, listing: EndpointList, names: Collection[str], watch: Watch) -> list[Instance]:
         """The nodes that a whole list no longer has, as gone; of an agent that was moved from it proves
         nothing that one is missing."""
         absent = self.directory.absent(names) if listing.whole and watch not in self.retired else []
-        return [replace(box, state=api.NodeState.GONE) for box in absent]
+        return [replace(box, state=EndpointState.REMOVED) for box in absent]
 
-    def compare(self, listing: Listing, watch: Watch) -> Listing:
+    def compare(self, listing: EndpointList, watch: Watch) -> EndpointList:
         """Guards nodes that one agent has said leave against another agent's list, which may be older: amid a
         move they go on leaving until the new agent must know better. A node that is started anew is another
         life. Of an agent that was moved from, only what it says of leaving counts."""
         now = asyncio.get_running_loop().time()
         self.down = {life: told for life, told in self.down.items() if told[0] > now - TOLD}
         if watch in self.retired:
-            leaving = [box for box in listing.instances if box.state is not api.NodeState.LIVE]
-            listing = Listing(self.directory.version or 0, False, leaving)
+            leaving = [box for box in listing.instances if box.state is not EndpointState.LIVE]
+            listing = EndpointList(self.directory.version or 0, False, leaving)
         taken = []
         for box in listing.instances:
             life = box.name, box.started
             self.withheld.pop(box.name, None)
-            if box.state is not api.NodeState.LIVE:
+            if box.state is not EndpointState.LIVE:
                 self.down[life] = now, watch
             elif life in self.down and self.down[life][1] is not watch:
                 self.withheld[box.name] = box
                 asyncio.get_running_loop().call_later(TOLD, self.release, box, watch)
-                box = replace(box, state=api.NodeState.DRAINING)
+                box = replace(box, state=EndpointState.DRAINING)
             else:
                 self.down.pop(life, None)
             taken.append(box)
@@ -145,7 +145,7 @@
         """The new agent has stood by its word for as long as any change takes to be told."""
         if self.withheld.get(box.name) is box:
             self.down.pop((box.name, box.started), None)
-            self.take(Listing(self.directory.version or 0, False, [box]), None, watch)
+            self.take(EndpointList(self.directory.version or 0, False, [box]), None, watch)
 
     def keep_pace(self, grace: float) -> None:
         """Look at an own agent often enough for the rule on drains."""
@@ -184,7 +184,7 @@
     def __init__(self, owner: Discovery, address: Address, version: int | None) -> None:
         host = f"[{address.host}]" if ":" in address.host else address.host
         self.url, self.version = f"http://{host}:{address.port}/discovery/hosts", version
-        self.pace = Pace(owner.rng, owner.hosts, EACH, MOST, LEAST, PERIOD)
+        self.pace = Backoff(owner.rng, owner.hosts, EACH, MOST, LEAST, PERIOD)
         self.failed, self.answered, self.began = 0, False, 0.0
         self.refused = False  # the latest list was too long, and the log was told
         self.speaker: asyncio.Task[None] | None = None  # the call that was answered, of those that are out
@@ -210,9 +210,9 @@
                 try:
                     await (self.look(session) if self.owner.pushed else self.call(session, ANSWER))
                     log.info("discovery_ended", address=self.url)
-                except ListTooLong as error:
+                except ListTooLongError as error:
                     self.refuse(error)
-                except BadMessage as error:
+                except MessageError as error:
                     log.warning("discovery_line_skipped", why=str(error))
                     self.version = None  # the line may have held a change: take the whole list
                 except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
@@ -237,7 +237,7 @@
             log.warning("discovery_lost", address=self.url, why=why, failed=self.failed + 1)
         self.failed += 1
 
-    def refuse(self, error: ListTooLong) -> None:
+    def refuse(self, error: ListTooLongError) -> None:
         """What is known stands, and the log is told once until a list is taken again."""
         if not self.refused:
             log.error("discovery_list_refused", address=self.url, why=str(error))
@@ -292,7 +292,7 @@
         async with asyncio.timeout(within), session.get(self.url, raise_for_status=True) as response:
             body = await read_body(response.content)
         if self.speaks():
-            await self.take_text(body, api.ListKind.FULL)
+            await self.take_text(body, UpdateKind.SNAPSHOT)
             self.owner.settled(self)
 
     async def watch(self, session: aiohttp.ClientSession, within: float) -> None:
@@ -316,7 +316,7 @@
             self.speaker = asyncio.current_task()
         return not self.owner.pushed or self.speaker is asyncio.current_task()
 
-    async def take_text(self, text: bytes, kind: api.ListKind | None = None) -> None:
+    async def take_text(self, text: bytes, kind: UpdateKind | None = None) -> None:
         """A list as it came, short or long."""
         if len(text) < LONG:
             self.take(decode_listing(text), kind)
@@ -325,7 +325,7 @@
                 await self.take_long(text, kind)
         self.refused = False
 
-    async def take_long(self, text: bytes, kind: api.ListKind | None) -> None:
+    async def take_long(self, text: bytes, kind: UpdateKind | None) -> None:
         listing = await decode_long_listing(text)
         if len(listing.instances) > AT_ONCE:
             await self.owner.take_long(listing, self)
@@ -333,7 +333,7 @@
         else:
             self.take(listing, kind)
 
-    def take(self, listing: Listing, kind: api.ListKind | None = None) -> None:
+    def take(self, listing: EndpointList, kind: UpdateKind | None = None) -> None:
         self.owner.take(listing, kind, self)
         self.version = listing.version
         self.owner.heard.set()
--- a/cleatyoke/distribution/__main__.py
+++ b/cleatyoke/distribution/__main__.py
@@ -12,15 +12,15 @@
 import click
 import structlog
 
-from cleatyoke.config.deployment import Address, BadConfig, read_address
+from cleatyoke.config.deployment import Address, ConfigError, read_address
 from cleatyoke.distribution.contents import lane_of
-from cleatyoke.distribution.folder import BadEpoch, Folder, next_epoch
-from cleatyoke.distribution.network import Poller, PollListener
+from cleatyoke.distribution.folder import ConfigFolder, EpochError, next_epoch
+from cleatyoke.distribution.network import PollListener, RelayPoller
 from cleatyoke.distribution.relay import Relay, Source
 from cleatyoke.process.command_line import run_command
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.logs import set_up_log
-from cleatyoke.process.metrics import Figures
+from cleatyoke.process.logs import configure_logging
+from cleatyoke.process.metrics import Metrics
 
 log = structlog.get_logger()
 
@@ -35,7 +35,7 @@
             return value
         try:
             return read_address(value, "address")
-        except BadConfig as error:
+        except ConfigError as error:
             self.fail(str(error), param, ctx)
 
 
@@ -63,13 +63,13 @@
         raise click.ClickException(f"--folder: {folder} is no folder")
     try:
         number = next_epoch(epoch)
-    except (BadEpoch, OSError) as error:
+    except (EpochError, OSError) as error:
         raise click.ClickException(f"--epoch: {error}") from error
-    set_up_log()
-    asyncio.run(run_source(Source(deployment, "source", number, most), Folder(folder), listen))
+    configure_logging()
+    asyncio.run(run_source(Source(deployment, "source", number, most), ConfigFolder(folder), listen))
 
 
-async def run_source(source: Source, folder: Folder, listen: Address) -> None:
+async def run_source(source: Source, folder: ConfigFolder, listen: Address) -> None:
     loop = asyncio.get_running_loop()
 
     def look() -> None:
@@ -98,14 +98,14 @@
 def relay(listen: Address, deployment: str, most: int, name: str, upstream: Sequence[Address]) -> None:
     """Answer fronts with what a source, or another relay, has."""
     tiers = [[str(one) for one in upstream]]
-    set_up_log()
+    configure_logging()
     asyncio.run(run_relay(Relay(deployment, name, tiers, random.Random(name), most), listen))
 
 
 async def run_relay(relay: Relay, listen: Address) -> None:
     listener = PollListener(relay)
     address = await listener.start(listen)
-    poller = Poller(relay, lambda action: None, Faults(Figures()))
+    poller = RelayPoller(relay, lambda action: None, Faults(Metrics()))
     poller.step()
     log.info("ready", role="relay", name=relay.name, listen=address)
     await until_asked_to_end()
--- a/cleatyoke/distribution/contents.py
+++ b/cleatyoke/distribution/contents.py
@@ -18,7 +18,7 @@
 NODE = "nodes/"
 
 
-class BadValue(ValueError):
+class InvalidValueError(ValueError):
     """A value that can't be read; the text begins with its key."""
 
 
@@ -31,19 +31,19 @@
     try:
         return json.loads(value)
     except (ValueError, RecursionError) as error:
-        raise BadValue(f"{key}: no JSON: {error}") from error
+        raise InvalidValueError(f"{key}: no JSON: {error}") from error
 
 
 @dataclass(slots=True)
-class Settings:
+class DistributedSettings:
     """The entries of the settings as they came. ``version``: of the newest."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
     version: Version = field(default_factory=lambda: Version(0, 0))
 
-    def with_entries(self, entries: Iterable[Entry]) -> Settings:
+    def with_entries(self, entries: Iterable[Entry]) -> DistributedSettings:
         """These settings as the entries change them."""
-        changed = Settings(dict(self.entries), self.version)
+        changed = DistributedSettings(dict(self.entries), self.version)
         for entry in entries:
             changed.version = max(changed.version, entry.version)
             if entry.value is None:
@@ -57,7 +57,7 @@
         values = {key: read_value(key, entry.value or b"") for key, entry in self.entries.items()}
         settings = values.pop(WHOLE, base)
         if not isinstance(settings, dict):
-            raise BadValue(f"{WHOLE}: want an object")
+            raise InvalidValueError(f"{WHOLE}: want an object")
         return {**settings, **{key.removeprefix(PART): value for key, value in sorted(values.items())}}
 
 
@@ -75,6 +75,6 @@
             continue
         try:
             found.append(read_value(entry.key, entry.value))
-        except BadValue:
+        except InvalidValueError:
             bad.append(entry.key)
     return found, bad
--- a/cleatyoke/distribution/folder.py
+++ b/cleatyoke/distribution/folder.py
@@ -9,33 +9,33 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from cleatyoke.distribution.contents import BadValue, read_value
+from cleatyoke.distribution.contents import InvalidValueError, read_value
 from cleatyoke.distribution.records import MOST_VALUE
 
 SUFFIX = ".json"
 MOST_KEY = 128
 
 
-class BadEpoch(ValueError):
+class EpochError(ValueError):
     """An epoch file that can't be used."""
 
 
 @dataclass(slots=True)
-class Look:
+class FolderScan:
     """``changes``: keys with their new values, None for those that are gone; ``bad``: what can't be taken."""
 
     changes: dict[str, bytes | None] = field(default_factory=dict)
     bad: list[str] = field(default_factory=list)
 
 
-class Folder:
+class ConfigFolder:
     def __init__(self, path: Path) -> None:
         self.path = path
         self.known: dict[str, bytes] = {}
 
-    def look(self) -> Look:
+    def look(self) -> FolderScan:
         """What is new since the last look. A file that can't be taken counts as it was before."""
-        found, look = set(), Look()
+        found, look = set(), FolderScan()
         for path in sorted(self.path.rglob(f"*{SUFFIX}")):
             key = path.relative_to(self.path).as_posix().removesuffix(SUFFIX)
             found.add(key)
@@ -64,7 +64,7 @@
         return f"{key}: want {MOST_VALUE} bytes at the most, found {len(value)}"
     try:
         read_value(key, value)
-    except BadValue as error:
+    except InvalidValueError as error:
         return str(error)
     return ""
 
@@ -77,7 +77,7 @@
     if path.exists():
         text = path.read_text().strip()
         if not text.isascii() or not text.isdecimal() or int(text) >= 1 << 52:
-            raise BadEpoch(f"{path}: want a number, found {text[:40]!r}")
+            raise EpochError(f"{path}: want a number, found {text[:40]!r}")
         last = int(text)
     epoch = max(last + 1, int(unix * 1000))
     spare = path.with_suffix(".new")
--- a/cleatyoke/distribution/network.py
+++ b/cleatyoke/distribution/network.py
@@ -14,25 +14,25 @@
 
 import structlog
 
-from cleatyoke.config.deployment import Address, DistributionRelays, read_address
-from cleatyoke.discovery.directory import Listing
+from cleatyoke.config.deployment import Address, DistributionSettings, read_address
+from cleatyoke.discovery.directory import EndpointList
 from cleatyoke.discovery.listings import read_instance
-from cleatyoke.distribution.contents import Settings, listed_nodes, settings_entries
+from cleatyoke.distribution.contents import DistributedSettings, listed_nodes, settings_entries
 from cleatyoke.distribution.records import MOST_MESSAGE, Entry, Lane
-from cleatyoke.distribution.status import Status
+from cleatyoke.distribution.status import SubscriptionStatus
 from cleatyoke.distribution.subscriber import (
-    Action,
-    Answered,
-    Deliver,
-    Moved,
-    Restarted,
+    DeliverChanges,
+    EpochRestarted,
+    PollAnswered,
+    RelayChanged,
     SendPoll,
     Subscriber,
-    Timing,
+    SubscriberAction,
+    SubscriberTiming,
 )
-from cleatyoke.http.messages import BadMessage
+from cleatyoke.http.messages import MessageError
 from cleatyoke.process.faults import Faults, keep_up
-from cleatyoke.scheduling.api import NodeState
+from cleatyoke.scheduling.events import EndpointState
 from cleatyoke.transport.framing import read_message, write_message
 
 AGAIN = 1.0  # seconds until the duty is taken up again after a fault of our own
@@ -42,18 +42,20 @@
 log = structlog.get_logger()
 
 
-class Machine(Protocol):
+class PollingClient(Protocol):
     """A subscriber, or a relay around one."""
 
-    def step(self, now: float, events: Iterable[Answered] = ()) -> Iterable[Action]: ...
+    def step(self, now: float, events: Iterable[PollAnswered] = ()) -> Iterable[SubscriberAction]: ...
 
     def due(self) -> float: ...
 
 
-class Poller:
+class RelayPoller:
     """Drives a machine: a timer, and one stream for each poll. ``act`` is given its other actions."""
 
-    def __init__(self, machine: Machine, act: Callable[[Action], None], faults: Faults) -> None:
+    def __init__(
+        self, machine: PollingClient, act: Callable[[SubscriberAction], None], faults: Faults
+    ) -> None:
         self.machine, self.act, self.faults = machine, act, faults
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
@@ -61,7 +63,7 @@
         self.moves = 0
         self.stopped = False
 
-    def step(self, *events: Answered) -> None:
+    def step(self, *events: PollAnswered) -> None:
         if self.stopped:
             return
         after = AGAIN
@@ -75,13 +77,13 @@
             self.timer.cancel()
         self.timer = self.loop.call_later(after, self.step)
 
-    def take(self, action: Action) -> None:
+    def take(self, action: SubscriberAction) -> None:
         match action:
             case SendPoll():
                 task = asyncio.create_task(self.exchange(action))
                 self.exchanges.add(task)
                 task.add_done_callback(self.exchanges.discard)
-            case Moved(relay, why):
+            case RelayChanged(relay, why):
                 if self.moves % ALIKE == 0:
                     log.info("config_relay_changed", relay=relay, why=why, moves=self.moves + 1)
                 self.moves += 1
@@ -102,7 +104,7 @@
         finally:
             if writer:
                 writer.transport.abort()
-        self.step(Answered(poll.number, data))
+        self.step(PollAnswered(poll.number, data))
 
     def stop(self) -> None:
         self.stopped = True
@@ -118,21 +120,21 @@
 
     def __init__(
         self,
-        relays: DistributionRelays,
+        relays: DistributionSettings,
         name: str,
         seed: int,
         faults: Faults,
-        settings: Callable[[Settings], str],
-        nodes: Callable[[Listing], None],
+        settings: Callable[[DistributedSettings], str],
+        nodes: Callable[[EndpointList], None],
     ) -> None:
         tiers = [[str(one) for one in tier] for tier in (relays.relays, relays.others) if tier]
-        timing = Timing(poll=relays.poll, rate=relays.rate)
+        timing = SubscriberTiming(poll=relays.poll, rate=relays.rate)
         rng = random.Random(f"distribution:{seed}:{name}")
         self.subscriber = Subscriber(relays.deployment, name, tiers, rng, timing)
-        self.relays, self.status = relays, Status(self.subscriber)
+        self.relays, self.status = relays, SubscriptionStatus(self.subscriber)
         self.put_in_force, self.tell_nodes = settings, nodes
-        self.settings = Settings()
-        self.poller = Poller(self.subscriber, self.act, faults)
+        self.settings = DistributedSettings()
+        self.poller = RelayPoller(self.subscriber, self.act, faults)
         self.faults = faults
         self.watch: asyncio.Task[None] | None = None
 
@@ -166,13 +168,13 @@
                     source=self.subscriber.source,
                 )
 
-    def act(self, action: Action) -> None:
+    def act(self, action: SubscriberAction) -> None:
         match action:
-            case Deliver(Lane.SETTINGS, entries):
+            case DeliverChanges(Lane.SETTINGS, entries):
                 self.take_settings(entries)
-            case Deliver(Lane.NODES, entries) if self.relays.nodes:
+            case DeliverChanges(Lane.NODES, entries) if self.relays.nodes:
                 self.take_nodes(entries)
-            case Restarted(lane, epoch):
+            case EpochRestarted(lane, epoch):
                 log.info("config_restarted", lane=lane.name.lower(), epoch=epoch)
 
     def take_settings(self, entries: list[Entry]) -> None:
@@ -206,22 +208,22 @@
         for value in values:
             try:
                 found.append(read_instance(value))
-            except BadMessage as error:
+            except MessageError as error:
                 bad.append(str(error))
         if bad:
             log.warning("config_nodes_refused", why=bad[0], count=len(bad))
-        if leaving := [box for box in found if box.state is not NodeState.LIVE]:
-            self.tell_nodes(Listing(0, False, leaving))
+        if leaving := [box for box in found if box.state is not EndpointState.LIVE]:
+            self.tell_nodes(EndpointList(0, False, leaving))
 
 
-class Answerer(Protocol):
+class PollServer(Protocol):
     def answer(self, now: float, data: bytes) -> bytes | None: ...
 
 
 class PollListener:
     """Answers polls on an address of its own, at a control machine."""
 
-    def __init__(self, answerer: Answerer) -> None:
+    def __init__(self, answerer: PollServer) -> None:
         self.answerer = answerer
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
--- a/cleatyoke/distribution/records.py
+++ b/cleatyoke/distribution/records.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from cleatyoke.membership.wire import Count, Refused, Text, sealed, unsealed
+from cleatyoke.membership.wire import Count, Text, WireError, sealed, unsealed
 
 FORM = 1  # of these messages; another one is refused
 MARK = b"\xc1"  # in front of each message
@@ -76,7 +76,7 @@
     removals: bool = False
 
 
-class Part(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class LaneChanges(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Of one lane. ``changes``: all with numbers over ``first`` up to ``last``, the latest of each key.
     ``page``: all keys over ``page_after`` up to ``page_to`` (None: to the end), as of ``last`` or later.
     ``restart``: the subscriber's position is of no use, and pages begin anew."""
@@ -111,7 +111,7 @@
     epoch: Count
     age: Annotated[float, msgspec.Meta(ge=0)]
     refusal: Refusal = Refusal.NONE
-    parts: Annotated[list[Part], msgspec.Meta(max_length=len(Lane))] = []
+    parts: Annotated[list[LaneChanges], msgspec.Meta(max_length=len(Lane))] = []
     more: bool = False
 
 
@@ -142,16 +142,16 @@
 
 def open_message(decoder: msgspec.msgpack.Decoder[Message], data: bytes) -> Message:
     if not is_ours(data):
-        raise Refused("foreign")
+        raise WireError("foreign")
     try:
         return decoder.decode(unsealed(data[1:], MOST_MESSAGE))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Refused("unreadable") from error
+        raise WireError("unreadable") from error
 
 
 def checked(deployment: str, message: Message) -> Message:
     if message.deployment != deployment:
-        raise Refused("foreign")
+        raise WireError("foreign")
     if message.form != FORM:
-        raise Refused("version")
+        raise WireError("version")
     return message
--- a/cleatyoke/distribution/relay.py
+++ b/cleatyoke/distribution/relay.py
@@ -20,38 +20,38 @@
     decode_poll,
     encode,
 )
-from cleatyoke.distribution.server import Admission, answer, refuse
-from cleatyoke.distribution.store import Store
+from cleatyoke.distribution.server import PollAdmission, answer, refuse
+from cleatyoke.distribution.store import ChangeStore
 from cleatyoke.distribution.subscriber import (
-    Action,
-    Answered,
-    Complete,
-    Deliver,
-    Moved,
-    Restarted,
+    DeliverChanges,
+    EpochRestarted,
+    LaneComplete,
+    PollAnswered,
+    RelayChanged,
     SendPoll,
     Subscriber,
-    Timing,
+    SubscriberAction,
+    SubscriberTiming,
 )
-from cleatyoke.membership.wire import Refused
+from cleatyoke.membership.wire import WireError
 
-RELAY_TIMING = Timing(poll=1.0, spread=1.0, spread_most=4.0, rate=1e6, burst=1e6)
+RELAY_TIMING = SubscriberTiming(poll=1.0, spread=1.0, spread_most=4.0, rate=1e6, burst=1e6)
 
 
-class BadChange(ValueError):
+class InvalidChangeError(ValueError):
     """A change that the source does not take; the text begins with the key."""
 
 
-class Server:
+class ChangeServer:
     """What answers polls. ``refused``: messages that were not taken, by reason."""
 
     def __init__(self, deployment: str, name: str, most_subscribers: int) -> None:
         self.deployment, self.name = deployment, name
-        self.admission = Admission(most_subscribers)
+        self.admission = PollAdmission(most_subscribers)
         self.refused: Counter[str] = Counter()
         self.bytes_out = 0
 
-    def serving(self) -> Store | None:
+    def serving(self) -> ChangeStore | None:
         """The whole copy that is served, if there is one."""
         raise NotImplementedError
 
@@ -62,7 +62,7 @@
         """The reply to a message, or None to one that is refused whole."""
         try:
             poll = decode_poll(self.deployment, data)
-        except Refused as refused:
+        except WireError as refused:
             self.refused[str(refused)] += 1
             return None
         store = self.serving()
@@ -80,15 +80,15 @@
         return data
 
 
-class Source(Server):
+class Source(ChangeServer):
     """Where changes are made. ``epoch`` has to be higher than that of any life of the source before."""
 
     def __init__(self, deployment: str, name: str, epoch: int, most_subscribers: int = 256) -> None:
         super().__init__(deployment, name, most_subscribers)
-        self.store = Store(epoch)
+        self.store = ChangeStore(epoch)
         self.number = 0
 
-    def serving(self) -> Store:
+    def serving(self) -> ChangeStore:
         return self.store
 
     def age(self, now: float) -> float:
@@ -97,16 +97,16 @@
     def put(self, now: float, lane: Lane, key: str, value: bytes | None) -> Version:
         """Make a change. Raises ``BadChange`` for one that no message could carry."""
         if not 1 <= len(key) <= 128:
-            raise BadChange(f"{key[:40]}: want a key of 1 to 128 characters")
+            raise InvalidChangeError(f"{key[:40]}: want a key of 1 to 128 characters")
         if value is not None and len(value) > MOST_VALUE:
-            raise BadChange(f"{key}: want {MOST_VALUE} bytes at the most, found {len(value)}")
+            raise InvalidChangeError(f"{key}: want {MOST_VALUE} bytes at the most, found {len(value)}")
         self.number += 1
         version = Version(self.store.epoch, self.number)
         self.store.lanes[lane].put(now, Entry(key, version, value))
         return version
 
 
-class Relay(Server):
+class Relay(ChangeServer):
     """Between the source, or another relay, and subscribers."""
 
     def __init__(
@@ -116,16 +116,16 @@
         upstream: Sequence[Sequence[str]],
         rng: random.Random,
         most_subscribers: int = 160,
-        timing: Timing = RELAY_TIMING,
+        timing: SubscriberTiming = RELAY_TIMING,
     ) -> None:
         super().__init__(deployment, name, most_subscribers)
         self.subscriber = Subscriber(deployment, name, upstream, rng, timing, whole=True)
-        self.store: Store | None = None  # whole, and served
-        self.building: Store | None = None  # the next one
+        self.store: ChangeStore | None = None  # whole, and served
+        self.building: ChangeStore | None = None  # the next one
         self.copied: dict[Lane, dict[str, Entry]] = {}  # of the next one, by lane
         self.complete: set[Lane] = set()
 
-    def serving(self) -> Store | None:
+    def serving(self) -> ChangeStore | None:
         return self.store
 
     def age(self, now: float) -> float:
@@ -134,10 +134,10 @@
     def due(self) -> float:
         return self.subscriber.due()
 
-    def step(self, now: float, events: Iterable[Answered] = ()) -> list[SendPoll | Moved]:
-        out: list[SendPoll | Moved] = []
+    def step(self, now: float, events: Iterable[PollAnswered] = ()) -> list[SendPoll | RelayChanged]:
+        out: list[SendPoll | RelayChanged] = []
         for action in self.subscriber.step(now, events):
-            if isinstance(action, SendPoll | Moved):
+            if isinstance(action, SendPoll | RelayChanged):
                 out.append(action)
             else:
                 self.take(now, action)
@@ -147,19 +147,19 @@
                 served.last = max(served.last, known.position.number)
         return out
 
-    def take(self, now: float, action: Action) -> None:
+    def take(self, now: float, action: SubscriberAction) -> None:
         match action:
-            case Restarted(lane, epoch):
+            case EpochRestarted(lane, epoch):
                 self.begin(lane, epoch)
-            case Deliver(lane, entries):
+            case DeliverChanges(lane, entries):
                 self.deliver(now, lane, entries)
-            case Complete(lane, number, floor):
+            case LaneComplete(lane, number, floor):
                 self.finish(now, lane, number, floor)
 
     def begin(self, lane: Lane, epoch: int) -> None:
         """A lane that begins anew makes all do: they are served as one copy."""
         if self.building is None or self.building.epoch != epoch:
-            self.building = Store(epoch)
+            self.building = ChangeStore(epoch)
             kept = self.store if self.store and self.store.epoch == epoch else None
             self.copied = {one: dict(kept.lanes[one].entries) if kept else {} for one in Lane}
             self.complete = set(Lane) if kept else set()
--- a/cleatyoke/distribution/server.py
+++ b/cleatyoke/distribution/server.py
@@ -6,14 +6,14 @@
 
 from dataclasses import dataclass, field
 
-from cleatyoke.distribution.records import FORM, Lane, Part, Poll, Position, Refusal, Reply
-from cleatyoke.distribution.store import LaneStore, Store
+from cleatyoke.distribution.records import FORM, Lane, LaneChanges, Poll, Position, Refusal, Reply
+from cleatyoke.distribution.store import ChangeStore, LaneStore
 
 LEAVES = 15.0  # seconds after its last poll in which a subscriber counts as one
 
 
 @dataclass(slots=True)
-class Admission:
+class PollAdmission:
     """Who may ask: a subscriber that is known, or one more while there is room."""
 
     most: int
@@ -33,7 +33,7 @@
     return Reply(poll.deployment, FORM, poll.number, source, epoch, 0.0, refusal)
 
 
-def answer(poll: Poll, source: str, store: Store, age: float) -> Reply:
+def answer(poll: Poll, source: str, store: ChangeStore, age: float) -> Reply:
     """``age``: of the store, in seconds. Changes go before pages, and nodes before settings, but for pages:
     those of the settings are few."""
     if poll.epoch > store.epoch:
@@ -58,17 +58,17 @@
         room -= sum(entry.size() for entry in page)
         more = more or to is not None
         old = parts[lane]
-        parts[lane] = Part(old.first, old.last, old.floor, old.changes, old.restart, after, to, page)
+        parts[lane] = LaneChanges(old.first, old.last, old.floor, old.changes, old.restart, after, to, page)
     ordered = [parts[lane] for lane in Lane]
     return Reply(poll.deployment, FORM, poll.number, source, store.epoch, age, Refusal.NONE, ordered, more)
 
 
-def changes_of(store: LaneStore, position: Position, same: bool, room: int) -> Part:
+def changes_of(store: LaneStore, position: Position, same: bool, room: int) -> LaneChanges:
     """A position of another epoch, or from before what is remembered, is of no use: the lane begins anew, by
     pages, and with the changes from now on."""
     if not same or position.number < store.floor:
-        return Part(store.last, store.last, store.floor, restart=True)
+        return LaneChanges(store.last, store.last, store.floor, restart=True)
     if room <= 0:
-        return Part(position.number, position.number, store.floor)
+        return LaneChanges(position.number, position.number, store.floor)
     changes, last = store.changes(position.number, room)
-    return Part(position.number, last, store.floor, changes)
+    return LaneChanges(position.number, last, store.floor, changes)
--- a/cleatyoke/distribution/status.py
+++ b/cleatyoke/distribution/status.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refused:
+class RejectedVersion:
     """A change that is not valid."""
 
     version: Version
@@ -21,13 +21,13 @@
 
 
 @dataclass(slots=True)
-class Status:
+class SubscriptionStatus:
     """``in_force``: the version of the settings that the policy decides by; ``refused``: by key, a version
     that is not valid, and why."""
 
     subscriber: Subscriber
     in_force: Version = NOTHING
-    refused: dict[str, Refused] = field(default_factory=dict)
+    refused: dict[str, RejectedVersion] = field(default_factory=dict)
     told_old: bool = False
 
     def took(self, version: Version, keys: Iterable[str]) -> None:
@@ -37,7 +37,7 @@
             self.refused.pop(key, None)
 
     def turned_down(self, key: str, version: Version, why: str) -> None:
-        self.refused[key] = Refused(version, why)
+        self.refused[key] = RejectedVersion(version, why)
 
     def became_old(self, now: float) -> bool | None:
         """Whether what is in force has become old, or fresh again, since the last look; None: neither."""
--- a/cleatyoke/distribution/store.py
+++ b/cleatyoke/distribution/store.py
@@ -103,7 +103,7 @@
         return out, None
 
 
-class Store:
+class ChangeStore:
     """All lanes of one epoch."""
 
     def __init__(self, epoch: int) -> None:
--- a/cleatyoke/distribution/subscriber.py
+++ b/cleatyoke/distribution/subscriber.py
@@ -20,7 +20,7 @@
     NOTHING,
     Entry,
     Lane,
-    Part,
+    LaneChanges,
     Poll,
     Position,
     Refusal,
@@ -29,14 +29,14 @@
     decode_reply,
     encode,
 )
-from cleatyoke.membership.wire import Refused
+from cleatyoke.membership.wire import WireError
 
 LEAST_POLL = 256  # bytes of entries that a poll asks for at the least
 FULL = 0.9  # part of ``burst`` that is saved up before more is asked for, as each exchange costs by itself
 
 
 @dataclass(slots=True, frozen=True)
-class Timing:
+class SubscriberTiming:
     """Seconds, and bytes a second."""
 
     poll: float = 2.0  # between two polls while there is nothing new
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
+class PollAnswered:
     """What came of a poll: bytes, or None where nothing came."""
 
     number: int
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Restarted:
+class EpochRestarted:
     """The lane begins anew; what is known of it stays in force until pages replace it."""
 
     lane: Lane
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Deliver:
+class DeliverChanges:
     """Entries that are newer than what was known, those that are gone with a value of None."""
 
     lane: Lane
@@ -90,7 +90,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Complete:
+class LaneComplete:
     """All keys of the lane are known as of ``number``; ``floor``: see ``records.Part``."""
 
     lane: Lane
@@ -99,14 +99,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Moved:
+class RelayChanged:
     """For the log: another relay is asked from now on."""
 
     relay: str
     why: str
 
 
-Action = SendPoll | Restarted | Deliver | Complete | Moved
+SubscriberAction = SendPoll | EpochRestarted | DeliverChanges | LaneComplete | RelayChanged
 
 
 class KnownLane:
@@ -138,7 +138,7 @@
             del self.versions[key]
             del self.keys[bisect_left(self.keys, key)]
 
-    def missing_in_page(self, part: Part, at: Version) -> list[Entry]:
+    def missing_in_page(self, part: LaneChanges, at: Version) -> list[Entry]:
         """Keys in the range of a page that it does not name and that nothing newer was said of: gone."""
         assert part.page_after is not None
         first = bisect_right(self.keys, part.page_after) if part.page_after else 0
@@ -161,11 +161,11 @@
         name: str,
         tiers: Sequence[Sequence[str]],
         rng: random.Random,
-        timing: Timing | None = None,
+        timing: SubscriberTiming | None = None,
         whole: bool = False,
     ) -> None:
         self.deployment, self.name, self.whole = deployment, name, whole
-        self.rng, self.timing = rng, timing or Timing()
+        self.rng, self.timing = rng, timing or SubscriberTiming()
         self.order = [relay for tier in tiers for relay in rng.sample(list(tier), len(tier))]
         if not self.order:
             raise ValueError("want one relay at the least")
@@ -185,11 +185,11 @@
         self.source = ""  # who told so
         self.refused: Counter[str] = Counter()  # replies that were not taken, by reason
         self.bytes = 0  # of all exchanges
-        self.actions: list[Action] = []
+        self.actions: list[SubscriberAction] = []
 
     # The step
 
-    def step(self, now: float, events: Iterable[Answered] = ()) -> list[Action]:
+    def step(self, now: float, events: Iterable[PollAnswered] = ()) -> list[SubscriberAction]:
         self.actions = []
         if self.filled_at == -math.inf:
             self.filled_at = now
@@ -218,7 +218,7 @@
     def poll(self, now: float) -> None:
         if self.place >= self.homes and now >= self.away_since + self.timing.home:
             self.place, self.away_since = self.next_place(now, self.homes), now
-            self.actions.append(Moved(self.order[self.place], "home"))
+            self.actions.append(RelayChanged(self.order[self.place], "home"))
         self.polls += 1
         self.fill(now)
         positions = [self.lanes[lane].position for lane in Lane]
@@ -261,7 +261,7 @@
         else:
             self.away_since = math.inf
         if len(self.order) > 1:
-            self.actions.append(Moved(self.order[self.place], why))
+            self.actions.append(RelayChanged(self.order[self.place], why))
 
     def next_place(self, now: float, among: int) -> int:
         """Of the first so many relays the next one that is not avoided, those of the own region first; or the
@@ -275,7 +275,7 @@
 
     # Replies
 
-    def hear(self, now: float, event: Answered) -> None:
+    def hear(self, now: float, event: PollAnswered) -> None:
         if event.data is None:
             self.failed(now, "no answer")
             return
@@ -283,7 +283,7 @@
         self.spend(len(event.data))
         try:
             reply = decode_reply(self.deployment, event.data)
-        except Refused as refused:
+        except WireError as refused:
             self.refuse(now, str(refused))
             return
         if reply.number != self.asked:
@@ -337,11 +337,11 @@
             return max(0.01, (FULL * timing.burst - self.level) / timing.rate)
         return timing.poll * (1 + timing.jitter * (2 * self.rng.random() - 1))
 
-    def take_part(self, lane: Lane, part: Part) -> None:
+    def take_part(self, lane: Lane, part: LaneChanges) -> None:
         known = self.lanes[lane]
         if part.restart:
             known.position, known.floor = Position(part.last, ""), part.floor
-            self.actions.append(Restarted(lane, self.epoch))
+            self.actions.append(EpochRestarted(lane, self.epoch))
         before = known.position
         taken = [entry for entry in part.changes if known.take(entry)]
         if part.page_after is not None:
@@ -352,8 +352,8 @@
             taken += gone + [entry for entry in part.page if known.take(entry)]
         known.floor = max(known.floor, part.floor)
         if taken:
-            self.actions.append(Deliver(lane, taken))
+            self.actions.append(DeliverChanges(lane, taken))
         after = before.after if part.page_after is None else part.page_to
         known.position = Position(part.last, after)
         if after is None and (before.after is not None or part.restart):
-            self.actions.append(Complete(lane, part.last, known.floor))
+            self.actions.append(LaneComplete(lane, part.last, known.floor))
--- a/cleatyoke/durability/__main__.py
+++ b/cleatyoke/durability/__main__.py
@@ -11,8 +11,8 @@
 
 import click
 
-from cleatyoke.durability.records import Memory, read
-from cleatyoke.durability.store import NAMES, Unreadable, rows_in
+from cleatyoke.durability.records import FrontState, read
+from cleatyoke.durability.store import NAMES, UnreadableStoreError, rows_in
 
 
 def front_of(rows: list[tuple[object, ...]]) -> str:
@@ -31,7 +31,7 @@
 def check(folder: Path, front: str) -> None:
     """Read both files of FOLDER and say what a start would believe of them. Exit status 1 where something
     is doubtful or missing."""
-    memory, good = Memory(), True
+    memory, good = FrontState(), True
     with tempfile.TemporaryDirectory() as copies:
         for name in NAMES:
             if not (folder / name).exists():
@@ -43,7 +43,7 @@
                     shutil.copy(path, copies)
             try:
                 rows = rows_in(Path(copies) / name)
-            except (Unreadable, sqlite3.Error) as error:
+            except (UnreadableStoreError, sqlite3.Error) as error:
                 click.echo(f"{name}: not believed: {error}; a start puts it aside")
                 good = False
                 continue
--- a/cleatyoke/durability/records.py
+++ b/cleatyoke/durability/records.py
@@ -24,7 +24,7 @@
 
 import msgspec
 
-from cleatyoke.coordination.replicated_holds import Holds, decode
+from cleatyoke.coordination.replicated_holds import HoldSet, decode
 from cleatyoke.membership.wire import Count, Text
 
 FORM = 1  # of the rows written; up to this, all are read
@@ -43,21 +43,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Memory:
+class FrontState:
     """All that is kept. ``boot``: the highest boot number that a life of this front has used."""
 
-    holds: Holds = field(default_factory=Holds)
+    holds: HoldSet = field(default_factory=HoldSet)
     boot: int = 0
     peers: tuple[str, ...] = ()
 
-    def merge(self, other: Memory) -> Memory:
+    def merge(self, other: FrontState) -> FrontState:
         """Of two copies; neither takes anything from the other."""
         peers = tuple(dict.fromkeys((*self.peers, *other.peers)))[:MOST_PEERS]
-        return Memory(self.holds.merge(other.holds), max(self.boot, other.boot), peers)
+        return FrontState(self.holds.merge(other.holds), max(self.boot, other.boot), peers)
 
 
 @dataclass(slots=True, frozen=True)
-class Doubt:
+class RestoreDoubt:
     """A row or a file that is not believed, told by name."""
 
     where: str
@@ -72,7 +72,7 @@
     return Row(kind, form, front, data, sum_of(kind, form, front, data))
 
 
-def rows_of(memory: Memory, front: str) -> list[Row]:
+def rows_of(memory: FrontState, front: str) -> list[Row]:
     encode = msgspec.msgpack.encode
     return [
         sealed("holds", front, encode(memory.holds)),
@@ -81,25 +81,29 @@
     ]
 
 
-def read_holds(data: bytes) -> Memory:
-    return Memory(holds=decode("holds", data))
+def read_holds(data: bytes) -> FrontState:
+    return FrontState(holds=decode("holds", data))
 
 
-def read_boot(data: bytes) -> Memory:
-    return Memory(boot=msgspec.msgpack.decode(data, type=Count))
+def read_boot(data: bytes) -> FrontState:
+    return FrontState(boot=msgspec.msgpack.decode(data, type=Count))
 
 
-def read_peers(data: bytes) -> Memory:
-    return Memory(peers=msgspec.msgpack.decode(data, type=Peers))
+def read_peers(data: bytes) -> FrontState:
+    return FrontState(peers=msgspec.msgpack.decode(data, type=Peers))
 
 
-READERS: dict[str, Callable[[bytes], Memory]] = {"holds": read_holds, "boot": read_boot, "peers": read_peers}
+READERS: dict[str, Callable[[bytes], FrontState]] = {
+    "holds": read_holds,
+    "boot": read_boot,
+    "peers": read_peers,
+}
 
 
-def read(rows: Iterable[tuple[Any, ...]], front: str, where: str) -> tuple[Memory, list[Doubt]]:
+def read(rows: Iterable[tuple[Any, ...]], front: str, where: str) -> tuple[FrontState, list[RestoreDoubt]]:
     """What these rows of one file say, and what of them is not believed. Rows come as a file gave them:
     anything may stand in them."""
-    memory, doubts = Memory(), []
+    memory, doubts = FrontState(), []
     for values in rows:
         kind, why = str(values[0])[:32] if values else "?", ""
         try:
@@ -119,7 +123,7 @@
         except (TypeError, ValueError, msgspec.MsgspecError, RecursionError) as error:
             why = f"unreadable, {type(error).__name__}"
         if why:
-            doubts.append(Doubt(f"{where}: {kind}", why))
+            doubts.append(RestoreDoubt(f"{where}: {kind}", why))
     return memory, doubts
 
 
--- a/cleatyoke/durability/store.py
+++ b/cleatyoke/durability/store.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke.durability.records import FORM, Doubt, Memory, Row, read, rows_of
+from cleatyoke.durability.records import FORM, FrontState, RestoreDoubt, Row, read, rows_of
 
 APPLICATION = 0x436C5431  # sqlite's application_id: "ClT1"
 NAMES = ("front-a.sqlite", "front-b.sqlite")
@@ -24,7 +24,7 @@
     NULL ) """
 
 
-class Unreadable(Exception):
+class UnreadableStoreError(Exception):
     """The file as a whole can't be used; the text says why in a few words."""
 
 
@@ -32,7 +32,7 @@
 def opened(path: Path, make: bool) -> Iterator[sqlite3.Connection]:
     """Raises ``Unreadable``, or ``sqlite3.Error`` where the disk does not let it be used."""
     if not make and not path.exists():
-        raise Unreadable("no file")
+        raise UnreadableStoreError("no file")
     connection = sqlite3.connect(path, timeout=BUSY, isolation_level=None, check_same_thread=False)
     try:
         connection.execute("PRAGMA journal_mode = WAL")
@@ -42,11 +42,11 @@
         )
         tables = connection.execute("SELECT count(*) FROM sqlite_schema").fetchone()[0]
         if tables and application != APPLICATION:
-            raise Unreadable("foreign")
+            raise UnreadableStoreError("foreign")
         if form > FORM:
-            raise Unreadable(f"newer form {form}")
+            raise UnreadableStoreError(f"newer form {form}")
         if (found := connection.execute("PRAGMA quick_check").fetchone()[0]) != "ok":
-            raise Unreadable(f"damaged: {str(found)[:80]}")
+            raise UnreadableStoreError(f"damaged: {str(found)[:80]}")
         if make and not tables:
             connection.execute(f"PRAGMA application_id = {APPLICATION}")
             connection.execute(f"PRAGMA user_version = {FORM}")
@@ -78,16 +78,16 @@
     return aside
 
 
-class Disk:
+class StateDatabase:
     """Both files of one front in a folder of its own. ``front``: deployment and name."""
 
     def __init__(self, folder: Path, front: str) -> None:
         self.folder, self.front = folder, front
         self.paths = [folder / name for name in NAMES]
 
-    def load(self) -> tuple[Memory, list[Doubt]]:
+    def load(self) -> tuple[FrontState, list[RestoreDoubt]]:
         """What both say together, and what was not believed. Raises nothing."""
-        memory, doubts = Memory(), list[Doubt]()
+        memory, doubts = FrontState(), list[RestoreDoubt]()
         for path in self.paths:
             if not path.exists():
                 continue
@@ -96,21 +96,21 @@
                 memory = memory.merge(found)
                 doubts += doubtful
                 if any(doubt.why.startswith("of another front") for doubt in doubtful):
-                    raise Unreadable("of another front")
-            except (Unreadable, sqlite3.Error, OSError) as error:
+                    raise UnreadableStoreError("of another front")
+            except (UnreadableStoreError, sqlite3.Error, OSError) as error:
                 doubts.append(self.set_aside(path, error))
         return memory, doubts
 
-    def set_aside(self, path: Path, error: Exception) -> Doubt:
+    def set_aside(self, path: Path, error: Exception) -> RestoreDoubt:
         why = str(error) or type(error).__name__
         if isinstance(error, OSError) or (isinstance(error, sqlite3.Error) and not damaged(error)):
-            return Doubt(path.name, why)  # the disk's fault: the file may be good
+            return RestoreDoubt(path.name, why)  # the disk's fault: the file may be good
         try:
-            return Doubt(path.name, f"{why}; put aside as {put_aside(path).name}")
+            return RestoreDoubt(path.name, f"{why}; put aside as {put_aside(path).name}")
         except OSError as failed:
-            return Doubt(path.name, f"{why}; and not put aside, {failed.strerror}")
+            return RestoreDoubt(path.name, f"{why}; and not put aside, {failed.strerror}")
 
-    def save(self, memory: Memory) -> list[Doubt]:
+    def save(self, memory: FrontState) -> list[RestoreDoubt]:
         """Write all to both, one after the other; what failed, by file. A row that is there and cannot be
         believed any more is written over, as its file passed the look at the start."""
         rows, failed = rows_of(memory, self.front), []
@@ -118,8 +118,8 @@
             try:
                 self.folder.mkdir(parents=True, exist_ok=True)
                 self.write(path, rows)
-            except (Unreadable, sqlite3.Error, OSError) as error:
-                failed.append(Doubt(path.name, str(error) or type(error).__name__))
+            except (UnreadableStoreError, sqlite3.Error, OSError) as error:
+                failed.append(RestoreDoubt(path.name, str(error) or type(error).__name__))
         return failed
 
     def write(self, path: Path, rows: list[Row]) -> None:
--- a/cleatyoke/durability/writer.py
+++ b/cleatyoke/durability/writer.py
@@ -12,46 +12,46 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from cleatyoke.durability.records import Doubt, Memory, next_boot
+from cleatyoke.durability.records import FrontState, RestoreDoubt, next_boot
 
 AGAIN = 1.0  # seconds until a write that failed is tried again
 FLUSH = 0.3  # seconds that an orderly exit waits at the most for what is not yet written
 
 
-class Keeper(Protocol):
-    def load(self) -> tuple[Memory, list[Doubt]]: ...
+class StateStore(Protocol):
+    def load(self) -> tuple[FrontState, list[RestoreDoubt]]: ...
 
-    def save(self, memory: Memory) -> list[Doubt]: ...
+    def save(self, memory: FrontState) -> list[RestoreDoubt]: ...
 
 
 @dataclass(slots=True, frozen=True)
-class Recalled:
+class RestoredState:
     """What the disk said as the process began. ``memory.boot`` is the boot number of this life, which is on
     the disk before it is used, unless ``failed``; ``found``: a life before has written there."""
 
-    memory: Memory
+    memory: FrontState
     found: bool
-    doubts: list[Doubt]
-    failed: list[Doubt]
+    doubts: list[RestoreDoubt]
+    failed: list[RestoreDoubt]
 
 
-class Writer:
+class StateWriter:
     """From its thread it calls ``recalled`` once, and ``heard`` with what changed: the doubts of the last
     write, or none any more. ``unix``: the wall clock."""
 
     def __init__(
         self,
-        disk: Keeper,
+        disk: StateStore,
         unix: Callable[[], float],
-        recalled: Callable[[Recalled], None],
-        heard: Callable[[list[Doubt]], None] = lambda doubts: None,
+        recalled: Callable[[RestoredState], None],
+        heard: Callable[[list[RestoreDoubt]], None] = lambda doubts: None,
     ) -> None:
         self.disk, self.unix, self.recalled, self.heard = disk, unix, recalled, heard
         self.turn = threading.Condition()
-        self.waiting: tuple[int, Memory] | None = None
+        self.waiting: tuple[int, FrontState] | None = None
         self.given = self.kept = 0  # numbers of the last write that was asked for, and that is over
         self.copies = 0  # files that have the last one
-        self.doubts: list[Doubt] = []
+        self.doubts: list[RestoreDoubt] = []
         self.writes = self.failures = 0
         self.ended = False
         self.thread = threading.Thread(target=self.serve, name="durable", daemon=True)
@@ -59,7 +59,7 @@
     def start(self) -> None:
         self.thread.start()
 
-    def write(self, memory: Memory) -> int:
+    def write(self, memory: FrontState) -> int:
         """Never blocks; the number by which ``keeps`` tells whether it is over."""
         with self.turn:
             self.given += 1
@@ -75,7 +75,7 @@
         found = memory.boot > 0
         memory = replace(memory, boot=next_boot(memory.boot, self.unix()))
         failed = self.disk.save(memory)
-        self.recalled(Recalled(memory, found, doubts, failed))
+        self.recalled(RestoredState(memory, found, doubts, failed))
 
     def serve(self) -> None:
         self.recall()
--- a/cleatyoke/emulation/baselines.py
+++ b/cleatyoke/emulation/baselines.py
@@ -8,15 +8,15 @@
 from collections.abc import Sequence
 from typing import Any
 
-from cleatyoke.membership.interface import Heard, Send, Timing
-from cleatyoke.membership.member_records import Life
-from cleatyoke.membership.members import Members
+from cleatyoke.membership.interface import DatagramReceived, MembershipTiming, SendDatagram
+from cleatyoke.membership.member_records import MemberRecord
+from cleatyoke.membership.members import Membership
 from cleatyoke.membership.wire import (
     Datagram,
     Gossip,
-    Refused,
-    Rumour,
-    State,
+    MemberState,
+    Update,
+    WireError,
     decode_datagram,
     encode_datagram,
 )
@@ -25,11 +25,11 @@
 # as long times the logarithm (to 10) of the members, which is the least that our own lasts
 
 
-class PlainSwim(Members):
+class PlainSwim(Membership):
     """SWIM with suspicion (Das, Gupta, Motivala 2002): no local health, no suspicion that accusers shorten,
     nobody told first, no second look, nothing that reaches those believed dead."""
 
-    def suspicion_ends(self, life: Life) -> float:
+    def suspicion_ends(self, life: MemberRecord) -> float:
         timing = self.timing
         return life.since + timing.suspicion * timing.period * max(1.0, math.log10(len(self.lives) + 1))
 
@@ -38,7 +38,7 @@
         super().work()
         self.health = 0
 
-    def warn(self, life: Life, sender: Rumour) -> None:
+    def warn(self, life: MemberRecord, sender: Update) -> None:
         pass
 
     def swap(self, address: str) -> None:
@@ -54,7 +54,7 @@
         self.next = {name: max(at, now) for name, at in self.next.items()}
 
 
-class Heartbeats(Members):
+class Heartbeats(Membership):
     """Everybody tells everybody, once a period, that it is there. ``seeds`` are all of them."""
 
     def __init__(
@@ -65,7 +65,7 @@
         address: str,
         seeds: Sequence[str],
         rng: random.Random,
-        timing: Timing | None = None,
+        timing: MembershipTiming | None = None,
         alone: bool = False,
     ) -> None:
         super().__init__(deployment, name, boot, address, seeds, rng, timing, alone)
@@ -80,22 +80,22 @@
                 self.beat(address, data)
         for id in [id for id in self.present if now >= self.lives[id].heard + MISSED * self.timing.period]:
             old = self.lives[id].rumour
-            self.believe(Rumour(id, old.address, State.DEAD, old.count, old.alone))
+            self.believe(Update(id, old.address, MemberState.DEAD, old.count, old.alone))
 
     def beat(self, address: str, data: bytes) -> None:
         self.figures.datagrams_out += 1
         self.figures.bytes_out += len(data)
-        self.actions.append(Send(address, data))
+        self.actions.append(SendDatagram(address, data))
 
     def next_at(self) -> float:
         silent = min((self.lives[id].heard for id in self.present), default=math.inf)
         return max(self.now, min(self.next["probe"], silent + MISSED * self.timing.period))
 
     def take(self, event: Any) -> None:
-        if isinstance(event, Heard):
+        if isinstance(event, DatagramReceived):
             try:
                 self.hear(decode_datagram(self.deployment, event.data))
-            except Refused:
+            except WireError:
                 self.figures.refused["any"] = self.figures.refused.get("any", 0) + 1
 
     def hear(self, message: Datagram) -> None:
@@ -104,6 +104,6 @@
         if life is None:
             self.believe(sender)
             life = self.lives[sender.id]
-        elif life.rumour.state is not State.ALIVE:
+        elif life.rumour.state is not MemberState.ALIVE:
             self.changed(life, life.rumour, sender)
         life.heard = self.now
--- a/cleatyoke/emulation/capacity/duties.py
+++ b/cleatyoke/emulation/capacity/duties.py
@@ -6,20 +6,20 @@
 import zlib
 from dataclasses import dataclass
 
-from cleatyoke.coordination.hold_replication import Sharing
-from cleatyoke.coordination.quota_leases import Need, Peers, Rights
-from cleatyoke.coordination.replicated_holds import Holds
-from cleatyoke.discovery.backoff import Pace
+from cleatyoke.coordination.hold_replication import HoldReplication
+from cleatyoke.coordination.quota_leases import DemandChanged, PeersChanged, QuotaLeases
+from cleatyoke.coordination.replicated_holds import HoldSet
+from cleatyoke.discovery.backoff import Backoff
 from cleatyoke.discovery.watch import EACH, LEAST, MOST, PERIOD
-from cleatyoke.durability.records import Memory, rows_of
+from cleatyoke.durability.records import FrontState, rows_of
 from cleatyoke.emulation.capacity.cost import processor_seconds
 from cleatyoke.emulation.capacity.nodes import NOW, ListedFront, settings
 from cleatyoke.emulation.capacity.plan import PLAN
 from cleatyoke.fleet.view import TRADE
-from cleatyoke.membership.wire import Id, Rumour, State, decode_view, encode_view
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.load_probes import Prober
+from cleatyoke.membership.wire import MemberId, MemberState, Update, decode_view, encode_view
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, SettingsReloaded, UpdateKind
+from cleatyoke.scheduling.load_probes import LoadProber
 
 RESOURCES = 10  # limits and cold nodes that a front needs parts of at one time
 OUTAGE = 60.0  # seconds for which discovery is down
@@ -38,7 +38,12 @@
 def whole_view(members: int, seed: int) -> ViewCosts:
     rng = random.Random(seed)
     lives = [
-        Rumour(Id(f"front-{one:05d}", 1_790_000_000_000 + rng.randrange(10**9)), address(one), State.ALIVE, 0)
+        Update(
+            MemberId(f"front-{one:05d}", 1_790_000_000_000 + rng.randrange(10**9)),
+            address(one),
+            MemberState.ALIVE,
+            0,
+        )
         for one in range(members)
     ]
     data = encode_view("capacity", lives[0], lives)
@@ -64,11 +69,11 @@
 
 
 def holds(count: int, seed: int) -> HoldCosts:
-    copies = Holds()
-    held = {f"s-{box:06d}": frozenset({(Id(f"front-{box:05d}", seed), 1)}) for box in range(count)}
-    copies = Holds({Id(f"front-{box:05d}", seed): 1 for box in range(count)}, held)
-    sharing = Sharing(lambda: Id("front-00000", seed), holds=copies)
-    rows = sum(len(row.data) for row in rows_of(Memory(holds=copies), "capacity/front"))
+    copies = HoldSet()
+    held = {f"s-{box:06d}": frozenset({(MemberId(f"front-{box:05d}", seed), 1)}) for box in range(count)}
+    copies = HoldSet({MemberId(f"front-{box:05d}", seed): 1 for box in range(count)}, held)
+    sharing = HoldReplication(lambda: MemberId("front-00000", seed), holds=copies)
+    rows = sum(len(row.data) for row in rows_of(FrontState(holds=copies), "capacity/front"))
     return HoldCosts(
         len(sharing.dump()),
         processor_seconds(sharing.sum_up, 5),
@@ -79,16 +84,16 @@
 
 def rights_at_rest(members: int, seed: int) -> float:
     """Processor seconds a second of a front that looks at its needs, with enough of everything."""
-    peers = {Id(f"front-{one:05d}", 1): None for one in range(members)}
-    doubted: dict[Id, None] = {}
-    rights = Rights(0.0, random.Random(seed))
-    need = Need({f"limit:{number}": 100.0 for number in range(RESOURCES)})
+    peers = {MemberId(f"front-{one:05d}", 1): None for one in range(members)}
+    doubted: dict[MemberId, None] = {}
+    rights = QuotaLeases(0.0, random.Random(seed))
+    need = DemandChanged({f"limit:{number}": 100.0 for number in range(RESOURCES)})
     now = 10.0
 
     def look() -> None:
         nonlocal now
         now += TRADE
-        rights.step(now, [Peers(tuple(one for one in peers if one not in doubted)), need])
+        rights.step(now, [PeersChanged(tuple(one for one in peers if one not in doubted)), need])
 
     return processor_seconds(look, 100) / TRADE
 
@@ -97,7 +102,7 @@
     """Calls a second, of all hosts together, at a shared discovery that is down, by the real ``Pace``."""
     calls = 0
     for host in range(hosts):
-        pace = Pace(random.Random(f"{seed}:{host}"), hosts, EACH, MOST, LEAST, PERIOD)
+        pace = Backoff(random.Random(f"{seed}:{host}"), hosts, EACH, MOST, LEAST, PERIOD)
         at = pace.broke()
         while at < OUTAGE:
             calls += 1
@@ -107,10 +112,10 @@
 
 def probes_a_second(hosts: int, nodes: int, seed: int) -> float:
     """Of one front while a node is cold, by the real ``Prober``."""
-    prober = Prober(hosts, 1e9, seed)
-    entries = [api.NodeEntry(node, node, 0, api.NodeState.LIVE, 0.0) for node in range(nodes)]
-    entries[0].up_since = NOW
-    prober.listed(api.NodeList(api.ListKind.FULL, entries))
+    prober = LoadProber(hosts, 1e9, seed)
+    entries = [Endpoint(node, node, 0, EndpointState.LIVE, 0.0) for node in range(nodes)]
+    entries[0].started_at = NOW
+    prober.listed(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
     asked, now = 0, NOW
     for _ in range(20 * 60):
         now += 0.05
@@ -124,7 +129,7 @@
     front = ListedFront(8, hosts)
     front.replace_node(seed)
     node = front.policy.nodes[max(front.policy.nodes)]
-    node.cold.level, node.cold.filled = -front.policy.settings.mean, front.now
+    node.cold.level, node.cold.filled = -front.policy.settings.mean_request_units, front.now
     front.policy.step(front.now, [])
     return max(0.0, front.policy.bears_at(node) - front.now)
 
@@ -133,7 +138,7 @@
     """Seconds until one front's even part of a limit of the archive's size has filled by a request of mean
     units: on paper, by the rate that ``Policy.within_limit_at`` takes."""
     plan, terms = settings(hosts).plans[0], settings(hosts)
-    return terms.mean / (plan.rate / hosts)
+    return terms.mean_request_units / (plan.base_rate / hosts)
 
 
 def retune(nodes: int, seed: int) -> float:
@@ -141,7 +146,7 @@
     front = ListedFront(nodes)
     changed = settings(PLAN.fronts)
     changed.seed = seed
-    return processor_seconds(lambda: front.policy.step(front.now, [api.Retuned(changed)]), RETUNES)
+    return processor_seconds(lambda: front.policy.step(front.now, [SettingsReloaded(changed)]), RETUNES)
 
 
 def settings_text() -> int:
@@ -150,5 +155,5 @@
 
 
 def metrics_bytes(classes: int) -> int:
-    lines = Figures().lines([f"class-{number}" for number in range(classes)], PLAN.nodes, 0)
+    lines = Metrics().lines([f"class-{number}" for number in range(classes)], PLAN.nodes, 0)
     return len("\n".join(lines))
--- a/cleatyoke/emulation/capacity/hollow.py
+++ b/cleatyoke/emulation/capacity/hollow.py
@@ -16,9 +16,9 @@
 from cleatyoke.emulation.capacity.cost import resident_bytes
 from cleatyoke.emulation.fleet import Fleet, Process
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.member_records import Life, mark_of
-from cleatyoke.membership.members import Members
-from cleatyoke.membership.wire import Id, Rumour, State
+from cleatyoke.membership.member_records import MemberRecord, mark_of
+from cleatyoke.membership.members import Membership
+from cleatyoke.membership.wire import MemberId, MemberState, Update
 
 LOSS = 0.01
 QUIET_SECONDS = 10.0
@@ -66,7 +66,7 @@
 def settled_fleet(size: int, seed: int) -> Fleet:
     fleet = Fleet(size, seed, network=Network(seed, loss=LOSS))
     rumours = [
-        Rumour(Id(f"front-{front:04d}", 1), fleet.address(front), State.ALIVE, 0, True)
+        Update(MemberId(f"front-{front:04d}", 1), fleet.address(front), MemberState.ALIVE, 0, True)
         for front in range(size)
     ]
     marks = {rumour.id: mark_of(rumour) for rumour in rumours}
@@ -86,11 +86,11 @@
 
 
 def settled_members(
-    fleet: Fleet, front: int, rumours: list[Rumour], marks: dict[Id, int], rng: random.Random
-) -> Members:
+    fleet: Fleet, front: int, rumours: list[Update], marks: dict[MemberId, int], rng: random.Random
+) -> Membership:
     """One that has been there for long, and knows all."""
     own = rumours[front]
-    members = Members(
+    members = Membership(
         "test", own.id.name, own.id.boot, own.address, fleet.seeds, random.Random(rng.random()), alone=True
     )
     members.step(0.0)
@@ -99,7 +99,7 @@
     members.next["sync"] = rng.random() * members.timing.sync * max(1.0, len(rumours) / 20)
     for rumour in rumours:
         if rumour is not own:
-            life = Life(rumour, 0.0)
+            life = MemberRecord(rumour, 0.0)
             life.mark = marks[rumour.id]
             members.lives[rumour.id] = life
             members.present[rumour.id] = None
@@ -155,7 +155,7 @@
         if self.fleet.now >= self.window_ends:
             self.close_window()
 
-    def totals(self) -> dict[Id, int]:
+    def totals(self) -> dict[MemberId, int]:
         lives = (process.members for process in self.fleet.running.values())
         return {members.id: members.figures.bytes_out for members in lives}
 
--- a/cleatyoke/emulation/capacity/nodes.py
+++ b/cleatyoke/emulation/capacity/nodes.py
@@ -10,25 +10,41 @@
 
 from cleatyoke.config.deployment import Address
 from cleatyoke.core import Core
-from cleatyoke.discovery.directory import Directory, Listing
+from cleatyoke.discovery.directory import Directory, EndpointList
 from cleatyoke.discovery.listings import decode_listing
 from cleatyoke.discovery.watch import Discovery, Watch
 from cleatyoke.emulation.capacity.cost import Cost, count, processor_seconds, resident_bytes
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.load_probes import Prober
-from cleatyoke.scheduling.scheduler import Policy
+from cleatyoke.scheduling.actions import SendAttempt
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    EndpointState,
+    EndpointUpdate,
+    RequestArrived,
+    UpdateKind,
+)
+from cleatyoke.scheduling.load_probes import LoadProber
+from cleatyoke.scheduling.scheduler import Scheduler
+from cleatyoke.scheduling.settings import (
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    SafetyLimits,
+    SchedulerSettings,
+    VolumePlan,
+)
 
 NOW = 1.8e9  # Unix time at which a measurement begins
 CHANGES = 50  # that a mean is taken over
 IDLE_SECONDS = 200  # of a front at rest
 
 
-def settings(hosts: int) -> api.Settings:
+def settings(hosts: int) -> SchedulerSettings:
     """Plain ones with an attempt budget, as both deployments have one."""
-    kind = api.ClassSpec(0.5, 2.0, 0.2, api.Repeat.FREE, api.Scope.ALL, 5.0, False)
-    plan = api.PlanSpec(1.0, 8.0, 4.0, 1.0, 0.0, 0.0)
-    safety = api.Safety(0.2, 10.0, 2.0, 1.0, None, 0.1, 10.0, 0.1, 10.0)
-    return api.Settings([kind], [plan], safety, 1, hosts, False, 3, True, 8.0, 6.0, 2.0, 0.3)
+    kind = RequestClass(0.5, 2.0, 0.2, Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 5.0, False)
+    plan = VolumePlan(1.0, 8.0, 4.0, 1.0, 0.0, 0.0)
+    safety = SafetyLimits(0.2, 10.0, 2.0, 1.0, None, 0.1, 10.0, 0.1, 10.0)
+    return SchedulerSettings([kind], [plan], safety, 1, hosts, False, 3, True, 8.0, 6.0, 2.0, 0.3)
 
 
 def list_text(count: int, version: int = 1, draining: int = 0) -> bytes:
@@ -52,29 +68,29 @@
 
     def __init__(self, nodes: int, hosts: int = 3100) -> None:
         self.listing = decode_listing(list_text(nodes))
-        self.directory, self.policy = Directory({}), Policy(settings(hosts))
-        self.prober = Prober(hosts, 10.0, 1)
+        self.directory, self.policy = Directory({}), Scheduler(settings(hosts))
+        self.prober = LoadProber(hosts, 10.0, 1)
         self.now = NOW
-        self.take(self.listing, api.ListKind.FULL)
+        self.take(self.listing, UpdateKind.SNAPSHOT)
         self.rest(3)
 
-    def take(self, listing: Listing, kind: api.ListKind = api.ListKind.CHANGES) -> None:
-        news = api.NodeList(kind, self.directory.apply(listing))
+    def take(self, listing: EndpointList, kind: UpdateKind = UpdateKind.DELTA) -> None:
+        news = EndpointUpdate(kind, self.directory.apply(listing))
         self.policy.step(self.now, [news])
         self.prober.listed(news)
 
-    def change(self, number: int, state: api.NodeState) -> None:
+    def change(self, number: int, state: EndpointState) -> None:
         """One node has another state, a moment later."""
         self.now += 0.01
         box = self.listing.instances[number % len(self.listing.instances)]
-        self.take(Listing(2, False, [replace(box, state=state)]))
+        self.take(EndpointList(2, False, [replace(box, state=state)]))
 
     def replace_node(self, number: int) -> None:
         """One node went, and another one holds its cell: as a primary that moves."""
         self.now += 0.01
         box = self.listing.instances[number % len(self.listing.instances)]
         successor = replace(box, name=f"{box.name}-{self.now:.2f}", started=self.now)
-        self.take(Listing(2, False, [replace(box, state=api.NodeState.GONE), successor]))
+        self.take(EndpointList(2, False, [replace(box, state=EndpointState.REMOVED), successor]))
 
     def rest(self, seconds: int) -> None:
         for _ in range(seconds):
@@ -86,10 +102,12 @@
         """One request from its arrival to its end; a new object may go to any node."""
         self.now += 0.001
         cell = -1 if new else number % len(self.listing.instances)
-        arrival = api.Arrival(f"r{number}", 0, 0, number % 50, None, cell, 2.0, self.now + 1.5, 10)
+        arrival = RequestArrived(f"r{number}", 0, 0, number % 50, None, cell, 2.0, self.now + 1.5, 10)
         for action in self.policy.step(self.now, [arrival]):
-            if isinstance(action, api.Send):
-                ended = api.Ended(action.request, 0, action.node, api.Outcome.SERVED, 0.01, True)
+            if isinstance(action, SendAttempt):
+                ended = AttemptFinished(
+                    action.request_id, 0, action.node_id, AttemptOutcome.SERVED, 0.01, True
+                )
                 self.policy.step(self.now + 0.01, [ended])
 
 
@@ -125,12 +143,12 @@
 def count_operations(nodes: int) -> NodeOperations:
     front = ListedFront(nodes)
     for number in range(8):  # so that no first time is counted
-        front.change(number, api.NodeState.DRAINING)
+        front.change(number, EndpointState.DRAINING)
         front.serve(number)
     numbers = iter(range(100, 200))
     front.rest(2)
     return NodeOperations(
-        count(lambda: front.change(next(numbers), api.NodeState.DRAINING)),
+        count(lambda: front.change(next(numbers), EndpointState.DRAINING)),
         count(lambda: front.replace_node(next(numbers))),
         count(lambda: front.rest(1)),
         count(lambda: front.serve(next(numbers))),
@@ -146,7 +164,7 @@
     front = ListedFront(nodes)
     memory = resident_bytes() - before
     places = iter(range(seed * 7919, 10**9, 37))
-    drain = processor_seconds(lambda: front.change(next(places), api.NodeState.DRAINING), CHANGES)
+    drain = processor_seconds(lambda: front.change(next(places), EndpointState.DRAINING), CHANGES)
     primary = processor_seconds(lambda: front.replace_node(next(places)), CHANGES)
     front.rest(3)
     rest = processor_seconds(lambda: front.rest(1), IDLE_SECONDS)
@@ -183,7 +201,7 @@
             await asyncio.sleep(0)
             turns.clear()
             began = time.process_time()
-            await watch.take_text(text, api.ListKind.FULL)
+            await watch.take_text(text, UpdateKind.SNAPSHOT)
             for _ in range(3):  # until the policy has stepped
                 await asyncio.sleep(0)
             out += [time.process_time() - began, max(turns)]
--- a/cleatyoke/emulation/capacity/processes.py
+++ b/cleatyoke/emulation/capacity/processes.py
@@ -14,7 +14,7 @@
 
 from cleatyoke.emulation.capacity.cost import PAGE
 from cleatyoke.emulation.capacity.nodes import list_text
-from cleatyoke.testbed.runner import ROOT, Play
+from cleatyoke.testbed.runner import ROOT, ScenarioRun
 from cleatyoke.testbed.scenario import Scenario, make_scenario, settings_of
 
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -110,7 +110,7 @@
 async def cpu_a_second(rate: float, seed: int) -> float:
     """Processor seconds a second of a front that gets so many requests a second."""
     with tempfile.TemporaryDirectory() as folder:
-        play = Play(scenario(rate, seed), Path(folder))
+        play = ScenarioRun(scenario(rate, seed), Path(folder))
         sampling = asyncio.create_task(sample(play))
         report = await play.run()
         if report.broken:
@@ -118,7 +118,7 @@
         return await sampling
 
 
-async def sample(play: Play) -> float:
+async def sample(play: ScenarioRun) -> float:
     """Over the middle of the load."""
     while not play.report.began:
         await asyncio.sleep(0.02)
--- a/cleatyoke/emulation/distribution.py
+++ b/cleatyoke/emulation/distribution.py
@@ -12,8 +12,14 @@
 from dataclasses import dataclass, field
 
 from cleatyoke.distribution.records import Lane
-from cleatyoke.distribution.relay import RELAY_TIMING, Relay, Server, Source
-from cleatyoke.distribution.subscriber import Answered, Deliver, SendPoll, Subscriber, Timing
+from cleatyoke.distribution.relay import RELAY_TIMING, ChangeServer, Relay, Source
+from cleatyoke.distribution.subscriber import (
+    DeliverChanges,
+    PollAnswered,
+    SendPoll,
+    Subscriber,
+    SubscriberTiming,
+)
 
 SOURCE = "source"
 SOURCE_REGION = 0
@@ -54,12 +60,12 @@
         regions: int,
         seed: int = 1,
         links: Links | None = None,
-        timing: Timing | None = None,
+        timing: SubscriberTiming | None = None,
         most_subscribers: int = 160,
         epoch: int = 1,
     ) -> None:
         self.rng, self.links, self.now = random.Random(f"tree:{seed}"), links or Links(), 0.0
-        self.seed, self.timing, self.most_subscribers = seed, timing or Timing(), most_subscribers
+        self.seed, self.timing, self.most_subscribers = seed, timing or SubscriberTiming(), most_subscribers
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.entries = 0
         self.regions: dict[str, int] = {SOURCE: SOURCE_REGION}
@@ -100,7 +106,7 @@
         self.known[name] = dict.fromkeys(Lane, 0)
         self.schedule_front(name, subscriber)
 
-    def server(self, name: str) -> Server | None:
+    def server(self, name: str) -> ChangeServer | None:
         return self.source if name == SOURCE else self.relays.get(name)
 
     # Time
@@ -123,13 +129,13 @@
         if self.relays.get(name) is relay and relay.due() == due:
             self.step_relay(name, relay)
 
-    def step_relay(self, name: str, relay: Relay, *events: Answered) -> None:
+    def step_relay(self, name: str, relay: Relay, *events: PollAnswered) -> None:
         for action in relay.step(self.now, events):
             if isinstance(action, SendPoll):
                 self.exchange(name, action, lambda event: self.answer_relay(name, relay, event))
         self.schedule_relay(name, relay)
 
-    def answer_relay(self, name: str, relay: Relay, event: Answered) -> None:
+    def answer_relay(self, name: str, relay: Relay, event: PollAnswered) -> None:
         if self.relays.get(name) is relay:
             self.step_relay(name, relay, event)
 
@@ -141,21 +147,21 @@
         if self.subscribers.get(name) is front and front.due() == due:
             self.step_front(name, front)
 
-    def step_front(self, name: str, front: Subscriber, *events: Answered) -> None:
+    def step_front(self, name: str, front: Subscriber, *events: PollAnswered) -> None:
         for action in front.step(self.now, events):
             match action:
                 case SendPoll():
                     self.exchange(name, action, lambda event: self.answer_front(name, front, event))
-                case Deliver(_, entries):
+                case DeliverChanges(_, entries):
                     self.measured.deliveries += len(entries)
         self.note(name, front)
         self.schedule_front(name, front)
 
-    def answer_front(self, name: str, front: Subscriber, event: Answered) -> None:
+    def answer_front(self, name: str, front: Subscriber, event: PollAnswered) -> None:
         if self.subscribers.get(name) is front:
             self.step_front(name, front, event)
 
-    def exchange(self, sender: str, poll: SendPoll, back: Callable[[Answered], None]) -> None:
+    def exchange(self, sender: str, poll: SendPoll, back: Callable[[PollAnswered], None]) -> None:
         """A poll on its way, and its answer; lost as a whole, or by a cut."""
         if self.rng.random() < self.links.loss:
             return
@@ -166,7 +172,7 @@
             if server is None or self.parted(sender, poll.relay):
                 return
             if data := server.answer(self.now, poll.data):
-                self.at(self.now + again, lambda: back(Answered(poll.number, data)))
+                self.at(self.now + again, lambda: back(PollAnswered(poll.number, data)))
 
         self.at(self.now + there, arrive)
 
--- a/cleatyoke/emulation/distribution_measure.py
+++ b/cleatyoke/emulation/distribution_measure.py
@@ -19,7 +19,7 @@
 import click
 
 from cleatyoke.distribution.records import FORM, Lane, Poll, Position, decode_reply, encode
-from cleatyoke.distribution.subscriber import Timing
+from cleatyoke.distribution.subscriber import SubscriberTiming
 from cleatyoke.emulation.capacity.command import BadOption, checked_folder
 from cleatyoke.emulation.capacity.page import BEGIN, END, short, table
 from cleatyoke.emulation.capacity.plan import HOUR, PLAN
@@ -31,7 +31,7 @@
 
 SETTINGS, NODES = 1000, 200  # keys that are known before a measurement begins
 VALUE = 200  # bytes of a changed value
-AMPLE = Timing(rate=1e9, burst=1e9)  # to begin with a whole copy
+AMPLE = SubscriberTiming(rate=1e9, burst=1e9)  # to begin with a whole copy
 WINDOW = 13.0
 RELAY_SECONDS = 10.0
 PAGE, TABLE = "distribution.md", "distribution.csv"
@@ -46,7 +46,7 @@
     if tree.settle(120.0, 1.0) is None:
         raise RuntimeError("the fronts have no whole copy within 120 s")
     for front in tree.subscribers.values():
-        front.timing = Timing()
+        front.timing = SubscriberTiming()
         front.level = 0.0
     tree.run(tree.now + 5.0)
     tree.measured = Measured()
@@ -175,11 +175,11 @@
 
     async def subscriber(number: int) -> None:
         nonlocal size
-        await asyncio.sleep(rng.random() * Timing().poll)
+        await asyncio.sleep(rng.random() * SubscriberTiming().poll)
         while loop.time() < end:
             poll = Poll("d", FORM, f"f{number}", 1, epoch, positions, 3000)
             size += await exchange(port, encode(poll))
-            await asyncio.sleep(Timing().poll * rng.uniform(0.75, 1.25))
+            await asyncio.sleep(SubscriberTiming().poll * rng.uniform(0.75, 1.25))
 
     await asyncio.gather(*(subscriber(number) for number in range(subscribers)))
     after, took = Used.of(pid), loop.time() - began
--- a/cleatyoke/emulation/durability.py
+++ b/cleatyoke/emulation/durability.py
@@ -11,19 +11,19 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from cleatyoke.coordination.hold_replication import Sharing
-from cleatyoke.durability.records import Memory, Row, next_boot, read, rows_of
+from cleatyoke.coordination.hold_replication import HoldReplication
+from cleatyoke.durability.records import FrontState, Row, next_boot, read, rows_of
 from cleatyoke.emulation.fleet import Fleet
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.members import Members
+from cleatyoke.membership.members import Membership
 
 DISK = 0.02  # seconds until what is written is kept
 SETTLES = 45.0
 FAULTS = ("hold", "hold", "release", "kill", "start", "power", "cut", "heal", "old disk", "empty disk", "run")
-Recalls = Callable[[Sequence[Row], str], Memory]
+Recalls = Callable[[Sequence[Row], str], FrontState]
 
 
-def recalls(rows: Sequence[Row], name: str) -> Memory:
+def recalls(rows: Sequence[Row], name: str) -> FrontState:
     return read(rows, name, "disk")[0]
 
 
@@ -34,7 +34,7 @@
         self,
         size: int,
         seed: int,
-        share: type[Sharing] = Sharing,
+        share: type[HoldReplication] = HoldReplication,
         recall: Recalls = recalls,
         network: Network | None = None,
     ) -> None:
@@ -47,30 +47,32 @@
         self.may: set[str] = set()
         self.lives: dict[str, int] = {}  # the highest boot number that a name has had
 
-    def build(self, deployment: str, name: str, boot: int, *words: Any, **more: Any) -> Members:
+    def build(self, deployment: str, name: str, boot: int, *words: Any, **more: Any) -> Membership:
         """A life that begins by its disk, with a clock that may be an hour off."""
         memory = self.recall(self.disks.get(name, []), name)
         number = next_boot(memory.boot, 7200 + self.now + self.rng.choice((-3600.0, 0.0, 3600.0)))
-        members = Members(deployment, name, number, *words, **more)
+        members = Membership(deployment, name, number, *words, **more)
         store = members.store = self.share(lambda: members.id, holds=memory.holds)
         store.changed = lambda held, released: self.keep(members)
-        self.disks[name] = rows_of(Memory(memory.holds, number), name)
+        self.disks[name] = rows_of(FrontState(memory.holds, number), name)
         return members
 
-    def keep(self, members: Members, then: Callable[[], None] = lambda: None) -> None:
+    def keep(self, members: Membership, then: Callable[[], None] = lambda: None) -> None:
         """What it knows now is on its disk a little later, if it lives so long."""
 
         def kept() -> None:
             if any(one.members is members for one in self.running.values()):
                 store = self.store(members)
-                self.disks[members.id.name] = rows_of(Memory(store.holds, members.id.boot), members.id.name)
+                self.disks[members.id.name] = rows_of(
+                    FrontState(store.holds, members.id.boot), members.id.name
+                )
                 then()
 
         self.at(self.now + DISK, kept)
 
     @staticmethod
-    def store(members: Members) -> Sharing:
-        assert isinstance(members.store, Sharing)
+    def store(members: Membership) -> HoldReplication:
+        assert isinstance(members.store, HoldReplication)
         return members.store
 
     # What staff do
--- a/cleatyoke/emulation/fault_script.py
+++ b/cleatyoke/emulation/fault_script.py
@@ -15,8 +15,8 @@
 
 from cleatyoke.emulation.fleet import Fleet, Make
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.interface import Timing
-from cleatyoke.membership.members import Members
+from cleatyoke.membership.interface import MembershipTiming
+from cleatyoke.membership.members import Membership
 
 STOP = 8.0  # seconds that a stopped process stands
 START = 12.0  # seconds until the fleet has one view, and faults begin
@@ -67,7 +67,7 @@
             fleet.heal()
 
 
-def play(script: Script, make: Make = Members, timing: Timing | None = None) -> list[str]:
+def play(script: Script, make: Make = Membership, timing: MembershipTiming | None = None) -> list[str]:
     """What broke, each beginning with its rule: ``back``, ``count``, ``stopped`` or ``one view``."""
     size = int(script["size"])
     network = Network(script["seed"], loss=script["loss"], doubles=0.02, garbles=0.01)
@@ -89,7 +89,7 @@
     return fleet.broken
 
 
-def shrink(script: Script, rule: str, make: Make = Members) -> Script:
+def shrink(script: Script, rule: str, make: Make = Membership) -> Script:
     """The shortest script found that still breaks this rule: steps go in halves, then one by one."""
     size = max(1, len(script["steps"]) // 2)
     while True:
--- a/cleatyoke/emulation/fleet.py
+++ b/cleatyoke/emulation/fleet.py
@@ -11,24 +11,24 @@
 from cleatyoke.emulation.network import Network
 from cleatyoke.membership.conclusions import Conclusion, Known, conclude
 from cleatyoke.membership.interface import (
-    Answered,
-    Asked,
     Change,
-    Event,
-    Exchange,
-    Heard,
-    Leave,
-    Reply,
-    Send,
-    Timing,
-    Told,
+    DatagramReceived,
+    ExchangeAnswered,
+    ExchangeRequested,
+    LeaveRequested,
+    MembershipChanged,
+    MembershipEvent,
+    MembershipTiming,
+    ReplyExchange,
+    SendDatagram,
+    StartExchange,
 )
 from cleatyoke.membership.member_records import HEARD_OF, rank
-from cleatyoke.membership.members import Members
-from cleatyoke.membership.wire import Id, State
+from cleatyoke.membership.members import Membership
+from cleatyoke.membership.wire import MemberId, MemberState
 
 PATIENCE = 1.0  # seconds after which an exchange without an answer is given up
-Make = Callable[..., Members]
+Make = Callable[..., Membership]
 
 
 @dataclass(slots=True)
@@ -36,20 +36,22 @@
     """One life that runs, or ran."""
 
     front: int
-    members: Members
+    members: Membership
     began: float
     stopped_until: float = -math.inf  # by SIGSTOP
-    inbox: list[Event] = field(default_factory=list)  # what came meanwhile
+    inbox: list[MembershipEvent] = field(default_factory=list)  # what came meanwhile
     alarm: float = math.inf
-    ranks: dict[Id, tuple[bool, int, int]] = field(default_factory=dict)
+    ranks: dict[MemberId, tuple[bool, int, int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Journal:
+class ViewJournal:
     """What is measured."""
 
-    deaths: list[tuple[float, str, Id, bool]] = field(default_factory=list)  # when, by whom, of whom, true
-    suspected: dict[Id, float] = field(default_factory=dict)  # life: when somebody first suspected it
+    deaths: list[tuple[float, str, MemberId, bool]] = field(
+        default_factory=list
+    )  # when, by whom, of whom, true
+    suspected: dict[MemberId, float] = field(default_factory=dict)  # life: when somebody first suspected it
     told: int = 0
 
 
@@ -60,12 +62,12 @@
         self,
         size: int,
         seed: int = 0,
-        timing: Timing | None = None,
+        timing: MembershipTiming | None = None,
         network: Network | None = None,
-        make: Make = Members,
+        make: Make = Membership,
         seeds: int = 3,
     ) -> None:
-        self.size, self.seed, self.timing, self.make = size, seed, timing or Timing(), make
+        self.size, self.seed, self.timing, self.make = size, seed, timing or MembershipTiming(), make
         self.network = network or Network(seed)
         self.now = 0.0
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
@@ -75,7 +77,7 @@
         self.seeds = [self.address(front) for front in range(min(seeds, size))]
         self.streams: dict[int, tuple[str, str]] = {}  # token: who asked whom
         self.tokens = 0
-        self.journal = Journal()
+        self.journal = ViewJournal()
         self.broken: list[str] = []
 
     def address(self, front: int) -> str:
@@ -121,7 +123,7 @@
             self.at(process.stopped_until, lambda: self.wake(address, process))
 
     def leave(self, front: int) -> None:
-        self.step(self.address(front), Leave())
+        self.step(self.address(front), LeaveRequested())
 
     def cut(self, *sides: Iterable[int]) -> None:
         """Part these groups from each other and from the rest."""
@@ -145,27 +147,27 @@
             inbox, process.inbox = process.inbox, []
             self.step(address, *inbox)
 
-    def step(self, address: str, *events: Event) -> None:
+    def step(self, address: str, *events: MembershipEvent) -> None:
         process = self.running.get(address)
         if process is None:
             return
         if self.now < process.stopped_until:
-            process.inbox += [event for event in events if not isinstance(event, Leave)]
+            process.inbox += [event for event in events if not isinstance(event, LeaveRequested)]
             return
         actions = process.members.step(self.now, events)
         for action in actions:
             match action:
-                case Send(target, data):
+                case SendDatagram(target, data):
                     for after, came in self.network.datagram(address, target, data):
-                        self.deliver(after, target, Heard(came))
-                case Exchange(target, data):
+                        self.deliver(after, target, DatagramReceived(came))
+                case StartExchange(target, data):
                     self.exchange(address, target, data)
-                case Reply(token, data):
+                case ReplyExchange(token, data):
                     source, _ = self.streams.pop(token)
                     back = self.network.stream(address, source, data)
                     if back is not None:
-                        self.deliver(back, source, Answered(address, data))
-                case Told():
+                        self.deliver(back, source, ExchangeAnswered(address, data))
+                case MembershipChanged():
                     self.told(process, action)
         self.check_ranks(process)
         if process.members.left:
@@ -181,21 +183,21 @@
             process.alarm = math.inf
             self.step(address)
 
-    def deliver(self, after: float, target: str, event: Event) -> None:
+    def deliver(self, after: float, target: str, event: MembershipEvent) -> None:
         self.at(self.now + after, lambda: self.step(target, event))
 
     def exchange(self, source: str, target: str, data: bytes) -> None:
         reached = self.network.stream(source, target, data)
         if reached is None or target not in self.running:
-            self.deliver(PATIENCE, source, Answered(target, None))
+            self.deliver(PATIENCE, source, ExchangeAnswered(target, None))
             return
         self.tokens += 1
         self.streams[self.tokens] = source, target
-        self.deliver(reached, target, Asked(self.tokens, data))
+        self.deliver(reached, target, ExchangeRequested(self.tokens, data))
 
     # What must hold, and what is measured
 
-    def told(self, process: Process, told: Told) -> None:
+    def told(self, process: Process, told: MembershipChanged) -> None:
         self.journal.told += 1
         if told.change in (Change.SUSPECTED, Change.DIED):
             self.journal.suspected.setdefault(told.id, self.now)
@@ -235,7 +237,7 @@
         digests = set()
         for process in self.running.values():
             members = process.members
-            there = {id for id, life in members.lives.items() if life.rumour.state is State.ALIVE}
+            there = {id for id, life in members.lives.items() if life.rumour.state is MemberState.ALIVE}
             if there | {members.id} != true:
                 return False
             digests.add(members.digest())
@@ -250,7 +252,7 @@
                 return self.now - began
         return None
 
-    def knows_dead(self, id: Id) -> float:
+    def knows_dead(self, id: MemberId) -> float:
         """Part of those who run that no longer count on this life."""
         lives = [process.members.lives.get(id) for process in self.running.values()]
         gone = sum(life is not None and life.rumour.state not in HEARD_OF for life in lives)
--- a/cleatyoke/emulation/measure.py
+++ b/cleatyoke/emulation/measure.py
@@ -17,12 +17,12 @@
 from cleatyoke.emulation.baselines import Heartbeats, PlainSwim
 from cleatyoke.emulation.fleet import Fleet
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.interface import Timing
-from cleatyoke.membership.members import Members
+from cleatyoke.membership.interface import MembershipTiming
+from cleatyoke.membership.members import Membership
 
-KINDS: dict[str, type[Members]] = {"ours": Members, "plain SWIM": PlainSwim, "heartbeats": Heartbeats}
+KINDS: dict[str, type[Membership]] = {"ours": Membership, "plain SWIM": PlainSwim, "heartbeats": Heartbeats}
 SIZES = (10, 50, 200, 1000)
-PERIOD = Timing().period
+PERIOD = MembershipTiming().period
 WARM = 15.0  # seconds until the fleet has one view
 KILLS = 5
 WATCHED = 120.0  # seconds over which false deaths are counted, so that an hour is thirty times as many
--- a/cleatyoke/emulation/quota_leases.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -11,23 +11,31 @@
 
 import msgspec
 
-from cleatyoke.coordination.quota_leases import Came, Need, Peers, Rights, Terms
+from cleatyoke.coordination.quota_leases import (
+    DemandChanged,
+    LeaseMessageReceived,
+    LeaseTerms,
+    PeersChanged,
+    QuotaLeases,
+)
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.wire import HOME, Grant, Id, Want
+from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
 
 RESOURCE = "limit:1"
 TICK = 0.05  # seconds between two steps that nothing else brings about
-Make = Callable[[float, random.Random, Terms], Rights]
-decoder: msgspec.msgpack.Decoder[Want | Grant] = msgspec.msgpack.Decoder(Want | Grant)
+Make = Callable[[float, random.Random, LeaseTerms], QuotaLeases]
+decoder: msgspec.msgpack.Decoder[LeaseRequest | LeaseGrant] = msgspec.msgpack.Decoder(
+    LeaseRequest | LeaseGrant
+)
 encoder = msgspec.msgpack.Encoder()
 
 
 @dataclass(slots=True)
-class Trader:
+class LeaseHolder:
     """A front's life."""
 
-    id: Id
-    rights: Rights
+    id: MemberId
+    rights: QuotaLeases
     pace: float  # of its clock against the true one
     stopped_until: float = -math.inf
 
@@ -35,17 +43,22 @@
         return now * self.pace
 
 
-class Lenders:
+class LeaseSimulation:
     """``size`` fronts that share one resource; ``needs`` in parts of a home each."""
 
     def __init__(
-        self, size: int, seed: int, network: Network, terms: Terms | None = None, make: Make = Rights
+        self,
+        size: int,
+        seed: int,
+        network: Network,
+        terms: LeaseTerms | None = None,
+        make: Make = QuotaLeases,
     ) -> None:
         self.size, self.seed, self.network, self.make = size, seed, network, make
-        self.terms, self.rng, self.now = terms or Terms(), random.Random(f"market:{seed}"), 0.0
+        self.terms, self.rng, self.now = terms or LeaseTerms(), random.Random(f"market:{seed}"), 0.0
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.entries = self.messages = 0
-        self.traders: dict[int, Trader] = {}
+        self.traders: dict[int, LeaseHolder] = {}
         self.needs = [0.0] * size
         self.most = 0  # parts that all together could use, at any event
         for front in range(size):
@@ -82,10 +95,10 @@
         pace = 1 + self.rng.uniform(-drift, drift)
         since = (self.now if began is None else began) * pace
         rights = self.make(since, random.Random(f"{self.seed}:{front}:{boot}"), self.terms)
-        self.traders[front] = Trader(Id(f"front-{front}", boot), rights, pace)
+        self.traders[front] = LeaseHolder(MemberId(f"front-{front}", boot), rights, pace)
         for trader in self.traders.values():
             others = tuple(one.id for one in self.traders.values() if one is not trader)
-            trader.rights.step(trader.clock(self.now), [Peers(others)])
+            trader.rights.step(trader.clock(self.now), [PeersChanged(others)])
 
     def stop(self, front: int, seconds: float) -> None:
         self.traders[front].stopped_until = self.now + seconds
@@ -94,12 +107,12 @@
 
     def tick(self, front: int) -> None:
         self.at(self.now + TICK, lambda: self.tick(front))
-        self.step(front, Need({RESOURCE: self.needs[front]}))
+        self.step(front, DemandChanged({RESOURCE: self.needs[front]}))
 
-    def step(self, front: int, event: Need | Came) -> None:
+    def step(self, front: int, event: DemandChanged | LeaseMessageReceived) -> None:
         trader = self.traders[front]
         if self.now < trader.stopped_until:
-            if isinstance(event, Came):  # its socket holds it
+            if isinstance(event, LeaseMessageReceived):  # its socket holds it
                 self.at(trader.stopped_until, lambda: self.reach(trader, front, event))
             return
         for post in trader.rights.step(trader.clock(self.now), [event]):
@@ -115,10 +128,10 @@
                         ),
                     )
 
-    def deliver(self, target: int, to: Id, sender: Id, data: bytes) -> None:
+    def deliver(self, target: int, to: MemberId, sender: MemberId, data: bytes) -> None:
         if self.traders[target].id == to:
-            self.step(target, Came(sender, decoder.decode(data)))
+            self.step(target, LeaseMessageReceived(sender, decoder.decode(data)))
 
-    def reach(self, trader: Trader, front: int, event: Came) -> None:
+    def reach(self, trader: LeaseHolder, front: int, event: LeaseMessageReceived) -> None:
         if self.traders[front] is trader:
             self.step(front, event)
--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -20,8 +20,8 @@
 from cleatyoke.core import Core
 from cleatyoke.emulation import value as earnings
 from cleatyoke.emulation.traffic import UNIX, Emulation, core_of, emulate
-from cleatyoke.emulation.value import Wish
-from cleatyoke.scheduling import api
+from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario, make_scenario
 from cleatyoke.testbed.search import play_values
 
@@ -87,9 +87,9 @@
     }
 
 
-def at_once(settings: api.Settings) -> Core:
+def at_once(settings: SchedulerSettings) -> Core:
     """A front that takes every box for warm."""
-    settings.safety = dataclasses.replace(settings.safety, ramp=0.0)
+    settings.safety = dataclasses.replace(settings.safety, slow_start_duration=0.0)
     return Core(settings, UNIX)
 
 
@@ -116,7 +116,7 @@
     return rows
 
 
-def over_time(scenario: Scenario, wishes: Sequence[Wish], began: float) -> list[float]:
+def over_time(scenario: Scenario, wishes: Sequence[RequestTemplate], began: float) -> list[float]:
     return earnings.over_time(wishes, earnings.earned(scenario, wishes), began)
 
 
@@ -158,7 +158,7 @@
     ]
 
 
-def allowed(scenario: Scenario, wishes: Sequence[Wish]) -> int:
+def allowed(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> int:
     """How many requests one counter that all see at once would let through."""
     plan, level, last, passed = scenario.plans[0], scenario.plans[0].burst, 0.0, 0
     for wish in sorted((wish for wish in wishes if wish.volume == 0), key=lambda wish: wish.at):
