--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -13,40 +13,47 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cleatyoke.config.deployment import FLEET_TIMES, BadConfig, FleetPeers, read_settings
-from cleatyoke.core import Core, Ending, Failed, Refused, Served
-from cleatyoke.discovery.directory import Directory, Instance, Listing
+from cleatyoke.config.deployment import FLEET_TIMES, ConfigError, FleetSettings, read_settings
+from cleatyoke.core import AttemptResult, Core, Failed, Rejected, Served
+from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.emulation.clock import run
 from cleatyoke.emulation.network import Fault, Network
-from cleatyoke.emulation.value import Wish
+from cleatyoke.emulation.value import RequestTemplate
 from cleatyoke.emulation.view import Ether, VirtualView, address_of
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling import api
-from cleatyoke.testbed.backend_model import BoxModel, Fate
-from cleatyoke.testbed.checker import Asked, Judge
-from cleatyoke.testbed.scenario import Scenario, Trouble, settings_of
-from cleatyoke.testbed.workload import Drawn, requests
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.events import (
+    AttemptOutcome,
+    EndpointState,
+    EndpointUpdate,
+    RequestArrived,
+    UpdateKind,
+)
+from cleatyoke.scheduling.settings import SchedulerSettings
+from cleatyoke.testbed.backend_model import BackendModel, RequestFate
+from cleatyoke.testbed.checker import ClientRequestRecord, RuleChecker
+from cleatyoke.testbed.scenario import FaultEvent, Scenario, settings_of
+from cleatyoke.testbed.workload import GeneratedRequest, requests
 
 UNIX = 1e9  # Unix time at the loop's 0
 LATENCY = 0.001  # seconds to a box, and back
 LISTED = 0.2  # seconds until a change of the boxes is known to the fronts
 DRAIN = 1.5  # seconds for which a box that is replaced is listed as draining
 DOWN = 0.3  # seconds between a front's end and its next start
-Make = Callable[[api.Settings], Core]
+Make = Callable[[SchedulerSettings], Core]
 
 
-def core_of(settings: api.Settings) -> Core:
+def core_of(settings: SchedulerSettings) -> Core:
     return Core(settings, UNIX)
 
 
 @dataclass(slots=True)
-class VirtualBox:
+class VirtualBackend:
     name: str
     cell: int
     zone: str
-    model: BoxModel
-    state: api.NodeState = api.NodeState.LIVE
+    model: BackendModel
+    state: EndpointState = EndpointState.LIVE
     up: bool = True
     silent: bool = False
     fell: bool = False
@@ -74,27 +81,29 @@
     def __init__(self, scenario: Scenario, make: Make = core_of, tips: bool = True) -> None:
         self.scenario, self.make, self.tips = scenario, make, tips
         self.loop = asyncio.get_running_loop()
-        self.judge = Judge(scenario.plans, scenario.terms, max(4.0, float(scenario.load.units_most)))
+        self.judge = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.units_most)))
         self.network = Network(scenario.seed)
         self.ether = Ether(self.network)
-        self.faults = Faults(Figures())
-        self.boxes: list[VirtualBox] = []
-        self.retired: list[VirtualBox] = []
+        self.faults = Faults(Metrics())
+        self.boxes: list[VirtualBackend] = []
+        self.retired: list[VirtualBackend] = []
         self.lives: list[tuple[int, float, float | None, float]] = []  # of boxes: cell, from, born, to
         self.fronts = [VirtualFront(number) for number in range(scenario.fronts)]
         self.version = 0
-        self.wishes: list[Wish] = []
+        self.wishes: list[RequestTemplate] = []
         self.refused: list[tuple[float, float]] = []  # when, and the wait that was told
 
     # Boxes and lists
 
-    def begin_box(self, cell: int, name: str, born: float | None) -> VirtualBox:
+    def begin_box(self, cell: int, name: str, born: float | None) -> VirtualBackend:
         seed = self.scenario.seed + cell
-        box = VirtualBox(name, cell, self.scenario.zone_of(cell), BoxModel(self.scenario.power, born, seed))
+        box = VirtualBackend(
+            name, cell, self.scenario.zone_of(cell), BackendModel(self.scenario.power, born, seed)
+        )
         self.lives.append((cell, self.loop.time(), born, float("inf")))
         return box
 
-    def end_box(self, box: VirtualBox) -> None:
+    def end_box(self, box: VirtualBackend) -> None:
         box.up = False
         place = max(place for place, life in enumerate(self.lives) if life[0] == box.cell)
         cell, since, born, _ = self.lives[place]
@@ -103,21 +112,21 @@
     def power(self, cell: int, at: float) -> float:
         """Units a second that the boxes of a cell can do then."""
         return sum(
-            BoxModel(self.scenario.power, born).rate(at)
+            BackendModel(self.scenario.power, born).rate(at)
             for one, since, born, until in self.lives
             if one == cell and since <= at < until
         )
 
-    def tell(self, front: VirtualFront, box: VirtualBox) -> None:
+    def tell(self, front: VirtualFront, box: VirtualBackend) -> None:
         if front.core is None or front.directory is None:
             return
         self.version += 1
-        serves = box.state is api.NodeState.LIVE
+        serves = box.state is EndpointState.LIVE
         self.judge.drains(front.number, box.name, None if serves else self.loop.time())
-        entries = front.directory.apply(Listing(self.version, False, [box.listed()]))
-        front.core.tell(api.NodeList(api.ListKind.CHANGES, entries))
+        entries = front.directory.apply(EndpointList(self.version, False, [box.listed()]))
+        front.core.tell(EndpointUpdate(UpdateKind.DELTA, entries))
 
-    def publish(self, box: VirtualBox, state: api.NodeState = api.NodeState.LIVE) -> None:
+    def publish(self, box: VirtualBackend, state: EndpointState = EndpointState.LIVE) -> None:
         box.state = state
         for front in self.fronts:
             self.loop.call_later(LISTED, self.tell, front, box)
@@ -128,11 +137,11 @@
         scenario = self.scenario
         front.boot += 1
         settings = read_settings(settings_of(scenario), scenario.seed * 1000 + front.number)
-        settings.quiet_since = UNIX + self.loop.time()
+        settings.idle_since = UNIX + self.loop.time()
         front.core, front.directory = self.make(settings), Directory({})
         if scenario.view:
             every = scenario.view.period / FLEET_TIMES["period"]
-            peers = FleetPeers(
+            peers = FleetSettings(
                 "emulated",
                 address_of(front.number),
                 address_of(front.number),
@@ -151,11 +160,11 @@
             await front.view.start()
         self.version += 1
         known = [box.listed() for box in self.boxes]
-        entries = front.directory.apply(Listing(self.version, True, known))
+        entries = front.directory.apply(EndpointList(self.version, True, known))
         for box in self.boxes:
-            serves = box.state is api.NodeState.LIVE
+            serves = box.state is EndpointState.LIVE
             self.judge.drains(front.number, box.name, None if serves else self.loop.time())
-        front.core.tell(api.NodeList(api.ListKind.FULL, entries))
+        front.core.tell(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
 
     def kill(self, front: VirtualFront) -> None:
         self.judge.killed(front.number, self.loop.time())
@@ -167,14 +176,16 @@
         for task in front.open:
             task.cancel()
 
-    async def attempt(self, front: VirtualFront, node: int, trace: str, asked: Asked) -> Ending[str]:
+    async def attempt(
+        self, front: VirtualFront, node: int, trace: str, asked: ClientRequestRecord
+    ) -> AttemptResult[str]:
         """One attempt, as the wire would end it."""
         assert front.directory
         listed = front.directory.boxes.get(node)
         box = next((one for one in self.boxes if listed and one.name == listed.name), None)
         await asyncio.sleep(LATENCY)
         if box is None or not box.up or box.fell:
-            return Ending(api.Outcome.NO_CONNECTION)
+            return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
         if box.silent:
             await asyncio.sleep(3600)
         now = self.loop.time()
@@ -182,29 +193,29 @@
         self.count_cold(box, now, asked.units)
         if box.fell:
             made.ended = now
-            return Ending(api.Outcome.RESET)
+            return AttemptResult(AttemptOutcome.RESET)
         ticket = box.model.take(now, trace, asked.units)
         try:
             match ticket.fate:
-                case Fate.FULL:
+                case RequestFate.FULL:
                     made.refused = True
-                    return Ending(api.Outcome.FULL)
-                case Fate.UNREAD:
-                    return Ending(api.Outcome.RESET)
+                    return AttemptResult(AttemptOutcome.QUEUE_FULL)
+                case RequestFate.UNREAD:
+                    return AttemptResult(AttemptOutcome.CONNECTION_RESET)
             await asyncio.sleep(ticket.ends - now)
             if box.fell or not box.up:
-                return Ending(api.Outcome.RESET)
+                return AttemptResult(AttemptOutcome.RESET)
             made.ran = True
             await asyncio.sleep(LATENCY)
             match ticket.fate:
-                case Fate.RESET:
-                    return Ending(api.Outcome.RESET)
-                case Fate.LOST:
+                case RequestFate.RESET:
+                    return AttemptResult(AttemptOutcome.CONNECTION_RESET)
+                case RequestFate.LOST:
                     await asyncio.sleep(3600)
-                case Fate.SPOILT:
-                    return Ending(api.Outcome.ERROR)
+                case RequestFate.SPOILT:
+                    return AttemptResult(AttemptOutcome.ERROR)
             busy = box.model.busy(self.loop.time()) if self.scenario.terms.report == "answers" else None
-            return Ending(api.Outcome.SERVED, box.name, busy=busy)
+            return AttemptResult(AttemptOutcome.SERVED, box.name, busy=busy)
         except asyncio.CancelledError:
             if not made.ran:
                 made.ran = not box.model.withdraw(self.loop.time(), ticket)
@@ -212,7 +223,7 @@
         finally:
             made.ended = self.loop.time()
 
-    def count_cold(self, box: VirtualBox, now: float, units: float) -> None:
+    def count_cold(self, box: VirtualBackend, now: float, units: float) -> None:
         power, model = self.scenario.power, box.model
         if model.born is None or now - model.born >= power.ramp:
             return
@@ -225,7 +236,7 @@
 
     # Clients
 
-    async def ask(self, drawn: Drawn) -> None:
+    async def ask(self, drawn: GeneratedRequest) -> None:
         """A request, with the tries that its client makes."""
         served, load, first = None, self.scenario.load, self.loop.time()
         for number in range(1 + load.retries):
@@ -235,28 +246,28 @@
             if status not in (None, 503):
                 break
             await asyncio.sleep(max(wait, load.retry_s))
-        self.wishes.append(Wish(first, drawn.volume, drawn.kind, drawn.units, served))
+        self.wishes.append(RequestTemplate(first, drawn.volume, drawn.kind, drawn.units, served))
 
-    async def once(self, drawn: Drawn, trace: str) -> tuple[int | None, float]:
+    async def once(self, drawn: GeneratedRequest, trace: str) -> tuple[int | None, float]:
         """Its status, None where no front was there, and the wait that was told."""
         front, now = self.fronts[drawn.front], self.loop.time()
         core, kind = front.core, drawn.kind
-        asked = Asked(drawn.front, drawn.volume, kind, drawn.units, now, now + kind.deadline)
+        asked = ClientRequestRecord(drawn.front, drawn.volume, kind, drawn.units, now, now + kind.deadline)
         self.judge.took(trace, asked)
         if core is None:
             asked.excused = True
             return None, 0.0
         plans, kinds = self.scenario.plans, self.scenario.kinds
-        arrival = api.Arrival(
-            request=core.new_id(),
+        arrival = RequestArrived(
+            request_id=core.new_id(),
             class_index=kinds.index(kind),
-            plan=drawn.volume % len(plans),
-            volume=drawn.volume,
+            plan_index=drawn.volume % len(plans),
+            volume_id=drawn.volume,
             item=int(drawn.block, 16),
-            cell=drawn.volume % self.scenario.boxes,
+            shard=drawn.volume % self.scenario.boxes,
             units=drawn.units,
             deadline=core.now() + kind.deadline,
-            hosts=self.scenario.load.hosts,
+            front_count=self.scenario.load.hosts,
         )
         task = asyncio.ensure_future(
             core.serve(arrival, lambda node, may: self.attempt(front, node, trace, asked))
@@ -272,7 +283,7 @@
             case Served(value):
                 self.judge.answer(trace, 200, f"{trace} {value}".encode(), now)
                 return 200, 0.0
-            case Refused(wait):
+            case Rejected(wait):
                 self.judge.answer(trace, 503, b"", now)
                 self.refused.append((now, wait))
                 return 503, wait
@@ -282,7 +293,7 @@
 
     # Troubles
 
-    async def trouble(self, trouble: Trouble) -> None:
+    async def trouble(self, trouble: FaultEvent) -> None:
         await asyncio.sleep(trouble.at)
         if trouble.links:
             return await self.trouble_links(trouble)
@@ -294,7 +305,7 @@
 
         await asyncio.gather(*(one(place, subject) for place, subject in enumerate(trouble.of)))
 
-    async def act(self, subject: int, trouble: Trouble) -> None:
+    async def act(self, subject: int, trouble: FaultEvent) -> None:
         match trouble.kind:
             case "roll" | "kill" | "powercut":
                 front = self.fronts[subject]
@@ -309,12 +320,12 @@
                 self.publish(self.boxes[subject])
             case "replace":
                 box = self.boxes[subject]
-                self.publish(box, api.NodeState.DRAINING)
+                self.publish(box, EndpointState.DRAINING)
                 fresh = self.boxes[subject] = self.begin_box(subject, f"{box.name}+", self.loop.time())
                 self.boxes.append(box)  # it goes on with what it has
                 self.publish(fresh)
                 await asyncio.sleep(DRAIN)
-                self.publish(box, api.NodeState.GONE)
+                self.publish(box, EndpointState.REMOVED)
                 await asyncio.sleep(max(kind.deadline for kind in self.scenario.kinds))
                 box.up = False
                 self.boxes.remove(box)
@@ -329,13 +340,13 @@
                 await asyncio.sleep(trouble.lasts)
                 model.ailing.pop(trouble.kind, None)
             case "drain":
-                self.publish(self.boxes[subject], api.NodeState.DRAINING)
+                self.publish(self.boxes[subject], EndpointState.DRAINING)
                 await asyncio.sleep(trouble.lasts)
                 self.publish(self.boxes[subject])
             case other:
-                raise BadConfig(f"trouble.kind: {other} is for real processes only")
+                raise ConfigError(f"trouble.kind: {other} is for real processes only")
 
-    async def trouble_links(self, trouble: Trouble) -> None:
+    async def trouble_links(self, trouble: FaultEvent) -> None:
         links = trouble.links
         assert links
         here, there = (
--- a/cleatyoke/emulation/value.py
+++ b/cleatyoke/emulation/value.py
@@ -10,18 +10,18 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from cleatyoke.testbed.scenario import WITHIN, Kind, Scenario
+from cleatyoke.testbed.scenario import WITHIN, RequestKind, Scenario
 
 SLOT = 0.25  # seconds, of the ideal's time
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
+class RequestTemplate:
     """What a client wants, over all its tries."""
 
     at: float  # of its first try
     volume: int
-    kind: Kind
+    kind: RequestKind
     units: float
     served: float | None  # when it got its answer
 
@@ -41,7 +41,7 @@
     left: dict[tuple[int, int], float] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, scenario: Scenario, wishes: Iterable[Wish]) -> Reserves:
+    def of(cls, scenario: Scenario, wishes: Iterable[RequestTemplate]) -> Reserves:
         asked: defaultdict[tuple[int, int], float] = defaultdict(float)
         for wish in wishes:
             asked[wish.volume, int(wish.at)] += wish.units
@@ -50,18 +50,18 @@
             {second: min(units, scenario.plan_of(second[0]).reserve) for second, units in asked.items()},
         )
 
-    def density(self, wish: Wish) -> float:
+    def density(self, wish: RequestTemplate) -> float:
         """What a unit of it would earn, if it were served in time now."""
         full = min(1.0, self.left.get((wish.volume, int(wish.at)), 0.0) / wish.units)
         return wish.value(self.scenario) * (full + (1 - full) * WITHIN)
 
-    def take(self, wish: Wish) -> float:
+    def take(self, wish: RequestTemplate) -> float:
         worth, second = self.density(wish) * wish.units, (wish.volume, int(wish.at))
         self.left[second] = max(0.0, self.left.get(second, 0.0) - wish.units)
         return worth
 
 
-def earned(scenario: Scenario, wishes: Sequence[Wish]) -> list[float]:
+def earned(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> list[float]:
     """By place, what each of them earned."""
     reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
     served = [place for place, wish in enumerate(wishes) if wish.served is not None]
@@ -71,7 +71,7 @@
     return out
 
 
-def due(scenario: Scenario, wishes: Sequence[Wish]) -> list[float]:
+def due(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> list[float]:
     """By place, what each would earn if all were served in time, in the order in which they came."""
     reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
     for place in sorted(range(len(wishes)), key=lambda place: wishes[place].at):
@@ -79,7 +79,9 @@
     return out
 
 
-def ideal(scenario: Scenario, wishes: Sequence[Wish], power: Callable[[int, float], float]) -> list[float]:
+def ideal(
+    scenario: Scenario, wishes: Sequence[RequestTemplate], power: Callable[[int, float], float]
+) -> list[float]:
     """By place, what one that sees everything earns: of each cell, slot by slot, what its box can do at that
     moment goes to what earns most a unit, as long as it is not late. ``power``: units a second of a cell."""
     reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
@@ -104,7 +106,9 @@
     return out
 
 
-def over_time(wishes: Sequence[Wish], worth: Sequence[float], began: float, step: float = 1.0) -> list[float]:
+def over_time(
+    wishes: Sequence[RequestTemplate], worth: Sequence[float], began: float, step: float = 1.0
+) -> list[float]:
     """Sums of worth by the step of time, from ``began`` on, in which clients first asked."""
     steps: defaultdict[int, float] = defaultdict(float)
     for wish, value in zip(wishes, worth):
--- a/cleatyoke/emulation/view.py
+++ b/cleatyoke/emulation/view.py
@@ -6,10 +6,18 @@
 import asyncio
 from collections.abc import Callable
 
-from cleatyoke.config.deployment import Address, FleetPeers
+from cleatyoke.config.deployment import Address, FleetSettings
 from cleatyoke.emulation.network import Network
 from cleatyoke.fleet.view import PATIENCE, FleetView, told
-from cleatyoke.membership.interface import Action, Answered, Asked, Exchange, Heard, Reply, Send
+from cleatyoke.membership.interface import (
+    DatagramReceived,
+    ExchangeAnswered,
+    ExchangeRequested,
+    MembershipAction,
+    ReplyExchange,
+    SendDatagram,
+    StartExchange,
+)
 from cleatyoke.process.faults import Faults
 
 
@@ -32,7 +40,7 @@
 
 class VirtualView(FleetView):
     def __init__(
-        self, ether: Ether, peers: FleetPeers, name: str, hosts: int, seed: int, faults: Faults
+        self, ether: Ether, peers: FleetSettings, name: str, hosts: int, seed: int, faults: Faults
     ) -> None:
         super().__init__(peers, name, hosts, seed, faults)
         self.ether, self.address = ether, told(peers.advertise)
@@ -52,26 +60,28 @@
     def close_sockets(self) -> None:
         self.kill()
 
-    def act(self, action: Action) -> None:
+    def act(self, action: MembershipAction) -> None:
         network, here = self.ether.network, self.address
         match action:
-            case Send(target, data):
+            case SendDatagram(target, data):
                 for after, came in network.datagram(here, target, data):
-                    self.ether.later(after, target, lambda view, came=came: view.step(Heard(came)))  # type: ignore[misc]
-            case Exchange(target, data):
+                    self.ether.later(after, target, lambda view, came=came: view.step(DatagramReceived(came)))  # type: ignore[misc]
+            case StartExchange(target, data):
                 reached = network.stream(here, target, data)
                 if reached is None or target not in self.ether.views:
-                    self.ether.later(PATIENCE, here, lambda view: view.step(Answered(target, None)))
+                    self.ether.later(PATIENCE, here, lambda view: view.step(ExchangeAnswered(target, None)))
                     return
                 self.ether.tokens += 1
                 token = self.ether.tokens
                 self.ether.streams[token] = self, target
-                self.ether.later(reached, target, lambda view: view.step(Asked(token, data)))
-            case Reply(token, data):
+                self.ether.later(reached, target, lambda view: view.step(ExchangeRequested(token, data)))
+            case ReplyExchange(token, data):
                 asker, _ = self.ether.streams.pop(token)
                 back = network.stream(here, asker.address, data)
                 if back is not None:
-                    self.ether.later(back, asker.address, lambda view: view.step(Answered(here, data)))
+                    self.ether.later(
+                        back, asker.address, lambda view: view.step(ExchangeAnswered(here, data))
+                    )
             case _:
                 super().act(action)
 
--- a/cleatyoke/fleet/restore.py
+++ b/cleatyoke/fleet/restore.py
@@ -12,38 +12,38 @@
 
 import structlog
 
-from cleatyoke.coordination.replicated_holds import Holds
-from cleatyoke.durability.records import MOST_PEERS, Doubt, Memory
-from cleatyoke.durability.store import Disk
-from cleatyoke.durability.writer import Recalled, Writer
-from cleatyoke.process.faults import Beat, Faults
+from cleatyoke.coordination.replicated_holds import HoldSet
+from cleatyoke.durability.records import MOST_PEERS, FrontState, RestoreDoubt
+from cleatyoke.durability.store import StateDatabase
+from cleatyoke.durability.writer import RestoredState, StateWriter
+from cleatyoke.process.faults import Faults, Watchdog
 
 SETTLE = 5.0  # seconds between looks whether the peers to ask at a next start have changed
 log = structlog.get_logger()
 
 
-class Remembering(Protocol):
+class DurableReplicas(Protocol):
     """What is kept on the disk comes from here, and what the disk said goes here."""
 
-    recall: Recall | None
+    recall: DurableState | None
 
-    def remember(self, memory: Memory) -> None: ...
+    def remember(self, memory: FrontState) -> None: ...
 
-    def memory(self, before: Memory) -> Memory:
+    def memory(self, before: FrontState) -> FrontState:
         """What is worth keeping now; ``before``: what was kept last."""
         ...
 
 
-class Recall:
+class DurableState:
     """What a life of this front keeps: the holds that its view knows, its boot number, and whom it knew."""
 
     def __init__(self, folder: Path, front: str, faults: Faults) -> None:
         self.loop = asyncio.get_running_loop()
-        self.first: asyncio.Future[Recalled] = self.loop.create_future()
-        self.view: Remembering | None = None
-        self.last = Memory()
-        self.writer = Writer(Disk(folder, front), time.time, self.recalled, self.heard)
-        self.beat = Beat(faults, "durable", SETTLE, self.keep)
+        self.first: asyncio.Future[RestoredState] = self.loop.create_future()
+        self.view: DurableReplicas | None = None
+        self.last = FrontState()
+        self.writer = StateWriter(StateDatabase(folder, front), time.time, self.recalled, self.heard)
+        self.beat = Watchdog(faults, "durable", SETTLE, self.keep)
         self.writer.start()
 
     async def read(self) -> str:
@@ -51,11 +51,11 @@
         recalled = await asyncio.shield(self.first)
         return "found" if recalled.found else "nothing found"
 
-    def recalled(self, recalled: Recalled) -> None:
+    def recalled(self, recalled: RestoredState) -> None:
         """From the writer's thread."""
         self.loop.call_soon_threadsafe(self.take, recalled)
 
-    def take(self, recalled: Recalled) -> None:
+    def take(self, recalled: RestoredState) -> None:
         for doubt in recalled.doubts:
             log.warning("durable_doubtful", of=doubt.where, why=doubt.why)
         if recalled.failed:
@@ -65,17 +65,17 @@
         if self.view:  # it began without
             self.serve(self.view)
 
-    def heard(self, doubts: list[Doubt]) -> None:
+    def heard(self, doubts: list[RestoreDoubt]) -> None:
         self.loop.call_soon_threadsafe(self.tell, doubts)
 
-    def tell(self, doubts: list[Doubt]) -> None:
+    def tell(self, doubts: list[RestoreDoubt]) -> None:
         """Once for each change: writes fail, or do no longer."""
         if doubts:
             log.error("durable_failing", why="; ".join(f"{one.where}: {one.why}" for one in doubts))
         else:
             log.info("durable_well")
 
-    def serve(self, view: Remembering) -> None:
+    def serve(self, view: DurableReplicas) -> None:
         """Give the view what the disk said, now or once it does, and keep what the view knows from then
         on."""
         self.view = view
@@ -93,7 +93,7 @@
             self.last = memory
             self.writer.write(memory)
 
-    def has(self, holds: Holds) -> bool:
+    def has(self, holds: HoldSet) -> bool:
         """From any thread: whether these are on the disk."""
         given = self.writer.given
         return self.last.holds == holds and self.writer.keeps(given)
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -9,10 +9,10 @@
 
 import structlog
 
-from cleatyoke.config.deployment import FleetPeers
-from cleatyoke.coordination.quota_leases import Terms
-from cleatyoke.coordination.staged_start import Evidence, Recovery, Stage
-from cleatyoke.fleet.restore import Recall
+from cleatyoke.config.deployment import FleetSettings
+from cleatyoke.coordination.quota_leases import LeaseTerms
+from cleatyoke.coordination.staged_start import Evidence, StagedStart, StartStage
+from cleatyoke.fleet.restore import DurableState
 from cleatyoke.fleet.view import FleetView
 from cleatyoke.process.faults import Faults
 
@@ -28,37 +28,37 @@
     return what
 
 
-class Startup:
+class StagedStartRunner:
     """Each stage waits for its evidence, or its bound."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         now = self.loop.time()
-        self.recovery = Recovery(now, Terms().lender(now))
+        self.recovery = StagedStart(now, LeaseTerms().lender(now))
 
-    async def recall(self, peers: FleetPeers, name: str, faults: Faults) -> Recall | None:
+    async def recall(self, peers: FleetSettings, name: str, faults: Faults) -> DurableState | None:
         """The own memory; None where none is kept."""
         if peers.durable is None:
-            await self.wait(Stage.DISK, at_once("none kept"))
+            await self.wait(StartStage.DISK, at_once("none kept"))
             return None
-        recall = Recall(peers.durable, f"{peers.deployment}/{name}", faults)
-        await self.wait(Stage.DISK, recall.read())
+        recall = DurableState(peers.durable, f"{peers.deployment}/{name}", faults)
+        await self.wait(StartStage.DISK, recall.read())
         return recall
 
     async def meet(self, view: FleetView) -> None:
-        await self.wait(Stage.PEERS, view.met())
+        await self.wait(StartStage.PEERS, view.met())
 
     async def hear_of_boxes(self, known: bool, heard: asyncio.Event) -> None:
         """``known``: there is an old list."""
         word = at_once("an old list") if known and not heard.is_set() else once(heard, "discovery")
-        await self.wait(Stage.LIST, word)
+        await self.wait(StartStage.LIST, word)
 
-    async def wait(self, stage: Stage, evidence: Awaitable[str]) -> None:
+    async def wait(self, stage: StartStage, evidence: Awaitable[str]) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(self.recovery.ends_at()):
                 self.step(Evidence(stage, await evidence))
         self.step()
-        if self.recovery.stage is Stage.LENT:
+        if self.recovery.stage is StartStage.LENT:
             self.loop.call_at(self.recovery.ends_at(), self.step)
 
     def step(self, *events: Evidence) -> None:
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -20,40 +20,47 @@
 
 import structlog
 
-from cleatyoke.config.deployment import Address, BadConfig, FleetPeers, read_address
-from cleatyoke.coordination.hold_replication import Sharing
-from cleatyoke.coordination.quota_leases import Came, Need, Part, Peers, Rights
-from cleatyoke.coordination.quota_leases import Event as RightsEvent
-from cleatyoke.coordination.rate_limit_leases import Limits
-from cleatyoke.coordination.slow_start_leases import ColdShares
+from cleatyoke.config.deployment import Address, ConfigError, FleetSettings, read_address
+from cleatyoke.coordination.hold_replication import HoldReplication
+from cleatyoke.coordination.quota_leases import (
+    DemandChanged,
+    LeaseEvent,
+    LeaseMessageReceived,
+    PeersChanged,
+    QuotaFractionChanged,
+    QuotaLeases,
+)
+from cleatyoke.coordination.rate_limit_leases import RateLimitLeases
+from cleatyoke.coordination.slow_start_leases import SlowStartLeases
 from cleatyoke.core import Core
 from cleatyoke.membership.conclusions import Conclusion, Known, conclude
 from cleatyoke.membership.interface import (
-    Action,
-    Answered,
-    Asked,
     Change,
-    Deliver,
-    Event,
-    Exchange,
-    Heard,
-    Leave,
-    Remembered,
-    Reply,
-    Send,
-    Timing,
-    Told,
+    DatagramReceived,
+    DeliverBody,
+    ExchangeAnswered,
+    ExchangeRequested,
+    IncarnationRemembered,
+    LeaveRequested,
+    MembershipAction,
+    MembershipChanged,
+    MembershipEvent,
+    MembershipTiming,
+    ReplyExchange,
+    SendDatagram,
+    StartExchange,
 )
-from cleatyoke.membership.members import Members
-from cleatyoke.membership.wire import MOST_STREAM, State
-from cleatyoke.process.faults import Beat, Faults
+from cleatyoke.membership.members import Membership
+from cleatyoke.membership.wire import MOST_STREAM, MemberState
+from cleatyoke.process.faults import Faults, Watchdog
 from cleatyoke.process.handover import HoldFile
-from cleatyoke.scheduling import api
+from cleatyoke.scheduling.events import EndpointUpdate, QuotaShareChanged, SchedulerEvent
+from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.transport.framing import read_message, write_message
 
 if TYPE_CHECKING:
-    from cleatyoke.durability.records import Memory
-    from cleatyoke.fleet.restore import Recall
+    from cleatyoke.durability.records import FrontState
+    from cleatyoke.fleet.restore import DurableState
 
 MOST_HEARD = 2000  # datagrams taken in a second; more are dropped, so that a flood costs no request its time
 MOST_STREAMS = 16  # open at once, each way; one more is refused
@@ -86,13 +93,13 @@
     """One front's part in the view of its fleet."""
 
     def __init__(
-        self, peers: FleetPeers, name: str, hosts: int, seed: int, faults: Faults, boot: int = 0
+        self, peers: FleetSettings, name: str, hosts: int, seed: int, faults: Faults, boot: int = 0
     ) -> None:
         """``boot``: of this life, as its disk has it; 0: nothing is known of it."""
         self.peers, self.hosts, self.faults = peers, hosts, faults
         self.loop = asyncio.get_running_loop()
         boot, times = peers.boot or boot or int(time.time() * 1000), peers.timing
-        timing = Timing(
+        timing = MembershipTiming(
             period=times["period"],
             answer=times["answer"],
             gossip=times["gossip"],
@@ -100,7 +107,7 @@
             departed=times["departed"],
             join=times["join"],
         )
-        self.members = Members(
+        self.members = Membership(
             peers.deployment,
             name,
             boot,
@@ -110,20 +117,20 @@
             timing,
             alone=True,
         )
-        self.copies = self.members.store = Sharing(lambda: self.members.id)
-        self.rights = Rights(self.loop.time(), random.Random(f"rights:{seed}:{name}:{boot}"))
+        self.copies = self.members.store = HoldReplication(lambda: self.members.id)
+        self.rights = QuotaLeases(self.loop.time(), random.Random(f"rights:{seed}:{name}:{boot}"))
         self.differ: list[str] = []  # fronts of other settings, as the log was told
-        self.alike = Beat(faults, "fleet_settings", ALIKE, self.look_at_settings)
-        self.recall: Recall | None = None
+        self.alike = Watchdog(faults, "fleet_settings", ALIKE, self.look_at_settings)
+        self.recall: DurableState | None = None
         self.answered = asyncio.Event()  # a peer's whole view has come
         self.core: Core | None = None
-        self.limits: Limits | None = None
-        self.cold: ColdShares | None = None
-        self.lending = Beat(faults, "fleet_limits", TRADE, self.look_at_needs)
+        self.limits: RateLimitLeases | None = None
+        self.cold: SlowStartLeases | None = None
+        self.lending = Watchdog(faults, "fleet_limits", TRADE, self.look_at_needs)
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.bell: asyncio.TimerHandle | None = None
-        self.claims = Beat(faults, "fleet_claim", CLAIM, self.claim)
+        self.claims = Watchdog(faults, "fleet_claim", CLAIM, self.claim)
         self.claiming: asyncio.Task[None] | None = None
         self.streams: set[asyncio.Task[None]] = set()
         self.waiting: dict[int, asyncio.Future[bytes]] = {}  # token: who waits for our view
@@ -190,12 +197,12 @@
     def stop(self) -> None:
         """Say that this life is over: it uses nothing more from here on."""
         with self.faults.step("fleet_leave"):
-            self.step(Leave())
+            self.step(LeaveRequested())
         if self.recall:
             self.recall.stop()
         for bell in (self.bell, self.claims, self.lending, self.alike):
             if bell:
-                bell.stop() if isinstance(bell, Beat) else bell.cancel()
+                bell.stop() if isinstance(bell, Watchdog) else bell.cancel()
         for task in (*self.streams, *([self.claiming] if self.claiming else [])):
             task.cancel()
         self.close_sockets()
@@ -235,17 +242,17 @@
         if absent := self.copies.holds.boxes() - frozenset(file.directory.holds.held):
             file.heard(absent, frozenset())
 
-    def remember(self, memory: Memory) -> None:
+    def remember(self, memory: FrontState) -> None:
         """Take what the disk says, which may come after the start. Whom this front knew before is asked
         too, as its seeds may be down."""
         self.copies.holds = self.copies.holds.merge(memory.holds)
         known = self.members.seeds
         known += [peer for peer in memory.peers if peer not in known][:HINTS]
         if self.transport:  # it is late
-            self.step(Remembered(memory.boot))
+            self.step(IncarnationRemembered(memory.boot))
             self.copies.changed(self.copies.holds.boxes(), frozenset())
 
-    def memory(self, before: Memory) -> Memory:
+    def memory(self, before: FrontState) -> FrontState:
         """What outlives a loss of power, in place of what was kept before."""
         there = sorted(self.members.lives[id].rumour.address for id in self.members.present)
         return dataclasses.replace(
@@ -272,10 +279,12 @@
                 return having + 1, max(self.conclusion().count, len(there) + 1)
             time.sleep(0.01)
 
-    def say(self, settings: api.Settings) -> None:
+    def say(self, settings: SchedulerSettings) -> None:
         """Tell the others which settings this front goes by, that fronts of a fleet notice where they differ.
         What is a process's own is left out."""
-        shared = dataclasses.replace(settings, seed=0, quiet_since=None, limit_share=1.0, taken_over=False)
+        shared = dataclasses.replace(
+            settings, seed=0, idle_since=None, initial_quota_share=1.0, replaces_process=False
+        )
         self.members.goes_by(zlib.crc32(repr(shared).encode()))
 
     def look_at_settings(self) -> None:
@@ -298,14 +307,14 @@
         node, the id that all fronts know it by."""
         self.core = core
         if self.peers.limits:
-            self.limits = Limits(self.rights, lambda: core.policy.settings.plans)
+            self.limits = RateLimitLeases(self.rights, lambda: core.policy.settings.plans)
         if self.peers.cold:
-            self.cold = ColdShares(self.rights, lambda: core.policy.settings, name)
-        self.rights.part = core.policy.settings.limit_share
+            self.cold = SlowStartLeases(self.rights, lambda: core.policy.settings, name)
+        self.rights.part = core.policy.settings.initial_quota_share
         core.before = self.before_step
         self.lending.start()
 
-    def before_step(self, now: float, events: list[api.Event]) -> list[api.Event]:
+    def before_step(self, now: float, events: list[SchedulerEvent]) -> list[SchedulerEvent]:
         """Directly before the policy decides: leases that have ended meanwhile count no longer."""
         at = self.loop.time()
         if self.limits:
@@ -313,16 +322,16 @@
         if self.cold:
             self.cold.heard(at, now, events)
         for event in events:
-            if isinstance(event, api.Shared):
-                self.trade(Part(event.part))
-        lists = [event for event in events if isinstance(event, api.NodeList)]  # first, as they name nodes
-        rest = [event for event in events if not isinstance(event, api.NodeList)]
+            if isinstance(event, QuotaShareChanged):
+                self.trade(QuotaFractionChanged(event.fraction))
+        lists = [event for event in events if isinstance(event, EndpointUpdate)]  # first, as they name nodes
+        rest = [event for event in events if not isinstance(event, EndpointUpdate)]
         return [*lists, *self.changes(at), *rest]
 
-    def changes(self, at: float) -> list[api.Event]:
+    def changes(self, at: float) -> list[SchedulerEvent]:
         return [event for one in (self.limits, self.cold) if one for event in one.changes(at)]
 
-    def trade(self, *events: RightsEvent) -> None:
+    def trade(self, *events: LeaseEvent) -> None:
         """One step of the rights."""
         now = self.loop.time()
         for post in self.rights.step(now, events):
@@ -337,7 +346,7 @@
         needs = {key: need for one in (self.limits, self.cold) if one for key, need in one.needs(now).items()}
         if needs or self.rights.accounts:
             alive = [id for id in self.members.present if id not in self.members.doubted]
-            self.trade(Peers(tuple(alive)), Need(needs))
+            self.trade(PeersChanged(tuple(alive)), DemandChanged(needs))
 
     # Steps
 
@@ -352,9 +361,9 @@
         if self.taken > MOST_HEARD:
             self.dropped["flood"] += 1
             return
-        self.step(Heard(data))
+        self.step(DatagramReceived(data))
 
-    def step(self, *events: Event) -> None:
+    def step(self, *events: MembershipEvent) -> None:
         try:
             for action in self.members.step(self.loop.time(), events):
                 self.act(action)
@@ -365,24 +374,24 @@
         if not self.members.left:
             self.bell = self.loop.call_at(self.members.next_at(), self.step)
 
-    def act(self, action: Action) -> None:
+    def act(self, action: MembershipAction) -> None:
         match action:
-            case Send(address, data):
+            case SendDatagram(address, data):
                 assert self.transport
                 try:
                     peer = read_address(address, "peer")
                     self.transport.sendto(data, (peer.host, peer.port))
-                except (BadConfig, OSError, ValueError):
+                except (ConfigError, OSError, ValueError):
                     self.dropped["unsendable"] += 1
-            case Exchange(address, data):
+            case StartExchange(address, data):
                 self.open_stream(self.exchange(address, data))
-            case Reply(token, data):
+            case ReplyExchange(token, data):
                 if (reply := self.waiting.get(token)) and not reply.done():
                     reply.set_result(data)
-            case Deliver(sender, body):
+            case DeliverBody(sender, body):
                 if self.core:
-                    self.trade(Came(sender, body))
-            case Told(change, id, by):
+                    self.trade(LeaseMessageReceived(sender, body))
+            case MembershipChanged(change, id, by):
                 if change is Change.RENAMED and self.recall:
                     self.recall.keep()
                 log.info("fleet_change", change=change.value, of=id.name, boot=id.boot, by=by)
@@ -409,12 +418,12 @@
                 )
                 await write_message(writer, data)
                 answer = await read_message(reader, MOST_STREAM)
-        except (BadConfig, OSError, EOFError, ValueError, TimeoutError):
+        except (ConfigError, OSError, EOFError, ValueError, TimeoutError):
             self.dropped["exchange"] += 1
         finally:
             if writer:
                 writer.transport.abort()
-        self.step(Answered(address, answer))
+        self.step(ExchangeAnswered(address, answer))
         if answer is not None and self.members.joined:
             self.answered.set()
 
@@ -432,7 +441,7 @@
             async with asyncio.timeout(PATIENCE):
                 data = await read_message(reader, MOST_STREAM)
                 reply = self.waiting[token] = self.loop.create_future()
-                self.step(Asked(token, data))
+                self.step(ExchangeRequested(token, data))
                 if not reply.done():
                     return  # what cannot be read gets no answer
                 answer = reply.result()
@@ -499,7 +508,7 @@
     def figures(self) -> list[str]:
         members, told = self.members, self.members.figures
         states = Counter(life.rumour.state for life in list(members.lives.values()))
-        facts = {state.name.lower(): states[state] for state in State}
+        facts = {state.name.lower(): states[state] for state in MemberState}
         facts |= {name: getattr(told, name) for name in told.__dataclass_fields__ if name != "refused"}
         facts |= {f"refused.{why.replace(' ', '-')}": count for why, count in dict(told.refused).items()}
         facts |= {f"dropped.{why}": count for why, count in dict(self.dropped).items()}
--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -14,13 +14,13 @@
 from functools import partial
 
 from cleatyoke.config.deployment import Address
-from cleatyoke.core import Ending, May
+from cleatyoke.core import AttemptResult, MayBegin
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.http.messages import (
-    Answer,
     AnswerReader,
-    Ask,
-    SpoiltAnswer,
+    BackendAnswer,
+    ClientRequest,
+    MalformedAnswerError,
     decode_busy,
     decode_elsewhere,
     decode_outcome,
@@ -28,8 +28,8 @@
     encode_attempt,
     encode_probe,
 )
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling.api import Outcome
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.events import AttemptOutcome
 from cleatyoke.transport.sockets import unread
 
 IDLE_SHARE = 0.5  # of the boxes' idle limit (settings), after which a pooled connection is dropped
@@ -41,14 +41,14 @@
 HIGH, LOW = 256 * 1024, 64 * 1024  # bytes of a long answer held here: none more is read, it is read again
 
 
-class Line(asyncio.Protocol):
+class BackendConnection(asyncio.Protocol):
     """A connection to a box; it carries one exchange at a time."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
         self.reader: AnswerReader | None = None  # of the answer that is awaited
-        self.answer: asyncio.Future[Answer] | None = None
+        self.answer: asyncio.Future[BackendAnswer] | None = None
         self.gap: asyncio.TimerHandle | None = None
         self.expiry: asyncio.TimerHandle | None = None
         self.unwritten = False  # a part of the request is still here
@@ -56,7 +56,7 @@
         self.left: Callable[[], None] | None = None  # while it is pooled: what to do when it ends
         self.written: Callable[[], None] | None = None  # once the request's last byte has left
         self.rest: list[bytes] = []  # pieces of the request not yet with the transport, the last first
-        self.body: LongBody | None = None  # of the answer, where it passes on as it comes
+        self.body: StreamedBody | None = None  # of the answer, where it passes on as it comes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -88,7 +88,7 @@
                 self.body.put(self.reader.more(data))
                 if self.reader.ended:
                     self.body.end(self.reader.reusable())
-            except SpoiltAnswer as error:
+            except MalformedAnswerError as error:
                 self.body.broke(error)
             return
         if self.reader is None or self.answer is None or self.answer.done():
@@ -96,37 +96,37 @@
             return
         try:
             answer = self.reader.feed(data)
-        except SpoiltAnswer as error:
+        except MalformedAnswerError as error:
             self.fail(error)
             return
         if answer:
             if answer.long:
-                self.body = LongBody(self, answer)
+                self.body = StreamedBody(self, answer)
                 if self.reader.ended:
                     self.body.end(self.reader.reusable())
             self.answer.set_result(answer)
         elif self.gap is None or self.reader.message:
             if self.gap:
                 self.gap.cancel()
-            self.gap = self.loop.call_later(GAP, self.fail, SpoiltAnswer("it does not end"))
+            self.gap = self.loop.call_later(GAP, self.fail, MalformedAnswerError("it does not end"))
 
     def eof_received(self) -> None:
         whole = self.reader.at_close() if self.reader else None
         if self.body:
             if whole:
                 self.body.end(False)
-            self.body.broke(SpoiltAnswer("the connection ended"))
+            self.body.broke(MalformedAnswerError("the connection ended"))
         elif whole and self.answer and not self.answer.done():
             self.answer.set_result(whole)
-        self.fail(SpoiltAnswer("the connection ended"))
+        self.fail(MalformedAnswerError("the connection ended"))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         if self.body:
-            self.body.broke(SpoiltAnswer("the connection broke"))
-        self.fail(SpoiltAnswer("the connection broke"))
+            self.body.broke(MalformedAnswerError("the connection broke"))
+        self.fail(MalformedAnswerError("the connection broke"))
 
-    def fail(self, error: SpoiltAnswer) -> None:
+    def fail(self, error: MalformedAnswerError) -> None:
         if self.answer and not self.answer.done():
             self.answer.set_exception(error)
         self.abort()
@@ -144,7 +144,7 @@
             return False
         return not unread(self.transport)
 
-    async def exchange(self, request: list[bytes], written: Callable[[], None]) -> Answer:
+    async def exchange(self, request: list[bytes], written: Callable[[], None]) -> BackendAnswer:
         if self.transport is None or self.transport.is_closing():
             raise ConnectionError("it ended before the first byte")  # so nothing ran
         self.reader, self.answer = AnswerReader(), self.loop.create_future()
@@ -161,16 +161,16 @@
                 self.gap = None
 
 
-class LongBody:
+class StreamedBody:
     """A long answer's body on its way from the box to the client. It has an owner who reads it and closes it;
     should none turn up, it ends by itself."""
 
-    def __init__(self, line: Line, answer: Answer) -> None:
+    def __init__(self, line: BackendConnection, answer: BackendAnswer) -> None:
         self.line, self.length = line, answer.length
         self.pieces: deque[bytes] = deque()
         self.size = 0
         self.ended, self.reusable = False, False
-        self.error: SpoiltAnswer | None = None
+        self.error: MalformedAnswerError | None = None
         self.news = asyncio.Event()
         self.release: Callable[[bool], None] | None = None  # of the connection: whether it can be used again
         self.paused = False
@@ -190,7 +190,7 @@
         self.ended, self.reusable = True, reusable
         self.moved()
 
-    def broke(self, error: SpoiltAnswer) -> None:
+    def broke(self, error: MalformedAnswerError) -> None:
         if not self.ended:
             self.error = self.error or error
         self.moved()
@@ -203,7 +203,7 @@
 
     def stalled(self) -> None:
         """Guards the connection: a box that holds back the rest, or nobody who reads."""
-        self.broke(SpoiltAnswer("it does not go on"))
+        self.broke(MalformedAnswerError("it does not go on"))
         self.close()
 
     async def read(self) -> bytes:
@@ -234,15 +234,15 @@
             release(self.ended and self.reusable)
 
 
-class Pool:
+class ConnectionPool:
     """The idle connections to one life of one box, the longest rested first."""
 
     def __init__(self, address: Address) -> None:
         self.address, self.retired = address, False
-        self.idle: deque[Line] = deque()
+        self.idle: deque[BackendConnection] = deque()
 
 
-class Boxes:
+class BackendPools:
     """Attempts at the boxes of the directory. ``most`` bounds the connections to all of them."""
 
     def __init__(
@@ -251,12 +251,12 @@
         dial_timeout: float,
         idle_close: float,
         most: int,
-        figures: Figures | None = None,
+        figures: Metrics | None = None,
     ) -> None:
         self.directory, self.dial_timeout, self.most = directory, dial_timeout, most
-        self.figures = figures or Figures()
+        self.figures = figures or Metrics()
         self.keep = idle_close * IDLE_SHARE
-        self.pools: dict[int, Pool] = {}
+        self.pools: dict[int, ConnectionPool] = {}
         self.open = 0  # connections, those that come up included
         directory.watchers.append(self.changed)
 
@@ -267,25 +267,27 @@
             while pool.idle:
                 self.drop(pool, pool.idle[0])
 
-    def drop(self, pool: Pool, line: Line) -> None:
+    def drop(self, pool: ConnectionPool, line: BackendConnection) -> None:
         """An idle connection has been so for long, or is in the way."""
         self.take_out(pool, line)
         line.abort()
 
-    def take_out(self, pool: Pool, line: Line) -> None:
+    def take_out(self, pool: ConnectionPool, line: BackendConnection) -> None:
         pool.idle.remove(line)
         self.open -= 1
         line.left = None
         if line.expiry:
             line.expiry.cancel()
 
-    async def attempt(self, node: int, ask: Ask, until: float, may: May) -> Ending[bytes | LongBody]:
+    async def attempt(
+        self, node: int, ask: ClientRequest, until: float, may: MayBegin
+    ) -> AttemptResult[bytes | StreamedBody]:
         """Send the request to the box, once; any ending that is not proven harmless may have run. A long
         answer counts as served with its first bytes; whoever gets its body closes it. ``until``: when the
         attempt is given up, by the loop's clock, which the box is told; ``may``: whether it may still begin,
         asked directly before its first byte, as is whether the box still serves."""
         if not self.directory.serves(node):
-            return Ending(Outcome.NOT_SENT)
+            return AttemptResult(AttemptOutcome.NOT_SENT)
         pool, line, answer, unused = self.pool(node), None, None, False
         self.open += 1
         try:
@@ -293,18 +295,20 @@
             wait = until - asyncio.get_running_loop().time()
             if pool.retired or not self.directory.serves(node) or not may():  # directly before the first byte
                 unused = True
-                return Ending(Outcome.NOT_SENT)
+                return AttemptResult(AttemptOutcome.NOT_SENT)
             try:
                 answer = await line.exchange(encode_attempt(ask, pool.address, wait), self.counted)
-            except SpoiltAnswer:
-                return Ending(Outcome.NO_CONNECTION if line.sending() else Outcome.RESET)
+            except MalformedAnswerError:
+                return AttemptResult(
+                    AttemptOutcome.CONNECTION_FAILED if line.sending() else AttemptOutcome.CONNECTION_RESET
+                )
             outcome = decode_outcome(answer.status, answer.headers)
-            if outcome is not Outcome.SERVED:
-                return Ending(outcome)
+            if outcome is not AttemptOutcome.SERVED:
+                return AttemptResult(outcome)
             elsewhere, busy = decode_elsewhere(answer.headers), decode_busy(answer.headers)
-            return Ending(outcome, line.body or answer.body, elsewhere, busy)
+            return AttemptResult(outcome, line.body or answer.body, elsewhere, busy)
         except (OSError, TimeoutError):
-            return Ending(Outcome.NO_CONNECTION)
+            return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
         finally:
             if line and line.body and answer and answer.status == 200:
                 line.body.release = partial(self.settle, pool, line)
@@ -323,19 +327,19 @@
                 line = self.rested(pool) or await self.dial(pool)
                 answer = await line.exchange([encode_probe(pool.address)], lambda: None)
             return decode_probe(answer)
-        except (OSError, TimeoutError, SpoiltAnswer):
+        except (OSError, TimeoutError, MalformedAnswerError):
             return None
         finally:
             if line and line.body:  # far more than a report
                 line.body.close()
             self.settle(pool, line, answer is not None and answer.reusable)
 
-    def pool(self, node: int) -> Pool:
+    def pool(self, node: int) -> ConnectionPool:
         if node not in self.pools:
-            self.pools[node] = Pool(self.directory.boxes[node].address)
+            self.pools[node] = ConnectionPool(self.directory.boxes[node].address)
         return self.pools[node]
 
-    def settle(self, pool: Pool, line: Line | None, reusable: bool) -> None:
+    def settle(self, pool: ConnectionPool, line: BackendConnection | None, reusable: bool) -> None:
         """A connection, or the place of one that did not come up, is free again."""
         if line and reusable and line.transport and not pool.retired:
             self.give_back(pool, line)
@@ -347,7 +351,7 @@
     def counted(self) -> None:
         self.figures.backend_calls += 1
 
-    def rested(self, pool: Pool) -> Line | None:
+    def rested(self, pool: ConnectionPool) -> BackendConnection | None:
         """An idle connection. One with bytes that nobody awaits, seen by the loop or not yet, is none."""
         now = asyncio.get_running_loop().time()
         while pool.idle and pool.idle[0].rested_at <= now:
@@ -358,7 +362,7 @@
             line.abort()
         return None
 
-    async def dial(self, pool: Pool) -> Line:
+    async def dial(self, pool: ConnectionPool) -> BackendConnection:
         if self.open > self.most:  # as many are kept as clients can have requests: an idle one is in the way
             for other in self.pools.values():
                 if other.idle:
@@ -366,10 +370,10 @@
                     break
         async with asyncio.timeout(self.dial_timeout):
             loop = asyncio.get_running_loop()
-            _, line = await loop.create_connection(Line, pool.address.host, pool.address.port)
+            _, line = await loop.create_connection(BackendConnection, pool.address.host, pool.address.port)
         return line
 
-    def give_back(self, pool: Pool, line: Line) -> None:
+    def give_back(self, pool: ConnectionPool, line: BackendConnection) -> None:
         loop = asyncio.get_running_loop()
         line.rested_at = loop.time() + REST
         line.expiry = loop.call_later(self.keep, self.drop, pool, line)
--- a/cleatyoke/http/body_limits.py
+++ b/cleatyoke/http/body_limits.py
@@ -20,7 +20,7 @@
     return grace + size / SLOWEST
 
 
-class Room:
+class BodyMemory:
     """The memory that bodies share, ``total`` bytes. Each body takes what it holds beyond ``WHOLE`` step by
     step. One of them, the first that was ever told to wait, may always go on to ``most``: what that needs is
     kept free of the others, so they cannot block each other half read."""
--- a/cleatyoke/http/load_probes.py
+++ b/cleatyoke/http/load_probes.py
@@ -9,19 +9,21 @@
 import math
 
 from cleatyoke.core import Core
-from cleatyoke.http.backends import Boxes
+from cleatyoke.http.backends import BackendPools
 from cleatyoke.process.faults import Faults, keep_up
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.load_probes import Prober
+from cleatyoke.scheduling.events import UtilizationReported
+from cleatyoke.scheduling.load_probes import LoadProber
 
 SLEEP = 0.5  # seconds between looks while there is nothing to ask
 AGAIN = 1.0  # seconds until the duty is taken up again after a fault of our own
 
 
-class Probes:
+class LoadProbeRunner:
     """The duty of one front. ``within``: seconds for one probe, its connection included."""
 
-    def __init__(self, core: Core, boxes: Boxes, prober: Prober, within: float, faults: Faults) -> None:
+    def __init__(
+        self, core: Core, boxes: BackendPools, prober: LoadProber, within: float, faults: Faults
+    ) -> None:
         self.core, self.boxes, self.prober, self.within, self.faults = core, boxes, prober, within, faults
         self.told = 1.0
         self.task: asyncio.Task[None] | None = None
@@ -45,4 +47,4 @@
             busy = self.prober.busy(self.core.now())
             if not math.isclose(busy, self.told):
                 self.told = busy
-                self.core.tell(api.Busy(busy))
+                self.core.tell(UtilizationReported(busy))
--- a/cleatyoke/http/messages.py
+++ b/cleatyoke/http/messages.py
@@ -15,7 +15,8 @@
 from multidict import CIMultiDictProxy
 
 from cleatyoke.config.deployment import Address, Config
-from cleatyoke.scheduling import api
+from cleatyoke.scheduling.events import AttemptOutcome
+from cleatyoke.scheduling.settings import Idempotency
 
 MOST_WHOLE = 64 * 1024  # bytes of an answer's body that is read whole; a longer one passes on as it comes
 MOST_ANSWER = 64 * 1024 * 1024  # bytes of the longest body of a box's answer: twice what boxes send
@@ -32,16 +33,16 @@
 KEY = "Idempotency-Key"
 
 
-class BadMessage(ValueError):
+class MessageError(ValueError):
     """A message that cannot be taken; the text names the faulty field."""
 
 
-class BadKey(BadMessage):
+class IdempotencyKeyError(MessageError):
     """A request whose ``Idempotency-Key`` is missing or cannot be passed on as it is."""
 
 
 @dataclass(slots=True)
-class Ask:
+class ClientRequest:
     """A client's request."""
 
     trace: str
@@ -63,55 +64,55 @@
     """A number of a header; only digits, as int() alone would take signs, blanks and underscores."""
     digits = (text or "").removeprefix("-")
     if not digits.isascii() or not digits.isalnum():
-        raise BadMessage(f"{name}: want a number, found {text!r}")
+        raise MessageError(f"{name}: want a number, found {text!r}")
     try:
         value = int(text or "", base)
     except ValueError as error:
-        raise BadMessage(f"{name}: want a number, found {text!r}") from error
+        raise MessageError(f"{name}: want a number, found {text!r}") from error
     if not least <= value <= most:
-        raise BadMessage(f"{name}: {value} is not within {least} to {most}")
+        raise MessageError(f"{name}: {value} is not within {least} to {most}")
     return value
 
 
 def hex16(text: str | None, name: str) -> int:
     if len(text or "") != 16:
-        raise BadMessage(f"{name}: want 16 hex digits, found {text!r}")
+        raise MessageError(f"{name}: want 16 hex digits, found {text!r}")
     return whole(text, name, 0, (1 << 64) - 1, 16)
 
 
 def decode_ask(
     config: Config, method: str, target: str, headers: CIMultiDictProxy[str], body: list[bytes]
-) -> Ask:
+) -> ClientRequest:
     """Strictly: of what could be read in two ways, a box may read another one."""
     target = origin_form(target)
     for name in FIELDS:
         if len(headers.getall(name, ())) > 1:
-            raise BadMessage(f"{name}: given twice")
+            raise MessageError(f"{name}: given twice")
     trace = headers.get("X-Trace-Id", "")
     if not VISIBLE.fullmatch(trace) or len(trace) > MOST_ID:
-        raise BadMessage(f"X-Trace-Id: want an id, found {trace!r}")
+        raise MessageError(f"X-Trace-Id: want an id, found {trace!r}")
     if not VISIBLE.fullmatch(target):
-        raise BadMessage("target: want visible ASCII characters")
+        raise MessageError("target: want visible ASCII characters")
     kind, plan = headers.get("X-Qos", ""), headers.get("X-Plan", "")
     if kind not in config.classes:
-        raise BadMessage(f"X-Qos: unknown class {kind!r}")
+        raise MessageError(f"X-Qos: unknown class {kind!r}")
     if plan not in config.plans:
-        raise BadMessage(f"X-Plan: unknown plan {plan!r}")
+        raise MessageError(f"X-Plan: unknown plan {plan!r}")
     blocks = parse_qs(target.partition("?")[2]).get("block", [])
     pairs = [part.strip().partition("=")[::2] for part in headers.get("X-IO", "").split(",")]
     fields = dict(pairs)
     if len(blocks) != 1:
-        raise BadMessage("block: want one")
+        raise MessageError("block: want one")
     if len(fields) != len(pairs):
-        raise BadMessage("X-IO: a field is given twice")
+        raise MessageError("X-IO: a field is given twice")
     if method == "GET" and body:
-        raise BadMessage("Content-Length: a read has no body")
-    index, largest = config.classes[kind], int(config.settings.largest) or 1 << 20
+        raise MessageError("Content-Length: a read has no body")
+    index, largest = config.classes[kind], int(config.settings.max_request_units) or 1 << 20
     said = config.writes[index] if index < len(config.writes) else None
     if said not in (None, method == "PUT"):
-        raise BadMessage(f"X-Qos: {kind!r} does not go with {method}")
+        raise MessageError(f"X-Qos: {kind!r} does not go with {method}")
     wait = whole(headers.get("X-Expires-In-Ms"), "X-Expires-In-Ms", 0, LONGEST_WAIT_MS) / 1000
-    return Ask(
+    return ClientRequest(
         trace=trace,
         method=method,
         target=target,
@@ -124,21 +125,21 @@
         hosts=whole(fields.get("hosts"), "X-IO hosts", 1, 1 << 20),
         wait=min(wait, config.give_up[index]),  # a longer word would hold a box's slot for as long
         body=body,
-        key=read_key(headers, config.settings.classes[index].repeat),
+        key=read_key(headers, config.settings.classes[index].idempotency),
     )
 
 
-def read_key(headers: CIMultiDictProxy[str], repeat: api.Repeat) -> str | None:
+def read_key(headers: CIMultiDictProxy[str], repeat: Idempotency) -> str | None:
     """The ``Idempotency-Key``, which a keyed class carries and which passes on unchanged (protocol page,
     Clients to fronts). Without it, or with one that a box may read in another way, a repeat would run twice:
     a ``BadKey``. Other classes may carry one too."""
     keys = headers.getall(KEY, [])
-    if not keys and repeat is not api.Repeat.KEYED:
+    if not keys and repeat is not Idempotency.KEYED:
         return None
     if len(keys) != 1:
-        raise BadKey(f"{KEY}: want one, found {len(keys)}")
+        raise IdempotencyKeyError(f"{KEY}: want one, found {len(keys)}")
     if not VISIBLE.fullmatch(keys[0]) or len(keys[0]) > MOST_KEY:
-        raise BadKey(f"{KEY}: want up to {MOST_KEY} visible ASCII characters")
+        raise IdempotencyKeyError(f"{KEY}: want up to {MOST_KEY} visible ASCII characters")
     return keys[0]
 
 
@@ -151,7 +152,7 @@
     return slash + rest
 
 
-def encode_attempt(ask: Ask, box: Address, wait: float) -> list[bytes]:
+def encode_attempt(ask: ClientRequest, box: Address, wait: float) -> list[bytes]:
     """An attempt as it is written, piece by piece; method, target, id, key and body pass on as they are."""
     host = f"[{box.host}]" if ":" in box.host else box.host
     size = sum(map(len, ask.body))
@@ -164,12 +165,12 @@
     return [head + b"".join(ask.body)] if size <= MOST_WHOLE else [head, *ask.body]
 
 
-class SpoiltAnswer(Exception):
+class MalformedAnswerError(Exception):
     """What came is no answer, or not the whole of one. Its request may have run."""
 
 
 @dataclass(slots=True)
-class Answer:
+class BackendAnswer:
     """A box's answer: the whole of it, or of a long one the head and what came with it."""
 
     status: int
@@ -195,16 +196,16 @@
         self.left = 0  # bytes of a long body of a known length that are still to come
         self.ended = self.clean = False  # the body is whole; and nothing came behind it
 
-    def feed(self, data: bytes) -> Answer | None:
+    def feed(self, data: bytes) -> BackendAnswer | None:
         """Take in bytes; returns the answer once it is whole."""
         self.buffer += data
         while self.message is None:
             if not self.buffer.startswith(b"HTTP/1."[: len(self.buffer)]):
-                raise SpoiltAnswer("no answer")
+                raise MalformedAnswerError("no answer")
             end = self.buffer.find(b"\r\n\r\n", 0, MOST_HEAD) + 4
             if end < 4:
                 if len(self.buffer) >= MOST_HEAD:
-                    raise SpoiltAnswer("its head does not end")
+                    raise MalformedAnswerError("its head does not end")
                 return None
             head = bytes(self.buffer[:end])
             del self.buffer[:end]
@@ -220,20 +221,22 @@
             return None
         return self.whole(bytes(self.buffer[: self.length]), len(self.buffer) == self.length)
 
-    def begin_long(self) -> Answer:
+    def begin_long(self) -> BackendAnswer:
         assert self.message
         data = bytes(self.buffer)
         self.buffer.clear()
         if self.message.code != 200:  # its head says all
-            return Answer(self.message.code, self.message.headers, b"", False)
-        return Answer(self.message.code, self.message.headers, self.more(data), False, self.length, True)
+            return BackendAnswer(self.message.code, self.message.headers, b"", False)
+        return BackendAnswer(
+            self.message.code, self.message.headers, self.more(data), False, self.length, True
+        )
 
     def more(self, data: bytes) -> bytes:
         """The next bytes of a long body; ``ended`` tells when it is whole, ``clean`` that nothing follows."""
         if self.until_close:
             self.chunk_bytes += len(data)
             if self.chunk_bytes > MOST_ANSWER:
-                raise SpoiltAnswer("too large")
+                raise MalformedAnswerError("too large")
             return data
         if self.length is None:
             self.parse_chunks(data)
@@ -245,7 +248,7 @@
         self.ended, self.clean = not self.left, len(data) == len(part)
         return part
 
-    def at_close(self) -> Answer | None:
+    def at_close(self) -> BackendAnswer | None:
         """The connection has ended in order: the whole of an answer that ends with it, if it is one."""
         if not self.until_close or self.message is None:
             return None
@@ -266,14 +269,14 @@
         try:
             messages, upgraded, _ = parser.feed_data(head)
         except (HttpProcessingError, ValueError) as error:
-            raise SpoiltAnswer("its head cannot be read") from error
+            raise MalformedAnswerError("its head cannot be read") from error
         if len(messages) != 1 or upgraded:
-            raise SpoiltAnswer("its head is none of this protocol")
+            raise MalformedAnswerError("its head is none of this protocol")
         message, payload = messages[0]
         if 100 <= message.code < 200:
             self.early += 1
             if self.early > MOST_EARLY:
-                raise SpoiltAnswer("too many answers in front")
+                raise MalformedAnswerError("too many answers in front")
             return
         length = message.headers.get("Content-Length")
         if message.chunked:
@@ -283,12 +286,12 @@
         elif length is None and "close" in message.headers.get("Connection", "").lower():
             self.until_close = True  # RFC 9112, 6.3: without a length it ends with its connection
         elif length is None or not length.isdecimal() or int(length) > MOST_ANSWER:
-            raise SpoiltAnswer("its length is missing or too large")
+            raise MalformedAnswerError("its length is missing or too large")
         else:
             self.length = int(length)
         self.message = message
 
-    def read_chunks(self) -> Answer | None:
+    def read_chunks(self) -> BackendAnswer | None:
         assert self.chunks is not None
         data = bytes(self.buffer)
         self.buffer.clear()
@@ -307,23 +310,23 @@
         except (HttpProcessingError, ValueError) as error:
             self.clean = False  # spoilt, or noise behind the whole answer
             if not self.chunks.is_eof() or self.chunks.exception():
-                raise SpoiltAnswer("its chunks cannot be read") from error
+                raise MalformedAnswerError("its chunks cannot be read") from error
         if self.chunk_bytes > 2 * MOST_ANSWER or self.chunks.total_bytes > MOST_ANSWER:
-            raise SpoiltAnswer("too large")
+            raise MalformedAnswerError("too large")
 
-    def whole(self, body: bytes, clean: bool) -> Answer:
+    def whole(self, body: bytes, clean: bool) -> BackendAnswer:
         assert self.message
         self.ended, self.clean = True, clean
-        return Answer(self.message.code, self.message.headers, body, self.reusable(), len(body))
+        return BackendAnswer(self.message.code, self.message.headers, body, self.reusable(), len(body))
 
 
-def decode_outcome(status: int, headers: Mapping[str, str]) -> api.Outcome:
+def decode_outcome(status: int, headers: Mapping[str, str]) -> AttemptOutcome:
     """What an answer's head says of its attempt; only an express word proves that it never ran."""
     if status == 200:
-        return api.Outcome.SERVED
+        return AttemptOutcome.SERVED
     if status in (503, 504) and headers.get("X-Never-Ran") == "1":
-        return api.Outcome.FULL
-    return api.Outcome.ERROR
+        return AttemptOutcome.QUEUE_FULL
+    return AttemptOutcome.ERROR
 
 
 def decode_elsewhere(headers: Mapping[str, str]) -> float:
@@ -349,6 +352,6 @@
     return f"GET /metrics/load HTTP/1.1\r\nHost: {host}:{box.port}\r\n\r\n".encode("ascii")
 
 
-def decode_probe(answer: Answer) -> float | None:
+def decode_probe(answer: BackendAnswer) -> float | None:
     """The part of its power that a probed box reports in use; None where no report can be read."""
     return decode_report(answer.body[:MOST_REPORT].decode("latin-1")) if answer.status == 200 else None
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -14,14 +14,20 @@
 from aiohttp.http import RawRequestMessage
 from aiohttp.web_protocol import RequestHandler
 
-from cleatyoke.admin.maintenance import Drain
+from cleatyoke.admin.maintenance import FrontDrain
 from cleatyoke.config.deployment import Address, Config
-from cleatyoke.core import ATTEMPT_MARGIN, Core, Ending, Failed, May, Refused, Served
+from cleatyoke.core import ATTEMPT_MARGIN, AttemptResult, Core, Failed, MayBegin, Rejected, Served
 from cleatyoke.http import body_limits as bodies
-from cleatyoke.http.backends import Boxes, LongBody
-from cleatyoke.http.messages import Ask, BadKey, BadMessage, SpoiltAnswer, decode_ask
-from cleatyoke.scheduling import api
-from cleatyoke.transport.sockets import Listener, PartingTransport, ended, unread
+from cleatyoke.http.backends import BackendPools, StreamedBody
+from cleatyoke.http.messages import (
+    ClientRequest,
+    IdempotencyKeyError,
+    MalformedAnswerError,
+    MessageError,
+    decode_ask,
+)
+from cleatyoke.scheduling.events import RequestArrived
+from cleatyoke.transport.sockets import ClosingTransport, Listener, ended, unread
 
 # Of clients the settings tell only how long they wait for an answer, and the protocol page nothing of how
 # long they keep a connection: these times are about descriptors and bad clients, and cost no request taken.
@@ -42,14 +48,14 @@
 log = structlog.get_logger()
 
 
-class TooLong(Exception):
+class HeadTooLongError(Exception):
     """A body that is longer than any that is taken."""
 
 
-class Client(RequestHandler):
+class ClientConnection(RequestHandler):
     """A client's connection: aiohttp's, and the guards that it lacks against clients that behave badly."""
 
-    def __init__(self, front: Front, **settings: Any) -> None:
+    def __init__(self, front: HttpServer, **settings: Any) -> None:
         super().__init__(front.server, loop=front.core.loop, **settings)
         self.front = front
         self.came = self._loop.time()
@@ -60,7 +66,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        parting = PartingTransport(transport, self, self.front.parts, self.front.parted)
+        parting = ClosingTransport(transport, self, self.front.parts, self.front.parted)
         super().connection_made(parting)
         self.front.idle[self] = self.came
 
@@ -122,7 +128,7 @@
         self.front.forget(self)
         transport = self.transport
         self.force_close()
-        if isinstance(transport, PartingTransport) and transport.flushed():
+        if isinstance(transport, ClosingTransport) and transport.flushed():
             transport.end()
             self.front.parted(transport)
 
@@ -158,25 +164,32 @@
         return response
 
 
-class Front:
+class HttpServer:
     """One listener. ``handle`` is the whole life of a message."""
 
     def __init__(
-        self, config: Config, core: Core, boxes: Boxes, ready: Callable[[], bool], drain: Drain | None = None
+        self,
+        config: Config,
+        core: Core,
+        boxes: BackendPools,
+        ready: Callable[[], bool],
+        drain: FrontDrain | None = None,
     ) -> None:
         self.config, self.core, self.boxes, self.ready = config, core, boxes, ready
-        self.drain, self.figures = drain or Drain(), boxes.figures
+        self.drain, self.figures = drain or FrontDrain(), boxes.figures
         self.sweeper: asyncio.TimerHandle | None = None
         self.most_clients = config.shares.clients
         self.last_answer, self.closing = math.inf, False
-        self.space = bodies.Room(config.body_bytes)
+        self.space = bodies.BodyMemory(config.body_bytes)
         self.server = web.Server(
             self.handle, request_factory=self.make_request, handler_cancellation=True
         )  # a client that closes is withdrawn
-        self.clients: set[Client] = set()
-        self.silent: dict[Client, None] = {}  # without a message so far, the oldest first
-        self.idle: dict[Client, float] = {}  # without a message in hand: since when, the longest first
-        self.parting: dict[PartingTransport, float] = {}  # answered, not closed yet: since when
+        self.clients: set[ClientConnection] = set()
+        self.silent: dict[ClientConnection, None] = {}  # without a message so far, the oldest first
+        self.idle: dict[
+            ClientConnection, float
+        ] = {}  # without a message in hand: since when, the longest first
+        self.parting: dict[ClosingTransport, float] = {}  # answered, not closed yet: since when
         self.taken: set[str] = set()  # ids of open requests, and of those just over
         self.over: deque[tuple[float, str]] = deque()  # when to forget which of them
         self.listener: Listener | None = None
@@ -222,8 +235,8 @@
                 return True
         return False
 
-    def admit(self) -> Client:
-        client = Client(
+    def admit(self) -> ClientConnection:
+        client = ClientConnection(
             self,
             keepalive_timeout=IDLE,
             access_log=None,
@@ -237,19 +250,19 @@
         self.silent[client] = None
         return client
 
-    def spoke(self, client: Client) -> None:
+    def spoke(self, client: ClientConnection) -> None:
         """A message has come whole enough to be taken: the connection can't be evicted before its answer."""
         self.silent.pop(client, None)
         self.idle.pop(client, None)
 
-    def forget(self, client: Client) -> None:
+    def forget(self, client: ClientConnection) -> None:
         self.clients.discard(client)
         self.spoke(client)
 
-    def parts(self, transport: PartingTransport) -> None:
+    def parts(self, transport: ClosingTransport) -> None:
         self.parting[transport] = self.core.loop.time()
 
-    def parted(self, transport: PartingTransport) -> None:
+    def parted(self, transport: ClosingTransport) -> None:
         self.parting.pop(transport, None)
 
     def open(self) -> int:
@@ -262,7 +275,7 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         client = request.protocol
-        assert isinstance(client, Client)
+        assert isinstance(client, ClientConnection)
         client.take()
         name = request.headers.get("X-Qos", "") if request.path == "/api" else ""
         counted = name in self.config.classes
@@ -282,7 +295,7 @@
             response.force_close()  # Connection: close
         return response
 
-    def ends(self, request: web.BaseRequest, client: Client) -> bool:
+    def ends(self, request: web.BaseRequest, client: ClientConnection) -> bool:
         """Whether the connection ends with this answer.
 
         Guards against clients that ask once and keep their connection for good: they would soon hold all
@@ -292,7 +305,7 @@
         leaving = self.closing or self.drain.draining
         return crowded or leaving or not request.content.is_eof() or client.crowded()
 
-    async def gather(self, request: web.BaseRequest, client: Client) -> list[bytes]:
+    async def gather(self, request: web.BaseRequest, client: ClientConnection) -> list[bytes]:
         """The body in the pieces that came. It is read only as fast as there is room for it in memory."""
         pieces: list[bytes] = []
         size, began, waited, spared = 0, self.core.loop.time(), 0.0, False
@@ -311,13 +324,13 @@
                 return pieces
             size += len(piece)
             if size > self.space.most:
-                raise TooLong
+                raise HeadTooLongError
             pieces.append(piece)
             while not self.space.take(client, size):  # the client is held up meanwhile, and loses nothing
                 await asyncio.sleep(LOOK)
                 waited += LOOK
 
-    async def answer(self, request: web.BaseRequest, client: Client) -> web.StreamResponse:
+    async def answer(self, request: web.BaseRequest, client: ClientConnection) -> web.StreamResponse:
         path = request.path
         if path == "/up":
             return web.Response(status=200 if self.drain.says_up(self.ready()) else 503)
@@ -338,15 +351,15 @@
                     request.writer.output_size = 0  # it is no part of the answer
                 ask.body = await self.gather(request, client)
             if ask.body and ask.method == "GET":
-                raise BadMessage("Content-Length: a read has no body")
+                raise MessageError("Content-Length: a read has no body")
         except TimeoutError:
             return web.Response(status=408)
-        except TooLong:
+        except HeadTooLongError:
             return web.Response(status=413)
         except web.RequestPayloadError:
             return web.Response(status=400, text="unreadable body\n")
-        except BadMessage as error:
-            if isinstance(error, BadKey):
+        except MessageError as error:
+            if isinstance(error, IdempotencyKeyError):
                 log.warning("key_refused", why=str(error))
             return web.Response(status=400, text=f"{error}\n")
         if client.crowded():
@@ -364,24 +377,24 @@
             self.over.append((self.core.now() + REMEMBERED, ask.trace))
 
     async def schedule(
-        self, ask: Ask, deadline: float, request: web.BaseRequest, client: Client
+        self, ask: ClientRequest, deadline: float, request: web.BaseRequest, client: ClientConnection
     ) -> web.StreamResponse:
         """One request through the core: an attempt is one exchange with a box."""
 
-        async def attempt(node: int, may: May) -> Ending[bytes | LongBody]:
+        async def attempt(node: int, may: MayBegin) -> AttemptResult[bytes | StreamedBody]:
             until = deadline - ATTEMPT_MARGIN - self.core.offset
             return await self.boxes.attempt(node, ask, until, lambda: may() and not client.gone())
 
-        arrival = api.Arrival(
-            request=self.core.new_id(),
+        arrival = RequestArrived(
+            request_id=self.core.new_id(),
             class_index=ask.class_index,
-            plan=ask.plan,
-            volume=ask.volume,
+            plan_index=ask.plan,
+            volume_id=ask.volume,
             item=ask.item,
-            cell=ask.cell,
+            shard=ask.cell,
             units=ask.units,
             deadline=deadline,
-            hosts=ask.hosts,
+            front_count=ask.hosts,
         )
         try:
             async with asyncio.timeout(None) as client.turn:
@@ -393,17 +406,19 @@
         finally:
             client.turn = None
         match served:
-            case Served(LongBody() as body):
+            case Served(StreamedBody() as body):
                 return await self.pass_on(body, request, client)
             case Served(body):
                 return web.Response(body=body)
-            case Refused(wait):
+            case Rejected(wait):
                 advice = {"Retry-After": f"{wait:.3f}"} if wait > 0 else None
                 return web.Response(status=503, headers=advice)
             case Failed():
                 return web.Response(status=502)
 
-    async def pass_on(self, body: LongBody, request: web.BaseRequest, client: Client) -> web.StreamResponse:
+    async def pass_on(
+        self, body: StreamedBody, request: web.BaseRequest, client: ClientConnection
+    ) -> web.StreamResponse:
         """A long answer, each piece as it comes. Where the box does not give the whole of it, the connection
         ends, so that the client can tell."""
         response = web.StreamResponse()
@@ -418,7 +433,7 @@
             while piece := await body.read():
                 await response.write(piece)
             await response.write_eof()
-        except SpoiltAnswer as error:
+        except MalformedAnswerError as error:
             log.info("answer_cut", why=str(error))
             response[CUT] = True
             if request.transport:
--- a/cleatyoke/membership/conclusions.py
+++ b/cleatyoke/membership/conclusions.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cleatyoke.membership.wire import Id, Rumour, State
+from cleatyoke.membership.wire import MemberId, MemberState, Update
 
 FRESH = 2.0  # seconds for which one that was heard directly is certainly up, as far as anything is certain
 
@@ -20,15 +20,15 @@
 class Known:
     """A life as a view holds it, and when it was last heard directly."""
 
-    rumour: Rumour
+    rumour: Update
     heard: float
 
 
 @dataclass(slots=True, frozen=True)
 class Conclusion:
-    certainly_up: frozenset[Id]  # errs low: heard a moment ago
-    perhaps_up: frozenset[Id]  # errs high: not proven to be over; those that are certainly up too
-    certainly_stopped: frozenset[Id]  # errs low: by its own word, or by its start anew
+    certainly_up: frozenset[MemberId]  # errs low: heard a moment ago
+    perhaps_up: frozenset[MemberId]  # errs high: not proven to be over; those that are certainly up too
+    certainly_stopped: frozenset[MemberId]  # errs low: by its own word, or by its start anew
     count: int  # fronts, by name, that may be at work: never under the true number
 
     def may_use(self, whole: float) -> float:
@@ -36,7 +36,7 @@
         return whole / self.count
 
 
-def conclude(me: Rumour, known: Iterable[Known], hosts: int, now: float) -> Conclusion:
+def conclude(me: Update, known: Iterable[Known], hosts: int, now: float) -> Conclusion:
     """``hosts``: how many fronts the settings state. The count is never under it, as a front that started
     beyond a cut is in nobody's view here: so nobody may start more fronts than the settings state."""
     lives = list(known)
@@ -49,11 +49,11 @@
     for one in lives:
         rumour = one.rumour
         anew = rumour.alone and by_address[(rumour.id.name, rumour.address)] > rumour.id.boot
-        if rumour.state is State.LEFT or anew:
+        if rumour.state is MemberState.LEFT or anew:
             stopped.add(rumour.id)
             continue
         perhaps.add(rumour.id)
-        if rumour.state is State.ALIVE and one.heard + FRESH >= now:
+        if rumour.state is MemberState.ALIVE and one.heard + FRESH >= now:
             up.add(rumour.id)
     names = {id.name for id in perhaps}
     return Conclusion(frozenset(up), frozenset(perhaps), frozenset(stopped), max(hosts, len(names)))
--- a/cleatyoke/membership/interface.py
+++ b/cleatyoke/membership/interface.py
@@ -7,11 +7,11 @@
 from enum import Enum
 from typing import Protocol
 
-from cleatyoke.membership.wire import Grant, Id, Want
+from cleatyoke.membership.wire import LeaseGrant, LeaseRequest, MemberId
 
 
 @dataclass(slots=True, frozen=True)
-class Timing:
+class MembershipTiming:
     """Seconds, or times them."""
 
     period: float = 0.5  # between two probes by one life
@@ -33,14 +33,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class DatagramReceived:
     """A datagram came."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class ExchangeRequested:
     """A peer has sent its whole view by stream, and waits for ours; ``token`` names the stream."""
 
     token: int
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
+class ExchangeAnswered:
     """What came of an ``Exchange``: the peer's view, or None."""
 
     address: str
@@ -56,31 +56,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Leave:
+class LeaveRequested:
     """This life is to end in order, and uses nothing more: others may count it as stopped by this word."""
 
 
 @dataclass(slots=True, frozen=True)
-class Remembered:
+class IncarnationRemembered:
     """A boot number of our name that a life before used, as the disk told once this one had begun."""
 
     boot: int
 
 
-Event = Heard | Asked | Answered | Leave | Remembered
+MembershipEvent = (
+    DatagramReceived | ExchangeRequested | ExchangeAnswered | LeaveRequested | IncarnationRemembered
+)
 
 
 # Actions
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class SendDatagram:
     address: str
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Exchange:
+class StartExchange:
     """Send this by stream, and bring back what is answered."""
 
     address: str
@@ -88,7 +90,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reply:
+class ReplyExchange:
     token: int
     data: bytes
 
@@ -106,30 +108,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class MembershipChanged:
     change: Change
-    id: Id
+    id: MemberId
     by: str = ""
 
 
 @dataclass(slots=True, frozen=True)
-class Deliver:
+class DeliverBody:
     """A message that is not for the view: of this life, which sent it under this id."""
 
-    sender: Id
-    body: Want | Grant
+    sender: MemberId
+    body: LeaseRequest | LeaseGrant
 
 
-Action = Send | Exchange | Reply | Told | Deliver
+MembershipAction = SendDatagram | StartExchange | ReplyExchange | MembershipChanged | DeliverBody
 
 
-class Store(Protocol):
+class ReplicatedStore(Protocol):
     """What goes along with every exchange of views."""
 
     def digest(self) -> int: ...
 
     def dump(self) -> bytes: ...
 
-    def load(self, sender: Id, data: bytes) -> bool: ...
+    def load(self, sender: MemberId, data: bytes) -> bool: ...
 
-    def lacks(self, life: Id) -> bool: ...
+    def lacks(self, life: MemberId) -> bool: ...
--- a/cleatyoke/membership/member_records.py
+++ b/cleatyoke/membership/member_records.py
@@ -6,16 +6,16 @@
 import zlib
 from dataclasses import dataclass, field
 
-from cleatyoke.membership.wire import Id, Rumour, State
+from cleatyoke.membership.wire import MemberId, MemberState, Update
 
-HEARD_OF = (State.ALIVE, State.SUSPECT)
+HEARD_OF = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 @dataclass(slots=True)
-class Life:
+class MemberRecord:
     """A life as this one knows it."""
 
-    rumour: Rumour
+    rumour: Update
     since: float  # of its state here
     accusers: set[str] = field(default_factory=set)
     heard: float = -math.inf  # directly, by a datagram or stream of its own
@@ -27,7 +27,7 @@
 class Probe:
     """A ping of our own that has no answer yet."""
 
-    target: Id
+    target: MemberId
     ask_at: float
     over_at: float
     asked: int = 0  # helpers
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class MembershipCounters:
     """Counted from the start of this life."""
 
     datagrams_out: int = 0
@@ -59,11 +59,11 @@
     refused: dict[str, int] = field(default_factory=dict)  # messages not taken, by reason
 
 
-def rank(rumour: Rumour) -> tuple[bool, int, int]:
+def rank(rumour: Update) -> tuple[bool, int, int]:
     """Of two rumours of one life the greater holds. Leaving is by its own word and final; else its own count
     decides, which only it raises, and at one count the graver state."""
-    return rumour.state is State.LEFT, rumour.count, int(rumour.state)
+    return rumour.state is MemberState.LEFT, rumour.count, int(rumour.state)
 
 
-def mark_of(rumour: Rumour) -> int:
+def mark_of(rumour: Update) -> int:
     return zlib.crc32(f"{rumour.id.name}:{rumour.id.boot}:{rumour.count}".encode())
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -20,38 +20,38 @@
 from collections.abc import Iterable, Iterator, Sequence
 
 from cleatyoke.membership.interface import (
-    Action,
-    Answered,
-    Asked,
     Change,
-    Deliver,
-    Event,
-    Exchange,
-    Heard,
-    Leave,
-    Remembered,
-    Reply,
-    Send,
-    Store,
-    Timing,
-    Told,
+    DatagramReceived,
+    DeliverBody,
+    ExchangeAnswered,
+    ExchangeRequested,
+    IncarnationRemembered,
+    LeaveRequested,
+    MembershipAction,
+    MembershipChanged,
+    MembershipEvent,
+    MembershipTiming,
+    ReplicatedStore,
+    ReplyExchange,
+    SendDatagram,
+    StartExchange,
 )
-from cleatyoke.membership.member_records import HEARD_OF, Life, RelayedPing, mark_of, rank
+from cleatyoke.membership.member_records import HEARD_OF, MemberRecord, RelayedPing, mark_of, rank
 from cleatyoke.membership.probing import UNHEALTHY, Probing
 from cleatyoke.membership.wire import (
     Ack,
-    Ask,
     Body,
     Datagram,
     Gossip,
-    Grant,
-    Id,
+    LeaseGrant,
+    LeaseRequest,
+    MemberId,
+    MemberState,
     Nack,
     Ping,
-    Refused,
-    Rumour,
-    State,
-    Want,
+    PingRequest,
+    Update,
+    WireError,
     decode_datagram,
     decode_view,
     encode_datagram,
@@ -65,7 +65,7 @@
 NOTED = 32  # rumours at the most that are looked at for one datagram
 
 
-class Members(Probing):
+class Membership(Probing):
     """One life's view of the fleet."""
 
     def __init__(
@@ -76,24 +76,24 @@
         address: str,
         seeds: Sequence[str],
         rng: random.Random,
-        timing: Timing | None = None,
+        timing: MembershipTiming | None = None,
         alone: bool = False,
     ) -> None:
-        super().__init__(Id(name, boot), address, rng, timing or Timing())
+        super().__init__(MemberId(name, boot), address, rng, timing or MembershipTiming())
         self.deployment, self.alone = deployment, alone
         self.seeds = list(seeds)
         self.count = self.settings = 0
-        self.store: Store | None = None
+        self.store: ReplicatedStore | None = None
         self.push_until = -math.inf  # until when those are sought that lack what was done here
         self.joined = False
         self.leaving = self.left = False
         self.due = -math.inf
         self.shift = 0.0  # seconds by which the clock that we are given went back
-        self.actions: list[Action] = []
+        self.actions: list[MembershipAction] = []
 
     # The step
 
-    def step(self, now: float, events: Iterable[Event] = ()) -> list[Action]:
+    def step(self, now: float, events: Iterable[MembershipEvent] = ()) -> list[MembershipAction]:
         """Take in events and whatever is due. Times are of a monotonic clock; should one jump back, it
         goes on here from where it was."""
         self.actions, self.news = [], []
@@ -154,7 +154,7 @@
         self.now = now
         self.count += 1
         self.queue[self.id] = 0
-        self.actions.append(Told(Change.AWAY, self.id))
+        self.actions.append(MembershipChanged(Change.AWAY, self.id))
         self.next["gossip"] = self.next["sync"] = now
 
     def work(self) -> None:
@@ -171,7 +171,7 @@
             if now >= self.suspicion_ends(life):
                 self.figures.deaths += 1
                 old = life.rumour
-                self.believe(Rumour(id, old.address, State.DEAD, old.count, old.alone))
+                self.believe(Update(id, old.address, MemberState.DEAD, old.count, old.alone))
         while self.over and now >= self.lives[first := next(iter(self.over))].since + timing.forget:
             del self.over[first], self.lives[first]
             self.queue.pop(first, None)
@@ -215,10 +215,12 @@
     def rise(self, boot: int) -> None:
         """Another life of our name has this boot number or a higher one: ours is an old one that came back.
         Give it up, by our own word, and go beyond."""
-        self.keep(Life(Rumour(self.id, self.address, State.LEFT, self.count, self.alone), self.now))
-        self.id, self.count = Id(self.id.name, boot + 1), 0
+        self.keep(
+            MemberRecord(Update(self.id, self.address, MemberState.LEFT, self.count, self.alone), self.now)
+        )
+        self.id, self.count = MemberId(self.id.name, boot + 1), 0
         self.queue[self.id] = 0
-        self.actions.append(Told(Change.RENAMED, self.id))
+        self.actions.append(MembershipChanged(Change.RENAMED, self.id))
 
     def leave(self) -> None:
         """Tell several at once, as the process may end directly after; then as rumours are told."""
@@ -252,33 +254,33 @@
 
     # Messages
 
-    def take(self, event: Event) -> None:
+    def take(self, event: MembershipEvent) -> None:
         try:
             match event:
-                case Heard(data):
+                case DatagramReceived(data):
                     self.figures.datagrams_in += 1
                     self.figures.bytes_in += len(data)
                     self.hear(decode_datagram(self.deployment, data))
-                case Asked(token, data):
+                case ExchangeRequested(token, data):
                     self.figures.bytes_in += len(data)
                     view = decode_view(self.deployment, data)
                     self.merge(view.sender, view.lives, not self.joined)
                     self.load(view.sender.id, view.copies)
                     answer = self.view()
-                    self.actions.append(Reply(token, answer))
+                    self.actions.append(ReplyExchange(token, answer))
                     self.figures.bytes_out += len(answer)
-                case Answered(_, data) if data is not None:
+                case ExchangeAnswered(_, data) if data is not None:
                     self.figures.bytes_in += len(data)
                     view = decode_view(self.deployment, data)
                     first, self.joined = not self.joined, True
                     self.merge(view.sender, view.lives, first)
                     self.load(view.sender.id, view.copies)
-                case Leave():
+                case LeaveRequested():
                     self.leave()
-                case Remembered(boot):
+                case IncarnationRemembered(boot):
                     if boot >= self.id.boot:
                         self.rise(boot)
-        except Refused as refused:
+        except WireError as refused:
             reason = str(refused)
             self.figures.refused[reason] = self.figures.refused.get(reason, 0) + 1
 
@@ -307,7 +309,7 @@
                     self.compare(there, sender.address)
                 else:  # it took us for an earlier life: now it knows better
                     self.send(sender.address, Gossip(), sender.id)
-            case Ask(number, target, address):
+            case PingRequest(number, target, address):
                 self.number += 1
                 self.relayed[self.number] = RelayedPing(
                     sender.address, number, self.now + self.timing.answer, self.now + self.timing.period
@@ -317,8 +319,8 @@
                 self.probes[number].nacks += 1
             case Ack(number):
                 self.acked(number)
-            case Want() | Grant():
-                self.actions.append(Deliver(sender.id, body))
+            case LeaseRequest() | LeaseGrant():
+                self.actions.append(DeliverBody(sender.id, body))
         self.warn(life, sender)
 
     def swap(self, address: str) -> None:
@@ -328,14 +330,14 @@
             self.next["swap"] = self.now + self.timing.departed
             self.exchange(address)
 
-    def load(self, sender: Id, copies: bytes) -> None:
+    def load(self, sender: MemberId, copies: bytes) -> None:
         """What came along with a view; news are passed on at once, to a few."""
         if self.store is None or not copies or sender == self.id:
             return
         try:
             news = self.store.load(sender, copies)
         except ValueError as error:
-            raise Refused(f"copies {error}") from error
+            raise WireError(f"copies {error}") from error
         if news:
             self.news_at = self.now
             there = self.there()
@@ -369,16 +371,16 @@
         if there != self.there_sum() and self.now >= self.news_at + QUIET * self.timing.period:
             self.swap(address)
 
-    def warn(self, life: Life, sender: Rumour) -> None:
+    def warn(self, life: MemberRecord, sender: Update) -> None:
         """Tell it first what is believed of it, that it may refute; once in a while only: two that believe
         each other dead, of which one cannot refute, would answer each other without end, and each datagram
         that a link doubles would start another such exchange."""
-        doubted = life.rumour.state is not State.ALIVE and rank(life.rumour) > rank(sender)
+        doubted = life.rumour.state is not MemberState.ALIVE and rank(life.rumour) > rank(sender)
         if doubted and self.now >= life.warned + self.timing.answer:
             life.warned = self.now
             self.send(sender.address, Gossip(), sender.id)
 
-    def merge(self, sender: Rumour, lives: list[Rumour], first: bool) -> None:
+    def merge(self, sender: Update, lives: list[Update], first: bool) -> None:
         """A whole view. Who is dead in it may be so for its sender alone, as after a cut: it is suspected
         here, and may refute. ``first``: nobody has told us anything before, so that a higher boot number of
         our name is not our successor's in an upgrade, but says that ours is an old one that came back."""
@@ -390,62 +392,66 @@
         if first and highest > self.id.boot:
             self.rise(highest)
         for one in lives:
-            if one.state is State.DEAD and one.id in self.present:
-                one = Rumour(one.id, one.address, State.SUSPECT, one.count, one.alone, sender.id.name)
+            if one.state is MemberState.DEAD and one.id in self.present:
+                one = Update(one.id, one.address, MemberState.SUSPECT, one.count, one.alone, sender.id.name)
             self.believe(one)
 
-    def believe(self, rumour: Rumour) -> None:
+    def believe(self, rumour: Update) -> None:
         """Merge one rumour, and tell it on where it is news."""
         if rumour.id == self.id:
             return self.refute(rumour)
         life = self.lives.get(rumour.id)
         if life is None:
-            life = Life(rumour, self.now)
+            life = MemberRecord(rumour, self.now)
             self.keep(life)
-            if rumour.state is State.SUSPECT:
+            if rumour.state is MemberState.SUSPECT:
                 life.accusers.add(rumour.by)
             if rumour.state in HEARD_OF:
-                self.actions.append(Told(Change.JOINED, rumour.id, rumour.by))
+                self.actions.append(MembershipChanged(Change.JOINED, rumour.id, rumour.by))
                 place = self.rng.randrange(len(self.round) + 1)
                 self.round.insert(place, rumour.id)
             return
         old = life.rumour
-        if rumour.count < old.count and rumour.state is not State.LEFT:
+        if rumour.count < old.count and rumour.state is not MemberState.LEFT:
             return  # the most frequent case by far: old news
         if rank(rumour) > rank(old):
             self.changed(life, old, rumour)
-        elif rank(rumour) == rank(old) and rumour.state is State.SUSPECT and self.accuses(life, rumour.by):
+        elif (
+            rank(rumour) == rank(old)
+            and rumour.state is MemberState.SUSPECT
+            and self.accuses(life, rumour.by)
+        ):
             life.accusers.add(rumour.by)  # told on, as it shortens the suspicion
             life.rumour = rumour
             self.keep(life)
 
-    def changed(self, life: Life, old: Rumour, rumour: Rumour) -> None:
+    def changed(self, life: MemberRecord, old: Update, rumour: Update) -> None:
         life.rumour = rumour
         self.keep(life)
-        if rumour.state is State.SUSPECT and old.state is State.SUSPECT:
+        if rumour.state is MemberState.SUSPECT and old.state is MemberState.SUSPECT:
             life.accusers, life.since = {rumour.by}, self.now
             return
         if rumour.state is old.state:
             return
-        life.since, life.accusers = self.now, {rumour.by} if rumour.state is State.SUSPECT else set()
+        life.since, life.accusers = self.now, {rumour.by} if rumour.state is MemberState.SUSPECT else set()
         change = {
-            State.ALIVE: Change.RETURNED,
-            State.SUSPECT: Change.SUSPECTED,
-            State.DEAD: Change.DIED,
-            State.LEFT: Change.LEFT,
+            MemberState.ALIVE: Change.RETURNED,
+            MemberState.SUSPECT: Change.SUSPECTED,
+            MemberState.DEAD: Change.DIED,
+            MemberState.LEFT: Change.LEFT,
         }[rumour.state]
-        if old.state is State.DEAD and rumour.state in HEARD_OF:
+        if old.state is MemberState.DEAD and rumour.state in HEARD_OF:
             self.figures.false_deaths += 1
         if rumour.state in HEARD_OF and old.state not in HEARD_OF:
             self.round.insert(self.rng.randrange(len(self.round) + 1), rumour.id)
-        self.actions.append(Told(change, rumour.id, rumour.by))
+        self.actions.append(MembershipChanged(change, rumour.id, rumour.by))
 
-    def refute(self, rumour: Rumour) -> None:
+    def refute(self, rumour: Update) -> None:
         """Somebody doubts us: go beyond its count. What is said of us with a count that we never gave comes
         from a life whose memory we lost: beyond that too."""
-        if self.leaving or (rumour.state is State.ALIVE and rumour.count <= self.count):
+        if self.leaving or (rumour.state is MemberState.ALIVE and rumour.count <= self.count):
             return
-        if rumour.state is State.LEFT:  # not by our word: what left never returns under its number
+        if rumour.state is MemberState.LEFT:  # not by our word: what left never returns under its number
             self.rise(self.id.boot)
             return
         if rumour.count >= self.count:
@@ -456,22 +462,22 @@
 
     # Telling
 
-    def me(self) -> Rumour:
-        state = State.LEFT if self.leaving else State.ALIVE
-        return Rumour(self.id, self.address, state, self.count, self.alone, "", self.settings)
+    def me(self) -> Update:
+        state = MemberState.LEFT if self.leaving else MemberState.ALIVE
+        return Update(self.id, self.address, state, self.count, self.alone, "", self.settings)
 
-    def rumour_of(self, id: Id) -> Rumour:
+    def rumour_of(self, id: MemberId) -> Update:
         return self.me() if id == self.id else self.lives[id].rumour
 
-    def to_tell(self, first: Id | None) -> Iterator[Id]:
+    def to_tell(self, first: MemberId | None) -> Iterator[MemberId]:
         """Whose rumours go with a datagram: its receiver's own if it is in doubt, then those told least."""
-        if first in self.lives and self.lives[first].rumour.state is not State.ALIVE:
+        if first in self.lives and self.lives[first].rumour.state is not MemberState.ALIVE:
             yield first
         first_in = itertools.islice(self.queue, 4 * NOTED)
         waiting = sorted(first_in, key=self.queue.__getitem__)[:NOTED]
         yield from (id for id in waiting if id != first and (id in self.lives or id == self.id))
 
-    def send(self, address: str, body: Body, receiver: Id | None = None) -> None:
+    def send(self, address: str, body: Body, receiver: MemberId | None = None) -> None:
         chosen = list(self.to_tell(receiver))
         rumours = [self.rumour_of(id) for id in chosen]
         data, used = encode_datagram(self.deployment, self.me(), body, rumours)
@@ -483,9 +489,9 @@
                     del self.queue[id]
         self.figures.datagrams_out += 1
         self.figures.bytes_out += len(data)
-        self.actions.append(Send(address, data))
+        self.actions.append(SendDatagram(address, data))
 
-    def post(self, receiver: Id, body: Want | Grant) -> list[Action]:
+    def post(self, receiver: MemberId, body: LeaseRequest | LeaseGrant) -> list[MembershipAction]:
         """Send to a life what is not for the view; nothing where it is not there."""
         self.actions = []
         if receiver in self.present and not self.left:
@@ -506,7 +512,7 @@
     def exchange(self, address: str) -> None:
         data = self.view()
         self.figures.bytes_out += len(data)
-        self.actions.append(Exchange(address, data))
+        self.actions.append(StartExchange(address, data))
 
     def view(self) -> bytes:
         copies = self.store.dump() if self.store else b""
--- a/cleatyoke/membership/probing.py
+++ b/cleatyoke/membership/probing.py
@@ -6,32 +6,32 @@
 import math
 import random
 
-from cleatyoke.membership.interface import Timing
-from cleatyoke.membership.member_records import HEARD_OF, Figures, Life, Probe, RelayedPing
-from cleatyoke.membership.suspicion import ACCUSERS, Beliefs
-from cleatyoke.membership.wire import Ack, Ask, Body, Id, Ping, Rumour, State
+from cleatyoke.membership.interface import MembershipTiming
+from cleatyoke.membership.member_records import HEARD_OF, MemberRecord, MembershipCounters, Probe, RelayedPing
+from cleatyoke.membership.suspicion import ACCUSERS, MemberTable
+from cleatyoke.membership.wire import Ack, Body, MemberId, MemberState, Ping, PingRequest, Update
 
 UNHEALTHY = 8  # most that local health counts
 
 
-class Probing(Beliefs):
+class Probing(MemberTable):
     """``send``, ``believe`` and ``there_sum`` are the member's own."""
 
-    def __init__(self, id: Id, address: str, rng: random.Random, timing: Timing) -> None:
+    def __init__(self, id: MemberId, address: str, rng: random.Random, timing: MembershipTiming) -> None:
         super().__init__(timing)
         self.id, self.address, self.rng = id, address, rng
-        self.figures = Figures()
-        self.round: list[Id] = []  # whom to probe in this round, the next one last
+        self.figures = MembershipCounters()
+        self.round: list[MemberId] = []  # whom to probe in this round, the next one last
         self.probes: dict[int, Probe] = {}
         self.relayed: dict[int, RelayedPing] = {}
         self.number = 0
         self.health = 0  # 0: well; more, and this life doubts itself rather than others
         self.next: dict[str, float] = {}
 
-    def send(self, address: str, body: Body, receiver: Id | None = None) -> None:
+    def send(self, address: str, body: Body, receiver: MemberId | None = None) -> None:
         raise NotImplementedError
 
-    def believe(self, rumour: Rumour) -> None:
+    def believe(self, rumour: Update) -> None:
         raise NotImplementedError
 
     def there_sum(self) -> int:
@@ -49,7 +49,7 @@
         if self.round:
             self.probe(self.round.pop())
 
-    def probe(self, id: Id) -> None:
+    def probe(self, id: MemberId) -> None:
         self.number += 1
         slack = 1 + self.health
         self.probes[self.number] = Probe(
@@ -67,7 +67,7 @@
             self.health = min(UNHEALTHY, self.health + (missed if probe.asked else 1))
             self.figures.suspicions += 1
             old = life.rumour
-            self.believe(Rumour(old.id, old.address, State.SUSPECT, old.count, old.alone, self.id.name))
+            self.believe(Update(old.id, old.address, MemberState.SUSPECT, old.count, old.alone, self.id.name))
         elif self.now >= probe.ask_at and not probe.asked:
             self.ask_others(number, probe, life.rumour.address)
 
@@ -75,7 +75,7 @@
         helpers = [id for id in self.there() if id != probe.target]
         chosen = self.rng.sample(helpers, min(self.timing.helpers, len(helpers)))
         for id in chosen:
-            self.send(self.lives[id].rumour.address, Ask(number, probe.target, address))
+            self.send(self.lives[id].rumour.address, PingRequest(number, probe.target, address))
         probe.asked = len(chosen)
         if not chosen:
             probe.ask_at = probe.over_at
@@ -103,7 +103,7 @@
                 self.send(self.lives[id].rumour.address, Ping(self.number, id, self.there_sum()), id)
             return
 
-    def suspicion_ends(self, life: Life) -> float:
+    def suspicion_ends(self, life: MemberRecord) -> float:
         """Long with one accuser, shorter with each further one (Lifeguard's logarithm)."""
         timing, size = self.timing, len(self.lives) + 1
         least = timing.suspicion * timing.period * max(1.0, math.log10(size))
--- a/cleatyoke/membership/wire.py
+++ b/cleatyoke/membership/wire.py
@@ -26,7 +26,7 @@
 Count = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
 
 
-class State(enum.IntEnum):
+class MemberState(enum.IntEnum):
     """In the order of what overrides what at one count."""
 
     ALIVE = 0
@@ -35,19 +35,19 @@
     LEFT = 3  # by its own word: certain
 
 
-class Id(msgspec.Struct, array_like=True, frozen=True, order=True):
+class MemberId(msgspec.Struct, array_like=True, frozen=True, order=True):
     """A life of a front: its name and its boot number, which only rises from one life to the next."""
 
     name: Text
     boot: Count
 
 
-class Rumour(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class Update(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What somebody says of a life. ``count`` is the life's own: only it counts on, to refute a rumour."""
 
-    id: Id
+    id: MemberId
     address: Text
-    state: State
+    state: MemberState
     count: Count
     alone: bool = False  # it holds the address of its name, which no earlier life can then
     by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # who accuses it, where it is suspected
@@ -59,7 +59,7 @@
     sum of whom the sender believes there."""
 
     number: Count
-    target: Id
+    target: MemberId
     there: Count
 
 
@@ -67,11 +67,11 @@
     number: Count
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag="ask", forbid_unknown_fields=True):
+class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask", forbid_unknown_fields=True):
     """Ping ``target`` for me (SWIM's ping-req)."""
 
     number: Count
-    target: Id
+    target: MemberId
     address: Text
 
 
@@ -85,7 +85,7 @@
     """Nothing but the rumours that come with it."""
 
 
-class Want(msgspec.Struct, array_like=True, frozen=True, tag="want", forbid_unknown_fields=True):
+class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag="want", forbid_unknown_fields=True):
     """Lend me so many parts, in place of all that you lent me of this by a lower number. 0: I hold nothing of
     yours from here on."""
 
@@ -94,7 +94,7 @@
     parts: Annotated[int, msgspec.Meta(ge=0, le=1 << 20)]
 
 
-class Grant(msgspec.Struct, array_like=True, frozen=True, tag="grant", forbid_unknown_fields=True):
+class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="grant", forbid_unknown_fields=True):
     """The answer to a ``Want`` of this number, fewer or none, maybe. ``spare``: what I could lend yet."""
 
     resource: Text
@@ -103,37 +103,37 @@
     spare: Annotated[int, msgspec.Meta(ge=0, le=HOME)]
 
 
-Body = Ping | Ack | Ask | Nack | Gossip | Want | Grant
+Body = Ping | Ack | PingRequest | Nack | Gossip | LeaseRequest | LeaseGrant
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     deployment: Text
     version: Count
-    sender: Rumour
+    sender: Update
     body: Body
-    rumours: Annotated[list[Rumour], msgspec.Meta(max_length=64)]
+    rumours: Annotated[list[Update], msgspec.Meta(max_length=64)]
 
 
-class View(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class FullState(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """All that a life knows, for an exchange by stream."""
 
     deployment: Text
     version: Count
-    sender: Rumour
-    lives: Annotated[list[Rumour], msgspec.Meta(max_length=MOST_LIVES)]
+    sender: Update
+    lives: Annotated[list[Update], msgspec.Meta(max_length=MOST_LIVES)]
     copies: Annotated[bytes, msgspec.Meta(max_length=MOST_COPIES)] = b""
 
 
-class Refused(ValueError):
+class WireError(ValueError):
     """A message that is not taken; the text is the reason, one of a few words."""
 
 
 datagrams = msgspec.msgpack.Decoder(Datagram)
-views = msgspec.msgpack.Decoder(View)
+views = msgspec.msgpack.Decoder(FullState)
 encoder = msgspec.msgpack.Encoder()
 
 
-def encode_datagram(deployment: str, sender: Rumour, body: Body, rumours: list[Rumour]) -> tuple[bytes, int]:
+def encode_datagram(deployment: str, sender: Update, body: Body, rumours: list[Update]) -> tuple[bytes, int]:
     """The datagram, and how many of the rumours, from the first on, had room in it."""
     head = len(encoder.encode(Datagram(deployment, VERSION, sender, body, []))) + 3 + SUM  # and its length's
     used, size = 0, head
@@ -152,9 +152,9 @@
 def unsealed(data: bytes, most: int) -> bytes:
     """A bit that flipped on the way could say of a life that it left, which is final."""
     if len(data) > most:
-        raise Refused("too long")
+        raise WireError("too long")
     if len(data) <= SUM or zlib.crc32(data[:-SUM]) != int.from_bytes(data[-SUM:], "big"):
-        raise Refused("corrupt")
+        raise WireError("corrupt")
     return data[:-SUM]
 
 
@@ -162,26 +162,26 @@
     try:
         message = datagrams.decode(unsealed(data, MOST_DATAGRAM))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Refused("unreadable") from error
+        raise WireError("unreadable") from error
     check(deployment, message.deployment, message.version)
     return message
 
 
-def encode_view(deployment: str, sender: Rumour, lives: list[Rumour], copies: bytes = b"") -> bytes:
-    return sealed(encoder.encode(View(deployment, VERSION, sender, lives[:MOST_LIVES], copies)))
+def encode_view(deployment: str, sender: Update, lives: list[Update], copies: bytes = b"") -> bytes:
+    return sealed(encoder.encode(FullState(deployment, VERSION, sender, lives[:MOST_LIVES], copies)))
 
 
-def decode_view(deployment: str, data: bytes) -> View:
+def decode_view(deployment: str, data: bytes) -> FullState:
     try:
         message = views.decode(unsealed(data, MOST_STREAM))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Refused("unreadable") from error
+        raise WireError("unreadable") from error
     check(deployment, message.deployment, message.version)
     return message
 
 
 def check(ours: str, theirs: str, version: int) -> None:
     if theirs != ours:
-        raise Refused("foreign")
+        raise WireError("foreign")
     if version != VERSION:
-        raise Refused("version")
+        raise WireError("version")
--- a/cleatyoke/middleware.py
+++ b/cleatyoke/middleware.py
@@ -11,18 +11,17 @@
 from aiohttp import web
 from aiohttp.typedefs import Handler, Middleware
 
-from cleatyoke.core import Core, Ending, May, Refused, Served
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import Outcome
+from cleatyoke.core import AttemptResult, Core, MayBegin, Rejected, Served
+from cleatyoke.scheduling.events import AttemptOutcome, RequestArrived
 
 NODE = web.RequestKey("node", int)
 
 
-class NeverRan(Exception):
+class NeverExecutedError(Exception):
     """Raised by a handler that is certain to have had no effect, such as one whose node turned it away."""
 
 
-def scheduled(core: Core, describe: Callable[[web.Request], Awaitable[api.Arrival | None]]) -> Middleware:
+def scheduled(core: Core, describe: Callable[[web.Request], Awaitable[RequestArrived | None]]) -> Middleware:
     @web.middleware
     async def middleware(request: web.Request, handler: Handler) -> web.StreamResponse:
         ask = await describe(request)
@@ -30,24 +29,26 @@
             return await handler(request)
         last: web.StreamResponse | None = None
 
-        async def attempt(node: int, may: May) -> Ending[web.StreamResponse]:
+        async def attempt(node: int, may: MayBegin) -> AttemptResult[web.StreamResponse]:
             nonlocal last
             if not may():
-                return Ending(Outcome.NOT_SENT)
+                return AttemptResult(AttemptOutcome.NOT_SENT)
             request[NODE] = node
             try:
                 last = await handler(request)
-            except NeverRan:
-                return Ending(Outcome.FULL)
+            except NeverExecutedError:
+                return AttemptResult(AttemptOutcome.QUEUE_FULL)
             except web.HTTPException as error:
                 last = error
             begun = last.prepared  # what has begun to reach the client cannot be made anew
-            return Ending(Outcome.SERVED if last.status < 500 or begun else Outcome.ERROR, last)
+            return AttemptResult(
+                AttemptOutcome.SERVED if last.status < 500 or begun else AttemptOutcome.ERROR, last
+            )
 
         match await core.serve(ask, attempt):
             case Served(response) if response is not None:
                 last = response
-            case Refused(wait):
+            case Rejected(wait):
                 return web.Response(status=503, headers={"Retry-After": f"{wait:.3f}"} if wait > 0 else None)
         if isinstance(last, web.HTTPException):
             raise last
--- a/cleatyoke/process/faults.py
+++ b/cleatyoke/process/faults.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from cleatyoke.process.metrics import Figures
+from cleatyoke.process.metrics import Metrics
 
 log = structlog.get_logger()
 
@@ -21,7 +21,7 @@
 class Faults:
     """Counts and tells the exceptions that nothing foresaw."""
 
-    def __init__(self, figures: Figures) -> None:
+    def __init__(self, figures: Metrics) -> None:
         self.figures = figures
 
     def told(self, event: str, error: BaseException | None, **facts: Any) -> None:
@@ -51,7 +51,7 @@
             self.told("step_fault", error, step=name)
 
 
-class Beat:
+class Watchdog:
     """Calls ``act`` every so many seconds on the loop, for good: a call that raises is told and the next one
     comes all the same. asyncio's timers end with their first exception."""
 
--- a/cleatyoke/process/handover.py
+++ b/cleatyoke/process/handover.py
@@ -17,8 +17,9 @@
 
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.process.faults import Beat, Faults
-from cleatyoke.scheduling import api
+from cleatyoke.process.faults import Faults, Watchdog
+from cleatyoke.scheduling.events import EndpointUpdate, QuotaShareChanged, SchedulerEvent, UpdateKind
+from cleatyoke.scheduling.settings import SchedulerSettings
 
 NAME = "cleatyoke-holds.json"
 LOOK = 0.25  # seconds between looks at the file
@@ -35,7 +36,7 @@
         self.mutex = threading.Lock()
         self.seen: tuple[int, int] | None = None
         self.shared: Callable[[str, bool], None] | None = None  # hears of calls here
-        self.beat = Beat(faults, "holds", LOOK, self.look)
+        self.beat = Watchdog(faults, "holds", LOOK, self.look)
 
     def start(self) -> None:
         self.beat.start()
@@ -71,7 +72,7 @@
     def tell(self, names: list[str]) -> None:
         """On the loop: the policy and the box pools hear of holds taken or given back."""
         if entries := self.directory.changed(names):
-            self.core.tell(api.NodeList(api.ListKind.CHANGES, entries))
+            self.core.tell(EndpointUpdate(UpdateKind.DELTA, entries))
 
     def change(self, name: str, disable: bool) -> bool:
         """From the control thread: the hold holds for the box client at once, and for the policy soon."""
@@ -121,7 +122,7 @@
         return self.change(name, False)
 
 
-class Lives:
+class SiblingProcesses:
     """The processes of this front that live at once, as during an upgrade: each leaves a mark in ``$TMPDIR``,
     and while others live, each may use only its part of every limit. A mark of a process that died is passed
     over.
@@ -129,19 +130,19 @@
     Made at the start, it tells the settings what this process may use from when: where an older one lives, no
     part of the slack, as that one has it, and nothing of the time before that one has heard of this."""
 
-    def __init__(self, folder: Path, settings: api.Settings, faults: Faults, began: float) -> None:
+    def __init__(self, folder: Path, settings: SchedulerSettings, faults: Faults, began: float) -> None:
         self.folder = folder
         self.mark = folder / f"{MARK}{os.getpid()}"
-        self.beat = Beat(faults, "lives", LIVES, self.count)
-        self.tell: Callable[[api.Event], None] = lambda event: None
+        self.beat = Watchdog(faults, "lives", LIVES, self.count)
+        self.tell: Callable[[SchedulerEvent], None] = lambda event: None
         try:
             self.mark.write_text("")
         except OSError as error:
             log.warning("life_not_marked", why=str(error))
         others = self.others()
         self.part = 1.0 / (1 + others)
-        settings.limit_share, settings.taken_over = self.part, others > 0
-        settings.quiet_since = time.time() + HEARD if others else began
+        settings.initial_quota_share, settings.replaces_process = self.part, others > 0
+        settings.idle_since = time.time() + HEARD if others else began
 
     def others(self) -> int:
         alive = 0
@@ -163,9 +164,9 @@
         if part != self.part:
             self.part = part
             log.info("limits_shared", share=part)
-            self.tell(api.Shared(part))
+            self.tell(QuotaShareChanged(part))
 
-    def start(self, tell: Callable[[api.Event], None]) -> None:
+    def start(self, tell: Callable[[SchedulerEvent], None]) -> None:
         """``tell``: how the policy hears of a change."""
         self.tell = tell
         self.beat.start()
--- a/cleatyoke/process/logs.py
+++ b/cleatyoke/process/logs.py
@@ -8,7 +8,7 @@
 import structlog
 
 
-def set_up_log() -> None:
+def configure_logging() -> None:
     """Once, before the first line."""
     structlog.configure(
         processors=[
--- a/cleatyoke/process/metrics.py
+++ b/cleatyoke/process/metrics.py
@@ -14,7 +14,7 @@
     return "busy" if status in (429, 503) else "failure"
 
 
-class Figures:
+class Metrics:
     """Counted from the start of the process. Written on the loop; read from any thread, as a copy."""
 
     def __init__(self) -> None:
--- a/cleatyoke/scheduling/load_probes.py
+++ b/cleatyoke/scheduling/load_probes.py
@@ -11,7 +11,7 @@
 import math
 import random
 
-from cleatyoke.scheduling import api
+from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.random_rounds import RandomRounds
 
 PERIOD = 1.0  # seconds between two probes of a node, of all hosts together
@@ -20,7 +20,7 @@
 ENOUGH = 3  # reports by which a mean counts, or one of each node where there are fewer
 
 
-class Prober:
+class LoadProber:
     """One host's probes. Times are seconds on the caller's clock."""
 
     def __init__(self, hosts: int, ramp: float, seed: int) -> None:
@@ -31,20 +31,20 @@
         self.reports: dict[int, tuple[float, float]] = {}  # node: when it was asked, part of its power in use
         self.at = -math.inf  # of the latest probe
 
-    def listed(self, news: api.NodeList) -> None:
-        if news.kind in (api.ListKind.FULL, api.ListKind.OLD_COPY):
-            listed = {entry.node for entry in news.entries}
+    def listed(self, news: EndpointUpdate) -> None:
+        if news.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
+            listed = {entry.node_id for entry in news.endpoints}
             for node in [node for node in (*self.warm, *self.ramp_ends) if node not in listed]:
                 self.forget(node)
-        for entry in news.entries:
-            if entry.state is not api.NodeState.LIVE:
-                self.forget(entry.node)
-            elif entry.up_since > 0:
-                self.warm.discard(entry.node)
-                self.ramp_ends[entry.node] = entry.up_since + self.ramp
+        for entry in news.endpoints:
+            if entry.state is not EndpointState.LIVE:
+                self.forget(entry.node_id)
+            elif entry.started_at > 0:
+                self.warm.discard(entry.node_id)
+                self.ramp_ends[entry.node_id] = entry.started_at + self.ramp
             else:
-                self.ramp_ends.pop(entry.node, None)
-                self.warm.add(entry.node)
+                self.ramp_ends.pop(entry.node_id, None)
+                self.warm.add(entry.node_id)
 
     def forget(self, node: int) -> None:
         self.warm.discard(node)
--- a/cleatyoke/scheduling/records.py
+++ b/cleatyoke/scheduling/records.py
@@ -6,19 +6,20 @@
 from collections import defaultdict, deque
 from heapq import heappop, heappush
 
-from cleatyoke.scheduling import api
+from cleatyoke.scheduling.events import Endpoint, RequestArrived
+from cleatyoke.scheduling.settings import RequestClass
 
 
 class Request:
     """A request that is owed an answer, or has attempts out."""
 
     def __init__(
-        self, event: api.Arrival, kind: api.ClassSpec, hosts: int, volume: Volume, now: float
+        self, event: RequestArrived, kind: RequestClass, hosts: int, volume: Volume, now: float
     ) -> None:
-        self.ask, self.id, self.index, self.cell = event, event.request, event.class_index, event.cell
+        self.ask, self.id, self.index, self.cell = event, event.request_id, event.class_index, event.shard
         self.hosts, self.volume = hosts, volume  # the volume and how many hosts it uses
         self.kind, self.units, self.deadline = kind, max(event.units, 1e-9), event.deadline
-        self.item = (event.volume, event.class_index, event.item)  # what a client's repeat has the same
+        self.item = (event.volume_id, event.class_index, event.item)  # what a client's repeat has the same
         self.arrived, self.aim_at = now, math.inf  # of the first try that it belongs to
         self.key = event.item if kind.ordered else None
         self.full = 0.0  # units sent on the reserve
@@ -53,8 +54,8 @@
         "zone",
     )
 
-    def __init__(self, entry: api.NodeEntry, classes: int, depth: float, queued: float, spare: float) -> None:
-        self.id, self.cell, self.zone = entry.node, entry.cell, entry.zone
+    def __init__(self, entry: Endpoint, classes: int, depth: float, queued: float, spare: float) -> None:
+        self.id, self.cell, self.zone = entry.node_id, entry.shard, entry.zone
         self.up_since, self.live = 0.0, True
         self.depth, self.answered = depth, 0.0
         self.queued, self.pace = queued, 0.0  # mean wait there, and seconds of service a unit
@@ -62,7 +63,7 @@
         self.out = [0] * classes
         self.split = [1] * classes  # most slots by class; idle nodes share one list
         self.demand = [0.0] * classes
-        self.cold = Store(0.0, 0.0)  # after a start: what this host may send, 0 at most
+        self.cold = TokenBucket(0.0, 0.0)  # after a start: what this host may send, 0 at most
         self.lent = 1.0  # times its even part of what the node bears then, by which hosts lend one another
         self.hold_until, self.failures = 0.0, 0  # nothing is sent before; ends without an answer in a row
         self.wake_at = math.inf  # the next look that is due
@@ -75,7 +76,7 @@
         self.demand += [0.0] * count
 
 
-class Store:
+class TokenBucket:
     """Units that fill up at a rate, to a ceiling at most."""
 
     __slots__ = ("filled", "level")
@@ -88,7 +89,7 @@
         self.filled = now
 
 
-class ShareClock:
+class QuotaClock:
     """Time as the limits' stores count it: it runs as fast as the part of each limit that this process may
     use, so that a store that is looked at after a change has filled by each part for as long as it held."""
 
@@ -105,14 +106,14 @@
 class Volume:
     """This host's part of a volume's reserve and limit."""
 
-    def __init__(self, reserve: Store, limit: Store, part: float = 1.0) -> None:
+    def __init__(self, reserve: TokenBucket, limit: TokenBucket, part: float = 1.0) -> None:
         """``part``: see ``Lending``; the time before counts by it too."""
         self.reserve, self.limit = reserve, limit
-        self.lent = ShareClock(part, limit.filled)  # the limit's time, as its store counts it
+        self.lent = QuotaClock(part, limit.filled)  # the limit's time, as its store counts it
         self.lent.told = limit.filled
         self.others: dict[int, tuple[float, float]] = {}  # cell: units a second by other hosts, when told
         self.due: defaultdict[int, float] = defaultdict(float)  # second of arrival: units still due in full
-        self.shares: dict[int, Store] = {}  # node: this volume's part of its spare rate
+        self.shares: dict[int, TokenBucket] = {}  # node: this volume's part of its spare rate
 
     def forget(self, oldest: float, gone: list[Node]) -> None:
         """What was due to requests that came before, and the shares at nodes that are gone."""
@@ -121,7 +122,7 @@
             self.shares.pop(node.id, None)
 
 
-class Lending:
+class QuotaLeaseFactors:
     """How many times this host's part of a volume's limit counts where hosts lend one another; else 1."""
 
     def __init__(self) -> None:
@@ -141,7 +142,7 @@
             volumes[name].lent.change(part, now)
 
 
-class Agenda:
+class TimerQueue:
     """What to look at, and when: requests, nodes, or the list of nodes (None), earliest first."""
 
     def __init__(self) -> None:
--- a/cleatyoke/scheduling/scheduler.py
+++ b/cleatyoke/scheduling/scheduler.py
@@ -11,20 +11,44 @@
 from collections import deque
 from heapq import heapify, heappop, heapreplace
 
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import Ended, ListKind, NodeState, Outcome, Repeat, Scope
+from cleatyoke.scheduling.actions import (
+    CancelAttempt,
+    FailRequest,
+    Reject,
+    SchedulerAction,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointState,
+    EndpointUpdate,
+    QuotaLeaseChanged,
+    QuotaShareChanged,
+    RequestArrived,
+    SchedulerEvent,
+    SettingsReloaded,
+    SlowStartLeaseChanged,
+    TimerFired,
+    UpdateKind,
+    UtilizationReported,
+)
 from cleatyoke.scheduling.node_table import NodeTable
 from cleatyoke.scheduling.records import (
-    Agenda,
-    Lending,
     Node,
+    QuotaClock,
+    QuotaLeaseFactors,
     Request,
-    ShareClock,
-    Store,
+    TimerQueue,
+    TokenBucket,
     Volume,
     forget_before,
 )
 from cleatyoke.scheduling.regression import GAIN, clamp, fit, short_mean
+from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope, SchedulerSettings
 
 INTERVAL = 1.0  # seconds between control rounds; the paper's two seconds trail a surge
 FIT = 5  # intervals in a slope fit: the design's
@@ -41,13 +65,13 @@
 ROOM_MOST = 2.0  # times its usual rate that a host may count on at a cold node, however idle the nodes are
 SLACK_SHARE = 0.5  # of the settings' slack of a limit, which hosts that start may use at once
 Floats = list[float]  # one for each class
-NEVER_RAN = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+NEVER_RAN = (AttemptOutcome.QUEUE_FULL, AttemptOutcome.CONNECTION_FAILED, AttemptOutcome.NOT_SENT)
 
 
-class Policy:
+class Scheduler:
     """One host's state machine: ``step`` takes the time and the events, and returns the actions."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: SchedulerSettings) -> None:
         count = len(settings.classes)
         self.tune(settings)
         self.busy = 1.0  # mean part of the nodes' power in use, as they report; at first unknown
@@ -57,7 +81,7 @@
         self.table = NodeTable(count, settings.seed)
         self.nodes, self.holder = self.table.nodes, self.table.holder
         self.volumes: dict[int, Volume] = {}
-        self.lending = Lending()
+        self.lending = QuotaLeaseFactors()
         self.keys: dict[int, list[Request]] = {}  # requests of ordered classes, oldest first
         self.key_rest: dict[int | None, float] = {}
         self.tries: dict[tuple[int, int, int | None], tuple[float, float]] = {}  # unserved: came, ended
@@ -67,55 +91,63 @@
         self.asks = list(self.bounds)
         self.history: list[list[tuple[float, float]]] = [[] for _ in range(count)]  # bound, performance
         self.waited, self.answered = [0.0] * count, [0] * count
-        self.agenda = Agenda()
+        self.agenda = TimerQueue()
         self.touched: dict[int, Node] = {}  # nodes that may have something new to choose
         self.doubtful: list[Request] = []  # if still held after this step, is there any use in waiting?
         self.interval_at = self.born = self.bell_at = math.inf
         self.now, self.seen_hosts, self.rng = 0.0, 1, random.Random(settings.seed)
-        self.actions: list[api.Action] = []
-        if settings.must_watch:
+        self.actions: list[SchedulerAction] = []
+        if settings.watches_endpoints:
             self.agenda.add(-math.inf, None)
 
-    def tune(self, settings: api.Settings) -> None:
+    def tune(self, settings: SchedulerSettings) -> None:
         """Take the settings, and what only they decide."""
         self.settings, self.safety = settings, settings.safety
-        self.hosts = settings.hosts if settings.hosts > 0 else math.inf  # unknown: no part of it is even
-        self.worths = [kind.worth for kind in settings.classes]
-        self.queue_aim = QUEUE_SHARE * min(kind.aim for kind in settings.classes)
-        weights = sum(plan.weight for plan in settings.plans) / len(settings.classes) or 1.0
-        self.spare = sum(plan.rate for plan in settings.plans) / weights or 1.0  # also the least
-        self.dearest = max(self.worths) * max(plan.worth for plan in settings.plans) * settings.within_share
-
-    def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
+        self.hosts = (
+            settings.front_count if settings.front_count > 0 else math.inf
+        )  # unknown: no part of it is even
+        self.worths = [kind.priority_weight for kind in settings.classes]
+        self.queue_aim = QUEUE_SHARE * min(kind.latency_objective for kind in settings.classes)
+        weights = sum(plan.fair_share_weight for plan in settings.plans) / len(settings.classes) or 1.0
+        self.spare = sum(plan.base_rate for plan in settings.plans) / weights or 1.0  # also the least
+        self.dearest = (
+            max(self.worths)
+            * max(plan.priority_weight for plan in settings.plans)
+            * settings.unreserved_value
+        )
+
+    def step(self, now: float, events: list[SchedulerEvent]) -> list[SchedulerAction]:
         self.now, self.actions = now, []
         if self.born == math.inf:
             self.born = self.interval_at = now
-            since = self.settings.quiet_since
-            self.share = ShareClock(self.settings.limit_share, now if since is None else min(now, since))
+            since = self.settings.idle_since
+            self.share = QuotaClock(
+                self.settings.initial_quota_share, now if since is None else min(now, since)
+            )
         if now >= self.interval_at + INTERVAL:
             self.control()
         for event in events:
             match event:
-                case api.Woken():
+                case TimerFired():
                     self.bell_at = math.inf
-                case api.NodeList():
+                case EndpointUpdate():
                     self.on_list(event)
-                case api.Arrival():
+                case RequestArrived():
                     self.on_arrival(event)
-                case Ended() if event.request in self.requests:
-                    self.on_ended(event, self.requests[event.request])
-                case api.Withdrawn(name) if name in self.requests:
+                case AttemptFinished() if event.request_id in self.requests:
+                    self.on_ended(event, self.requests[event.request_id])
+                case ClientDisconnected(name) if name in self.requests:
                     self.close(self.requests[name], None)
-                case api.Busy(part):
+                case UtilizationReported(part):
                     self.busy = part
-                case api.Shared(part):
+                case QuotaShareChanged(part):
                     self.share.change(part, now)
-                case api.Lent(volume, part):
+                case QuotaLeaseChanged(volume, part):
                     self.lending.tell(volume, part, self.volumes, self.share.time(now))
-                case api.LentNode(name, part) if node := self.nodes.get(name):
+                case SlowStartLeaseChanged(name, part) if node := self.nodes.get(name):
                     self.bears_at(node)  # what is paid off until now, by the part before
                     node.lent = part
-                case api.Retuned():
+                case SettingsReloaded():
                     self.on_retuned(event)
         while self.agenda.next_at() <= now:
             self.look(self.agenda.take())
@@ -125,12 +157,12 @@
         self.doubtful = []
         if (due := self.agenda.next_at()) < self.bell_at:  # for nothing else: an idle host sleeps
             self.bell_at = due
-            self.actions.append(api.Wake(due - self.now, 0))
+            self.actions.append(SetTimer(due - self.now, 0))
         return self.actions
 
     def look(self, subject: Request | Node | None) -> None:
         if subject is None:
-            self.actions.append(api.Watch())
+            self.actions.append(WatchEndpoints())
         elif isinstance(subject, Request) and subject.out:
             self.call_off_overdue(subject)
         else:
@@ -153,7 +185,9 @@
         performance = [1.0] * len(self.bounds)
         for index, kind in enumerate(self.settings.classes):
             if self.answered[index]:
-                performance[index] = kind.aim * self.answered[index] / max(self.waited[index], 1e-6)
+                performance[index] = (
+                    kind.latency_objective * self.answered[index] / max(self.waited[index], 1e-6)
+                )
                 self.history[index].append((self.bounds[index] * total, performance[index]))
                 del self.history[index][: -FIT - 1]
                 if slope := fit(self.history[index]):
@@ -172,7 +206,10 @@
 
     def clean_up(self) -> None:
         """Forget what no longer matters, so that a long life does not fill the memory."""
-        oldest, idle = self.now - max(kind.aim for kind in self.settings.classes) - 1, self.now - IDLE
+        oldest, idle = (
+            self.now - max(kind.latency_objective for kind in self.settings.classes) - 1,
+            self.now - IDLE,
+        )
         self.volumes = {name: volume for name, volume in self.volumes.items() if volume.reserve.filled > idle}
         gone = self.table.forget_idle(idle)
         for volume in self.volumes.values():
@@ -235,14 +272,20 @@
 
     def queue_time(self, node: Node) -> float:
         """How long a new object would take here, by this host's own answers and backlog."""
-        answer = node.queued + node.pace * self.settings.mean
+        answer = node.queued + node.pace * self.settings.mean_request_units
         return answer * (sum(node.out) + len(self.held.get(node.cell, [])) + 1) / node.depth
 
     def worth(self, request: Request, node: Node) -> float:
         """What a unit earns when sent to this node now; the spare rate keeps volumes within their share."""
         full = still_due(request) / request.units
-        part = (full + (1 - full) * self.settings.within_share) * self.settings.plans[request.ask.plan].worth
-        return request.kind.worth * part * (1.0 if self.timely(request, node) else request.kind.late_share)
+        part = (full + (1 - full) * self.settings.unreserved_value) * self.settings.plans[
+            request.ask.plan_index
+        ].priority_weight
+        return (
+            request.kind.priority_weight
+            * part
+            * (1.0 if self.timely(request, node) else request.kind.late_value)
+        )
 
     def timely(self, request: Request, node: Node) -> bool:
         return self.now + self.answer_time(request, node) <= request.aim_at
@@ -268,8 +311,8 @@
         new = request.cell == -1
         places = request.hosts * (len(self.holder) if new else 1)
         wanted = self.worth(request, node) > 0 and (not new or self.timely(request, node))
-        rate = node.spare * self.settings.plans[request.ask.plan].weight / places * wanted
-        store = request.volume.shares.setdefault(node.id, Store(rate, self.now))
+        rate = node.spare * self.settings.plans[request.ask.plan_index].fair_share_weight / places * wanted
+        store = request.volume.shares.setdefault(node.id, TokenBucket(rate, self.now))
         store.fill(rate, rate, self.now)
         return self.now - min(0.0, store.level) / rate if rate else math.inf
 
@@ -281,7 +324,7 @@
         request.volume.due[int(request.arrived)] -= request.full
         if not request.sends:
             request.volume.limit.level -= request.units
-        elif self.safety.extra_window is not None:
+        elif self.safety.retry_budget_window is not None:
             self.extras.append(self.now)
         self.unhold(request)
         request.out[request.sends] = node, self.now
@@ -289,7 +332,7 @@
         request.sends += 1
         node.out[request.index] += 1
         node.cold.level -= request.units
-        self.actions.append(api.Send(request.id, node.id, self.forgotten_at(request)))
+        self.actions.append(SendAttempt(request.id, node.id, self.forgotten_at(request)))
 
     def unhold(self, request: Request) -> None:
         self.held[request.cell].remove(request)
@@ -298,26 +341,26 @@
 
     # Events
 
-    def on_arrival(self, event: api.Arrival) -> None:
-        if self.safety.extra_window is not None:
+    def on_arrival(self, event: RequestArrived) -> None:
+        if self.safety.retry_budget_window is not None:
             self.taken.append(self.now)
             for cell in self.held:  # the budget has grown, so that held repeats may go
                 self.touch(cell)
-        plan, hosts = self.settings.plans[event.plan], int(clamp(event.hosts, 1, self.hosts))
-        self.seen_hosts = max(self.seen_hosts, event.hosts)
-        part = self.reserve_here(event.volume, plan.reserve, hosts)
-        ceiling = part + self.settings.largest if part else 0.0
-        if event.volume not in self.volumes:
+        plan, hosts = self.settings.plans[event.plan_index], int(clamp(event.front_count, 1, self.hosts))
+        self.seen_hosts = max(self.seen_hosts, event.front_count)
+        part = self.reserve_here(event.volume_id, plan.reserved_rate, hosts)
+        ceiling = part + self.settings.max_request_units if part else 0.0
+        if event.volume_id not in self.volumes:
             since = max(0.0, self.share.time(self.now) - IDLE / 2)  # since when none is used
-            slack = 0.0 if self.settings.taken_over else plan.limit_slack * SLACK_SHARE
-            allowed, early = Store(slack / hosts, since), self.lending.before(event.volume)
-            self.volumes[event.volume] = Volume(Store(ceiling, self.now), allowed, early)
-        volume = self.volumes[event.volume]
+            slack = 0.0 if self.settings.replaces_process else plan.rate_limit_slack * SLACK_SHARE
+            allowed, early = TokenBucket(slack / hosts, since), self.lending.before(event.volume_id)
+            self.volumes[event.volume_id] = Volume(TokenBucket(ceiling, self.now), allowed, early)
+        volume = self.volumes[event.volume_id]
         volume.reserve.fill(part, ceiling, self.now)
         request = Request(event, self.settings.classes[event.class_index], hosts, volume, self.now)
         self.requests[request.id] = request
         tried, ended = self.tries.pop(request.item, (self.now, -math.inf))
-        if self.now - ended <= request.kind.aim:
+        if self.now - ended <= request.kind.latency_objective:
             # A repeat belongs to its first try: its aim still runs, its reserve is drawn. Guards against
             # clients that repeat hard. Harms a new request for a piece of data just after a failed one.
             request.arrived = tried
@@ -325,8 +368,8 @@
             due = min(volume.reserve.level, request.units)
             volume.reserve.level -= due
             volume.due[int(self.now)] += due
-            self.table.due_units[event.cell] = self.table.due_units.get(event.cell, 0.0) + due
-        request.aim_at = min(request.arrived + request.kind.aim, request.deadline)
+            self.table.due_units[event.shard] = self.table.due_units.get(event.shard, 0.0) + due
+        request.aim_at = min(request.arrived + request.kind.latency_objective, request.deadline)
         if request.key is not None:
             self.keys.setdefault(request.key, []).append(request)
         self.held.setdefault(request.cell, []).append(request)
@@ -337,42 +380,48 @@
         """This host's part of a reserve: an even one, or more by what the other hosts leave of theirs, as the
         nodes tell. Guards against reserves unmet where a volume uses its hosts unevenly. Harms for a moment
         where the lead changes, as two hosts then spend the same part."""
-        told = self.volumes[name].others if name in self.volumes and self.settings.tells_others else {}
+        told = (
+            self.volumes[name].others
+            if name in self.volumes and self.settings.reports_usage_by_others
+            else {}
+        )
         even = reserve / hosts
         return max(even, reserve - sum(rate for rate, _ in told.values())) if told else even
 
     def hear_of_others(self, request: Request, node: Node, units: float) -> None:
         """Until more is known, the others are taken to use all of their parts."""
-        plan, told = self.settings.plans[request.ask.plan], request.volume.others
-        rate, last = told.get(node.cell, (plan.reserve * (1 - 1 / request.hosts), self.now))
+        plan, told = self.settings.plans[request.ask.plan_index], request.volume.others
+        rate, last = told.get(node.cell, (plan.reserved_rate * (1 - 1 / request.hosts), self.now))
         span = self.now - last
         if span > 0 or node.cell not in told:
             seen = 1 - math.exp(-span / OTHERS)
             told[node.cell] = rate + (seen * (units / span - rate) if span > 0 else 0.0), self.now
 
-    def on_ended(self, event: Ended, request: Request) -> None:
+    def on_ended(self, event: AttemptFinished, request: Request) -> None:
         if event.attempt not in request.out:
             return
         node, sent = request.out.pop(event.attempt)
         node.out[request.index] -= 1
         self.judge_node(node, event, request, sent)
-        if event.busy is not None:
-            self.busy += GAIN / 4 * (clamp(event.busy, 0.0, 1.0) - self.busy)
-        if event.outcome is Outcome.SERVED:
-            self.hear_of_others(request, node, event.elsewhere)
+        if event.utilization is not None:
+            self.busy += GAIN / 4 * (clamp(event.utilization, 0.0, 1.0) - self.busy)
+        if event.outcome is AttemptOutcome.SERVED:
+            self.hear_of_others(request, node, event.units_by_others)
         self.touch(node.cell)
-        if event.outcome is not Outcome.SERVED:
+        if event.outcome is not AttemptOutcome.SERVED:
             request.volume.due[int(request.arrived)] += request.full
             if event.outcome not in NEVER_RAN:
                 request.ran.append((sent, node))
-                self.key_rest[request.key] = self.now + self.safety.key_rest if request.kind.ordered else 0.0
+                self.key_rest[request.key] = (
+                    self.now + self.safety.ordering_pause if request.kind.ordered else 0.0
+                )
         if event.settled:
-            self.close(request, None, event.outcome is Outcome.SERVED)
+            self.close(request, None, event.outcome is AttemptOutcome.SERVED)
         elif not request.over and not request.out:
             self.held.setdefault(request.cell, []).append(request)
             self.touch(request.cell)
-            once = request.ran and request.kind.repeat is Repeat.ONCE
-            late = event.outcome is Outcome.CANCELLED and not self.timely(request, node)
+            once = request.ran and request.kind.idempotency is Idempotency.NOT_IDEMPOTENT
+            late = event.outcome is AttemptOutcome.CANCELLED and not self.timely(request, node)
             if once or late or request.sends >= self.settings.max_attempts:
                 self.give_up(request)
             self.doubtful.append(request)
@@ -382,30 +431,34 @@
         """How long an attempt may be out, by its node's own record: its aim at least, or a part of that where
         one that was sent later is answered already, as nodes take requests in turn. Past its aim it is waited
         for by what a late answer still earns: nothing, and its slot is better used at once."""
-        least = request.kind.aim * (LOST if node.latest > sent else 1.0)
-        return max(least, OVERDUE * request.kind.late_share * self.answer_time(request, node))
+        least = request.kind.latency_objective * (LOST if node.latest > sent else 1.0)
+        return max(least, OVERDUE * request.kind.late_value * self.answer_time(request, node))
 
     def call_off_overdue(self, request: Request) -> None:
         """An attempt past its patience gives its slot back. Guards against lost answers and hanging nodes.
         Harms where a node turns slow at once. One that must not run again, or only where it ran, fails by
         this: it goes only where its answer seems lost, and past its aim."""
-        once = request.kind.repeat is not Repeat.FREE
-        for attempt, (node, sent) in request.out.items() if self.settings.cancel else ():
+        once = request.kind.idempotency is not Idempotency.IDEMPOTENT
+        for attempt, (node, sent) in request.out.items() if self.settings.can_cancel else ():
             due = sent + self.patience(request, node, sent)
             if once:
-                due = max(due, sent + request.kind.aim) if node.latest > sent else self.now + request.kind.aim
+                due = (
+                    max(due, sent + request.kind.latency_objective)
+                    if node.latest > sent
+                    else self.now + request.kind.latency_objective
+                )
             if due <= self.now:
-                self.actions.append(api.Cancel(request.id, attempt))
+                self.actions.append(CancelAttempt(request.id, attempt))
             elif due < request.deadline:
                 self.agenda.add(due, request)
 
-    def judge_node(self, node: Node, event: Ended, request: Request, sent: float) -> None:
+    def judge_node(self, node: Node, event: AttemptFinished, request: Request, sent: float) -> None:
         """Bound the node's depth by its own latency: gently up while short, down at once when it fails. Where
         one that was sent later is answered already, an answer was lost, and the node has not failed."""
-        if event.outcome is Outcome.SERVED:
+        if event.outcome is AttemptOutcome.SERVED:
             node.latest = max(node.latest, sent)
             gap, node.answered, node.failures = min(1.0, self.now - node.answered), self.now, 0
-            self.tell_service_from_queue(node, event.spent, request, max(GAIN, gap / 2))
+            self.tell_service_from_queue(node, event.elapsed, request, max(GAIN, gap / 2))
             node.done_units += request.units
             self.table.active[node.id] = node
             if node.queued < self.queue_aim or node.depth <= 1:
@@ -415,14 +468,14 @@
                 self.table.deepen(node, max(1.0, node.depth - 0.5 / node.depth))
             elif sum(node.out) + 1 >= int(node.depth):
                 self.table.deepen(node, min(NODE_CAP, node.depth + 1 / node.depth))
-        elif event.outcome in (Outcome.FULL, Outcome.NO_CONNECTION) or (
-            event.spent >= request.kind.aim and node.latest <= sent
+        elif event.outcome in (AttemptOutcome.QUEUE_FULL, AttemptOutcome.CONNECTION_FAILED) or (
+            event.elapsed >= request.kind.latency_objective and node.latest <= sent
         ):
             self.table.deepen(node, max(1.0, node.depth / 2))
             node.failures += 1
             if node.failures > 1:  # in a row: not a lost answer but a slow or silent node
                 served = node.pace * request.units * self.heaviness(request.index)
-                waited = max(node.queued, event.spent - served)
+                waited = max(node.queued, event.elapsed - served)
                 node.queued += min(1.0, GAIN * node.failures) * (waited - node.queued)
             if event.outcome in NEVER_RAN:
                 # Guards the few attempts: dead nodes still listed, full queues. Harms after chance refusals.
@@ -436,17 +489,21 @@
         work = request.units * self.heaviness(index)
         node.pace = short_mean(node.pace or min(one for one in self.paces if one), spent / work)
         queued = max(0.0, spent - node.pace * work)
-        if request.units < self.settings.largest or queued < node.queued:  # may be more than they count
+        if (
+            request.units < self.settings.max_request_units or queued < node.queued
+        ):  # may be more than they count
             node.queued += gain * (queued - node.queued)
 
-    def on_retuned(self, event: api.Retuned) -> None:
+    def on_retuned(self, event: SettingsReloaded) -> None:
         """Classes come and go at run time: a new one starts with an even part of the bounds, one that is gone
         gives its part back. What is under way keeps its class, as the requests hold it themselves."""
         self.tune(event.settings)
         count, fresh = len(event.settings.classes), len(event.settings.classes) - len(self.bounds)
-        even = 1.0 / max(1, count - len(event.retired))
+        even = 1.0 / max(1, count - len(event.retired_classes))
         bounds = self.bounds + [0.0] * fresh
-        parts = [0.0 if index in event.retired else bound or even for index, bound in enumerate(bounds)]
+        parts = [
+            0.0 if index in event.retired_classes else bound or even for index, bound in enumerate(bounds)
+        ]
         self.bounds = [part / (sum(parts) or 1.0) for part in parts]
         self.asks = list(self.bounds)
         self.history = [[] for _ in range(count)]
@@ -454,21 +511,21 @@
         self.paces += [0.0] * fresh
         self.table.add_classes(fresh)
 
-    def on_list(self, event: api.NodeList) -> None:
-        if event.kind is ListKind.LOST:
-            self.agenda.add(self.now + (self.safety.ask_every or INTERVAL) / 4, None)
+    def on_list(self, event: EndpointUpdate) -> None:
+        if event.kind is UpdateKind.UNAVAILABLE:
+            self.agenda.add(self.now + (self.safety.poll_interval or INTERVAL) / 4, None)
             return
-        if event.kind is not ListKind.CHANGES:
-            self.table.unlist_all_but({entry.node for entry in event.entries})
-        for entry in event.entries:
-            if entry.node not in self.nodes:
+        if event.kind is not UpdateKind.DELTA:
+            self.table.unlist_all_but({entry.node_id for entry in event.endpoints})
+        for entry in event.endpoints:
+            if entry.node_id not in self.nodes:
                 depth = max(1.0, NODE_CAP / self.hosts)
                 self.table.add(Node(entry, len(self.bounds), depth, self.queue_aim / 2, self.spare))
-            node = self.nodes[entry.node]
-            self.table.set_live(node, entry.state is NodeState.LIVE)
-            if entry.up_since > node.up_since:  # in debt by chance, so that many hosts do not send as one
-                debt, node.up_since = self.rng.random() * self.settings.mean, entry.up_since
-                node.cold = Store(-debt, self.now)
+            node = self.nodes[entry.node_id]
+            self.table.set_live(node, entry.state is EndpointState.LIVE)
+            if entry.started_at > node.up_since:  # in debt by chance, so that many hosts do not send as one
+                debt, node.up_since = self.rng.random() * self.settings.mean_request_units, entry.started_at
+                node.cold = TokenBucket(-debt, self.now)
         for before in self.table.choose_holders(self.is_cold):
             self.touched.pop(before.id, None)
         for cell in self.held:  # where nothing is held, a new holder has nothing to choose
@@ -492,37 +549,41 @@
 
     def within_group(self, request: Request, node: Node) -> bool:
         """No doubled effect: a keyed request that may have run stays where its repeats are dropped."""
-        if not request.ran or request.kind.repeat is Repeat.FREE:
+        if not request.ran or request.kind.idempotency is Idempotency.IDEMPOTENT:
             return True
         home = request.ran[0][1]
-        known = request.kind.repeat is Repeat.KEYED and self.now <= self.forgotten_at(request)
-        same = {Scope.ALL: True, Scope.ZONE: node.zone == home.zone, Scope.CELL: node.cell == home.cell}
-        return known and same[request.kind.scope]
+        known = request.kind.idempotency is Idempotency.KEYED and self.now <= self.forgotten_at(request)
+        same = {
+            IdempotencyScope.ALL: True,
+            IdempotencyScope.ZONE: node.zone == home.zone,
+            IdempotencyScope.SHARD: node.cell == home.cell,
+        }
+        return known and same[request.kind.idempotency_scope]
 
     def forgotten_at(self, request: Request) -> float:
         """When nodes may forget a keyed request that may have run, and so run it anew."""
-        known = request.ran and request.kind.repeat is Repeat.KEYED
-        return request.ran[0][0] + request.kind.memory - MARGIN if known else math.inf
+        known = request.ran and request.kind.idempotency is Idempotency.KEYED
+        return request.ran[0][0] + request.kind.idempotency_window - MARGIN if known else math.inf
 
     def within_budget_at(self, request: Request) -> float:
         """Attempt budget: sends beyond each request's first, within the window."""
         safety = self.safety
-        if not request.sends or safety.extra_window is None:
+        if not request.sends or safety.retry_budget_window is None:
             return self.now
         for times in (self.taken, self.extras):
-            forget_before(times, self.now - safety.extra_window)
-        allowed = (safety.extra_free or 0.0) + (safety.extra_ratio or 0.0) * len(self.taken)
+            forget_before(times, self.now - safety.retry_budget_window)
+        allowed = (safety.retry_budget_minimum or 0.0) + (safety.retry_budget_ratio or 0.0) * len(self.taken)
         oldest = self.extras[0] if self.extras else math.inf
-        return self.now if len(self.extras) + 1 <= allowed else oldest + safety.extra_window
+        return self.now if len(self.extras) + 1 <= allowed else oldest + safety.retry_budget_window
 
     def within_limit_at(self, request: Request) -> float:
         """Limit: this host's even part of the store. An earlier life may have used it all, so it starts with
         a part of the slack only, and fills from when this process, and so no other life of it, can send."""
-        plan = self.settings.plans[request.ask.plan]
-        if not plan.limit or request.sends:
+        plan = self.settings.plans[request.ask.plan_index]
+        if not plan.rate_limit or request.sends:
             return self.now
-        store, rate, part = request.volume.limit, plan.limit / request.hosts, self.share.part
-        lent, ceiling = request.volume.lent, plan.limit_burst * part / request.hosts
+        store, rate, part = request.volume.limit, plan.rate_limit / request.hosts, self.share.part
+        lent, ceiling = request.volume.lent, plan.rate_limit_burst * part / request.hosts
         store.fill(rate, ceiling, lent.time(self.share.time(self.now)))
         return self.now + max(0.0, request.units - store.level) / (rate * part * max(lent.part, 1e-9))
 
@@ -535,18 +596,23 @@
         safety, age = self.safety, self.now - node.up_since
         if not self.is_cold(node):
             return self.now
-        share = safety.cold_from + (1 - safety.cold_from) * max(0.0, age - safety.tip_after) / safety.ramp
+        share = (
+            safety.slow_start_initial_fraction
+            + (1 - safety.slow_start_initial_fraction)
+            * max(0.0, age - safety.overload_after)
+            / safety.slow_start_duration
+        )
         room, hosts = 1 / max(self.busy, 1 / ROOM_MOST), max(self.hosts, self.seen_hosts)
-        usual = self.table.usual.get_or_mean(node.cell) * share * safety.tip_multiple * room
-        stated = self.settings.cold_units / safety.tip_after / hosts * self.share.part * node.lent
-        warmth = share / safety.cold_from if safety.cold_from else 1.0
-        due = self.table.due_rate.get(node.cell) * share * safety.tip_multiple
+        usual = self.table.usual.get_or_mean(node.cell) * share * safety.overload_multiple * room
+        stated = self.settings.slow_start_units / safety.overload_after / hosts * self.share.part * node.lent
+        warmth = share / safety.slow_start_initial_fraction if safety.slow_start_initial_fraction else 1.0
+        due = self.table.due_rate.get(node.cell) * share * safety.overload_multiple
         rate = max(usual, stated * warmth, due, 1e-9)
-        node.cold.fill(rate, usual * safety.tip_after * (1 - 1 / room), self.now)
+        node.cold.fill(rate, usual * safety.overload_after * (1 - 1 / room), self.now)
         return self.now - node.cold.level / rate
 
     def is_cold(self, node: Node) -> bool:
-        return node.up_since > 0 and self.now - node.up_since < self.safety.ramp
+        return node.up_since > 0 and self.now - node.up_since < self.safety.slow_start_duration
 
     def keep_or_give_up(self, request: Request) -> None:
         """A held request is kept while it can be in time; once late it goes at once, or is given up.
@@ -567,11 +633,17 @@
 
     def give_up(self, request: Request, wait: float = 0.0) -> None:
         """The final answer, at once: where a repeat is harmless a refusal that says when to come back."""
-        safe = {Repeat.FREE: True, Repeat.KEYED: request.kind.scope is Scope.ALL, Repeat.ONCE: False}
-        refusal = api.Refuse(request.id, min(self.settings.retry_after, wait))
-        self.close(request, refusal if not request.ran or safe[request.kind.repeat] else api.Fail(request.id))
-
-    def close(self, request: Request, answer: api.Action | None, served: bool = False) -> None:
+        safe = {
+            Idempotency.IDEMPOTENT: True,
+            Idempotency.KEYED: request.kind.idempotency_scope is IdempotencyScope.ALL,
+            Idempotency.NOT_IDEMPOTENT: False,
+        }
+        refusal = Reject(request.id, min(self.settings.max_retry_after, wait))
+        self.close(
+            request, refusal if not request.ran or safe[request.kind.idempotency] else FailRequest(request.id)
+        )
+
+    def close(self, request: Request, answer: SchedulerAction | None, served: bool = False) -> None:
         """The request is over; what is still out for it is called off where that is allowed."""
         if request.over:
             return
@@ -584,8 +656,8 @@
         self.actions += [answer] if answer else []
         if not served and request.ask.item is not None:
             self.tries[request.item] = request.arrived, self.now
-        if self.settings.cancel:
-            self.actions.extend(api.Cancel(request.id, attempt) for attempt in request.out)
+        if self.settings.can_cancel:
+            self.actions.extend(CancelAttempt(request.id, attempt) for attempt in request.out)
         self.forget(request)
 
     def forget(self, request: Request) -> None:
--- a/cleatyoke/sftp/backends.py
+++ b/cleatyoke/sftp/backends.py
@@ -6,13 +6,12 @@
 from collections import defaultdict
 from dataclasses import dataclass, replace
 
-from cleatyoke.core import Ending, May
+from cleatyoke.core import AttemptResult, MayBegin
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.scheduling.api import Outcome
+from cleatyoke.scheduling.events import AttemptOutcome
 from cleatyoke.sftp.packets import (
     VERSION,
     Attrs,
-    BadPacket,
     Close,
     Code,
     Data,
@@ -24,6 +23,7 @@
     Open,
     Opendir,
     Packet,
+    PacketError,
     Read,
     Readdir,
     Status,
@@ -73,15 +73,15 @@
 Command = ReadRange | List | Upload | Simple
 
 
-class NeverBegun(Exception):
+class NotStartedError(Exception):
     """The connection failed before any byte of the command was written."""
 
 
-class NotServing(Exception):
+class NotServingError(Exception):
     """The box began to drain, or went, before the command was written."""
 
 
-class Line:
+class SftpConnection:
     """A connection to a box; it carries one command at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -102,7 +102,7 @@
     async def receive(self, request: int) -> Packet:
         reply = decode(await read_packet(self.reader))
         if reply.id != request and not isinstance(reply, Version):
-            raise BadPacket(f"an answer to {reply.id}, want one to {request}")
+            raise PacketError(f"an answer to {reply.id}, want one to {request}")
         return reply
 
     def usable(self) -> bool:
@@ -112,7 +112,7 @@
         self.writer.transport.abort()
 
 
-class FileBoxes:
+class SftpBackends:
     """Connections to the boxes of the directory."""
 
     def __init__(
@@ -120,7 +120,7 @@
     ) -> None:
         self.directory, self.port, self.most_idle = directory, port, most_idle
         self.dial_timeout, self.keep = dial_timeout, idle_close * IDLE_SHARE
-        self.idle: defaultdict[int, list[Line]] = defaultdict(list)
+        self.idle: defaultdict[int, list[SftpConnection]] = defaultdict(list)
         directory.watchers.append(self.drop)
 
     def drop(self, node: int) -> None:
@@ -132,35 +132,39 @@
         for node in list(self.idle):
             self.drop(node)
 
-    async def attempt(self, node: int, command: Command, may: May) -> Ending[Packet]:
+    async def attempt(self, node: int, command: Command, may: MayBegin) -> AttemptResult[Packet]:
         """One conversation; once a byte of the command may be written, a break may mean that it ran."""
         line, began, done = None, False, False
         try:
             line = await self.connect(node, fresh=isinstance(command, Upload) or changes(command))
             if not (self.directory.serves(node) and may()):  # it may have taken long to come up
-                raise NotServing
+                raise NotServingError
             began = True
             reply = await converse(line, command)
             done = True
-        except NotServing:
-            return Ending(Outcome.NOT_SENT)
-        except NeverBegun:
-            return Ending(Outcome.NO_CONNECTION)
+        except NotServingError:
+            return AttemptResult(AttemptOutcome.NOT_SENT)
+        except NotStartedError:
+            return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
         except (OSError, EOFError, ValueError):
-            return Ending(Outcome.RESET if began else Outcome.NO_CONNECTION)
+            return AttemptResult(
+                AttemptOutcome.CONNECTION_RESET if began else AttemptOutcome.CONNECTION_FAILED
+            )
         finally:
             if line and not (done and self.put_back(node, line)):
                 line.abort()  # nothing of a given-up attempt stays open while the next goes out
         if isinstance(reply, Status) and reply.code == Code.SSH_FX_FAILURE:
-            return Ending(Outcome.ERROR)
-        return Ending(Outcome.SERVED, reply)  # any other status is the box's answer, and it is the client's
+            return AttemptResult(AttemptOutcome.ERROR)
+        return AttemptResult(
+            AttemptOutcome.SERVED, reply
+        )  # any other status is the box's answer, and it is the client's
 
-    async def connect(self, node: int, fresh: bool) -> Line:
+    async def connect(self, node: int, fresh: bool) -> SftpConnection:
         """A connection that has said its version. A change has a fresh one: on one that was idle, a break
         could not be told from a break after the box had stored the change."""
         box = self.directory.boxes.get(node)
         if box is None or not self.directory.serves(node):
-            raise NotServing
+            raise NotServingError
         now = asyncio.get_running_loop().time()
         while not fresh and self.idle[node]:
             line = self.idle[node].pop()
@@ -173,21 +177,21 @@
                 reader, writer = await asyncio.open_connection(
                     box.address.host, self.port or box.address.port
                 )
-                line = Line(reader, writer)
+                line = SftpConnection(reader, writer)
                 reply = await line.ask(Init(VERSION))
                 if not isinstance(reply, Version) or reply.id != VERSION:
-                    raise BadPacket("no version 3")
+                    raise PacketError("no version 3")
                 return line
         except (OSError, EOFError, ValueError, TimeoutError) as error:
             if writer:
                 writer.transport.abort()
-            raise NeverBegun from error
+            raise NotStartedError from error
         except asyncio.CancelledError:
             if writer:
                 writer.transport.abort()
             raise
 
-    def put_back(self, node: int, line: Line) -> bool:
+    def put_back(self, node: int, line: SftpConnection) -> bool:
         if not line.usable() or not self.directory.serves(node) or len(self.idle[node]) >= MOST_IDLE:
             return False
         if sum(map(len, self.idle.values())) >= self.most_idle:  # the descriptors are dealt out for no more
@@ -201,7 +205,7 @@
     return isinstance(command, Upload) or (isinstance(command, Simple) and command.changes)
 
 
-async def converse(line: Line, command: Command) -> Packet:
+async def converse(line: SftpConnection, command: Command) -> Packet:
     """The whole command, top to bottom; returns the reply that decides."""
     match command:
         case Simple(packet, _):
@@ -221,7 +225,7 @@
             while isinstance(found := await line.ask(Readdir(0, opened.handle)), Names) and found.names:
                 names += found.names
                 if len(names) > MOST_NAMES:
-                    raise BadPacket("too long a listing")
+                    raise PacketError("too long a listing")
             await line.ask(Close(0, opened.handle))
             ended = isinstance(found, Names) or (isinstance(found, Status) and found.code == Code.SSH_FX_EOF)
             return Names(0, names) if ended else found
@@ -241,4 +245,4 @@
 
 
 def unexpected(packet: Packet) -> Packet:
-    raise BadPacket(f"an answer of type {packet.type}")
+    raise PacketError(f"an answer of type {packet.type}")
--- a/cleatyoke/sftp/packets.py
+++ b/cleatyoke/sftp/packets.py
@@ -38,7 +38,7 @@
     EXCL = 32
 
 
-class BadPacket(ValueError):
+class PacketError(ValueError):
     """Bytes that are no packet; ``request`` is its id where that could be read."""
 
     def __init__(self, why: str, request: int | None = None) -> None:
@@ -287,7 +287,7 @@
 
     def take(self, size: int) -> bytes:
         if self.at + size > len(self.raw):
-            raise BadPacket("the packet ends within a field")
+            raise PacketError("the packet ends within a field")
         self.at += size
         return self.raw[self.at - size : self.at]
 
@@ -327,7 +327,7 @@
         """A count of entries; one that the rest cannot hold is refused before any is made."""
         count = self.u32()
         if count * least > len(self.raw) - self.at:
-            raise BadPacket("a count beyond the packet's end")
+            raise PacketError("a count beyond the packet's end")
         return count
 
 
@@ -341,10 +341,10 @@
         if known is None:
             return Unsupported(request)
         made = known(request, *[getattr(source, field)() for field in known.layout])
-    except BadPacket as error:
-        raise BadPacket(str(error), request) from error
+    except PacketError as error:
+        raise PacketError(str(error), request) from error
     if source.at != len(raw):
-        raise BadPacket("bytes after the last field", request)
+        raise PacketError("bytes after the last field", request)
     return made
 
 
@@ -406,7 +406,7 @@
     """The next packet's length; asyncio.IncompleteReadError where the peer has closed."""
     size = int.from_bytes(await reader.readexactly(4), "big")
     if not 5 <= size <= MOST_PACKET:
-        raise BadPacket(f"a packet of {size} bytes")
+        raise PacketError(f"a packet of {size} bytes")
     return size
 
 
--- a/cleatyoke/sftp/server.py
+++ b/cleatyoke/sftp/server.py
@@ -10,15 +10,14 @@
 
 import structlog
 
-from cleatyoke.config.deployment import SftpFront, VolumePath
-from cleatyoke.core import Core, Refused, Served
-from cleatyoke.scheduling import api
-from cleatyoke.sftp.backends import Command, FileBoxes, List, ReadRange, Simple, Upload, changes
+from cleatyoke.config.deployment import SftpSettings, VolumePath
+from cleatyoke.core import Core, Rejected, Served
+from cleatyoke.scheduling.events import RequestArrived
+from cleatyoke.sftp.backends import Command, List, ReadRange, SftpBackends, Simple, Upload, changes
 from cleatyoke.sftp.packets import (
     VERSION,
     Attrs,
     AttrsReply,
-    BadPacket,
     Close,
     Code,
     Flags,
@@ -32,6 +31,7 @@
     Open,
     Opendir,
     Packet,
+    PacketError,
     Read,
     Readdir,
     Realpath,
@@ -58,12 +58,12 @@
 
 
 @dataclass(slots=True)
-class Reading:
+class ReadHandle:
     path: str
 
 
 @dataclass(slots=True)
-class Writing:
+class WriteHandle:
     """An upload as it is gathered; the box hears of it at CLOSE."""
 
     path: str
@@ -75,12 +75,12 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class DirectoryHandle:
     path: str
     names: list[Name]
 
 
-class Denied(Exception):
+class PermissionDeniedError(Exception):
     """A command answered without a box."""
 
     def __init__(self, code: Code, message: str) -> None:
@@ -88,10 +88,10 @@
         self.code, self.message = code, message
 
 
-class FileFront:
+class SftpServer:
     """The listener. ``open`` and ``close`` it as often as mastership comes and goes."""
 
-    def __init__(self, config: SftpFront, core: Core, boxes: FileBoxes, most_sessions: int) -> None:
+    def __init__(self, config: SftpSettings, core: Core, boxes: SftpBackends, most_sessions: int) -> None:
         self.config, self.core, self.boxes, self.most_sessions = config, core, boxes, most_sessions
         self.sessions: set[Session] = set()
         self.listener: asyncio.Server | None = None
@@ -134,7 +134,7 @@
         for volume in self.config.volumes:
             if path == volume.prefix or path.startswith(volume.prefix.rstrip("/") + "/"):
                 return volume
-        raise Denied(Code.SSH_FX_NO_SUCH_FILE, f"{path}: below no volume")
+        raise PermissionDeniedError(Code.SSH_FX_NO_SUCH_FILE, f"{path}: below no volume")
 
     def above(self, path: str) -> list[Name]:
         """The entries of a folder that holds volumes and belongs to none: it is listed without a box."""
@@ -149,41 +149,41 @@
 
     def listed(self) -> int:
         held = [one for session in self.sessions for one in session.handles.values()]
-        return sum(len(one.names) for one in held if isinstance(one, Listed))
+        return sum(len(one.names) for one in held if isinstance(one, DirectoryHandle))
 
     async def schedule(self, path: str, item: str, size: int, command: Command) -> Packet:
         """One request through the core: as a read or a write of its volume, by its size in units."""
         volume, settings = self.volume(path), self.core.policy.settings
         units = max(1, -(-size // self.config.unit_bytes))
         deadline = self.core.now() + self.config.deadline
-        arrival = api.Arrival(
-            request=self.core.new_id(),
+        arrival = RequestArrived(
+            request_id=self.core.new_id(),
             class_index=self.config.write_class if changes(command) else self.config.read_class,
-            plan=volume.plan,
-            volume=volume.volume,
+            plan_index=volume.plan,
+            volume_id=volume.volume,
             item=number(item),
-            cell=volume.cell,
-            units=min(float(units), settings.largest or float(units)),
+            shard=volume.cell,
+            units=min(float(units), settings.max_request_units or float(units)),
             deadline=deadline,
-            hosts=volume.hosts,
+            front_count=volume.hosts,
         )
         match await self.core.serve(arrival, lambda node, may: self.boxes.attempt(node, command, may)):
             case Served(reply) if reply is not None:
                 return reply
-            case Refused(wait):
+            case Rejected(wait):
                 again = f"try again after {max(0.0, wait):.3f} s"
-                raise Denied(Code.SSH_FX_FAILURE, f"refused, nothing was done: {again}")
+                raise PermissionDeniedError(Code.SSH_FX_FAILURE, f"refused, nothing was done: {again}")
             case _:
                 doubt = "the change may have been made" if changes(command) else "no answer"
-                raise Denied(Code.SSH_FX_FAILURE, f"failed: {doubt}")
+                raise PermissionDeniedError(Code.SSH_FX_FAILURE, f"failed: {doubt}")
 
 
 class Session:
     """One client's connection. Its commands are answered in turn; while one waits, a close is noticed."""
 
-    def __init__(self, front: FileFront, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def __init__(self, front: SftpServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.front, self.reader, self.writer = front, reader, writer
-        self.handles: dict[bytes, Reading | Writing | Listed] = {}
+        self.handles: dict[bytes, ReadHandle | WriteHandle | DirectoryHandle] = {}
         self.numbered = 0
         self.queue: asyncio.Queue[bytes | None] = asyncio.Queue(MOST_WAITING)
         self.leaving, self.busy, self.ended = False, False, asyncio.Event()
@@ -218,7 +218,7 @@
                 return False
             except (EOFError, OSError):
                 return False
-            except BadPacket as error:
+            except PacketError as error:
                 log.warning("sftp_bad_stream", why=str(error))
                 return True
 
@@ -247,7 +247,7 @@
     async def answer(self, raw: bytes, first: bool) -> Packet:
         try:
             packet = decode(raw)
-        except BadPacket as error:
+        except PacketError as error:
             return Status(error.request or 0, Code.SSH_FX_BAD_MESSAGE, str(error))
         if isinstance(packet, Init) != first:
             return Status(0, Code.SSH_FX_BAD_MESSAGE, "INIT comes first, and once")
@@ -255,7 +255,7 @@
             return Version(VERSION)
         try:
             reply = await self.command(packet)
-        except Denied as denied:
+        except PermissionDeniedError as denied:
             reply = Status(0, denied.code, denied.message)
         except Exception:
             log.exception("sftp_fault")
@@ -271,36 +271,36 @@
             case Open(_, path, flags, attrs):
                 return await self.open(absolute(path), flags, attrs)
             case Read(_, handle, offset, length):
-                path = self.handle(handle, Reading).path
+                path = self.handle(handle, ReadHandle).path
                 length = min(length, front.config.most_upload)
                 command = ReadRange(path, offset, length)
                 return await front.schedule(path, f"{path}@{offset}", length, command)
             case Write(_, handle, offset, data):
-                return self.gather(self.handle(handle, Writing), offset, data)
+                return self.gather(self.handle(handle, WriteHandle), offset, data)
             case Close(_, handle):
                 held = self.handles.pop(handle, None)
-                if isinstance(held, Writing):
+                if isinstance(held, WriteHandle):
                     return await self.upload(held)
                 return ok() if held else Status(0, Code.SSH_FX_FAILURE, "unknown handle")
             case Opendir(_, path):
                 path = absolute(path)
                 self.room()
                 if above := front.above(path):
-                    return self.hold(Listed(path, above))
+                    return self.hold(DirectoryHandle(path, above))
                 if front.listed() > MOST_LISTED:
-                    raise Denied(Code.SSH_FX_FAILURE, "too many listings are open")
+                    raise PermissionDeniedError(Code.SSH_FX_FAILURE, "too many listings are open")
                 found = await front.schedule(path, path, 0, List(path))
-                return self.hold(Listed(path, found.names)) if isinstance(found, Names) else found
+                return self.hold(DirectoryHandle(path, found.names)) if isinstance(found, Names) else found
             case Readdir(_, handle):
-                listed = self.handle(handle, Listed)
+                listed = self.handle(handle, DirectoryHandle)
                 part, listed.names = listed.names[:NAMES_A_REPLY], listed.names[NAMES_A_REPLY:]
                 return Names(0, part) if part else Status(0, Code.SSH_FX_EOF, "end of listing")
             case Fstat(_, handle):
                 held = self.handles.get(handle)
-                if isinstance(held, Writing):
+                if isinstance(held, WriteHandle):
                     return AttrsReply(0, replace(held.attrs, size=held.size))
                 if held is None:
-                    raise Denied(Code.SSH_FX_FAILURE, "unknown handle")
+                    raise PermissionDeniedError(Code.SSH_FX_FAILURE, "unknown handle")
                 return await front.schedule(held.path, held.path, 0, Simple(Stat(0, held.path), False))
             case Stat(_, path) | Lstat(_, path):
                 path = absolute(path)
@@ -313,7 +313,7 @@
             case Rename(_, path, target):
                 path, target = absolute(path), absolute(target)
                 if front.volume(path) != front.volume(target):
-                    raise Denied(Code.SSH_FX_FAILURE, "a rename stays within its volume")
+                    raise PermissionDeniedError(Code.SSH_FX_FAILURE, "a rename stays within its volume")
                 return await front.schedule(path, path, 0, Simple(Rename(0, path, target), True))
             case _:
                 return Status(0, Code.SSH_FX_OP_UNSUPPORTED, "unsupported command")
@@ -323,17 +323,19 @@
         self.room()
         wanted = flags & (Flags.READ | Flags.WRITE)
         if wanted == Flags.WRITE:
-            return self.hold(Writing(path, flags, attrs))
+            return self.hold(WriteHandle(path, flags, attrs))
         if wanted != Flags.READ:
-            raise Denied(Code.SSH_FX_OP_UNSUPPORTED, "open for reading or for writing, not both")
+            raise PermissionDeniedError(
+                Code.SSH_FX_OP_UNSUPPORTED, "open for reading or for writing, not both"
+            )
         found = await self.front.schedule(path, path, 0, Simple(Stat(0, path), False))
-        return self.hold(Reading(path)) if isinstance(found, AttrsReply) else found
+        return self.hold(ReadHandle(path)) if isinstance(found, AttrsReply) else found
 
-    def gather(self, held: Writing, offset: int, data: bytes) -> Packet:
+    def gather(self, held: WriteHandle, offset: int, data: bytes) -> Packet:
         most = self.front.config.most_upload
         if held.size + len(data) > most:
             held.spoilt = True
-            raise Denied(Code.SSH_FX_FAILURE, f"an upload holds at most {most} bytes")
+            raise PermissionDeniedError(Code.SSH_FX_FAILURE, f"an upload holds at most {most} bytes")
         held.size += len(data)
         if held.pieces and sum((held.pieces[-1][0], len(held.pieces[-1][1]))) == offset:
             start, before = held.pieces.pop()
@@ -341,18 +343,20 @@
         held.pieces.append((offset, data))
         return ok()
 
-    async def upload(self, held: Writing) -> Packet:
+    async def upload(self, held: WriteHandle) -> Packet:
         """The one write of an upload; the status of CLOSE is its outcome."""
         if held.spoilt:
-            raise Denied(Code.SSH_FX_FAILURE, "not stored: a write to this handle was turned down")
+            raise PermissionDeniedError(
+                Code.SSH_FX_FAILURE, "not stored: a write to this handle was turned down"
+            )
         command = Upload(held.path, held.flags, held.attrs, held.pieces)
         return await self.front.schedule(held.path, held.path, held.size, command)
 
     def room(self) -> None:
         if len(self.handles) >= self.front.config.most_handles:
-            raise Denied(Code.SSH_FX_FAILURE, "too many open handles")
+            raise PermissionDeniedError(Code.SSH_FX_FAILURE, "too many open handles")
 
-    def hold(self, held: Reading | Writing | Listed) -> Handle:
+    def hold(self, held: ReadHandle | WriteHandle | DirectoryHandle) -> Handle:
         self.numbered += 1
         handle = str(self.numbered).encode()
         self.handles[handle] = held
@@ -361,7 +365,7 @@
     def handle(self, handle: bytes, kind: type[H]) -> H:
         held = self.handles.get(handle)
         if not isinstance(held, kind):
-            raise Denied(Code.SSH_FX_FAILURE, "unknown handle, or of another kind")
+            raise PermissionDeniedError(Code.SSH_FX_FAILURE, "unknown handle, or of another kind")
         return held
 
 
