--- a/cleatyoke/simulator.py
+++ b/cleatyoke/simulator.py
@@ -8,105 +8,126 @@
 from typing import Any, TextIO
 
 from cleatyoke.config.deployment import LOADS, read_settings
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.load_probes import Prober
-from cleatyoke.scheduling.scheduler import Policy
+from cleatyoke.scheduling.actions import (
+    CancelAttempt,
+    FailRequest,
+    Reject,
+    SchedulerAction,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    RequestArrived,
+    SchedulerEvent,
+    TimerFired,
+    UpdateKind,
+    UtilizationReported,
+)
+from cleatyoke.scheduling.load_probes import LoadProber
+from cleatyoke.scheduling.scheduler import Scheduler
 
 OUTCOMES = {
-    "completed": api.Outcome.SERVED,
-    "errored": api.Outcome.ERROR,
-    "saturated": api.Outcome.FULL,
-    "overdue": api.Outcome.TIMEOUT,
-    "refused_conn": api.Outcome.NO_CONNECTION,
-    "severed": api.Outcome.RESET,
-    "recalled": api.Outcome.CANCELLED,
-    "superseded": api.Outcome.NOT_SENT,
+    "completed": AttemptOutcome.SERVED,
+    "errored": AttemptOutcome.ERROR,
+    "saturated": AttemptOutcome.QUEUE_FULL,
+    "overdue": AttemptOutcome.TIMEOUT,
+    "refused_conn": AttemptOutcome.CONNECTION_FAILED,
+    "severed": AttemptOutcome.CONNECTION_RESET,
+    "recalled": AttemptOutcome.CANCELLED,
+    "superseded": AttemptOutcome.NOT_SENT,
 }
-STATES = {"live": api.NodeState.LIVE, "quiescing": api.NodeState.DRAINING, "dead": api.NodeState.GONE}
+STATES = {"live": EndpointState.LIVE, "quiescing": EndpointState.DRAINING, "dead": EndpointState.REMOVED}
 KINDS = {
-    "incr": api.ListKind.CHANGES,
-    "total": api.ListKind.FULL,
-    "warm_copy": api.ListKind.OLD_COPY,
-    "lost": api.ListKind.LOST,
+    "incr": UpdateKind.DELTA,
+    "total": UpdateKind.SNAPSHOT,
+    "warm_copy": UpdateKind.CACHED,
+    "lost": UpdateKind.UNAVAILABLE,
 }
 UNUSED = {"FIRST", "MAIL"}  # a begun stream is the client's; peers are never told anything
 PROBE = 1  # token of the timers for probes; the policy's have 0
 
 
-class Malformed(Exception):
+class MalformedBatchError(Exception):
     """A line that is not a batch of the wire."""
 
 
-def read_entry(entry: dict[str, Any]) -> api.NodeEntry:
+def read_entry(entry: dict[str, Any]) -> Endpoint:
     cell = entry.get("Pack")
-    return api.NodeEntry(
-        node=entry["Shelf"],
-        cell=-1 if cell is None else cell,
+    return Endpoint(
+        node_id=entry["Shelf"],
+        shard=-1 if cell is None else cell,
         zone=entry.get("Area") or 0,
         state=STATES[entry["StageState"]],
-        up_since=entry.get("UpSinceS") or 0.0,
+        started_at=entry.get("UpSinceS") or 0.0,
     )
 
 
-def read_event(kind: str, event: dict[str, Any], lists: dict[int, list[api.NodeEntry]]) -> api.Event:
+def read_event(kind: str, event: dict[str, Any], lists: dict[int, list[Endpoint]]) -> SchedulerEvent:
     """Translate one event of a living instance."""
     if kind == "REQ":
-        return api.Arrival(
-            request=event["Req"],
+        return RequestArrived(
+            request_id=event["Req"],
             class_index=event["Profile"],
-            plan=event["Contract"],
-            volume=event["StoreUser"],
+            plan_index=event["Contract"],
+            volume_id=event["StoreUser"],
             item=event.get("Item"),
-            cell=int(event["Placement"]),
+            shard=int(event["Placement"]),
             units=event.get("CostUnits") or 0.0,
             deadline=event["DeadlineS"],
-            hosts=int(event.get("NHosts") or 0),
+            front_count=int(event.get("NHosts") or 0),
         )
     if kind == "FINISHED":
-        return api.Ended(
-            request=event["Req"],
+        return AttemptFinished(
+            request_id=event["Req"],
             attempt=event["Shot"],
-            node=event["Shelf"],
+            node_id=event["Shelf"],
             outcome=OUTCOMES[event["Disposition"]],
-            spent=event["SpentS"],
+            elapsed=event["SpentS"],
             settled=bool(event.get("Settled")),
-            elsewhere=float(event.get("OthersGot") or 0.0),
+            units_by_others=float(event.get("OthersGot") or 0.0),
         )
     if kind == "BELL":
-        return api.Woken(event["Ref"])
+        return TimerFired(event["Ref"])
     if kind == "ROSTER_CHANGE":
         mode = KINDS[event["Mode"]]
-        return api.NodeList(mode, [] if mode is api.ListKind.LOST else lists[event["Slot"]])
+        return EndpointUpdate(mode, [] if mode is UpdateKind.UNAVAILABLE else lists[event["Slot"]])
     if kind == "ABORTED":
-        return api.Withdrawn(event["Req"])
-    raise Malformed(f"unknown event type {kind!r}")
+        return ClientDisconnected(event["Req"])
+    raise MalformedBatchError(f"unknown event type {kind!r}")
 
 
-def write_action(head: int, action: api.Action) -> dict[str, Any]:
+def write_action(head: int, action: SchedulerAction) -> dict[str, Any]:
     match action:
-        case api.Send(request, node):
+        case SendAttempt(request, node):
             return {"type": "ROUTE", "Head": head, "Req": request, "Shelf": node}
-        case api.Refuse(request, wait):
+        case Reject(request, wait):
             return {"type": "SAY_NO", "Head": head, "Req": request, "WaitS": wait}
-        case api.Fail(request):
+        case FailRequest(request):
             return {"type": "SURRENDER", "Head": head, "Req": request}
-        case api.Cancel(request, attempt):
+        case CancelAttempt(request, attempt):
             return {"type": "DROP_ATTEMPT", "Head": head, "Req": request, "Shot": attempt}
-        case api.Wake(after, token):
+        case SetTimer(after, token):
             return {"type": "TIMER", "Head": head, "AfterS": after, "Ref": token}
-        case api.Watch():
+        case WatchEndpoints():
             return {"type": "WATCH", "Head": head, "On": True}
 
 
-class Gateway:
+class SimulatorAdapter:
     """All instances of one adapter process; they share nothing but the lists as they were read."""
 
     def __init__(self) -> None:
         self.now = 0.0  # the batch's clock
-        self.policies: dict[int, Policy] = {}
-        self.lists: dict[int, list[api.NodeEntry]] = {}
+        self.policies: dict[int, Scheduler] = {}
+        self.lists: dict[int, list[Endpoint]] = {}
         self.fields: dict[int, list[str]] = {}  # of the load reports that an instance hears
-        self.probers: dict[int, Prober] = {}  # where load is told by probes only
+        self.probers: dict[int, LoadProber] = {}  # where load is told by probes only
         self.bells: dict[int, float] = {}  # when the latest timer for a probe is due
 
     def reply(self, line: str) -> dict[str, Any]:
@@ -115,17 +136,17 @@
             batch = json.loads(line)
             now, number, news = float(batch["TsS"]), batch["round"], batch["news"]
             self.now = now
-            pending: dict[int, list[api.Event]] = {}
+            pending: dict[int, list[SchedulerEvent]] = {}
             steps: list[dict[str, Any]] = []
             for event in news:
                 self.read(event, pending)
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-            raise Malformed(f"malformed batch: {type(error).__name__}: {error}") from error
+            raise MalformedBatchError(f"malformed batch: {type(error).__name__}: {error}") from error
         for head, events in pending.items():
             self.run(head, now, events, steps)
         return {"round": number, "steps": steps}
 
-    def read(self, event: dict[str, Any], pending: dict[int, list[api.Event]]) -> None:
+    def read(self, event: dict[str, Any], pending: dict[int, list[SchedulerEvent]]) -> None:
         """Take in one event: translate it for its instance, or start or stop that instance."""
         kind = event["type"]
         if kind == "CATALOG":
@@ -135,11 +156,13 @@
         if kind == "BORN":
             pending.pop(head, None)
             settings = read_settings(event["Facts"], event["RngSeed"])
-            self.policies[head] = Policy(settings)
+            self.policies[head] = Scheduler(settings)
             self.bells.pop(head, None)
             self.probers.pop(head, None)
-            if settings.probes:
-                self.probers[head] = Prober(settings.hosts, settings.safety.ramp, settings.seed)
+            if settings.load_by_probes:
+                self.probers[head] = LoadProber(
+                    settings.front_count, settings.safety.slow_start_duration, settings.seed
+                )
             self.fields[head] = (event["Facts"].get("Report") or {}).get("Fields") or []
             pending[head] = []
         elif kind == "SHUTDOWN":
@@ -150,14 +173,14 @@
             if head in self.probers:
                 told = self.load(head, event) if event["Disposition"] == "completed" else None
                 self.probers[head].told(event["Shelf"], self.now, told)
-                pending.setdefault(head, []).append(api.Busy(self.probers[head].busy(self.now)))
+                pending.setdefault(head, []).append(UtilizationReported(self.probers[head].busy(self.now)))
         elif kind == "BELL" and event["Ref"] == PROBE:
             pending.setdefault(head, [])
         elif kind not in UNUSED:
             translated = read_event(kind, event, self.lists)
-            if isinstance(translated, api.Ended):
-                translated.busy = self.load(head, event)
-            if isinstance(translated, api.NodeList) and head in self.probers:
+            if isinstance(translated, AttemptFinished):
+                translated.utilization = self.load(head, event)
+            if isinstance(translated, EndpointUpdate) and head in self.probers:
                 self.probers[head].listed(translated)
             if head in self.policies:
                 pending.setdefault(head, []).append(translated)
@@ -176,7 +199,7 @@
             self.bells[head] = due
             steps.append({"type": "TIMER", "Head": head, "AfterS": max(0.0, due - now), "Ref": PROBE})
 
-    def run(self, head: int, now: float, events: list[api.Event], steps: list[dict[str, Any]]) -> None:
+    def run(self, head: int, now: float, events: list[SchedulerEvent], steps: list[dict[str, Any]]) -> None:
         """Let one instance decide on its events of the batch."""
         try:
             actions = self.policies[head].step(now, events)
@@ -190,7 +213,7 @@
 
 def serve(source: TextIO, sink: TextIO) -> None:
     """Answer batch after batch until the input ends."""
-    gateway = Gateway()
+    gateway = SimulatorAdapter()
     for line in source:
         json.dump(gateway.reply(line), sink, separators=(",", ":"))
         sink.write("\n")
@@ -200,7 +223,7 @@
 def main() -> int:
     try:
         serve(sys.stdin, sys.stdout)
-    except Malformed as error:
+    except MalformedBatchError as error:
         print(f"simhost: {error}", file=sys.stderr)
         return 2
     return 0
--- a/cleatyoke/testbed/__main__.py
+++ b/cleatyoke/testbed/__main__.py
@@ -6,8 +6,8 @@
 import sys
 from pathlib import Path
 
-from cleatyoke.config.deployment import BadConfig
-from cleatyoke.testbed.runner import play
+from cleatyoke.config.deployment import ConfigError
+from cleatyoke.testbed.runner import run_scenario
 from cleatyoke.testbed.scenario import read_scenario
 
 
@@ -19,10 +19,10 @@
     for name in names:
         try:
             scenario = read_scenario(Path(name))
-        except BadConfig as error:
+        except ConfigError as error:
             print(f"standin: {error}", file=sys.stderr)
             return 2
-        report = asyncio.run(play(scenario))
+        report = asyncio.run(run_scenario(scenario))
         print("\n".join(report.lines()))
         broken = broken or bool(report.broken)
     return int(broken)
--- a/cleatyoke/testbed/backend.py
+++ b/cleatyoke/testbed/backend.py
@@ -9,8 +9,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from cleatyoke.testbed.backend_model import BoxModel, Fate
-from cleatyoke.testbed.checker import Attempt, Form, Judge
+from cleatyoke.testbed.backend_model import BackendModel, RequestFate
+from cleatyoke.testbed.checker import AttemptRecord, RequestForm, RuleChecker
 from cleatyoke.testbed.peer import Peer, TimedReader
 
 FULL = b"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
@@ -26,22 +26,24 @@
     writer.transport.abort()
 
 
-class Box(Peer):
+class TestBackend(Peer):
     """A box under one id, at one address for all its lives. While it is silent, connections come up and
     nothing is read, as where the machine is cut off: what was written to it meanwhile has not come, and never
     does, as those connections are reset once it is back (protocol page, The network)."""
 
-    def __init__(self, name: str, cell: int, zone: str, judge: Judge, clock: Callable[[], float]) -> None:
+    def __init__(
+        self, name: str, cell: int, zone: str, judge: RuleChecker, clock: Callable[[], float]
+    ) -> None:
         super().__init__()
         self.name, self.cell, self.zone = name, cell, zone
         self.judge, self.clock = judge, clock
-        self.model: BoxModel
+        self.model: BackendModel
         self.heard = asyncio.Event()  # cleared while the box is silent
         self.heard.set()
         self.fates: Counter[str] = Counter()
         self.executions: dict[str, int] = {}
 
-    async def live(self, model: BoxModel) -> None:
+    async def live(self, model: BackendModel) -> None:
         """A life of it."""
         self.model = model
         await self.start()
@@ -80,7 +82,7 @@
             if target in PROBES:
                 self.probed(target, writer)
                 continue
-            form = Form(method, target, fields.get("idempotency-key"), body)
+            form = RequestForm(method, target, fields.get("idempotency-key"), body)
             if not await self.work(fields.get("x-trace-id", ""), form, came, reader, writer):
                 return
 
@@ -95,7 +97,12 @@
         return f"TEXT queue={self.model.queued(self.clock())}, util={self.model.busy(self.clock()):.2f}"
 
     async def work(
-        self, trace: str, form: Form, came: float, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self,
+        trace: str,
+        form: RequestForm,
+        came: float,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
     ) -> bool:
         """One request whose last byte has come; whether the connection goes on."""
         now, model = self.clock(), self.model
@@ -110,11 +117,11 @@
         ticket = model.take(now, trace, units)
         self.fates[ticket.fate.value] += 1
         try:
-            if ticket.fate is Fate.FULL:
+            if ticket.fate is RequestFate.FULL:
                 made.refused = True
                 writer.write(FULL)
                 return True
-            if ticket.fate is Fate.UNREAD:
+            if ticket.fate is RequestFate.UNREAD:
                 reset(writer)
                 return False
             gone = asyncio.ensure_future(reader.read(1))
@@ -133,22 +140,22 @@
         finally:
             made.ended = self.clock()
 
-    def count(self, trace: str, made: Attempt) -> None:
+    def count(self, trace: str, made: AttemptRecord) -> None:
         if made.ran:
             self.executions[trace] = self.executions.get(trace, 0) + 1
 
     async def reply(
-        self, fate: Fate, trace: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, fate: RequestFate, trace: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         body = f"{trace} {self.name} {self.executions[trace]}".encode()
         load = f"Endpoint-Load-Metrics: {self.report()}\r\n" if self.judge.terms.report == "answers" else ""
-        if fate is Fate.RESET:
+        if fate is RequestFate.RESET:
             reset(writer)
             return False
-        if fate is Fate.LOST:
+        if fate is RequestFate.LOST:
             await reader.read(1)  # until the front gives up
             return False
-        if fate is Fate.SPOILT:
+        if fate is RequestFate.SPOILT:
             writer.write(SPOILT)
             return False
         head = f"HTTP/1.1 200 X\r\nContent-Length: {len(body)}\r\n{load}\r\n"
--- a/cleatyoke/testbed/backend_model.py
+++ b/cleatyoke/testbed/backend_model.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from cleatyoke.testbed.scenario import BoxPower
+from cleatyoke.testbed.scenario import BackendCapacity
 
 
-class Fate(Enum):
+class RequestFate(Enum):
     """What becomes of one request at a box."""
 
     ANSWERED = "answered"
@@ -25,7 +25,7 @@
 class Ticket:
     """A request that the box has taken in: from when to when it works on it."""
 
-    fate: Fate
+    fate: RequestFate
     begins: float = 0.0
     ends: float = 0.0
 
@@ -36,10 +36,10 @@
 
 
 @dataclass(slots=True)
-class BoxModel:
+class BackendModel:
     """One life of a box: it works on one request after the other, slower while it is cold."""
 
-    power: BoxPower
+    power: BackendCapacity
     born: float | None  # when it started, or None: long ago, so it is warm
     seed: int = 0
     free_at: float = 0.0
@@ -57,17 +57,21 @@
         """A request whose last byte has come."""
         draw = chance(self.seed, trace)
         if draw < self.ailing.get("reset", 0.0) / 2:
-            return Ticket(Fate.UNREAD)
+            return Ticket(RequestFate.UNREAD)
         while self.ends and self.ends[0] <= now:
             self.ends.popleft()
         if len(self.ends) > self.power.queue:
-            return Ticket(Fate.FULL)
+            return Ticket(RequestFate.FULL)
         begins = max(now, self.free_at)
         speed = self.rate(begins) * self.ailing.get("slow", 1.0)
         self.free_at = begins + units / speed
         self.ends.append(self.free_at)
-        fate = Fate.ANSWERED
-        for kind, met in (("reset", Fate.RESET), ("lose_answers", Fate.LOST), ("spoil", Fate.SPOILT)):
+        fate = RequestFate.ANSWERED
+        for kind, met in (
+            ("reset", RequestFate.RESET),
+            ("lose_answers", RequestFate.LOST),
+            ("spoil", RequestFate.SPOILT),
+        ):
             if draw < self.ailing.get(kind, 0.0):
                 fate = met
         return Ticket(fate, begins, self.free_at)
--- a/cleatyoke/testbed/checker.py
+++ b/cleatyoke/testbed/checker.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from cleatyoke.scheduling.api import Repeat, Scope
-from cleatyoke.testbed.scenario import Kind, Plan, Terms
+from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
+from cleatyoke.testbed.scenario import DeploymentTerms, PlanTerms, RequestKind
 
 SLACK = 0.05  # seconds by which every limit in time is longer (protocol page)
 LATE = 0.5  # seconds past its deadline up to which an answer only earns nothing (standing test's page)
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Attempt:
+class AttemptRecord:
     box: str
     began: float  # when its last byte came
     cell: int = 0  # of the box
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Form:
+class RequestForm:
     """What of a request passes on unchanged (protocol page, Fronts to chunk servers)."""
 
     method: str
@@ -44,41 +44,43 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientRequestRecord:
     """One request of a client."""
 
     front: int
     volume: int
-    kind: Kind
+    kind: RequestKind
     units: float
     sent: float
     deadline: float
-    form: Form | None = None
+    form: RequestForm | None = None
     status: int | None = None
     answered: float | None = None
     excused: bool = False  # its front was killed, or it was never taken
     wait: float = 0.0  # seconds that its answer told it to stay away
-    attempts: list[Attempt] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
 
 
-class Judge:
+class RuleChecker:
     """Collects what was seen and names each rule that is broken."""
 
-    def __init__(self, plans: Sequence[Plan], terms: Terms, cold_slack: float = 2.0) -> None:
+    def __init__(self, plans: Sequence[PlanTerms], terms: DeploymentTerms, cold_slack: float = 2.0) -> None:
         """``plans``: of the volumes in turn. ``cold_slack``: units that chance may add at a cold box."""
         self.plans, self.terms, self.cold_slack = plans, terms, cold_slack
         self.probes = 0
-        self.asked: dict[str, Asked] = {}
+        self.asked: dict[str, ClientRequestRecord] = {}
         self.told: dict[tuple[int, str], float] = {}  # front, box: since when it was told not to send there
         self.held: dict[tuple[int, str], float] = {}  # front, box: since when it has the hold, over its lives
         self.cold: dict[str, list[tuple[float, float, float]]] = defaultdict(list)  # box: when, units, bears
         self.faults: list[str] = []
         self.pauses: list[tuple[int, float, float]] = []  # front, from, to: its process was stopped
-        self.pending: list[tuple[str, Attempt, Attempt]] = []  # attempts that seem to be out at once
+        self.pending: list[
+            tuple[str, AttemptRecord, AttemptRecord]
+        ] = []  # attempts that seem to be out at once
 
     # What is seen
 
-    def took(self, trace: str, asked: Asked) -> None:
+    def took(self, trace: str, asked: ClientRequestRecord) -> None:
         self.asked[trace] = asked
 
     def answer(self, trace: str, status: int, body: bytes, at: float) -> None:
@@ -95,10 +97,10 @@
             self.faults.append(f"probe: {box} was probed, which the settings do not allow")
 
     def attempt(
-        self, trace: str, box: str, at: float, cell: int = 0, zone: str = "", form: Form | None = None
-    ) -> Attempt:
+        self, trace: str, box: str, at: float, cell: int = 0, zone: str = "", form: RequestForm | None = None
+    ) -> AttemptRecord:
         """A request whose last byte has come to a box."""
-        made = Attempt(box, at, cell, zone)
+        made = AttemptRecord(box, at, cell, zone)
         if trace not in self.asked:
             self.faults.append(f"invented: {trace} came from no client")
             return made
@@ -116,7 +118,7 @@
                 self.faults.append(f"{rule}: {trace} reached {box} {spent}")
         return made
 
-    def overlaps(self, trace: str, earlier: Attempt, later: Attempt) -> None:
+    def overlaps(self, trace: str, earlier: AttemptRecord, later: AttemptRecord) -> None:
         """Decided at the end, as an end may be seen after the next start."""
         self.pending.append((trace, earlier, later))
 
@@ -193,15 +195,15 @@
         every = (total / bears for box in self.cold for total, bears in self.windows(box, window))
         return max(every, default=0.0)
 
-    def repeats(self, trace: str, one: Asked, runs: int) -> list[str]:
+    def repeats(self, trace: str, one: ClientRequestRecord, runs: int) -> list[str]:
         """The rule on duplicate effects: once an attempt may have run, a request of a class ``once`` goes
         nowhere, a keyed one to its group alone and within its window, and neither is told that trying again
         is harmless, unless every box drops the repeat."""
         kind, doubtful = one.kind, [made for made in one.attempts if not made.refused]
-        if kind.repeat is Repeat.FREE or not doubtful:
+        if kind.repeat is Idempotency.IDEMPOTENT or not doubtful:
             return []
         out, first, later = [], doubtful[0], one.attempts[one.attempts.index(doubtful[0]) + 1 :]
-        if kind.repeat is Repeat.ONCE:
+        if kind.repeat is Idempotency.NOT_IDEMPOTENT:
             if runs > 1:
                 out.append(f"repeated write: {trace} ran {runs} times")
             elif later:
@@ -209,14 +211,16 @@
         else:
             for made in later:
                 near = {
-                    Scope.ALL: True,
-                    Scope.ZONE: made.zone == first.zone,
-                    Scope.CELL: made.cell == first.cell,
+                    IdempotencyScope.ALL: True,
+                    IdempotencyScope.ZONE: made.zone == first.zone,
+                    IdempotencyScope.SHARD: made.cell == first.cell,
                 }[kind.scope]
                 if not near or made.began > first.began + kind.memory + SLACK:
                     where = f"{made.box} {made.began - first.began:.2f} s after {first.box}"
                     out.append(f"key: {trace} went to {where}, where its repeat is not dropped")
-        if one.status in (429, 503) and not (kind.repeat is Repeat.KEYED and kind.scope is Scope.ALL):
+        if one.status in (429, 503) and not (
+            kind.repeat is Idempotency.KEYED and kind.scope is IdempotencyScope.ALL
+        ):
             out.append(f"refused write: {trace} may have run and was answered {one.status}")
         return out
 
--- a/cleatyoke/testbed/clients.py
+++ b/cleatyoke/testbed/clients.py
@@ -7,18 +7,18 @@
 from collections import deque
 from collections.abc import Callable
 
-from cleatyoke.emulation.value import Wish
-from cleatyoke.scheduling.api import Repeat
-from cleatyoke.testbed.checker import Asked, Form, Judge
+from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.scheduling.settings import Idempotency
+from cleatyoke.testbed.checker import ClientRequestRecord, RequestForm, RuleChecker
 from cleatyoke.testbed.scenario import Scenario
-from cleatyoke.testbed.workload import Drawn, requests
+from cleatyoke.testbed.workload import GeneratedRequest, requests
 
 RECENT = 16  # objects written just before, which reads go to
 CROSSED = 0.1  # seconds after a request in which the end of its connection can have crossed it
 SPARE = 0.6  # seconds past its deadline that a client stays, to see an answer that is late
 
 
-class Door:
+class FrontAddress:
     """What clients know of one front: its address, the connections kept, and whether new ones come to it."""
 
     def __init__(self, front: int, port: int) -> None:
@@ -42,11 +42,11 @@
         self.kept.clear()
 
 
-class Clients:
+class TestClients:
     """All clients of a scenario's load."""
 
     def __init__(
-        self, scenario: Scenario, judge: Judge, doors: list[Door], clock: Callable[[], float]
+        self, scenario: Scenario, judge: RuleChecker, doors: list[FrontAddress], clock: Callable[[], float]
     ) -> None:
         self.scenario, self.judge, self.doors, self.clock = scenario, judge, doors, clock
         self.cells: dict[str, int] = {}  # box: the shard that it holds
@@ -54,7 +54,7 @@
         self.unsent = 0  # their front took no connection: it was down
         self.unread = 0  # a connection ended as they asked, and so they asked once more
         self.tasks: set[asyncio.Task[None]] = set()
-        self.wishes: list[Wish] = []  # what came of each request, over its tries
+        self.wishes: list[RequestTemplate] = []  # what came of each request, over its tries
 
     async def run(self) -> None:
         began = self.clock()
@@ -65,7 +65,7 @@
             task.add_done_callback(self.tasks.discard)
         await asyncio.gather(*self.tasks)
 
-    async def ask(self, drawn: Drawn) -> None:
+    async def ask(self, drawn: GeneratedRequest) -> None:
         """A request, with the tries that its client makes."""
         load, first, served = self.scenario.load, self.clock(), None
         for number in range(1 + load.retries):
@@ -75,9 +75,9 @@
                 break
             if number < load.retries:
                 await asyncio.sleep(max(asked.wait, load.retry_s))
-        self.wishes.append(Wish(first, drawn.volume, drawn.kind, drawn.units, served))
+        self.wishes.append(RequestTemplate(first, drawn.volume, drawn.kind, drawn.units, served))
 
-    async def once(self, drawn: Drawn, trace: str, again: bool) -> Asked:
+    async def once(self, drawn: GeneratedRequest, trace: str, again: bool) -> ClientRequestRecord:
         """One try, from its connection to the one answer."""
         block, volume, kind, units = drawn.block, drawn.volume, drawn.kind, drawn.units
         load, shard, door, moves = (
@@ -90,10 +90,10 @@
             shard = -1
         elif not kind.write and moves < load.reread and self.written:
             block, shard = self.written[int(moves / load.reread * len(self.written))]
-        form = Form(
+        form = RequestForm(
             "PUT" if kind.write else "GET",
             f"/api?block={block}",
-            f"key-{trace}" if kind.repeat is Repeat.KEYED else None,
+            f"key-{trace}" if kind.repeat is Idempotency.KEYED else None,
             b"scan" if kind.write else b"",
         )
         key = f"Idempotency-Key: {form.key}\r\n" if form.key else ""
@@ -108,7 +108,7 @@
             "\r\n"
         ).encode() + form.body
         now = self.clock()
-        asked = Asked(door.front, volume, kind, units, now, now + kind.deadline, form)
+        asked = ClientRequestRecord(door.front, volume, kind, units, now, now + kind.deadline, form)
         for _ in range(2):
             try:
                 connection = await door.connection()
@@ -132,8 +132,8 @@
         trace: str,
         message: bytes,
         connection: tuple[asyncio.StreamReader, asyncio.StreamWriter],
-        door: Door,
-        asked: Asked,
+        door: FrontAddress,
+        asked: ClientRequestRecord,
     ) -> bool:
         """Whether that was all. A connection that ends without a byte may have crossed the request."""
         reader, writer = connection
--- a/cleatyoke/testbed/discovery_agent.py
+++ b/cleatyoke/testbed/discovery_agent.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cleatyoke.testbed.checker import Judge
+from cleatyoke.testbed.checker import RuleChecker
 from cleatyoke.testbed.peer import Peer
 
 IDLE = 2.0  # seconds after which an empty line comes
@@ -41,11 +41,13 @@
         return {"generation": self.version, "reset": False, "instances": list(latest.values())}
 
 
-class Agent(Peer):
+class DiscoveryAgent(Peer):
     """The agent of one front. ``late``: seconds by which it passes on what it hears. ``spoils``: what it
     serves in place of a list (``garble``, ``empty``, ``silent``), or nothing."""
 
-    def __init__(self, front: int, registry: Registry, judge: Judge, clock: Callable[[], float]) -> None:
+    def __init__(
+        self, front: int, registry: Registry, judge: RuleChecker, clock: Callable[[], float]
+    ) -> None:
         super().__init__()
         self.front, self.registry, self.judge, self.clock = front, registry, judge, clock
         self.late, self.spoils = 0.0, ""
--- a/cleatyoke/testbed/fault_relay.py
+++ b/cleatyoke/testbed/fault_relay.py
@@ -19,15 +19,15 @@
 CHUNK = 65536
 
 
-class Ear(asyncio.DatagramProtocol):
-    def __init__(self, relay: Relay, target: int) -> None:
+class FaultRelayProtocol(asyncio.DatagramProtocol):
+    def __init__(self, relay: FaultRelay, target: int) -> None:
         self.relay, self.target = relay, target
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self.relay.datagram(self.relay.number(addr[0]), self.target, data)
 
 
-class Relay:
+class FaultRelay:
     def __init__(self, fronts: int, seed: int) -> None:
         self.network = Network(seed, delay=0.0, jitter=0.0)
         self.fronts, self.loop = fronts, asyncio.get_running_loop()
@@ -55,7 +55,7 @@
         for front in range(self.fronts):
             host = self.known(front).partition(":")[0]
             socket, _ = await self.loop.create_datagram_endpoint(
-                partial(Ear, self, front), local_addr=(host, self.port)
+                partial(FaultRelayProtocol, self, front), local_addr=(host, self.port)
             )
             self.sockets.append(socket)
 
--- a/cleatyoke/testbed/generator.py
+++ b/cleatyoke/testbed/generator.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from cleatyoke.config.deployment import REPEATS
-from cleatyoke.scheduling import api
-from cleatyoke.testbed.scenario import BOX_TROUBLES, FRONT_TROUBLES, LIST_TROUBLES, REPORTS
+from cleatyoke.scheduling.settings import IdempotencyScope
+from cleatyoke.testbed.scenario import BACKEND_FAULTS, FRONT_FAULTS, LIST_FAULTS, REPORTS
 
 MOST_RATE = 130.0  # requests a second: what the stand-ins of one play can serve without running late
 BOX_UNITS = (10.0, 20.0, 40.0)  # a second, of a warm box
@@ -91,7 +91,7 @@
                 "worth": float(rng.randint(1, 5)),
                 "late": round(rng.uniform(0, 0.3), 2),
                 "repeat": rng.choice(list(REPEATS)) if number else "by_key",
-                "scope": rng.choice([scope.value for scope in api.Scope]),
+                "scope": rng.choice([scope.value for scope in IdempotencyScope]),
                 "memory_s": round(rng.uniform(0.3, 6.0), 1),
                 "write": not number or rng.random() < 0.5,
             }
@@ -135,14 +135,14 @@
 
 
 def trouble(rng: random.Random, fronts: int, boxes: int, seconds: float) -> Values:
-    kind = rng.choice((*BOX_TROUBLES, "replace", "restart", *FRONT_TROUBLES, *LIST_TROUBLES))
-    count = boxes if kind in BOX_TROUBLES else fronts
+    kind = rng.choice((*BACKEND_FAULTS, "replace", "restart", *FRONT_FAULTS, *LIST_FAULTS))
+    count = boxes if kind in BACKEND_FAULTS else fronts
     chosen = sorted(rng.sample(range(count), rng.randint(1, count)))
     lasts = round(rng.uniform(*STALLS) if kind == "stall" else rng.uniform(0.3, seconds * 0.6), 2)
     made: Values = {"at": round(rng.uniform(0.2, seconds * 0.8), 2), "kind": kind, "of": chosen}
     if kind not in ("roll", "kill", "replace"):
         made["lasts_s"] = lasts
-    if kind not in LIST_TROUBLES:
+    if kind not in LIST_FAULTS:
         made["over_s"] = rng.choice((0.0, round(rng.uniform(0, 3), 2)))
     if kind in (*DOUBTS, "late_lists"):
         made["share"] = round(rng.uniform(0.05, 0.5) if kind != "late_lists" else rng.uniform(0.3, 3), 2)
--- a/cleatyoke/testbed/runner.py
+++ b/cleatyoke/testbed/runner.py
@@ -17,24 +17,24 @@
 from typing import Any
 
 from cleatyoke.emulation.network import Fault
-from cleatyoke.emulation.value import Wish
-from cleatyoke.testbed.backend import Box
-from cleatyoke.testbed.backend_model import BoxModel
-from cleatyoke.testbed.checker import Judge
-from cleatyoke.testbed.clients import Clients, Door
-from cleatyoke.testbed.discovery_agent import Agent, Registry
-from cleatyoke.testbed.fault_relay import Relay
+from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.testbed.backend import TestBackend
+from cleatyoke.testbed.backend_model import BackendModel
+from cleatyoke.testbed.checker import RuleChecker
+from cleatyoke.testbed.clients import FrontAddress, TestClients
+from cleatyoke.testbed.discovery_agent import DiscoveryAgent, Registry
+from cleatyoke.testbed.fault_relay import FaultRelay
 from cleatyoke.testbed.peer import hold_port
 from cleatyoke.testbed.scenario import (
-    BOX_TROUBLES,
-    CALL_TROUBLES,
-    FRONT_TROUBLES,
-    LINK_TROUBLES,
+    BACKEND_FAULTS,
+    CALL_FAULTS,
+    FRONT_FAULTS,
+    LINK_FAULTS,
+    FaultEvent,
     Scenario,
-    Trouble,
     settings_of,
 )
-from cleatyoke.testbed.view_checks import View, ViewJudge, read_view
+from cleatyoke.testbed.view_checks import MembershipChecker, MembershipView, read_view
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 START = 15.0  # seconds for a front to be ready
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Report:
+class RunReport:
     """What came of a play. ``broken`` is empty where every rule was kept and no front exited unasked."""
 
     scenario: str
@@ -68,7 +68,9 @@
     log: Counter[str] = field(default_factory=Counter)  # event: lines, over all fronts
     faults: list[str] = field(default_factory=list)  # the log's lines of faults that nothing foresaw
     began: float = 0.0  # of the load, on the clock of ...
-    wishes: list[Wish] = field(default_factory=list)  # ... what clients wanted, and when they got it
+    wishes: list[RequestTemplate] = field(
+        default_factory=list
+    )  # ... what clients wanted, and when they got it
     held: list[str] = field(default_factory=list)  # what calls to hold and release boxes were told
     views: list[tuple[str, float | None]] = field(default_factory=list)  # trouble; seconds to one view after
 
@@ -96,9 +98,9 @@
 class FrontProcess:
     """One front as a process under its name: started, signalled, waited for; its log is read by the line."""
 
-    def __init__(self, number: int, folder: Path, port: int, play: Play) -> None:
-        self.number, self.folder, self.play = number, folder, play
-        self.door = Door(number, port)
+    def __init__(self, number: int, folder: Path, port: int, run: ScenarioRun) -> None:
+        self.number, self.folder, self.run = number, folder, run
+        self.door = FrontAddress(number, port)
         self.process: asyncio.subprocess.Process | None = None
         self.asked = False  # to end
         self.known: dict[str, Any] = {}  # the list in its file
@@ -106,38 +108,38 @@
         self.watching: asyncio.Task[None] | None = None
 
     def write(self, **changes: Any) -> None:
-        scenario, play = self.play.scenario, self.play
-        known = play.registry.listing()
+        scenario, run = self.run.scenario, self.run
+        known = run.registry.listing()
         values = {
             "name": f"n{self.number}",
             "listen": f"127.0.0.1:{self.door.port}",
-            "discovery": f"127.0.0.1:{play.agents[self.number].port}",
+            "discovery": f"127.0.0.1:{run.agents[self.number].port}",
             "seed": f"{scenario.seed * 1000 + self.number:x}",
             "known": known,
             "settings": settings_of(scenario),
             **changes,
         }
-        if play.relay:
-            values["ops"] = f"{play.relay.host(self.number)}:{play.ops_port}"
-            (self.folder / "fronts.toml").write_text(play.fronts_file(self.number))
+        if run.relay:
+            values["ops"] = f"{run.relay.host(self.number)}:{run.ops_port}"
+            (self.folder / "fronts.toml").write_text(run.fronts_file(self.number))
         spare = self.folder / "config.new"
         spare.write_text(json.dumps(values))
         os.replace(spare, self.folder / "config.json")
         self.known = known
 
     async def start(self) -> None:
-        self.play.report.starts += 1
+        self.run.report.starts += 1
         self.asked = False
-        self.play.agents[self.number].tell(self.known)  # the old list that it starts with tells it too
+        self.run.agents[self.number].tell(self.known)  # the old list that it starts with tells it too
         self.ready.clear()
         kept = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-        words = ["--fronts", str(self.folder / "fronts.toml")] if self.play.relay else []
+        words = ["--fronts", str(self.folder / "fronts.toml")] if self.run.relay else []
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "cleatyoke",
             *words,
-            cwd=self.play.program,
+            cwd=self.run.program,
             stderr=asyncio.subprocess.PIPE,
             env={**kept, "RELAY_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder)},
         )
@@ -153,16 +155,16 @@
         while line := (await process.stderr.readline()).decode(errors="replace"):
             if "event='" in line:
                 event = line.partition("event='")[2].partition("'")[0]
-                self.play.report.log[event] += 1
+                self.run.report.log[event] += 1
                 if event.endswith("_fault"):
-                    self.play.report.faults.append(f"front {self.number}: {line.strip()}")
+                    self.run.report.faults.append(f"front {self.number}: {line.strip()}")
                 if event == "ready":
                     self.ready.set()
             last = line.strip()
         status = await process.wait()
         self.door.open = False
         if not self.asked or status not in (0, -signal.SIGKILL):
-            self.play.judge.faults.append(f"exit: front {self.number} with status {status}: {last[-200:]}")
+            self.run.judge.faults.append(f"exit: front {self.number} with status {status}: {last[-200:]}")
         self.ready.set()
 
     async def leave(self) -> None:
@@ -173,10 +175,10 @@
         await asyncio.sleep(OPEN)
         self.door.open = False
         try:
-            async with asyncio.timeout(self.play.scenario.notice() - OPEN):
+            async with asyncio.timeout(self.run.scenario.notice() - OPEN):
                 await asyncio.shield(self.watching)
         except TimeoutError:
-            self.play.judge.faults.append(f"exit: front {self.number} was not gone before its kill")
+            self.run.judge.faults.append(f"exit: front {self.number} was not gone before its kill")
             self.process.kill()
             await self.watching
         self.door.forget()
@@ -184,10 +186,10 @@
     async def kill(self) -> None:
         assert self.process and self.watching
         self.asked, self.door.open = True, False
-        self.play.judge.killed(self.number, self.play.clock())
+        self.run.judge.killed(self.number, self.run.clock())
         self.process.kill()
         await self.watching
-        self.play.judge.killed(self.number, self.play.clock())  # and what it took until it was gone
+        self.run.judge.killed(self.number, self.run.clock())  # and what it took until it was gone
         self.door.forget()
 
     def forget(self) -> None:
@@ -198,26 +200,26 @@
     async def pause(self, seconds: float) -> None:
         """SIGSTOP, and SIGCONT after so long."""
         assert self.process
-        process, began = self.process, self.play.clock()
+        process, began = self.process, self.run.clock()
         process.send_signal(signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
         finally:
             process.send_signal(signal.SIGCONT)
-            self.play.judge.paused(self.number, began, self.play.clock() + WAKES)
+            self.run.judge.paused(self.number, began, self.run.clock() + WAKES)
 
-    async def show_fleet(self) -> View | None:
+    async def show_fleet(self) -> MembershipView | None:
         lines = await self.call("show-fleet")
         return read_view(lines) if lines else None
 
     async def call(self, line: str) -> list[str]:
         """An operator's call; no lines where it got no answer."""
-        relay = self.play.relay
+        relay = self.run.relay
         assert relay
         writer: asyncio.StreamWriter | None = None
         try:
             async with asyncio.timeout(ANSWER):
-                reader, writer = await asyncio.open_connection(relay.host(self.number), self.play.ops_port)
+                reader, writer = await asyncio.open_connection(relay.host(self.number), self.run.ops_port)
                 writer.write(f"{line}\n".encode())
                 return (await reader.read()).decode().splitlines()
         except (OSError, TimeoutError):
@@ -227,19 +229,19 @@
                 writer.transport.abort()
 
 
-class Play:
+class ScenarioRun:
     """One play of a scenario."""
 
     def __init__(self, scenario: Scenario, folder: Path, program: Path = ROOT) -> None:
         self.scenario, self.folder, self.program = scenario, folder, program
         self.clock = asyncio.get_running_loop().time
         self.unix = time.time() - self.clock()
-        self.report = Report(scenario.name, scenario.seconds)
-        self.judge = Judge(scenario.plans, scenario.terms, max(4.0, float(scenario.load.units_most)))
+        self.report = RunReport(scenario.name, scenario.seconds)
+        self.judge = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.units_most)))
         self.registry = Registry()
-        self.boxes: list[Box] = []
-        self.retired: list[Box] = []
-        self.agents: list[Agent] = []
+        self.boxes: list[TestBackend] = []
+        self.retired: list[TestBackend] = []
+        self.agents: list[DiscoveryAgent] = []
         self.fronts: list[FrontProcess] = []
         self.held: list[socket.socket] = []  # the fronts' ports
         # Troubles that end a life, or hold one up, meet a box or a front one after the other.
@@ -247,8 +249,8 @@
         self.front_turn: defaultdict[int, asyncio.Lock] = defaultdict(asyncio.Lock)
         self.cells: dict[str, int] = {}  # box: the shard that it holds
         self.tasks: list[asyncio.Task[None]] = []
-        self.relay = Relay(scenario.fronts, scenario.seed) if scenario.view else None
-        self.views = ViewJudge()
+        self.relay = FaultRelay(scenario.fronts, scenario.seed) if scenario.view else None
+        self.views = MembershipChecker()
         self.ops_port = 0
 
     def fronts_file(self, front: int) -> str:
@@ -274,14 +276,14 @@
 
     # Boxes
 
-    async def add_box(self, cell: int, name: str, born: float | None, model_seed: int) -> Box:
-        box = Box(name, cell, self.scenario.zone_of(cell), self.judge, self.clock)
-        await box.live(BoxModel(self.scenario.power, born, model_seed))
+    async def add_box(self, cell: int, name: str, born: float | None, model_seed: int) -> TestBackend:
+        box = TestBackend(name, cell, self.scenario.zone_of(cell), self.judge, self.clock)
+        await box.live(BackendModel(self.scenario.power, born, model_seed))
         self.cells[name] = cell
         await self.list_box(box)
         return box
 
-    async def list_box(self, box: Box, lifecycle: str = "SERVING") -> None:
+    async def list_box(self, box: TestBackend, lifecycle: str = "SERVING") -> None:
         born = box.model.born
         started = 0 if born is None else int((born + self.unix) * 1000)
         await self.registry.set(
@@ -295,7 +297,7 @@
             startedAtMs=started,
         )
 
-    async def trouble_box(self, cell: int, trouble: Trouble) -> None:
+    async def trouble_box(self, cell: int, trouble: FaultEvent) -> None:
         if trouble.kind not in LIFE_TROUBLES:
             model = self.boxes[cell].model
             model.ailing[trouble.kind] = trouble.share
@@ -305,7 +307,7 @@
         async with self.box_turn[cell]:
             await self.trouble_life(cell, trouble)
 
-    async def trouble_life(self, cell: int, trouble: Trouble) -> None:
+    async def trouble_life(self, cell: int, trouble: FaultEvent) -> None:
         box = self.boxes[cell]
         match trouble.kind:
             case "replace":  # by one with a new id, cold, that holds the same
@@ -325,7 +327,7 @@
             case "restart":  # it dies, is back after a while under its id, and is cold
                 box.stop()
                 await asyncio.sleep(trouble.lasts)
-                await box.live(BoxModel(self.scenario.power, self.clock(), box.model.seed))
+                await box.live(BackendModel(self.scenario.power, self.clock(), box.model.seed))
                 await self.list_box(box)
             case "silence":
                 box.silence(True)
@@ -336,11 +338,11 @@
 
     # Fronts and lists
 
-    async def trouble_front(self, number: int, trouble: Trouble) -> None:
+    async def trouble_front(self, number: int, trouble: FaultEvent) -> None:
         async with self.front_turn[number]:
             await self.trouble_process(number, trouble)
 
-    async def trouble_process(self, number: int, trouble: Trouble) -> None:
+    async def trouble_process(self, number: int, trouble: FaultEvent) -> None:
         front = self.fronts[number]
         match trouble.kind:
             case "roll" | "kill":
@@ -366,12 +368,12 @@
                 await asyncio.sleep(trouble.lasts)
                 old.stop()
 
-    async def add_agent(self, front: int) -> Agent:
-        agent = Agent(front, self.registry, self.judge, self.clock)
+    async def add_agent(self, front: int) -> DiscoveryAgent:
+        agent = DiscoveryAgent(front, self.registry, self.judge, self.clock)
         await agent.start()
         return agent
 
-    async def trouble_lists(self, number: int, trouble: Trouble) -> None:
+    async def trouble_lists(self, number: int, trouble: FaultEvent) -> None:
         agent = self.agents[number]
         if trouble.kind == "late_lists":
             agent.late = trouble.share
@@ -380,7 +382,7 @@
         await asyncio.sleep(trouble.lasts)
         agent.late, agent.spoils = 0.0, ""
 
-    async def trouble_links(self, trouble: Trouble) -> None:
+    async def trouble_links(self, trouble: FaultEvent) -> None:
         assert self.relay and trouble.links
         links, network = trouble.links, self.relay.network
         here, there = (frozenset(map(str, numbers)) for numbers in (trouble.of, links.to))
@@ -394,7 +396,7 @@
         for fault in faults:
             network.faults.remove(fault)
 
-    async def trouble_hold(self, number: int, trouble: Trouble) -> None:
+    async def trouble_hold(self, number: int, trouble: FaultEvent) -> None:
         """A box is held by a call at one front, and released by one at the next. The judge holds those fronts
         to it of which the answer says that they have it: this one, or all."""
         box = self.boxes[trouble.box].name
@@ -414,22 +416,22 @@
         told = " ".join(await other.call(f"enable-server {box}")).split()
         self.report.held.append(" ".join(told))
 
-    async def trouble(self, trouble: Trouble) -> None:
+    async def trouble(self, trouble: FaultEvent) -> None:
         await asyncio.sleep(trouble.at)
         await self.trouble_all(trouble)
-        if trouble.kind in (*FRONT_TROUBLES, *LINK_TROUBLES):
+        if trouble.kind in (*FRONT_FAULTS, *LINK_FAULTS):
             self.views.ends.append((self.clock(), trouble.kind))
 
-    async def trouble_all(self, trouble: Trouble) -> None:
+    async def trouble_all(self, trouble: FaultEvent) -> None:
         if trouble.links:
             await self.trouble_links(trouble)
             return
-        act: Callable[[int, Trouble], Awaitable[None]] = self.trouble_lists
-        if trouble.kind in BOX_TROUBLES:
+        act: Callable[[int, FaultEvent], Awaitable[None]] = self.trouble_lists
+        if trouble.kind in BACKEND_FAULTS:
             act = self.trouble_box
-        elif trouble.kind in FRONT_TROUBLES:
+        elif trouble.kind in FRONT_FAULTS:
             act = self.trouble_front
-        elif trouble.kind in CALL_TROUBLES:
+        elif trouble.kind in CALL_FAULTS:
             act = self.trouble_hold
         step = trouble.over / max(1, len(trouble.of))
 
@@ -463,7 +465,7 @@
         while self.clock() < until and not self.views.settled():
             await asyncio.sleep(LOOK / 2)
 
-    async def run(self) -> Report:
+    async def run(self) -> RunReport:
         scenario = self.scenario
         if self.relay:
             await self.relay.start()
@@ -481,7 +483,7 @@
             self.fronts[-1].write()
         try:
             await asyncio.gather(*(front.start() for front in self.fronts))
-            clients = Clients(scenario, self.judge, [front.door for front in self.fronts], self.clock)
+            clients = TestClients(scenario, self.judge, [front.door for front in self.fronts], self.clock)
             clients.cells = self.cells
             began = self.report.began = self.clock()
             watcher = asyncio.create_task(self.watch_views()) if self.relay else None
@@ -504,7 +506,7 @@
                 self.relay.stop()
         return self.sum_up(clients)
 
-    def sum_up(self, clients: Clients) -> Report:
+    def sum_up(self, clients: TestClients) -> RunReport:
         report, asked = self.report, self.judge.asked
         report.wishes = clients.wishes
         report.requests = len(asked)
@@ -529,7 +531,7 @@
         return report
 
 
-async def play(scenario: Scenario, program: Path = ROOT) -> Report:
+async def run_scenario(scenario: Scenario, program: Path = ROOT) -> RunReport:
     """Play a scenario from its start to the exit of every front. ``program``: the folder of their package."""
     with tempfile.TemporaryDirectory() as folder:
-        return await Play(scenario, Path(folder), program).run()
+        return await ScenarioRun(scenario, Path(folder), program).run()
--- a/cleatyoke/testbed/scenario.py
+++ b/cleatyoke/testbed/scenario.py
@@ -7,22 +7,22 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke.config.deployment import REPEATS, BadConfig, Table
-from cleatyoke.scheduling import api
+from cleatyoke.config.deployment import REPEATS, ConfigError, Table
+from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 
-BOX_TROUBLES = ("replace", "drain", "restart", "silence", "stall", "reset", "lose_answers", "spoil", "slow")
-FRONT_TROUBLES = ("roll", "kill", "reload", "pause", "powercut")
-LINK_TROUBLES = ("links",)
-CALL_TROUBLES = ("hold",)
+BACKEND_FAULTS = ("replace", "drain", "restart", "silence", "stall", "reset", "lose_answers", "spoil", "slow")
+FRONT_FAULTS = ("roll", "kill", "reload", "pause", "powercut")
+LINK_FAULTS = ("links",)
+CALL_FAULTS = ("hold",)
 WITHIN = 0.35  # part of its worth that a unit beyond its reserve earns
 KILL = 0.7  # seconds more than the longest deadline, from SIGTERM to SIGKILL
 REPORTS = {one: one for one in ("answers", "probe", "none")}
 NAMES = {repeat: name for name, repeat in REPEATS.items()}
-LIST_TROUBLES = ("late_lists", "garble_lists", "empty_lists", "silent_lists")
+LIST_FAULTS = ("late_lists", "garble_lists", "empty_lists", "silent_lists")
 
 
 @dataclass(slots=True, frozen=True)
-class Load:
+class LoadProfile:
     rate: float  # requests a second over all fronts
     writes: float  # part of them that are writes
     volumes: int  # on the limited plan, one in two; over boxes and fronts in turn
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
+class RequestKind:
     """A class of requests."""
 
     name: str
@@ -51,14 +51,14 @@
     deadline: float  # seconds that clients wait
     worth: float
     late_share: float
-    repeat: api.Repeat
-    scope: api.Scope  # of the boxes that drop a repeat, where it is keyed ...
+    repeat: Idempotency
+    scope: IdempotencyScope  # of the boxes that drop a repeat, where it is keyed ...
     memory: float  # ... for so many seconds
     write: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
+class PlanTerms:
     """A plan of volumes: figures in units a second over all fronts; a limit of 0 means none."""
 
     name: str
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class DeploymentTerms:
     """What the settings of the deployment allow."""
 
     attempts: int  # for a request, at the most
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class BoxPower:
+class BackendCapacity:
     units: float  # a second, when warm
     queue: int  # requests that wait at the most
     cold_from: float  # part of its power with which a box starts
@@ -96,7 +96,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Links:
+class LinkFault:
     """Faults of the links among fronts; shares from 0 to 1, seconds."""
 
     to: list[int]
@@ -122,7 +122,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Trouble:
+class FaultEvent:
     at: float  # seconds after the load begins
     kind: str
     of: list[int]  # numbers of boxes or fronts; for lists, of fronts
@@ -130,7 +130,7 @@
     lasts: float  # seconds for each
     share: float  # part of the requests that it meets, or for ``slow`` the part of its power that a box keeps
     box: int = 0  # of ``hold``: the box that is held
-    links: Links | None = None  # of ``links``: what messages from ``of`` meet there
+    links: LinkFault | None = None  # of ``links``: what messages from ``of`` meet there
 
 
 @dataclass(slots=True, frozen=True)
@@ -141,18 +141,18 @@
     fronts: int
     boxes: int
     zones: list[str]
-    kinds: list[Kind]
-    plans: list[Plan]  # of the volumes in turn, by their numbers
-    terms: Terms
-    load: Load
-    power: BoxPower
-    troubles: list[Trouble]
+    kinds: list[RequestKind]
+    plans: list[PlanTerms]  # of the volumes in turn, by their numbers
+    terms: DeploymentTerms
+    load: LoadProfile
+    power: BackendCapacity
+    troubles: list[FaultEvent]
     view: ViewTerms | None = None
 
     def zone_of(self, box: int) -> str:
         return self.zones[box % len(self.zones)]
 
-    def plan_of(self, volume: int) -> Plan:
+    def plan_of(self, volume: int) -> PlanTerms:
         return self.plans[volume % len(self.plans)]
 
     def notice(self) -> float:
@@ -165,7 +165,7 @@
     try:
         values = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
-        raise BadConfig(f"{path.name}: {error}") from error
+        raise ConfigError(f"{path.name}: {error}") from error
     return make_scenario(path.stem, values)
 
 
@@ -190,7 +190,7 @@
         kinds=kinds,
         plans=plans,
         terms=read_terms(terms),
-        load=Load(
+        load=LoadProfile(
             rate=load.positive("rate"),
             writes=writes,
             volumes=load.whole("volumes", 1, 4096, 4 * boxes),
@@ -208,7 +208,7 @@
             retries=load.whole("retries", 0, 99, 0),
             retry_s=load.positive("retry_s", 0.5),
         ),
-        power=BoxPower(
+        power=BackendCapacity(
             units=power.positive("units", 60.0),
             queue=power.whole("queue", 1, 4096, 24),
             cold_from=power.positive("cold_from", 0.2),
@@ -220,7 +220,7 @@
         view=read_view_terms(view, fronts),
     )
     for one in scenario.troubles if scenario.view is None else []:
-        if one.kind in (*LINK_TROUBLES, *CALL_TROUBLES):
+        if one.kind in (*LINK_FAULTS, *CALL_FAULTS):
             raise root.fail("trouble", f"{one.kind} wants a view of the fleet")
     for table in (root, fleet, load, power, terms, view):
         table.nothing_else()
@@ -237,8 +237,8 @@
     return [{"name": "public", "limit": limit}, {"name": "research"}]
 
 
-def read_kind(table: Table, deadline: float) -> Kind:
-    kind = Kind(
+def read_kind(table: Table, deadline: float) -> RequestKind:
+    kind = RequestKind(
         name=table.text("name"),
         share=table.number("share", 1.0),
         aim=table.positive("aim_s", 0.3),
@@ -246,7 +246,7 @@
         worth=table.positive("worth", 1.0),
         late_share=table.number("late", 0.1),
         repeat=table.one_of("repeat", REPEATS, "repeatable"),
-        scope=table.one_of("scope", {scope.value: scope for scope in api.Scope}, "all"),
+        scope=table.one_of("scope", {scope.value: scope for scope in IdempotencyScope}, "all"),
         memory=table.number("memory_s", 5.0),
         write=table.flag("write"),
     )
@@ -254,9 +254,9 @@
     return kind
 
 
-def read_plan(table: Table, units: int) -> Plan:
+def read_plan(table: Table, units: int) -> PlanTerms:
     limit = table.number("limit", 0.0)
-    plan = Plan(
+    plan = PlanTerms(
         name=table.text("name"),
         rate=table.number("rate", 8.0),
         reserve=table.number("reserve", 4.0),
@@ -270,8 +270,8 @@
     return plan
 
 
-def read_terms(table: Table) -> Terms:
-    return Terms(
+def read_terms(table: Table) -> DeploymentTerms:
+    return DeploymentTerms(
         attempts=table.whole("attempts", 1, 16, 4),
         drain_grace=table.positive("drain_grace_s", 1.0),
         cancel=table.flag("cancel", True),
@@ -303,8 +303,8 @@
     return chosen
 
 
-def read_links(table: Table, fronts: int, chosen: list[int]) -> Links:
-    return Links(
+def read_links(table: Table, fronts: int, chosen: list[int]) -> LinkFault:
+    return LinkFault(
         to=numbers(table, "to", fronts, [one for one in range(fronts) if one not in chosen]),
         one_way=table.flag("one_way"),
         cut=table.flag("cut"),
@@ -316,25 +316,25 @@
     )
 
 
-def read_trouble(table: Table, fronts: int, boxes: int, zones: list[str]) -> Trouble:
-    every = *BOX_TROUBLES, *FRONT_TROUBLES, *LIST_TROUBLES, *LINK_TROUBLES, *CALL_TROUBLES
+def read_trouble(table: Table, fronts: int, boxes: int, zones: list[str]) -> FaultEvent:
+    every = *BACKEND_FAULTS, *FRONT_FAULTS, *LIST_FAULTS, *LINK_FAULTS, *CALL_FAULTS
     kinds = {kind: kind for kind in every}
     kind = table.one_of("kind", kinds)
-    count = boxes if kind in BOX_TROUBLES else fronts
+    count = boxes if kind in BACKEND_FAULTS else fronts
     chosen = table.rows("of", list(range(count)))
-    if kind in BOX_TROUBLES and "zone" in table.values:
+    if kind in BACKEND_FAULTS and "zone" in table.values:
         zone = table.one_of("zone", {zone: place for place, zone in enumerate(zones)})
         chosen = [box for box in range(boxes) if box % len(zones) == zone]
     chosen = numbers(Table({"of": chosen}, table.path), "of", count, [])
-    trouble = Trouble(
+    trouble = FaultEvent(
         at=table.number("at"),
         kind=kind,
         of=chosen,
         over=table.number("over_s", 0.0),
         lasts=table.number("lasts_s", 0.0),
         share=table.number("share", 1.0),
-        box=table.whole("box", 0, boxes - 1, 0) if kind in CALL_TROUBLES else 0,
-        links=read_links(table, fronts, chosen) if kind in LINK_TROUBLES else None,
+        box=table.whole("box", 0, boxes - 1, 0) if kind in CALL_FAULTS else 0,
+        links=read_links(table, fronts, chosen) if kind in LINK_FAULTS else None,
     )
     table.nothing_else()
     return trouble
--- a/cleatyoke/testbed/search.py
+++ b/cleatyoke/testbed/search.py
@@ -17,18 +17,18 @@
 from pathlib import Path
 
 from cleatyoke.testbed.generator import SPAN, THEMES, Values, draw, dump
-from cleatyoke.testbed.runner import ROOT, Report, play
+from cleatyoke.testbed.runner import ROOT, RunReport, run_scenario
 from cleatyoke.testbed.scenario import make_scenario
 
 JOBS = 3  # plays at once
 TRIES = 2  # plays of a shorter scenario: what depends on the moment need not show in the first
 MOST_PLAYS = 40  # to make one scenario shorter
-Breaks = Callable[[Values], set[str]]  # plays it: the names of the rules that broke
+BrokenRules = Callable[[Values], set[str]]  # plays it: the names of the rules that broke
 
 
-def play_values(name: str, values: Values, program: Path = ROOT) -> Report:
+def play_values(name: str, values: Values, program: Path = ROOT) -> RunReport:
     """In this process, from the start of its fronts to their exits."""
-    return asyncio.run(play(make_scenario(name, values), program))
+    return asyncio.run(run_scenario(make_scenario(name, values), program))
 
 
 def pool(jobs: int = JOBS) -> ProcessPoolExecutor:
@@ -53,7 +53,7 @@
         yield {**values, "fleet": {**values["fleet"], "seconds": round(seconds * 0.7, 2)}}
 
 
-def shorten(values: Values, rule: str, breaks: Breaks, most: int = MOST_PLAYS) -> Values:
+def shorten(values: Values, rule: str, breaks: BrokenRules, most: int = MOST_PLAYS) -> Values:
     """The shortest found that still breaks the rule, in so many plays at the most."""
     plays, found = 0, True
     while found:
--- a/cleatyoke/testbed/view_checks.py
+++ b/cleatyoke/testbed/view_checks.py
@@ -9,11 +9,11 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from cleatyoke.config.deployment import BadConfig
+from cleatyoke.config.deployment import ConfigError
 
 
 @dataclass(slots=True)
-class View:
+class MembershipView:
     """A front's answer to ``show-fleet``."""
 
     name: str = ""
@@ -28,9 +28,9 @@
         return others | {(self.name, self.boot)}
 
 
-def read_view(lines: Collection[str]) -> View:
+def read_view(lines: Collection[str]) -> MembershipView:
     """Raises ``BadConfig`` for a line that is none of it."""
-    view = View()
+    view = MembershipView()
     for line in lines:
         match line.split():
             case ["fleet.me", name, boot, raised, _, _]:
@@ -44,18 +44,18 @@
             case ["EOT"]:
                 pass
             case _:
-                raise BadConfig(f"show-fleet: {line!r}")
+                raise ConfigError(f"show-fleet: {line!r}")
     return view
 
 
 @dataclass(slots=True)
-class ViewJudge:
+class MembershipChecker:
     faults: list[str] = field(default_factory=list)
     lives: dict[str, tuple[int, int]] = field(default_factory=dict)  # front: highest boot and count told
     rounds: list[tuple[float, bool]] = field(default_factory=list)  # when, and whether there was one view
     ends: list[tuple[float, str]] = field(default_factory=list)  # when a trouble ended, and which
 
-    def seen(self, at: float, views: Mapping[int, View | None]) -> None:
+    def seen(self, at: float, views: Mapping[int, MembershipView | None]) -> None:
         """One round of asking everybody who ran before it and runs after it; None: no answer in time."""
         told = [view for view in views.values() if view is not None]
         up = {(view.name, view.boot) for view in told}
--- a/cleatyoke/testbed/workload.py
+++ b/cleatyoke/testbed/workload.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from cleatyoke.testbed.scenario import Kind, Scenario
+from cleatyoke.testbed.scenario import RequestKind, Scenario
 
 STEP = 0x9E3779B97F4A7C15  # from one id to the next: an odd number, so that few meet another's
 
 
 @dataclass(slots=True, frozen=True)
-class Drawn:
+class GeneratedRequest:
     """One request of a client."""
 
     at: float  # seconds after the load begins
@@ -21,7 +21,7 @@
     block: str
     volume: int
     front: int  # whom it is sent to
-    kind: Kind
+    kind: RequestKind
     units: int
     moves: float  # draws whether it writes a new object, or reads one written just before
 
@@ -30,7 +30,7 @@
         return f"{(int(self.trace, 16) + number * STEP) % (1 << 64):016x}"
 
 
-def requests(scenario: Scenario) -> Iterator[Drawn]:
+def requests(scenario: Scenario) -> Iterator[GeneratedRequest]:
     load, rng, at = scenario.load, random.Random(scenario.seed), 0.0
     while True:
         surge = load.surge_at <= at < load.surge_at + load.surge_s
@@ -45,4 +45,4 @@
         trace, block = (f"{rng.getrandbits(64):016x}" for _ in range(2))
         kind = rng.choices(scenario.kinds, [one.share for one in scenario.kinds])[0]
         units = rng.randint(load.units, load.units_most)
-        yield Drawn(at, trace, block, volume, front, kind, units, rng.random())
+        yield GeneratedRequest(at, trace, block, volume, front, kind, units, rng.random())
--- a/cleatyoke/transport/framing.py
+++ b/cleatyoke/transport/framing.py
@@ -7,7 +7,7 @@
 LENGTH_BYTES = 4
 
 
-class MessageTooLong(ValueError):
+class MessageTooLongError(ValueError):
     """A message of more bytes than are taken."""
 
 
@@ -15,7 +15,7 @@
     """Raises ``MessageTooLong`` before any of it is read, ``EOFError`` where the stream ends before it."""
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     if length > most:
-        raise MessageTooLong(f"a message of {length} bytes, want {most} at the most")
+        raise MessageTooLongError(f"a message of {length} bytes, want {most} at the most")
     return await reader.readexactly(length)
 
 
--- a/cleatyoke/transport/sockets.py
+++ b/cleatyoke/transport/sockets.py
@@ -54,7 +54,7 @@
         peek.detach()
 
 
-class PartingTransport(asyncio.Transport):
+class ClosingTransport(asyncio.Transport):
     """A transport whose ``close`` costs no answer (RFC 9112, 9.6): what was written goes out, then the
     sending side is shut, and what still comes is thrown away until the peer ends it too, within ``PART``
     seconds and ``MOST_PART`` bytes. Guards answers: a close over unread bytes resets the connection, and what
@@ -65,8 +65,8 @@
         self,
         inner: asyncio.Transport,
         protocol: asyncio.Protocol,
-        parts: Callable[[PartingTransport], None],
-        parted: Callable[[PartingTransport], None],
+        parts: Callable[[ClosingTransport], None],
+        parted: Callable[[ClosingTransport], None],
     ) -> None:
         super().__init__()
         self.inner, self.protocol, self.parts, self.parted = inner, protocol, parts, parted
@@ -76,7 +76,7 @@
         if self.parting or self.inner.is_closing():
             return
         self.parting = True
-        self.inner.set_protocol(Parting(self))
+        self.inner.set_protocol(ClosingProtocol(self))
         asyncio.get_running_loop().call_soon(self.protocol.connection_lost, None)
         self.parts(self)
         try:
@@ -143,10 +143,10 @@
         self.inner.set_protocol(protocol)
 
 
-class Parting(asyncio.Protocol):
+class ClosingProtocol(asyncio.Protocol):
     """What is left of a connection whose sending side is shut: it reads and throws away."""
 
-    def __init__(self, transport: PartingTransport) -> None:
+    def __init__(self, transport: ClosingTransport) -> None:
         self.transport, self.left, self.looks = transport, MOST_PART, 0
         self.loop = asyncio.get_running_loop()
         self.timer = self.loop.call_later(PART, self.look)
@@ -169,7 +169,7 @@
         self.transport.parted(self.transport)
 
 
-class NotListening(OSError):
+class NotListeningError(OSError):
     """A descriptor that was handed down is no listening TCP socket."""
 
 
@@ -178,10 +178,10 @@
     try:
         taken = socket.socket(fileno=descriptor)
     except OSError as error:
-        raise NotListening(f"descriptor {descriptor}: {error.strerror or error}") from error
+        raise NotListeningError(f"descriptor {descriptor}: {error.strerror or error}") from error
     if taken.type != socket.SOCK_STREAM or not taken.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         taken.detach()  # it is not ours to close
-        raise NotListening(f"descriptor {descriptor} is no listening TCP socket")
+        raise NotListeningError(f"descriptor {descriptor} is no listening TCP socket")
     return taken
 
 
--- a/cleatyoke/vrrp/instance.py
+++ b/cleatyoke/vrrp/instance.py
@@ -15,12 +15,12 @@
 
 import structlog
 
-from cleatyoke.config.deployment import Address, VrrpPeers
+from cleatyoke.config.deployment import Address, VrrpSettings
 
 log = structlog.get_logger()
 
 
-class BadAdvertisement(ValueError):
+class AdvertisementError(ValueError):
     """A datagram that is no advertisement for this router."""
 
 
@@ -55,21 +55,21 @@
 
 def decode(message: bytes) -> Advertisement:
     if len(message) < 12 or len(message) % 4:
-        raise BadAdvertisement(f"{len(message)} bytes")
+        raise AdvertisementError(f"{len(message)} bytes")
     kind, router, priority, count, interval = struct.unpack(">BBBBH", message[:6])
     if kind != 0x31:
-        raise BadAdvertisement(f"version and type {kind:#x}")
+        raise AdvertisementError(f"version and type {kind:#x}")
     if checksum(message):
-        raise BadAdvertisement("checksum")
+        raise AdvertisementError("checksum")
     size, odd = divmod(len(message) - 8, count) if count else (0, 1)
     if odd or size not in (4, 16):
-        raise BadAdvertisement(f"{count} addresses")
+        raise AdvertisementError(f"{count} addresses")
     parts = [message[start : start + size] for start in range(8, len(message), size)]
     addresses = tuple(str(ipaddress.ip_address(part)) for part in parts)
     return Advertisement(router, priority, (interval & 0xFFF) / 100, addresses)
 
 
-class Router:
+class VirtualRouter:
     """A virtual router's state machine (RFC 5798, 6.4). Each event returns the priorities to advertise now;
     ``due`` is when ``timer`` wants to be called next."""
 
@@ -128,9 +128,9 @@
 class Carrier(asyncio.DatagramProtocol):
     """A router on UDP. ``changed`` hears, in their order, of each gain (True) and loss of mastership."""
 
-    def __init__(self, config: VrrpPeers, changed: Callable[[bool], Awaitable[None]]) -> None:
+    def __init__(self, config: VrrpSettings, changed: Callable[[bool], Awaitable[None]]) -> None:
         self.config, self.changed, self.loop = config, changed, asyncio.get_running_loop()
-        self.router = Router(config.priority, config.interval, config.preempt, config.listen.host)
+        self.router = VirtualRouter(config.priority, config.interval, config.preempt, config.listen.host)
         self.transport: asyncio.DatagramTransport | None = None
         self.clock: asyncio.TimerHandle | None = None
         self.news: asyncio.Queue[bool] = asyncio.Queue()
@@ -155,11 +155,11 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         try:
             if not any(peer.host == addr[0] for peer in self.config.peers):
-                raise BadAdvertisement("not of a peer")
+                raise AdvertisementError("not of a peer")
             heard = decode(data)
             if heard.router != self.config.router:
-                raise BadAdvertisement(f"router {heard.router}")
-        except BadAdvertisement as error:
+                raise AdvertisementError(f"router {heard.router}")
+        except AdvertisementError as error:
             log.warning("vrrp_skipped", why=str(error), source=addr[0])
             return
         self.after(self.router.received(heard, addr[0], self.loop.time()))
--- a/tests/host.py
+++ b/tests/host.py
@@ -5,126 +5,150 @@
 from dataclasses import replace
 from typing import Any
 
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.scheduler import Policy
-
-
-def class_spec(**changes: Any) -> api.ClassSpec:
-    spec = api.ClassSpec(
-        aim=0.5,
-        worth=2.0,
-        late_share=0.2,
-        repeat=api.Repeat.FREE,
-        scope=api.Scope.ALL,
-        memory=5.0,
+from cleatyoke.scheduling.actions import SchedulerAction, SendAttempt, SetTimer
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    RequestArrived,
+    SchedulerEvent,
+    TimerFired,
+    UpdateKind,
+)
+from cleatyoke.scheduling.scheduler import Scheduler
+from cleatyoke.scheduling.settings import (
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    SafetyLimits,
+    SchedulerSettings,
+    VolumePlan,
+)
+
+
+def class_spec(**changes: Any) -> RequestClass:
+    spec = RequestClass(
+        latency_objective=0.5,
+        priority_weight=2.0,
+        late_value=0.2,
+        idempotency=Idempotency.IDEMPOTENT,
+        idempotency_scope=IdempotencyScope.ALL,
+        idempotency_window=5.0,
         ordered=False,
     )
     return replace(spec, **changes)
 
 
-def plan_spec(**changes: Any) -> api.PlanSpec:
-    spec = api.PlanSpec(worth=1.0, rate=8.0, reserve=4.0, weight=1.0, limit=0.0, limit_burst=0.0)
+def plan_spec(**changes: Any) -> VolumePlan:
+    spec = VolumePlan(
+        priority_weight=1.0,
+        base_rate=8.0,
+        reserved_rate=4.0,
+        fair_share_weight=1.0,
+        rate_limit=0.0,
+        rate_limit_burst=0.0,
+    )
     return replace(spec, **changes)
 
 
 def settings(
-    classes: list[api.ClassSpec] | None = None,
-    plans: list[api.PlanSpec] | None = None,
+    classes: list[RequestClass] | None = None,
+    plans: list[VolumePlan] | None = None,
     safety: dict[str, Any] | None = None,
     **changes: Any,
-) -> api.Settings:
-    figures = api.Safety(
-        cold_from=0.2,
-        ramp=10.0,
-        tip_multiple=2.0,
-        tip_after=1.0,
-        ask_every=None,
-        key_rest=0.1,
-        extra_free=None,
-        extra_ratio=None,
-        extra_window=None,
+) -> SchedulerSettings:
+    figures = SafetyLimits(
+        slow_start_initial_fraction=0.2,
+        slow_start_duration=10.0,
+        overload_multiple=2.0,
+        overload_after=1.0,
+        poll_interval=None,
+        ordering_pause=0.1,
+        retry_budget_minimum=None,
+        retry_budget_ratio=None,
+        retry_budget_window=None,
     )
-    base = api.Settings(
+    base = SchedulerSettings(
         classes=classes or [class_spec()],
         plans=plans or [plan_spec()],
         safety=replace(figures, **(safety or {})),
         seed=1,
-        hosts=2,
-        must_watch=False,
+        front_count=2,
+        watches_endpoints=False,
         max_attempts=3,
-        cancel=True,
-        cold_units=8.0,
-        largest=6.0,
-        mean=2.0,
-        within_share=0.3,
+        can_cancel=True,
+        slow_start_units=8.0,
+        max_request_units=6.0,
+        mean_request_units=2.0,
+        unreserved_value=0.3,
     )
     return replace(base, **changes)
 
 
-def entry(
-    node: int, cell: int, state: api.NodeState = api.NodeState.LIVE, up_since: float = 0.0
-) -> api.NodeEntry:
-    return api.NodeEntry(node=node, cell=cell, zone=cell % 2, state=state, up_since=up_since)
+def entry(node: int, cell: int, state: EndpointState = EndpointState.LIVE, up_since: float = 0.0) -> Endpoint:
+    return Endpoint(node_id=node, shard=cell, zone=cell % 2, state=state, started_at=up_since)
 
 
 class Host:
     """One policy, its clock, and what it has out."""
 
-    def __init__(self, config: api.Settings, nodes: list[api.NodeEntry], now: float = 100.0) -> None:
-        self.policy = Policy(config)
+    def __init__(self, config: SchedulerSettings, nodes: list[Endpoint], now: float = 100.0) -> None:
+        self.policy = Scheduler(config)
         self.now = now
-        self.log: list[api.Action] = []
+        self.log: list[SchedulerAction] = []
         self.shots: dict[str, int] = {}
-        self.step(api.NodeList(api.ListKind.OLD_COPY, nodes))
+        self.step(EndpointUpdate(UpdateKind.CACHED, nodes))
 
-    def step(self, *events: api.Event, at: float | None = None) -> list[api.Action]:
+    def step(self, *events: SchedulerEvent, at: float | None = None) -> list[SchedulerAction]:
         """Feed a batch; returns its actions without the policy's own wake-ups."""
         if at is not None:
             self.now = at
         actions = self.policy.step(self.now, list(events))
-        actions = [action for action in actions if not isinstance(action, api.Wake)]
+        actions = [action for action in actions if not isinstance(action, SetTimer)]
         for action in actions:
-            if isinstance(action, api.Send):
-                self.shots[action.request] = self.shots.get(action.request, -1) + 1
+            if isinstance(action, SendAttempt):
+                self.shots[action.request_id] = self.shots.get(action.request_id, -1) + 1
         self.log += actions
         return actions
 
-    def run_until(self, end: float) -> list[api.Action]:
+    def run_until(self, end: float) -> list[SchedulerAction]:
         """Let time pass, a tick a step."""
-        actions: list[api.Action] = []
+        actions: list[SchedulerAction] = []
         while self.now < end:
-            actions += self.step(api.Woken(0), at=min(end, self.now + 0.02))
+            actions += self.step(TimerFired(0), at=min(end, self.now + 0.02))
         return actions
 
-    def ask(self, request: str, **changes: Any) -> list[api.Action]:
+    def ask(self, request: str, **changes: Any) -> list[SchedulerAction]:
         return self.step(self.arrival(request, **changes))
 
-    def arrival(self, request: str, **changes: Any) -> api.Arrival:
-        base = api.Arrival(
-            request=request,
+    def arrival(self, request: str, **changes: Any) -> RequestArrived:
+        base = RequestArrived(
+            request_id=request,
             class_index=0,
-            plan=0,
-            volume=1,
+            plan_index=0,
+            volume_id=1,
             item=None,
-            cell=1,
+            shard=1,
             units=1.0,
             deadline=self.now + 2.0,
-            hosts=1,
+            front_count=1,
         )
         return replace(base, **changes)
 
     def end(
-        self, request: str, outcome: api.Outcome, node: int = 1, spent: float = 0.05, **changes: Any
-    ) -> list[api.Action]:
-        base = api.Ended(
-            request=request,
+        self, request: str, outcome: AttemptOutcome, node: int = 1, spent: float = 0.05, **changes: Any
+    ) -> list[SchedulerAction]:
+        base = AttemptFinished(
+            request_id=request,
             attempt=self.shots[request],
-            node=node,
+            node_id=node,
             outcome=outcome,
-            spent=spent,
-            settled=outcome is api.Outcome.SERVED,
+            elapsed=spent,
+            settled=outcome is AttemptOutcome.SERVED,
         )
         return self.step(replace(base, **changes))
 
     def sent(self) -> list[str]:
-        return [action.request for action in self.log if isinstance(action, api.Send)]
+        return [action.request_id for action in self.log if isinstance(action, SendAttempt)]
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -7,7 +7,7 @@
 import unittest
 from collections.abc import AsyncIterator
 
-from cleatyoke.http.body_limits import MOST_UPLOAD, WHOLE, Room, patience
+from cleatyoke.http.body_limits import MOST_UPLOAD, WHOLE, BodyMemory, patience
 from tests.test_http_front import TARGET, FrontCase
 from tests.wire import answer
 
@@ -17,7 +17,7 @@
 class RoomCase(unittest.TestCase):
     def test_bodies_never_hold_more_than_the_room_and_never_block_each_other_for_good(self) -> None:
         for seed in range(60):
-            rng, room = random.Random(seed), Room(36 * MEGABYTE)
+            rng, room = random.Random(seed), BodyMemory(36 * MEGABYTE)
             left = {n: rng.choice((1000, MEGABYTE, 5 * MEGABYTE, 32 * MEGABYTE)) for n in range(12)}
             got = dict.fromkeys(left, 0)
             while left:
@@ -33,7 +33,7 @@
                 self.assertTrue(moved, (seed, room.held))
 
     def test_short_bodies_never_wait_and_one_that_cannot_fit_is_never_favoured(self) -> None:
-        room = Room(MEGABYTE)
+        room = BodyMemory(MEGABYTE)
         self.assertFalse(room.take("huge", 3 * MEGABYTE))
         self.assertTrue(room.take("long", MEGABYTE))
         self.assertFalse(room.take("next", MEGABYTE))
@@ -191,7 +191,7 @@
 
     async def test_uploads_beyond_the_room_wait_for_each_other_and_all_are_served(self) -> None:
         await self.started()
-        self.front.space = Room(3 * MEGABYTE, 2 * MEGABYTE)
+        self.front.space = BodyMemory(3 * MEGABYTE, 2 * MEGABYTE)
         body = bytes(2 * MEGABYTE)
         most, held = 0, self.front.space.held
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -20,12 +20,12 @@
 from cleatyoke import __main__ as daemon_module
 from cleatyoke.__main__ import Daemon
 from cleatyoke.config.deployment import read_config
-from cleatyoke.core import Ending
+from cleatyoke.core import AttemptResult
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.http.backends import Boxes
-from cleatyoke.http.server import Front
+from cleatyoke.http.backends import BackendPools
+from cleatyoke.http.server import HttpServer
 from cleatyoke.process.lifecycle import Status
-from cleatyoke.scheduling.api import Outcome
+from cleatyoke.scheduling.events import AttemptOutcome
 from tests.test_http_front import HEADERS, ROOT, TARGET, DaemonCase, FrontCase, ask, entry
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer, instance, listed
 
@@ -250,13 +250,13 @@
         return loop.time() - begun
 
     async def test_amid_the_start(self) -> None:
-        listen = Front.listen
+        listen = HttpServer.listen
 
-        def crossing(front: Front) -> None:
+        def crossing(front: HttpServer) -> None:
             os.kill(os.getpid(), signal.SIGTERM)
             listen(front)
 
-        with mock.patch.object(Front, "listen", crossing):
+        with mock.patch.object(HttpServer, "listen", crossing):
             await self.daemon.start()
         await asyncio.sleep(0.01)
         self.assertTrue(self.daemon.signalled.is_set())
@@ -301,7 +301,10 @@
                 one.connect_ex(("127.0.0.1", port))
             await asyncio.sleep(0.05)
             listed(self.directory, instance("s-late", port, cell=3))
-            self.assertEqual(await self.attempt(2, ask("t", "PUT", b"scan")), Ending(Outcome.NO_CONNECTION))
+            self.assertEqual(
+                await self.attempt(2, ask("t", "PUT", b"scan")),
+                AttemptResult(AttemptOutcome.CONNECTION_FAILED),
+            )
             self.assertEqual(self.boxes.open, 0)
             loop, heard = asyncio.get_running_loop(), []
             until = loop.time() + 1.5
@@ -344,7 +347,7 @@
         self.assertEqual((self.boxes.open, self.boxes.figures.backend_calls), (0, 0))
 
     async def test_an_answer_without_an_end_that_is_reset_is_none_and_one_that_ends_is_served(self) -> None:
-        async def play(reset: bool) -> Ending[Any]:
+        async def play(reset: bool) -> AttemptResult[Any]:
             async def half(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readuntil(b"\r\n\r\n")
                 writer.write(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\ntile")
@@ -355,18 +358,18 @@
                 writer.close()
 
             server = await asyncio.start_server(half, "127.0.0.1", 0)
-            boxes = Boxes(directory := Directory({}), 0.25, 30.0, 8)
+            boxes = BackendPools(directory := Directory({}), 0.25, 30.0, 8)
             listed(directory, instance("s-a", server.sockets[0].getsockname()[1]))
             until = asyncio.get_running_loop().time() + 1.0
             found = await boxes.attempt(1, ask("t", "PUT", b"scan"), until, lambda: True)
             server.close()
             return found
 
-        self.assertEqual(await play(reset=True), Ending(Outcome.RESET))
-        self.assertEqual(await play(reset=False), Ending(Outcome.SERVED, b"tile"))
+        self.assertEqual(await play(reset=True), AttemptResult(AttemptOutcome.CONNECTION_RESET))
+        self.assertEqual(await play(reset=False), AttemptResult(AttemptOutcome.SERVED, b"tile"))
 
     async def test_half_a_status_line_and_an_answer_that_never_ends_are_resets_in_time(self) -> None:
-        async def play(*pieces: bytes) -> Ending[Any]:
+        async def play(*pieces: bytes) -> AttemptResult[Any]:
             async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readuntil(b"\r\n\r\n")
                 for piece in pieces:
@@ -377,7 +380,7 @@
                 writer.close()
 
             server = await asyncio.start_server(talk, "127.0.0.1", 0)
-            boxes = Boxes(directory := Directory({}), 0.25, 30.0, 8)
+            boxes = BackendPools(directory := Directory({}), 0.25, 30.0, 8)
             listed(directory, instance("s-a", server.sockets[0].getsockname()[1]))
             loop = asyncio.get_running_loop()
             async with asyncio.timeout(1.0):
@@ -385,7 +388,7 @@
             server.close()
             return found
 
-        self.assertEqual(await play(b"HTTP/1.1 2"), Ending(Outcome.RESET))
-        self.assertEqual(await play(answer()[:-1]), Ending(Outcome.RESET))
+        self.assertEqual(await play(b"HTTP/1.1 2"), AttemptResult(AttemptOutcome.CONNECTION_RESET))
+        self.assertEqual(await play(answer()[:-1]), AttemptResult(AttemptOutcome.CONNECTION_RESET))
         endless = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ntile\r\n"
-        self.assertEqual(await play(endless), Ending(Outcome.RESET))
+        self.assertEqual(await play(endless), AttemptResult(AttemptOutcome.CONNECTION_RESET))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,7 +17,7 @@
 from cleatyoke.emulation.capacity.needs import Need, all_needs, workers
 from cleatyoke.emulation.capacity.plan import PLAN
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.members import Members
+from cleatyoke.membership.members import Membership
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 FLAT = 0.1  # exponent under which a cost counts as not growing
@@ -77,7 +77,7 @@
     assert fit(costs).exponent > 5 * FLAT
 
 
-def quiet_bytes(make: type[Members]) -> float:
+def quiet_bytes(make: type[Membership]) -> float:
     """Exponent of a member's bytes a second at rest."""
     points = []
     for size in HOLLOW_SIZES:
@@ -89,7 +89,7 @@
     return fit(points).exponent
 
 
-class Chatty(Members):
+class Chatty(Membership):
     """Sends its whole view with each probe."""
 
     def probe_next(self) -> None:
@@ -98,7 +98,7 @@
 
 
 def test_a_member_at_rest_sends_alike_in_larger_fleets_and_one_that_does_not_is_caught() -> None:
-    assert quiet_bytes(Members) < 0.25
+    assert quiet_bytes(Membership) < 0.25
     assert quiet_bytes(Chatty) > 0.5
 
 
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -10,8 +10,17 @@
 
 import pytest
 
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.scheduler import Policy
+from cleatyoke.scheduling.actions import SendAttempt, SetTimer
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    EndpointUpdate,
+    RequestArrived,
+    SchedulerEvent,
+    TimerFired,
+    UpdateKind,
+)
+from cleatyoke.scheduling.scheduler import Scheduler
 from tests.host import class_spec, entry, plan_spec, settings
 
 MEAN, POWER, VOLUMES = 2.0, 50.0, 24  # units of a request, units a second of a warm node, volumes on it
@@ -41,17 +50,22 @@
         self.rng, self.hosts, self.known, self.surge = random.Random(seed), hosts, known, surge
         self.restarts, self.turned_away, self.load, self.now = restarts, turned_away, load, 100.0
         rate = load * POWER / VOLUMES
-        rule = {"cold_from": COLD, "ramp": RAMP, "tip_multiple": MULTIPLE, "tip_after": WINDOW}
+        rule = {
+            "slow_start_initial_fraction": COLD,
+            "slow_start_duration": RAMP,
+            "overload_multiple": MULTIPLE,
+            "overload_after": WINDOW,
+        }
         self.settings = settings(
-            [class_spec(aim=0.2, late_share=0.1)],
-            [plan_spec(rate=rate, reserve=0.8 * rate)],
+            [class_spec(latency_objective=0.2, late_value=0.1)],
+            [plan_spec(base_rate=rate, reserved_rate=0.8 * rate)],
             rule,
-            hosts=hosts if stated is None else stated,
-            cold_units=0.9 * MULTIPLE * COLD * POWER * WINDOW,
-            mean=MEAN,
-            largest=8.0,
+            front_count=hosts if stated is None else stated,
+            slow_start_units=0.9 * MULTIPLE * COLD * POWER * WINDOW,
+            mean_request_units=MEAN,
+            max_request_units=8.0,
             max_attempts=4,
-            within_share=0.35,
+            unreserved_value=0.35,
         )
         every = range(hosts)
         self.routes = [self.rng.sample(every, min(hosts, self.rng.randint(1, 3))) for _ in range(VOLUMES)]
@@ -64,20 +78,20 @@
         self.ends: list[tuple[float, int, str, int]] = []
         self.sends: list[tuple[float, float]] = []  # to the cold node: when, units
 
-    def fresh(self, up_since: float) -> Policy:
-        policy = Policy(replace(self.settings, seed=self.rng.randrange(10**6)))
-        policy.step(self.now, [api.NodeList(api.ListKind.FULL, [entry(1, 1, up_since=up_since)])])
+    def fresh(self, up_since: float) -> Scheduler:
+        policy = Scheduler(replace(self.settings, seed=self.rng.randrange(10**6)))
+        policy.step(self.now, [EndpointUpdate(UpdateKind.SNAPSHOT, [entry(1, 1, up_since=up_since)])])
         return policy
 
-    def feed(self, host: int, events: list[api.Event]) -> None:
+    def feed(self, host: int, events: list[SchedulerEvent]) -> None:
         for action in self.policies[host].step(self.now, events):
-            if isinstance(action, api.Wake):
-                self.wakes[host] = self.now + action.after
-            elif isinstance(action, api.Send):
-                made = host, action.request
+            if isinstance(action, SetTimer):
+                self.wakes[host] = self.now + action.delay
+            elif isinstance(action, SendAttempt):
+                made = host, action.request_id
                 self.attempts[made] = self.attempts.get(made, -1) + 1
                 if self.now >= self.started:
-                    self.sends.append((self.now, self.units[action.request]))
+                    self.sends.append((self.now, self.units[action.request_id]))
                 at = self.now + self.rng.uniform(0.03, 0.06)
                 heapq.heappush(self.ends, (at, *made, self.attempts[made]))
 
@@ -85,7 +99,7 @@
         self.started = self.now
         for host in range(self.hosts):
             if self.known:
-                self.feed(host, [api.NodeList(api.ListKind.CHANGES, [entry(1, 1, up_since=self.now)])])
+                self.feed(host, [EndpointUpdate(UpdateKind.DELTA, [entry(1, 1, up_since=self.now)])])
             else:
                 self.policies[host] = self.fresh(self.now)
 
@@ -99,26 +113,26 @@
         cold = self.now >= self.started
         if cold and self.rng.random() < self.restarts * self.hosts * TICK / SPAN:
             self.restart(self.rng.randrange(self.hosts))
-        due: dict[int, list[api.Event]] = {}
+        due: dict[int, list[SchedulerEvent]] = {}
         while self.ends and self.ends[0][0] <= self.now:
             _, host, name, attempt = heapq.heappop(self.ends)
             if name in self.policies[host].requests:
                 ran = not (cold and self.rng.random() < self.turned_away)
-                outcome = api.Outcome.SERVED if ran else api.Outcome.FULL
-                ended = api.Ended(name, attempt, 1, outcome, 0.04, ran, busy=self.load)
+                outcome = AttemptOutcome.SERVED if ran else AttemptOutcome.QUEUE_FULL
+                ended = AttemptFinished(name, attempt, 1, outcome, 0.04, ran, utilization=self.load)
                 due.setdefault(host, []).append(ended)
         if self.rng.random() < self.load * POWER / MEAN * (self.surge if cold else 1.0) * TICK:
             volume, name = self.rng.randrange(VOLUMES), str(len(self.units))
             host = self.rng.choices(self.routes[volume], self.leads[volume])[0]
             self.units[name] = self.rng.choice(SIZES)
-            asked = api.Arrival(
+            asked = RequestArrived(
                 name, 0, 0, volume, None, 1, self.units[name], self.now + 1.5, len(self.routes[volume])
             )
             due.setdefault(host, []).append(asked)
         for host, wake in enumerate(self.wakes):
             if wake <= self.now:
                 self.wakes[host] = math.inf
-                due.setdefault(host, []).append(api.Woken(0))
+                due.setdefault(host, []).append(TimerFired(0))
             if host in due:
                 self.feed(host, due[host])
 
@@ -180,17 +194,19 @@
 
 def test_a_limit_holds_though_nobody_tells_how_many_hosts_there_are() -> None:
     """Each request says how many its volume comes through; its part is by that alone then."""
-    limited = plan_spec(limit=10.0, limit_burst=20.0)
-    policies = [Policy(settings(plans=[limited], hosts=0, seed=seed)) for seed in range(3)]
+    limited = plan_spec(rate_limit=10.0, rate_limit_burst=20.0)
+    policies = [Scheduler(settings(plans=[limited], front_count=0, seed=seed)) for seed in range(3)]
     sent = 0.0
     for host, policy in enumerate(policies):
-        policy.step(0.0, [api.NodeList(api.ListKind.FULL, [entry(1, 1)])])
+        policy.step(0.0, [EndpointUpdate(UpdateKind.SNAPSHOT, [entry(1, 1)])])
         for number in range(400):
             now = 100.0 + number * 0.05
             name = f"{host}-{number}"
-            asked = api.Arrival(name, 0, 0, 1, None, 1, 1.0, now + 2.0, 3)
+            asked = RequestArrived(name, 0, 0, 1, None, 1, 1.0, now + 2.0, 3)
             for action in policy.step(now, [asked]):
-                if isinstance(action, api.Send):
+                if isinstance(action, SendAttempt):
                     sent += 1.0
-                    policy.step(now, [api.Ended(action.request, 0, 1, api.Outcome.SERVED, 0.02, True)])
+                    policy.step(
+                        now, [AttemptFinished(action.request_id, 0, 1, AttemptOutcome.SERVED, 0.02, True)]
+                    )
     assert sent <= 10.0 * 20.0 + 20.0 + 3
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -2,50 +2,50 @@
 
 import pytest
 
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import Outcome
-from cleatyoke.scheduling.scheduler import LOST, MARGIN, Policy
+from cleatyoke.scheduling.actions import Reject, SchedulerAction, SetTimer
+from cleatyoke.scheduling.events import AttemptOutcome, EndpointState, EndpointUpdate, TimerFired, UpdateKind
+from cleatyoke.scheduling.scheduler import LOST, MARGIN, Scheduler
 from tests.host import Host, entry, settings
 
 
-def wakes(actions: list[api.Action]) -> list[api.Wake]:
-    return [action for action in actions if isinstance(action, api.Wake)]
+def wakes(actions: list[SchedulerAction]) -> list[SetTimer]:
+    return [action for action in actions if isinstance(action, SetTimer)]
 
 
 def test_an_idle_host_sleeps() -> None:
-    policy = Policy(settings())
+    policy = Scheduler(settings())
     nodes = [entry(node, node) for node in range(45)]
-    assert policy.step(10.0, [api.NodeList(api.ListKind.OLD_COPY, nodes)]) == []
+    assert policy.step(10.0, [EndpointUpdate(UpdateKind.CACHED, nodes)]) == []
 
 
 def busy_host(now: float) -> Host:
     """A node of one slot that is taken, so that the next request is held."""
-    host = Host(settings(hosts=8), [entry(node, node) for node in range(45)], now)
-    host.ask("first", hosts=8)
+    host = Host(settings(front_count=8), [entry(node, node) for node in range(45)], now)
+    host.ask("first", front_count=8)
     return host
 
 
 def test_a_held_request_wakes_its_host_once_when_it_turns_late() -> None:
     host = busy_host(10.0)
-    assert wakes(host.policy.step(10.0, [host.arrival("a", hosts=8)])) == [], "a look comes before"
+    assert wakes(host.policy.step(10.0, [host.arrival("a", front_count=8)])) == [], "a look comes before"
     looked = 10.0 + LOST * 0.5
-    (wake,) = wakes(host.policy.step(looked, [api.Woken(0)]))
-    assert looked + wake.after == pytest.approx(10.5 - host.policy.nodes[1].queued)
-    assert host.policy.step(looked + wake.after, [api.Woken(0)])[0] == api.Refuse("a")
+    (wake,) = wakes(host.policy.step(looked, [TimerFired(0)]))
+    assert looked + wake.delay == pytest.approx(10.5 - host.policy.nodes[1].queued)
+    assert host.policy.step(looked + wake.delay, [TimerFired(0)])[0] == Reject("a")
 
 
 def test_a_bell_a_trifle_early_is_set_again() -> None:
     host = busy_host(100.0)
-    host.ask("a", hosts=8)
+    host.ask("a", front_count=8)
     late = 100.5 - host.policy.nodes[1].queued
-    assert wakes(host.policy.step(late - 1e-7, [api.Woken(0)])), "nothing else would answer it in time"
+    assert wakes(host.policy.step(late - 1e-7, [TimerFired(0)])), "nothing else would answer it in time"
 
 
 def test_a_served_request_leaves_no_wake_up_behind() -> None:
     host = Host(settings(), [entry(1, 1)])
     host.ask("a")
-    host.end("a", Outcome.SERVED)
-    assert host.policy.step(101.96, [api.Woken(0)]) == []
+    host.end("a", AttemptOutcome.SERVED)
+    assert host.policy.step(101.96, [TimerFired(0)]) == []
 
 
 def test_only_nodes_where_something_changed_choose() -> None:
@@ -58,8 +58,8 @@
         return choose(node)
 
     host.policy.choose = count  # type: ignore[method-assign]
-    host.ask("a", cell=7)
-    host.end("a", Outcome.SERVED, node=7)
+    host.ask("a", shard=7)
+    host.end("a", AttemptOutcome.SERVED, node_id=7)
     assert set(looked) == {7} and len(looked) <= 4
 
 
@@ -67,10 +67,10 @@
     host = Host(settings(), [entry(1, 1)])
     for number in range(300):
         host.now += 1.0
-        gone = entry(number + 10, 1, api.NodeState.GONE)
-        host.step(api.NodeList(api.ListKind.CHANGES, [gone]))
-        host.ask(f"r{number}", volume=number, item=number)
-        host.end(f"r{number}", Outcome.SERVED)
+        gone = entry(number + 10, 1, EndpointState.REMOVED)
+        host.step(EndpointUpdate(UpdateKind.DELTA, [gone]))
+        host.ask(f"r{number}", volume_id=number, item=number)
+        host.end(f"r{number}", AttemptOutcome.SERVED)
     policy = host.policy
     assert len(policy.volumes) < 100 and len(policy.nodes) < 100
     assert len(policy.keys) + len(policy.key_rest) + len(policy.requests) < 10
@@ -80,6 +80,6 @@
 def test_rounding_does_not_lose_an_answer() -> None:
     for power in range(12):
         host = busy_host(2.0**power)
-        host.ask("a", hosts=8, deadline=host.now + 0.3)
+        host.ask("a", front_count=8, deadline=host.now + 0.3)
         host.policy.nodes[1].queued = MARGIN
-        assert host.policy.step(2.0**power + 0.3 - MARGIN, [api.Woken(0)])
+        assert host.policy.step(2.0**power + 0.3 - MARGIN, [TimerFired(0)])
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -37,24 +37,24 @@
     decode_reply,
     encode,
 )
-from cleatyoke.distribution.relay import BadChange, Relay, Server, Source
-from cleatyoke.distribution.server import Admission
+from cleatyoke.distribution.relay import ChangeServer, InvalidChangeError, Relay, Source
+from cleatyoke.distribution.server import PollAdmission
 from cleatyoke.distribution.store import LaneStore
 from cleatyoke.distribution.subscriber import (
-    Action,
-    Answered,
-    Complete,
-    Deliver,
-    Moved,
-    Restarted,
+    DeliverChanges,
+    EpochRestarted,
+    LaneComplete,
+    PollAnswered,
+    RelayChanged,
     SendPoll,
     Subscriber,
-    Timing,
+    SubscriberAction,
+    SubscriberTiming,
 )
 from cleatyoke.emulation.distribution import SOURCE, Links, Measured, Tree
-from cleatyoke.membership.wire import Refused
+from cleatyoke.membership.wire import WireError
 
-AMPLE = Timing(rate=1e6, burst=1e6, jitter=0.0)
+AMPLE = SubscriberTiming(rate=1e6, burst=1e6, jitter=0.0)
 S, N = Lane.SETTINGS, Lane.NODES
 
 
@@ -62,19 +62,19 @@
     """A subscriber, and what it was handed so far."""
 
     def __init__(
-        self, *tiers: list[str], timing: Timing = AMPLE, kind: type[Subscriber] = Subscriber
+        self, *tiers: list[str], timing: SubscriberTiming = AMPLE, kind: type[Subscriber] = Subscriber
     ) -> None:
         self.subscriber = kind("d", "front", tiers or [["a"]], random.Random(1), timing)
         self.now = 0.0
         self.values: dict[str, bytes] = {}
         self.delivered: list[Entry] = []
-        self.actions: list[Action] = []
+        self.actions: list[SubscriberAction] = []
 
-    def step(self, *events: Answered) -> list[Action]:
+    def step(self, *events: PollAnswered) -> list[SubscriberAction]:
         found = self.subscriber.step(self.now, events)
         self.actions += found
         for action in found:
-            if isinstance(action, Deliver):
+            if isinstance(action, DeliverChanges):
                 for entry in action.entries:
                     self.delivered.append(entry)
                     if entry.value is None:
@@ -92,15 +92,15 @@
                     return action
         raise AssertionError("it never polls")
 
-    def ask(self, server: Server) -> Reply:
+    def ask(self, server: ChangeServer) -> Reply:
         """One exchange that succeeds."""
         poll = self.poll()
         data = server.answer(self.now, poll.data)
         assert data
-        self.step(Answered(poll.number, data))
+        self.step(PollAnswered(poll.number, data))
         return decode_reply("d", data)
 
-    def ask_until_whole(self, server: Server, most: int = 1000) -> int:
+    def ask_until_whole(self, server: ChangeServer, most: int = 1000) -> int:
         for count in range(1, most):
             if not self.ask(server).more:
                 return count
@@ -135,7 +135,7 @@
     front.ask(source)
     assert front.values == true_values(source)
     kinds = [type(action) for action in front.actions if not isinstance(action, SendPoll)]
-    assert kinds == [Restarted, Complete, Restarted, Deliver, Complete]
+    assert kinds == [EpochRestarted, LaneComplete, EpochRestarted, DeliverChanges, LaneComplete]
     source.put(1.0, S, "k/0001", b"new")
     source.put(1.0, N, "nodes/a", b"drains")
     source.put(1.0, S, "k/0002", None)
@@ -166,7 +166,7 @@
 
 
 def test_a_subscriber_1833_changes_behind_gets_each_key_once_nodes_first_within_its_bytes() -> None:
-    source, front = a_source(300), Front(timing=Timing(jitter=0.0))
+    source, front = a_source(300), Front(timing=SubscriberTiming(jitter=0.0))
     front.ask_until_whole(source)
     rng = random.Random(3)
     for _ in range(1833):
@@ -187,7 +187,7 @@
 def test_pages_are_resumed_at_another_relay_and_miss_no_change_meanwhile() -> None:
     source = a_source(400)
     one, other = relay_of(source, "one"), relay_of(source, "other")
-    front = Front(["one", "other"], timing=Timing(jitter=0.0))
+    front = Front(["one", "other"], timing=SubscriberTiming(jitter=0.0))
     front.ask(one)
     after = front.subscriber.lanes[S].position.after
     assert after, "only a part has come"
@@ -196,7 +196,7 @@
     source.put(1.0, S, "k/0399", b"changed, in what has not")
     source.put(1.0, S, "k/0398", None)
     for _ in range(2):  # one is gone
-        front.step(Answered(front.poll().number, None))
+        front.step(PollAnswered(front.poll().number, None))
     sync(other, source, 10.0)
     reply = front.ask(other)
     assert not reply.parts[S].restart and reply.parts[S].page_after == after
@@ -247,7 +247,7 @@
     poll = front.poll()
     data = old.answer(front.now, poll.data)
     assert data and decode_reply("d", data).refusal is Refusal.OLDER
-    front.step(Answered(poll.number, data))
+    front.step(PollAnswered(poll.number, data))
     assert front.values == before and front.epoch == 6
     assert front.subscriber.refused[Refusal.OLDER.value] == 1
 
@@ -259,14 +259,14 @@
     asked = msgspec.structs.replace(decode_poll("d", poll.data), epoch=5, positions=[Position(), Position()])
     data = old.answer(front.now, encode(asked))
     assert data
-    front.step(Answered(poll.number, data))
+    front.step(PollAnswered(poll.number, data))
     assert front.values == true_values(new) and front.epoch == 6
     assert front.subscriber.refused[Refusal.OLDER.value] == 1
 
 
 def test_while_a_new_epoch_comes_by_pages_what_was_known_stays_in_force() -> None:
     old, new = a_source(300, epoch=5), a_source(300, epoch=6)
-    front = Front(timing=Timing(jitter=0.0))
+    front = Front(timing=SubscriberTiming(jitter=0.0))
     front.ask_until_whole(old)
     reply = front.ask(new)
     assert reply.more and len(front.values) == 300
@@ -277,7 +277,7 @@
 # Messages that are not as they should be
 
 
-def exchange(front: Front, server: Server) -> tuple[SendPoll, bytes]:
+def exchange(front: Front, server: ChangeServer) -> tuple[SendPoll, bytes]:
     poll = front.poll()
     data = server.answer(front.now, poll.data)
     assert data
@@ -287,13 +287,13 @@
 def test_a_reply_that_comes_twice_or_late_changes_nothing() -> None:
     source, front = a_source(), Front()
     poll, data = exchange(front, source)
-    front.step(Answered(poll.number, data))
+    front.step(PollAnswered(poll.number, data))
     source.put(1.0, S, "k/0000", b"newer")
     front.ask(source)
     before = dict(front.values), front.subscriber.lanes[S].position
-    front.step(Answered(poll.number, data))
+    front.step(PollAnswered(poll.number, data))
     late = front.poll()
-    front.step(Answered(late.number, data))  # as if it answered this one
+    front.step(PollAnswered(late.number, data))  # as if it answered this one
     assert (front.values, front.subscriber.lanes[S].position) == before
     assert front.subscriber.refused["late or twice"] == 2
 
@@ -304,10 +304,10 @@
     for place in range(len(whole)):
         for bad in (whole[:place], whole[:place] + bytes([whole[place] ^ 0x21]) + whole[place + 1 :]):
             front = Front(["a", "b"])
-            front.step(Answered(front.poll().number, bad))
+            front.step(PollAnswered(front.poll().number, bad))
             assert not front.values and front.epoch == 0 and sum(front.subscriber.refused.values()) == 1
             assert front.subscriber.tried_again and front.subscriber.place == 0, "it is asked once more"
-            front.step(Answered(front.poll().number, bad))
+            front.step(PollAnswered(front.poll().number, bad))
             assert front.subscriber.place == 1, "then another one is asked"
 
 
@@ -330,7 +330,7 @@
     before = source.store.last
     assert source.answer(0.0, data) is None
     assert source.refused == {reason: 1} and source.store.last == before
-    with pytest.raises(Refused):
+    with pytest.raises(WireError):
         decode_reply("d", data)
 
 
@@ -347,7 +347,7 @@
         poll, data = exchange(front, source)
         reply = decode_reply("d", data)
         parts = [reply.parts[N], msgspec.structs.replace(reply.parts[S], **wrong)]
-        front.step(Answered(poll.number, encode(msgspec.structs.replace(reply, parts=parts))))
+        front.step(PollAnswered(poll.number, encode(msgspec.structs.replace(reply, parts=parts))))
         assert "k/0009" not in front.values, wrong
     assert front.subscriber.refused["unreadable"] == 4
     front.ask(source)
@@ -357,7 +357,7 @@
 def test_a_change_that_no_message_could_carry_is_refused_at_the_source() -> None:
     source = a_source()
     for key, value in (("", b""), ("k" * 129, b""), ("k", b"x" * (records.MOST_VALUE + 1))):
-        with pytest.raises(BadChange):
+        with pytest.raises(InvalidChangeError):
             source.put(0.0, S, key, value)
     assert source.number == 3
 
@@ -365,20 +365,20 @@
 # Relays
 
 
-def relay_of(source: Server, name: str = "relay", now: float = 0.0) -> Relay:
+def relay_of(source: ChangeServer, name: str = "relay", now: float = 0.0) -> Relay:
     relay = Relay("d", name, [[SOURCE]], random.Random(1))
     sync(relay, source, now)
     return relay
 
 
-def sync(relay: Relay, source: Server | None, now: float) -> float:
+def sync(relay: Relay, source: ChangeServer | None, now: float) -> float:
     """Let a relay ask until it has all; returns when."""
     for _ in range(100):
         now = max(now, relay.due())
         for action in relay.step(now):
             if isinstance(action, SendPoll):
                 data = source.answer(now, action.data) if source else None
-                relay.step(now, [Answered(action.number, data)])
+                relay.step(now, [PollAnswered(action.number, data)])
                 if data and not decode_reply("d", data).more:
                     return now
                 if source is None:
@@ -437,14 +437,14 @@
 def test_a_relay_goes_on_serving_its_epoch_until_it_has_the_new_one_whole() -> None:
     old, new = a_source(4000, epoch=5), a_source(4000, epoch=6)
     relay = relay_of(old)
-    relay.subscriber.timing = Timing(rate=50_000, burst=50_000)
+    relay.subscriber.timing = SubscriberTiming(rate=50_000, burst=50_000)
     relay.subscriber.level = 50_000
     for _ in range(3):
         now = relay.due()
         for action in relay.step(now):
             if isinstance(action, SendPoll):
                 data = new.answer(now, action.data)
-                relay.step(now, [Answered(action.number, data)])
+                relay.step(now, [PollAnswered(action.number, data)])
     serving = relay.serving()
     assert serving and serving.epoch == 5 and relay.building, "not whole yet"
     sync(relay, new, now)
@@ -473,7 +473,7 @@
 
 
 def test_a_relay_takes_a_bounded_number_and_those_that_left_make_room() -> None:
-    admission = Admission(2)
+    admission = PollAdmission(2)
     assert admission.takes(0.0, "a") and admission.takes(0.0, "b")
     assert not admission.takes(1.0, "c") and admission.takes(10.0, "a")
     assert admission.takes(16.0, "c"), "b has not asked for long"
@@ -484,7 +484,7 @@
     source = a_source()
     full, front = Source("d", "full", 5, most_subscribers=0), Front(["a", "b"])
     assert front.ask(full).refusal is Refusal.FULL
-    assert isinstance(front.actions[-1], Moved)
+    assert isinstance(front.actions[-1], RelayChanged)
     front.ask(source)
     assert front.values == true_values(source)
 
@@ -505,12 +505,12 @@
 
 
 def test_where_no_relay_answers_it_goes_on_asking_each_in_turn_and_keeps_what_it_has() -> None:
-    source, front = a_source(), Front(["a", "b"], ["c"], timing=Timing())
+    source, front = a_source(), Front(["a", "b"], ["c"], timing=SubscriberTiming())
     front.ask(source)
     began, asked = front.now, Counter[str]()
     while front.now < began + 600:
         asked[front.poll().relay] += 1
-        front.step(Answered(front.subscriber.polls, None))
+        front.step(PollAnswered(front.subscriber.polls, None))
     assert front.values == true_values(source) and set(asked) == {"a", "b", "c"}
     assert 600 / 9 < sum(asked.values()) < 600, "8 s at the most between two, and no storm"
     assert front.subscriber.age(front.now) > 590
@@ -533,39 +533,39 @@
 def test_a_relay_that_failed_is_avoided_for_a_while_where_there_is_another() -> None:
     source, front = a_source(), Front(["a", "b"], ["far"])
     first = front.poll()
-    front.step(Answered(first.number, None))
+    front.step(PollAnswered(first.number, None))
     second = front.poll()
     assert second.relay == first.relay
-    front.step(Answered(second.number, None))
+    front.step(PollAnswered(second.number, None))
     third = front.poll()
     assert third.relay in "ab" and third.relay != first.relay
-    front.step(Answered(third.number, None))
-    front.step(Answered(front.poll().number, None))
+    front.step(PollAnswered(third.number, None))
+    front.step(PollAnswered(front.poll().number, None))
     fourth = front.poll()
     assert fourth.relay == "far", "both of the own region have failed"
-    front.step(Answered(fourth.number, source.answer(front.now, fourth.data)))
+    front.step(PollAnswered(fourth.number, source.answer(front.now, fourth.data)))
     assert front.values == true_values(source)
 
 
 def test_one_that_moved_to_another_region_comes_home() -> None:
-    source, front = a_source(), Front(["home"], ["far"], timing=Timing(jitter=0.0))
+    source, front = a_source(), Front(["home"], ["far"], timing=SubscriberTiming(jitter=0.0))
     for _ in range(2):
-        front.step(Answered(front.poll().number, None))
+        front.step(PollAnswered(front.poll().number, None))
     relays = []
     for _ in range(40):
         poll = front.poll()
         relays.append(poll.relay)
-        front.step(Answered(poll.number, source.answer(front.now, poll.data)))
+        front.step(PollAnswered(poll.number, source.answer(front.now, poll.data)))
     assert relays[0] == "far" and relays[-1] == "home"
 
 
 def test_a_subscriber_keeps_to_its_bytes_in_any_13_seconds() -> None:
-    source, front = a_source(2000), Front(timing=Timing())
+    source, front = a_source(2000), Front(timing=SubscriberTiming())
     spent: list[tuple[float, int]] = []
     while front.now < 120:
         before = front.subscriber.bytes
         poll, data = exchange(front, source)
-        front.step(Answered(poll.number, data))
+        front.step(PollAnswered(poll.number, data))
         spent.append((front.now, front.subscriber.bytes - before))
     for at, _ in spent:
         assert sum(size for when, size in spent if at <= when < at + 13) <= 39_000
@@ -637,14 +637,14 @@
     for name in tree.relay_names:
         tree.start_relay(name)
     counts = Counter[int]()
-    real = Server.answer
+    real = ChangeServer.answer
 
-    def counted(self: Server, now: float, data: bytes) -> bytes | None:
+    def counted(self: ChangeServer, now: float, data: bytes) -> bytes | None:
         if self.name != SOURCE:
             counts[int(now)] += 1
         return real(self, now, data)
 
-    with mock.patch.object(Server, "answer", counted):
+    with mock.patch.object(ChangeServer, "answer", counted):
         assert tree.settle(120) is not None
     assert max(counts.values()) < 45 * 2, "spread over seconds"
 
@@ -735,7 +735,7 @@
             relay, now = self.relays[number], max(self.now, self.relays[number].due())
             for action in relay.step(now):
                 if isinstance(action, SendPoll):
-                    relay.step(now, [Answered(action.number, self.dead[-1].answer(now, action.data))])
+                    relay.step(now, [PollAnswered(action.number, self.dead[-1].answer(now, action.data))])
             self.now = now
 
     @rule(number=st.integers(0, 1))
@@ -758,24 +758,24 @@
         one.now = max(one.now, self.now)
         poll = one.poll()
         self.now = one.now
-        server: Server = self.source if relay == 2 else self.relays[relay]
+        server: ChangeServer = self.source if relay == 2 else self.relays[relay]
         data = server.answer(self.now, poll.data)
         assert data
         if fate == "kept":
             self.old.append((front, poll, data))
         if fate in ("lost", "kept"):
-            one.step(Answered(poll.number, None))
+            one.step(PollAnswered(poll.number, None))
             return
         if fate == "spoilt":
             data = data[:-1] + bytes([data[-1] ^ 1])
         self.look(data)
         for _ in range(2 if fate == "twice" else 1):
-            one.step(Answered(poll.number, data))
+            one.step(PollAnswered(poll.number, data))
 
     def look(self, data: bytes) -> None:
         try:
             reply = decode_reply("d", data)
-        except Refused:
+        except WireError:
             return
         for part in reply.parts:
             names = [entry.key for entry in part.changes]
@@ -785,7 +785,7 @@
     @rule()
     def an_old_reply_comes(self) -> None:
         front, poll, data = self.old.pop()
-        self.fronts[front].step(Answered(poll.number, data))
+        self.fronts[front].step(PollAnswered(poll.number, data))
 
     @invariant()
     def nothing_goes_back(self) -> None:
@@ -836,7 +836,7 @@
         self.epoch = 0
         super().poll(now)
 
-    def hear(self, now: float, event: Answered) -> None:
+    def hear(self, now: float, event: PollAnswered) -> None:
         self.epoch = 0
         super().hear(now, event)
 
@@ -844,7 +844,7 @@
 class Gullible(Subscriber):
     """Takes whatever comes, however late or old."""
 
-    def step(self, now: float, events: Iterable[Answered] = ()) -> list[Action]:
+    def step(self, now: float, events: Iterable[PollAnswered] = ()) -> list[SubscriberAction]:
         found = list(events)
         for event in found:
             self.asked = event.number
@@ -879,7 +879,7 @@
 class NoRemovals(Subscriber):
     """Keeps what a page no longer names."""
 
-    def take_part(self, lane: Lane, part: records.Part) -> None:
+    def take_part(self, lane: Lane, part: records.LaneChanges) -> None:
         with mock.patch.object(type(self.lanes[lane]), "missing_in_page", lambda *_: []):
             super().take_part(lane, part)
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -20,26 +20,26 @@
 
 import pytest
 
-from cleatyoke.admin.control import Commands, answer
-from cleatyoke.config.deployment import Address, BadConfig, DistributionRelays, read_config, read_fronts
+from cleatyoke.admin.control import ControlCommands, answer
+from cleatyoke.config.deployment import Address, ConfigError, DistributionSettings, read_config, read_fronts
 from cleatyoke.distribution.__main__ import main
 from cleatyoke.distribution.contents import (
-    BadValue,
-    Settings,
+    DistributedSettings,
+    InvalidValueError,
     lane_of,
     listed_nodes,
     settings_entries,
 )
-from cleatyoke.distribution.folder import BadEpoch, Folder, next_epoch
+from cleatyoke.distribution.folder import ConfigFolder, EpochError, next_epoch
 from cleatyoke.distribution.network import Subscription
 from cleatyoke.distribution.records import MOST_VALUE, Entry, Lane, Version
-from cleatyoke.distribution.subscriber import Deliver
+from cleatyoke.distribution.subscriber import DeliverChanges
 from cleatyoke.emulation.network import Network
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.metrics import Figures
+from cleatyoke.process.metrics import Metrics
 from cleatyoke.testbed.peer import Peer, hold_port
 from cleatyoke.testbed.scenario import make_scenario, settings_of
-from cleatyoke.transport.framing import MessageTooLong, read_message
+from cleatyoke.transport.framing import MessageTooLongError, read_message
 
 ROOT = Path(__file__).resolve().parent.parent
 FRONTS = 8
@@ -302,7 +302,7 @@
 
 
 def test_a_folder_tells_what_changed_and_keeps_what_it_can_t_take_as_it_was(tmp_path: Path) -> None:
-    folder = Folder(tmp_path)
+    folder = ConfigFolder(tmp_path)
     (tmp_path / "settings").mkdir()
     (tmp_path / "settings.json").write_text("{}")
     (tmp_path / "settings" / "a.json").write_text("1")
@@ -328,7 +328,7 @@
     assert next_epoch(path, 1.0) == 5001, "whatever the clock did"
     assert path.read_text() == "5001\n"
     path.write_text("soon")
-    with pytest.raises(BadEpoch, match="epoch"):
+    with pytest.raises(EpochError, match="epoch"):
         next_epoch(path, 9.0)
 
 
@@ -337,14 +337,14 @@
 
 
 def test_settings_are_the_whole_with_parts_that_win_and_go() -> None:
-    none = Settings()
+    none = DistributedSettings()
     assert none.merged({"a": 1}) == {"a": 1}
     part = none.with_entries([entry("settings/b", 2, 5)])
     assert part.merged({"a": 1}) == {"a": 1, "b": 5} and none.merged({"a": 1}) == {"a": 1}
     whole = part.with_entries([entry("settings", 3, {"b": 1, "c": 2})])
     assert whole.merged({"a": 1}) == {"b": 5, "c": 2} and whole.version == Version(1, 3)
     assert whole.with_entries([entry("settings/b", 4, None)]).merged({}) == {"b": 1, "c": 2}
-    with pytest.raises(BadValue, match="settings"):
+    with pytest.raises(InvalidValueError, match="settings"):
         whole.with_entries([entry("settings", 5, [1])]).merged({})
     mixed = [entry("settings/x", 9, 1), entry("nodes/a", 8, {}), entry("settings", 7, {})]
     assert [one.key for one in settings_entries(mixed)] == ["settings", "settings/x"]
@@ -353,7 +353,7 @@
 def test_a_change_that_is_not_valid_holds_up_no_other() -> None:
     taken: list[dict[str, Any]] = []
 
-    def put(settings: Settings) -> str:
+    def put(settings: DistributedSettings) -> str:
         merged = settings.merged({})
         if merged.get("bad"):
             return "bad: is never valid"
@@ -361,11 +361,11 @@
         return ""
 
     async def play() -> Subscription:
-        relays = DistributionRelays("d", [Address("127.0.0.1", 1)], [], False, 2.0, 2300.0)
-        subscription = Subscription(relays, "n", 1, Faults(Figures()), put, lambda listing: None)
+        relays = DistributionSettings("d", [Address("127.0.0.1", 1)], [], False, 2.0, 2300.0)
+        subscription = Subscription(relays, "n", 1, Faults(Metrics()), put, lambda listing: None)
         entries = [entry("settings/bad", 2, 1), entry("settings/a", 1, 1), entry("settings/c", 3, 3)]
-        subscription.act(Deliver(Lane.SETTINGS, entries))
-        subscription.act(Deliver(Lane.SETTINGS, [entry("settings/a", 4, 2)]))
+        subscription.act(DeliverChanges(Lane.SETTINGS, entries))
+        subscription.act(DeliverChanges(Lane.SETTINGS, [entry("settings/a", 4, 2)]))
         return subscription
 
     status = asyncio.run(play()).status
@@ -388,14 +388,14 @@
     async def read() -> None:
         reader = asyncio.StreamReader()
         reader.feed_data((101).to_bytes(4, "big"))
-        with pytest.raises(MessageTooLong):
+        with pytest.raises(MessageTooLongError):
             await read_message(reader, 100)
 
     asyncio.run(read())
 
 
 def test_show_config_without_a_distribution_is_a_failure() -> None:
-    commands = Commands(
+    commands = ControlCommands(
         ready=bool, figures=list, disable=bool, enable=bool, drain=lambda: None, resume=lambda: None
     )
     assert answer(commands, "show-config")[0].startswith("FAILURE")
@@ -418,7 +418,7 @@
 def test_a_fault_in_the_fronts_file_names_its_key(tmp_path: Path, line: str, key: str) -> None:
     path = tmp_path / "fronts.toml"
     path.write_text(f"[distribution]\nenabled = true\n{line}\n")
-    with pytest.raises(BadConfig, match=key):
+    with pytest.raises(ConfigError, match=key):
         read_fronts(path, {}, {})
 
 
@@ -428,7 +428,7 @@
     path.write_text(json.dumps(values))
     config = read_config({"RELAY_CONFIG": str(path)}, tmp_path / "none.toml")
     less = {key: value for key, value in facts().items() if key != "Safety"}
-    with pytest.raises(BadConfig, match="Safety"):
+    with pytest.raises(ConfigError, match="Safety"):
         config.reload(read_config({"RELAY_CONFIG": str(path)}, tmp_path / "none.toml", lambda own: less))
 
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -18,24 +18,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.coordination.replicated_holds import Holds
+from cleatyoke.coordination.replicated_holds import HoldSet
 from cleatyoke.durability.__main__ import main
-from cleatyoke.durability.records import FORM, Doubt, Memory, next_boot, read, rows_of, sealed
-from cleatyoke.durability.store import NAMES, Disk, rows_in
-from cleatyoke.durability.writer import Recalled, Writer
-from cleatyoke.membership.wire import Id
+from cleatyoke.durability.records import FORM, FrontState, RestoreDoubt, next_boot, read, rows_of, sealed
+from cleatyoke.durability.store import NAMES, StateDatabase, rows_in
+from cleatyoke.durability.writer import RestoredState, StateWriter
+from cleatyoke.membership.wire import MemberId
 
 ROOT = Path(__file__).resolve().parent.parent
 FRONT = "ours/n1"
-HELD = Memory(Holds().hold(Id("n1", 7), "s-003"), 7, ("10.0.0.1:1",))
+HELD = FrontState(HoldSet().hold(MemberId("n1", 7), "s-003"), 7, ("10.0.0.1:1",))
 
 
-def memories() -> st.SearchStrategy[Memory]:
-    def make(ops: list[tuple[bool, int, int]], boot: int, peers: list[str]) -> Memory:
-        holds = Holds()
+def memories() -> st.SearchStrategy[FrontState]:
+    def make(ops: list[tuple[bool, int, int]], boot: int, peers: list[str]) -> FrontState:
+        holds = HoldSet()
         for hold, life, box in ops:
-            holds = holds.hold(Id(f"n{life}", 1), f"s-{box}") if hold else holds.release(f"s-{box}")
-        return Memory(holds, boot, tuple(peers))
+            holds = holds.hold(MemberId(f"n{life}", 1), f"s-{box}") if hold else holds.release(f"s-{box}")
+        return FrontState(holds, boot, tuple(peers))
 
     op = st.tuples(st.booleans(), st.integers(0, 2), st.integers(0, 3))
     return st.builds(make, st.lists(op, max_size=6), st.integers(0, 99), st.just([]))
@@ -43,7 +43,9 @@
 
 @settings(deadline=None, derandomize=True, max_examples=60)
 @given(memories(), memories(), memories())
-def test_copies_merge_in_any_order_and_any_number_of_times(one: Memory, two: Memory, three: Memory) -> None:
+def test_copies_merge_in_any_order_and_any_number_of_times(
+    one: FrontState, two: FrontState, three: FrontState
+) -> None:
     assert one.merge(two) == two.merge(one)
     assert one.merge(two).merge(three) == one.merge(two.merge(three))
     assert one.merge(two).merge(two) == one.merge(two)
@@ -58,7 +60,7 @@
             bad[byte] ^= 1 << byte % 8
             spoilt = [*rows[:place], row._replace(data=bytes(bad)), *rows[place + 1 :]]
             memory, doubts = read(spoilt, FRONT, "a")
-            assert doubts == [Doubt(f"a: {row.kind}", "sum")] and memory.merge(HELD) == HELD
+            assert doubts == [RestoreDoubt(f"a: {row.kind}", "sum")] and memory.merge(HELD) == HELD
     for odd, why in (
         ((), "unreadable"),
         ((None,) * 5, "no data"),
@@ -105,13 +107,13 @@
 
 
 def test_no_damage_to_one_file_loses_a_hold_or_ends_a_start(tmp_path: Path) -> None:
-    Disk(tmp_path / "good", FRONT).save(HELD)
+    StateDatabase(tmp_path / "good", FRONT).save(HELD)
     for name in NAMES:
         for what in damage(tmp_path / "good" / name):
             folder = tmp_path / "spoilt"
             shutil.copytree(tmp_path / "good", folder)
             damage(folder / name)[what]()
-            disk = Disk(folder, FRONT)
+            disk = StateDatabase(folder, FRONT)
             memory, doubts = disk.load()
             assert memory == HELD, what
             if what in ("text", "newer", "foreign") or what.startswith("cut 4096"):
@@ -122,26 +124,26 @@
 
 
 def test_an_old_copy_put_back_takes_nothing_away_and_anothers_files_are_not_believed(tmp_path: Path) -> None:
-    disk = Disk(tmp_path / "disk", FRONT)
+    disk = StateDatabase(tmp_path / "disk", FRONT)
     disk.save(HELD)
     shutil.copytree(tmp_path / "disk", tmp_path / "old")
-    later = Memory(HELD.holds.release("s-003").hold(Id("n1", 7), "s-004"), 9, HELD.peers)
+    later = FrontState(HELD.holds.release("s-003").hold(MemberId("n1", 7), "s-004"), 9, HELD.peers)
     disk.save(later)
     shutil.copy(tmp_path / "old" / NAMES[0], tmp_path / "disk" / NAMES[0])
     assert disk.load()[0] == later  # the release that the old copy lacks stands too
     shutil.copy(tmp_path / "old" / NAMES[1], tmp_path / "disk" / NAMES[1])
     assert disk.load()[0] == HELD  # both put back: a hold too many at the most, and peers know better
-    other = Disk(tmp_path / "disk", "ours/n2")
+    other = StateDatabase(tmp_path / "disk", "ours/n2")
     memory, doubts = other.load()
-    assert memory == Memory() and sum("another front" in doubt.why for doubt in doubts) >= 2
-    assert other.save(Memory(boot=1)) == [] and other.load() == (Memory(boot=1), [])
+    assert memory == FrontState() and sum("another front" in doubt.why for doubt in doubts) >= 2
+    assert other.save(FrontState(boot=1)) == [] and other.load() == (FrontState(boot=1), [])
 
 
 def test_a_disk_that_cannot_be_written_is_named_and_costs_nothing_else(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    assert len(Disk(tmp_path / "file", FRONT).save(HELD)) == 2
-    assert Disk(tmp_path / "file" / "below", FRONT).load() == (Memory(), [])
-    disk = Disk(tmp_path / "disk", FRONT)
+    assert len(StateDatabase(tmp_path / "file", FRONT).save(HELD)) == 2
+    assert StateDatabase(tmp_path / "file" / "below", FRONT).load() == (FrontState(), [])
+    disk = StateDatabase(tmp_path / "disk", FRONT)
     disk.save(HELD)
     with sqlite3.connect(tmp_path / "disk" / NAMES[0], isolation_level=None) as holder:
         holder.execute("BEGIN EXCLUSIVE")  # another process holds one file
@@ -154,21 +156,21 @@
 FULL = """
 import resource, signal, sys
 from pathlib import Path
-from cleatyoke.durability.records import Memory
-from cleatyoke.durability.store import Disk
-from cleatyoke.coordination.replicated_holds import Holds
-from cleatyoke.membership.wire import Id
-disk, holds = Disk(Path(sys.argv[1]), "ours/n1"), Holds().hold(Id("n1", 7), "s-003")
-assert disk.save(Memory(holds, 7)) == []
+from cleatyoke.durability.records import FrontState
+from cleatyoke.durability.store import StateDatabase
+from cleatyoke.coordination.replicated_holds import HoldSet
+from cleatyoke.membership.wire import MemberId
+disk, holds = StateDatabase(Path(sys.argv[1]), "ours/n1"), HoldSet().hold(MemberId("n1", 7), "s-003")
+assert disk.save(FrontState(holds, 7)) == []
 signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
 resource.setrlimit(resource.RLIMIT_FSIZE, (16384, resource.RLIM_INFINITY))
-many = Holds(holds.clock, {f"s-{number}": holds.held["s-003"] for number in range(2000)})
-failed = disk.save(Memory(many, 8))
+many = HoldSet(holds.clock, {f"s-{number}": holds.held["s-003"] for number in range(2000)})
+failed = disk.save(FrontState(many, 8))
 assert len(failed) == 2, failed
 resource.setrlimit(resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
 memory, doubts = disk.load()
-assert (memory, doubts) == (Memory(holds, 7), []), (memory, doubts)
-assert disk.save(Memory(holds, 9)) == [] and disk.load()[0].boot == 9
+assert (memory, doubts) == (FrontState(holds, 7), []), (memory, doubts)
+assert disk.save(FrontState(holds, 9)) == [] and disk.load()[0].boot == 9
 """
 
 
@@ -181,15 +183,15 @@
 
 class SlowDisk:
     def __init__(self) -> None:
-        self.go, self.failing, self.saved = threading.Event(), 0, list[Memory]()
+        self.go, self.failing, self.saved = threading.Event(), 0, list[FrontState]()
 
-    def load(self) -> tuple[Memory, list[Doubt]]:
+    def load(self) -> tuple[FrontState, list[RestoreDoubt]]:
         return HELD, []
 
-    def save(self, memory: Memory) -> list[Doubt]:
+    def save(self, memory: FrontState) -> list[RestoreDoubt]:
         assert self.go.wait(10)
         self.saved.append(memory)
-        return [Doubt(f"file {number}", "full") for number in range(self.failing)]
+        return [RestoreDoubt(f"file {number}", "full") for number in range(self.failing)]
 
 
 def until(what: Callable[[], bool]) -> None:
@@ -200,21 +202,21 @@
 
 
 def test_nobody_waits_for_a_slow_disk_and_a_failing_one_is_told_once() -> None:
-    disk, first, told = SlowDisk(), list[Recalled](), list[list[Doubt]]()
-    writer = Writer(disk, lambda: 0.0, first.append, told.append)
+    disk, first, told = SlowDisk(), list[RestoredState](), list[list[RestoreDoubt]]()
+    writer = StateWriter(disk, lambda: 0.0, first.append, told.append)
     writer.start()
     began = time.monotonic()
-    numbers = [writer.write(Memory(boot=boot)) for boot in range(100, 150)]
+    numbers = [writer.write(FrontState(boot=boot)) for boot in range(100, 150)]
     assert time.monotonic() - began < 0.5 and not first and not writer.keeps(numbers[0])
     disk.go.set()
     until(lambda: writer.keeps(numbers[-1]))
     assert first[0].memory.boot == HELD.boot + 1 and first[0].found
     assert [one.boot for one in disk.saved] == [HELD.boot + 1, 149]  # the newest of all that waited
     disk.failing = 1
-    number = writer.write(Memory(boot=200))
+    number = writer.write(FrontState(boot=200))
     until(lambda: writer.keeps(number))  # one of two has it
     disk.failing = 2
-    number = writer.write(Memory(boot=201))
+    number = writer.write(FrontState(boot=201))
     until(lambda: len(told) == 2)
     assert not writer.keeps(number)
     disk.failing = 0
@@ -228,15 +230,15 @@
 WRITES = """
 import sys
 from pathlib import Path
-from cleatyoke.durability.records import Memory
-from cleatyoke.durability.store import Disk
-from cleatyoke.coordination.replicated_holds import Holds
-from cleatyoke.membership.wire import Id
-disk = Disk(Path(sys.argv[1]), "ours/n1")
+from cleatyoke.durability.records import FrontState
+from cleatyoke.durability.store import StateDatabase
+from cleatyoke.coordination.replicated_holds import HoldSet
+from cleatyoke.membership.wire import MemberId
+disk = StateDatabase(Path(sys.argv[1]), "ours/n1")
 memory, doubts = disk.load()
 assert not doubts, doubts
 for number in range(10000):
-    memory = Memory(memory.holds.hold(Id("n1", memory.boot), f"s-{len(memory.holds.held)}"), memory.boot + 1)
+    memory = FrontState(memory.holds.hold(MemberId("n1", memory.boot), f"s-{len(memory.holds.held)}"), memory.boot + 1)
     assert not disk.save(memory)
     print(len(memory.holds.held), memory.boot, flush=True)
 """
@@ -255,7 +257,7 @@
             for line in process.stdout:  # kept too, though the reader came late
                 if line.endswith("\n"):
                     boxes, boot = map(int, line.split())
-        memory, doubts = Disk(tmp_path, FRONT).load()
+        memory, doubts = StateDatabase(tmp_path, FRONT).load()
         assert doubts == [] and len(memory.holds.held) >= boxes and memory.boot >= boot
 
 
@@ -263,7 +265,7 @@
 
 
 def test_the_command_explains_what_a_start_would_believe(tmp_path: Path) -> None:
-    Disk(tmp_path, FRONT).save(HELD)
+    StateDatabase(tmp_path, FRONT).save(HELD)
     shown = CliRunner().invoke(main, ["check", str(tmp_path)])
     assert shown.exit_code == 0 and "s-003: placed by n1 (boot 7, number 1)" in shown.output
     (tmp_path / NAMES[1]).write_text("x" * 5000)
@@ -283,11 +285,11 @@
 
 @pytest.mark.parametrize("folder", ['"relative"', "7"])
 def test_a_folder_that_cannot_be_one_is_named(folder: str, tmp_path: Path) -> None:
-    from cleatyoke.config.deployment import BadConfig, read_fronts
+    from cleatyoke.config.deployment import ConfigError, read_fronts
 
     path = tmp_path / "fronts.toml"
     path.write_text(
         f'[fleet]\nenabled = true\ndeployment = "d"\nlisten = "127.0.0.1:7"\nseeds = []\ndurable = {folder}\n'
     )
-    with pytest.raises(BadConfig, match=r"^fronts.toml: fleet.durable:"):
+    with pytest.raises(ConfigError, match=r"^fronts.toml: fleet.durable:"):
         read_fronts(path, {}, {})
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,15 +9,16 @@
 from typing import Any
 from unittest import mock
 
-from cleatyoke.core import Core, Ending, May, Served
+from cleatyoke.core import AttemptResult, Core, MayBegin, Served
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.http import server as server_module
-from cleatyoke.http.backends import Line
-from cleatyoke.http.server import Client
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import Outcome, Repeat
+from cleatyoke.http.backends import BackendConnection
+from cleatyoke.http.server import ClientConnection
+from cleatyoke.scheduling.actions import SendAttempt
+from cleatyoke.scheduling.events import AttemptOutcome, EndpointUpdate, UpdateKind
+from cleatyoke.scheduling.settings import Idempotency
 from cleatyoke.transport import sockets
-from cleatyoke.transport.sockets import PartingTransport, ended, unread
+from cleatyoke.transport.sockets import ClosingTransport, ended, unread
 from tests.host import Host, class_spec, entry, settings
 from tests.test_http_front import FrontCase, ask
 from tests.wire import answer, config, instance, listed
@@ -32,7 +33,7 @@
 class EndingCase(FrontCase):
     """A front, and its only client's connection in hand on both sides."""
 
-    async def meet(self, script: Any = at_once, *parts: bytes) -> tuple[Client, Streams]:
+    async def meet(self, script: Any = at_once, *parts: bytes) -> tuple[ClientConnection, Streams]:
         await self.begin(script)
         streams = await self.raw(*parts)
         await self.until(lambda: self.front.clients)
@@ -43,11 +44,11 @@
     async def hang_up(self, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
-    def transport(self, client: Client) -> PartingTransport:
-        assert isinstance(client.transport, PartingTransport)
+    def transport(self, client: ClientConnection) -> ClosingTransport:
+        assert isinstance(client.transport, ClosingTransport)
         return client.transport
 
-    async def unread(self, client: Client, streams: Streams, *parts: bytes) -> PartingTransport:
+    async def unread(self, client: ClientConnection, streams: Streams, *parts: bytes) -> ClosingTransport:
         """Bytes that have come and that the loop has not read."""
         transport = self.transport(client)
         transport.pause_reading()
@@ -295,7 +296,7 @@
         client, streams = await self.meet()
         finish = server_module.RequestHandler.finish_response
 
-        async def look(one: Client, *words: Any) -> Any:
+        async def look(one: ClientConnection, *words: Any) -> Any:
             seen.append(one in self.front.idle)
             return await finish(one, *words)
 
@@ -313,7 +314,7 @@
         client, streams = await self.meet()
         dial = self.boxes.dial
 
-        async def late(pool: Any) -> Line:
+        async def late(pool: Any) -> BackendConnection:
             dialling.set()
             await up.wait()
             return await dial(pool)
@@ -386,24 +387,24 @@
             asked.append(self.box.accepted)
             return False
 
-        self.assertIs((await self.attempt(1, ask("t"), may)).outcome, Outcome.NOT_SENT)
+        self.assertIs((await self.attempt(1, ask("t"), may)).outcome, AttemptOutcome.NOT_SENT)
         await self.until(lambda: self.box.accepted)
         self.assertEqual((len(asked), dict(self.box.counts)), (1, {}))
         self.assertEqual(len(self.boxes.pools[1].idle), 1, "the connection is as good as before")
-        self.assertIs((await self.attempt(1, ask("u"))).outcome, Outcome.SERVED)
+        self.assertIs((await self.attempt(1, ask("u"))).outcome, AttemptOutcome.SERVED)
 
     async def test_a_repeat_whose_connection_comes_up_when_nodes_may_have_forgotten_is_not_sent(self) -> None:
-        keyed = class_spec(repeat=Repeat.KEYED, memory=1.0, aim=5.0)
+        keyed = class_spec(idempotency=Idempotency.KEYED, idempotency_window=1.0, latency_objective=5.0)
         core, looks = Core(settings([keyed])), list[bool]()
-        core.tell(api.NodeList(api.ListKind.FULL, [entry(1, 1)]))
+        core.tell(EndpointUpdate(UpdateKind.SNAPSHOT, [entry(1, 1)]))
 
-        async def attempt(node: int, may: May) -> Ending[str]:
+        async def attempt(node: int, may: MayBegin) -> AttemptResult[str]:
             looks.append(may())
             if len(looks) == 1:
-                return Ending(Outcome.RESET)
+                return AttemptResult(AttemptOutcome.CONNECTION_RESET)
             core.offset += 1.0  # it takes long to come up
             looks.append(may())
-            return Ending(Outcome.NOT_SENT)
+            return AttemptResult(AttemptOutcome.NOT_SENT)
 
         asked = Host(settings(), []).arrival("a", deadline=core.now() + 4.0)
         self.assertNotIsInstance(await core.serve(asked, attempt), Served)
@@ -413,24 +414,24 @@
         core, looks = Core(config().settings), list[bool]()
         core.tell(listed(Directory({}), instance("s-a", 1), whole=True))
 
-        async def attempt(node: int, may: May) -> Ending[str]:
+        async def attempt(node: int, may: MayBegin) -> AttemptResult[str]:
             core.offset += 60.0
             looks.append(may())
-            return Ending(Outcome.NOT_SENT)
+            return AttemptResult(AttemptOutcome.NOT_SENT)
 
-        asked = Host(settings(), []).arrival("a", cell=0, deadline=core.now() + 1.0)
+        asked = Host(settings(), []).arrival("a", shard=0, deadline=core.now() + 1.0)
         await core.serve(asked, attempt)
         self.assertEqual(looks, [False])
 
 
 def test_a_repeat_says_when_nodes_may_forget_it_counted_from_the_first_that_may_have_run() -> None:
-    host = Host(settings([class_spec(repeat=Repeat.KEYED, memory=1.0)]), [entry(1, 1)])
+    host = Host(settings([class_spec(idempotency=Idempotency.KEYED, idempotency_window=1.0)]), [entry(1, 1)])
     host.ask("a")
-    host.end("a", Outcome.FULL)  # never ran: nothing is remembered yet
+    host.end("a", AttemptOutcome.QUEUE_FULL)  # never ran: nothing is remembered yet
     host.run_until(host.now + 0.6)
-    host.end("a", Outcome.RESET)
+    host.end("a", AttemptOutcome.CONNECTION_RESET)
     first = host.policy.requests["a"].ran[0][0]
     host.run_until(host.now + 0.2)
-    sends = [action.before for action in host.log if isinstance(action, api.Send)]
+    sends = [action.not_after for action in host.log if isinstance(action, SendAttempt)]
     assert sends[:2] == [float("inf")] * 2 and len(sends) == 3
     assert abs(sends[2] - (first + 1.0 - 0.04)) < 1e-9
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -16,14 +16,22 @@
 from hypothesis import strategies as st
 
 from cleatyoke import __main__ as daemon
-from cleatyoke.config.deployment import Address, BadConfig, read_config
-from cleatyoke.core import Call, Core, Ending, Failed, May, Refused
+from cleatyoke.config.deployment import Address, ConfigError, read_config
+from cleatyoke.core import AttemptResult, Core, Failed, MayBegin, PendingRequest, Rejected
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.discovery.watch import Discovery
-from cleatyoke.process.faults import Beat, Faults
+from cleatyoke.process.faults import Faults, Watchdog
 from cleatyoke.process.lifecycle import Lifecycle, Notice, Order, Stage, Status
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling import api
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.actions import CancelAttempt, FailRequest
+from cleatyoke.scheduling.events import (
+    AttemptOutcome,
+    EndpointState,
+    EndpointUpdate,
+    RequestArrived,
+    UpdateKind,
+)
+from cleatyoke.scheduling.settings import Idempotency
 from tests.host import class_spec, entry
 from tests.host import settings as host_settings
 from tests.test_upgrade import start
@@ -104,18 +112,18 @@
 class Hurried(unittest.IsolatedAsyncioTestCase):
     async def test_what_is_open_as_the_process_leaves_is_settled_before_it_has_left(self) -> None:
         """However long its client would wait: 8 s here, where the process has 0.3 s left."""
-        core = Core(host_settings([class_spec(), class_spec(repeat=api.Repeat.ONCE)]))
-        boxes = [entry(1, 1), entry(2, 2, state=api.NodeState.DRAINING)]
-        core.tell(api.NodeList(api.ListKind.FULL, boxes))
+        core = Core(host_settings([class_spec(), class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)]))
+        boxes = [entry(1, 1), entry(2, 2, state=EndpointState.DRAINING)]
+        core.tell(EndpointUpdate(UpdateKind.SNAPSHOT, boxes))
         sent: list[str] = []
 
         def ask(name: str, kind: int, cell: int) -> asyncio.Task[object]:
-            async def hang(node: int, may: May) -> Ending[None]:
+            async def hang(node: int, may: MayBegin) -> AttemptResult[None]:
                 sent.append(name)
                 await asyncio.sleep(60)
-                return Ending(api.Outcome.SERVED)
+                return AttemptResult(AttemptOutcome.SERVED)
 
-            arrival = api.Arrival(name, kind, 0, 1, None, cell, 1.0, core.now() + 8.0, 1)
+            arrival = RequestArrived(name, kind, 0, 1, None, cell, 1.0, core.now() + 8.0, 1)
             return asyncio.create_task(core.serve(arrival, hang))
 
         calls = {"read": ask("read", 0, 1), "write": ask("write", 1, 1), "held": ask("held", 1, 2)}
@@ -124,14 +132,14 @@
         core.hurry(core.now() + 0.3)
         async with asyncio.timeout(1.0):
             told = {name: type(await call) for name, call in calls.items()}
-        self.assertEqual(told, {"read": Failed, "write": Failed, "held": Refused})
+        self.assertEqual(told, {"read": Failed, "write": Failed, "held": Rejected})
         self.assertEqual(sent, ["read", "write"])  # nothing is sent for which no answer could come
 
     async def test_an_attempt_called_off_as_its_time_is_up_costs_no_other_call_its_word(self) -> None:
         """Both are due at once where the process stood still for a while."""
         core = Core(host_settings())
-        core.calls |= {name: Call() for name in ("late", "other")}
-        said = [api.Cancel("late", 0), api.Fail("other")]
+        core.calls |= {name: PendingRequest() for name in ("late", "other")}
+        said = [CancelAttempt("late", 0), FailRequest("other")]
         with mock.patch.object(core.policy, "step", return_value=said), contextlib.suppress(TimeoutError):
             async with asyncio.timeout(0) as core.calls["late"].out:
                 try:
@@ -139,19 +147,19 @@
                 finally:  # its time is up, and it has not ended yet
                     core.calls["late"].attempts = 1
                     core.step()
-        self.assertEqual(core.calls["other"].words.get_nowait(), api.Fail("other"))
+        self.assertEqual(core.calls["other"].words.get_nowait(), FailRequest("other"))
 
 
 class Faulty(unittest.IsolatedAsyncioTestCase):
     async def test_a_beat_goes_on_after_a_call_that_raises(self) -> None:
-        figures, calls = Figures(), []
+        figures, calls = Metrics(), []
 
         def act() -> None:
             calls.append(0)
             if len(calls) == 1:
                 raise RuntimeError("once")
 
-        beat = Beat(Faults(figures), "test", 0.01, act)
+        beat = Watchdog(Faults(figures), "test", 0.01, act)
         beat.start()
         await asyncio.sleep(0.06)
         beat.stop()
@@ -159,7 +167,7 @@
         self.assertEqual(figures.faults, 1)
 
     async def test_a_lost_task_and_a_callback_that_raises_are_counted_and_end_nothing(self) -> None:
-        figures, loop = Figures(), asyncio.get_running_loop()
+        figures, loop = Metrics(), asyncio.get_running_loop()
         Faults(figures).watch(loop)
         loop.call_soon(lambda: [][0])
 
@@ -174,7 +182,7 @@
     async def test_a_watch_that_dies_of_a_fault_of_ours_is_taken_up_again_with_the_whole_list(self) -> None:
         whole = {"generation": 4, "reset": True, "instances": []}
         agent = await DiscoveryAgent(whole, []).start()
-        figures, directory, took = Figures(), Directory({}), []
+        figures, directory, took = Metrics(), Directory({}), []
         discovery = Discovery(
             Address("127.0.0.1", agent.port), directory, took.append, faults=Faults(figures)
         )
@@ -247,8 +255,8 @@
             )
             config = read_config({"RELAY_CONFIG": str(path), "TMPDIR": folder})
             with (
-                mock.patch.object(daemon.Front, "listen", side_effect=RuntimeError("odd")),
-                self.assertRaisesRegex(BadConfig, "start: RuntimeError: odd"),
+                mock.patch.object(daemon.HttpServer, "listen", side_effect=RuntimeError("odd")),
+                self.assertRaisesRegex(ConfigError, "start: RuntimeError: odd"),
             ):
                 await daemon.run(config)
 
@@ -268,5 +276,5 @@
                     if change is None
                     else json.dumps({**values, "settings": {**FACTS, **change}})
                 )
-                with self.assertRaisesRegex(BadConfig, word):
+                with self.assertRaisesRegex(ConfigError, word):
                     read_config({"RELAY_CONFIG": str(path)})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,31 +15,40 @@
 from cleatyoke.emulation.network import Network
 from cleatyoke.membership import wire
 from cleatyoke.membership.conclusions import Known, conclude
-from cleatyoke.membership.interface import Asked, Change, Heard, Leave, Reply, Send, Timing, Told
+from cleatyoke.membership.interface import (
+    Change,
+    DatagramReceived,
+    ExchangeRequested,
+    LeaveRequested,
+    MembershipChanged,
+    MembershipTiming,
+    ReplyExchange,
+    SendDatagram,
+)
 from cleatyoke.membership.member_records import Probe
-from cleatyoke.membership.members import Members
-from cleatyoke.membership.wire import Gossip, Id, Ping, Rumour, State
+from cleatyoke.membership.members import Membership
+from cleatyoke.membership.wire import Gossip, MemberId, MemberState, Ping, Update
 
 SIZE = 12
 HEAL = 3.0  # seconds until there is one view again
 
 
-class NeverRefutes(Members):
-    def refute(self, rumour: Rumour) -> None:
+class NeverRefutes(Membership):
+    def refute(self, rumour: Update) -> None:
         pass
 
 
-class LetsTheDeadRest(Members):
+class LetsTheDeadRest(Membership):
     def probe_departed(self) -> None:
         pass
 
 
-class AsksNobody(Members):
+class AsksNobody(Membership):
     def ask_others(self, number: int, probe: Probe, address: str) -> None:
         probe.ask_at = probe.over_at
 
 
-class ForgetsBoot(Members):
+class ForgetsBoot(Membership):
     def __init__(self, deployment: str, name: str, boot: int, *rest: object, **more: object) -> None:
         super().__init__(deployment, name, 1, *rest, **more)  # type: ignore[arg-type]
 
@@ -47,20 +56,20 @@
         pass
 
 
-class WarnsAlways(Members):
-    def warn(self, life: object, sender: Rumour) -> None:
+class WarnsAlways(Membership):
+    def warn(self, life: object, sender: Update) -> None:
         life.warned = float("-inf")  # type: ignore[attr-defined]
         super().warn(life, sender)  # type: ignore[arg-type]
 
 
-def started(size: int = SIZE, make: type[Members] = Members, seed: int = 1, **network: float) -> Fleet:
+def started(size: int = SIZE, make: type[Membership] = Membership, seed: int = 1, **network: float) -> Fleet:
     fleet = Fleet(size, seed, network=Network(seed, **network), make=make)  # type: ignore[arg-type]
     fleet.start_all()
     fleet.run(12.0)
     return fleet
 
 
-def members(fleet: Fleet, front: int) -> Members:
+def members(fleet: Fleet, front: int) -> Membership:
     return fleet.running[fleet.address(front)].members
 
 
@@ -72,13 +81,13 @@
 
 
 def rumour(
-    name: str = "a", boot: int = 1, state: State = State.ALIVE, count: int = 0, by: str = ""
-) -> Rumour:
-    return Rumour(Id(name, boot), f"{name}:1", state, count, True, by)
+    name: str = "a", boot: int = 1, state: MemberState = MemberState.ALIVE, count: int = 0, by: str = ""
+) -> Update:
+    return Update(MemberId(name, boot), f"{name}:1", state, count, True, by)
 
 
 def test_a_message_is_taken_whole_or_refused_by_one_reason() -> None:
-    data, used = wire.encode_datagram("ours", rumour(), Ping(1, Id("b", 1), 0), [rumour("c" * 30)] * 60)
+    data, used = wire.encode_datagram("ours", rumour(), Ping(1, MemberId("b", 1), 0), [rumour("c" * 30)] * 60)
     assert 10 < used < 60 and len(data) <= wire.MOST_DATAGRAM
     assert len(wire.decode_datagram("ours", data).rumours) == used
     alien = wire.sealed(wire.encoder.encode(wire.Datagram("ours", 9, rumour(), Gossip(), [])))
@@ -91,9 +100,9 @@
         ("ours", wire.sealed(b"\x93"), "unreadable"),
         ("ours", wire.sealed(b"\x91" * 900), "unreadable"),
     ):
-        with pytest.raises(wire.Refused, match=f"^{reason}$"):
+        with pytest.raises(wire.WireError, match=f"^{reason}$"):
             wire.decode_datagram(deployment, bad)
-    with pytest.raises(wire.Refused, match="too long"):
+    with pytest.raises(wire.WireError, match="too long"):
         wire.decode_view("ours", bytes(wire.MOST_STREAM + 1))
 
 
@@ -104,25 +113,30 @@
     before = one.digest()
     bad = [rng.randbytes(rng.randrange(40)) for _ in range(1000)]
     bad += [good[: rng.randrange(len(good))] for _ in range(1000)]
-    one.step(fleet.now, map(Heard, bad))
+    one.step(fleet.now, map(DatagramReceived, bad))
     assert one.digest() == before and sum(one.figures.refused.values()) == 2000
-    one.step(fleet.now, [Heard(good)] * 1000)  # replayed
+    one.step(fleet.now, [DatagramReceived(good)] * 1000)  # replayed
     assert one.digest() == before
 
 
 rumours = st.builds(
-    rumour, st.sampled_from("bcd"), st.integers(1, 2), st.sampled_from(State), st.integers(0, 3), st.just("x")
+    rumour,
+    st.sampled_from("bcd"),
+    st.integers(1, 2),
+    st.sampled_from(MemberState),
+    st.integers(0, 3),
+    st.just("x"),
 )
 
 
 @settings(deadline=None, derandomize=True, max_examples=60)
 @given(st.lists(rumours, max_size=12), st.randoms(use_true_random=False))
 def test_rumours_merge_to_one_view_in_any_order_any_number_of_times(
-    told: list[Rumour], rng: random.Random
+    told: list[Update], rng: random.Random
 ) -> None:
     digests = set()
     for again in (told, told * 2, rng.sample(told, len(told))):
-        one = Members("test", "a", 1, "a:1", (), random.Random(1))
+        one = Membership("test", "a", 1, "a:1", (), random.Random(1))
         one.step(0.0)
         for each in again:
             one.believe(each)
@@ -135,21 +149,25 @@
 
 def test_silence_frees_nothing_and_only_its_word_or_its_start_anew_does() -> None:
     lives = [
-        Known(rumour("b", state=State.DEAD), 0.0),
-        Known(rumour("c", state=State.LEFT), 9.9),
-        Known(rumour("d", 1, State.DEAD), 0.0),
+        Known(rumour("b", state=MemberState.DEAD), 0.0),
+        Known(rumour("c", state=MemberState.LEFT), 9.9),
+        Known(rumour("d", 1, MemberState.DEAD), 0.0),
         Known(rumour("d", 2), 9.9),
         Known(rumour("e"), 5.0),
     ]
     told = conclude(rumour(), lives, 2, 10.0)
-    assert told.certainly_stopped == {Id("c", 1), Id("d", 1)}
-    assert told.certainly_up == {Id("a", 1), Id("d", 2)}
-    assert told.perhaps_up == {Id(name, boot) for name, boot in (("a", 1), ("b", 1), ("d", 2), ("e", 1))}
+    assert told.certainly_stopped == {MemberId("c", 1), MemberId("d", 1)}
+    assert told.certainly_up == {MemberId("a", 1), MemberId("d", 2)}
+    assert told.perhaps_up == {
+        MemberId(name, boot) for name, boot in (("a", 1), ("b", 1), ("d", 2), ("e", 1))
+    }
     assert told.count == 4 and told.may_use(8.0) == 2.0
     assert conclude(rumour(), lives, 7, 10.0).count == 7  # somebody beyond a cut is in nobody's view
-    shared = Rumour(Id("d", 2), "d:2", State.ALIVE, 0, False)  # an upgrade: two processes of one name
+    shared = Update(
+        MemberId("d", 2), "d:2", MemberState.ALIVE, 0, False
+    )  # an upgrade: two processes of one name
     both = conclude(rumour(), [Known(rumour("d", 1), 9.9), Known(shared, 9.9)], 1, 10.0)
-    assert both.perhaps_up >= {Id("d", 1), Id("d", 2)}
+    assert both.perhaps_up >= {MemberId("d", 1), MemberId("d", 2)}
 
 
 # The hard cases, in virtual time
@@ -167,8 +185,10 @@
     assert not fleet.broken
 
 
-@pytest.mark.parametrize(("make", "caught"), [(Members, False), (NeverRefutes, True)])
-def test_a_stopped_process_comes_back_and_knows_that_it_was_away(make: type[Members], caught: bool) -> None:
+@pytest.mark.parametrize(("make", "caught"), [(Membership, False), (NeverRefutes, True)])
+def test_a_stopped_process_comes_back_and_knows_that_it_was_away(
+    make: type[Membership], caught: bool
+) -> None:
     fleet = started(make=make)
     id = members(fleet, 3).id
     fleet.stop(3, 16.0)
@@ -183,8 +203,8 @@
     assert not fleet.broken
 
 
-@pytest.mark.parametrize(("make", "most"), [(Members, 0), (AsksNobody, 10**6)])
-def test_a_cut_one_way_is_bridged_by_the_others(make: type[Members], most: int) -> None:
+@pytest.mark.parametrize(("make", "most"), [(Membership, 0), (AsksNobody, 10**6)])
+def test_a_cut_one_way_is_bridged_by_the_others(make: type[Membership], most: int) -> None:
     fleet = started(make=make)
     fleet.network.deaf.add((fleet.address(4), fleet.address(7)))
     fleet.run(fleet.now + 60.0)
@@ -193,8 +213,8 @@
     assert (raised > 0) == (most > 0)
 
 
-@pytest.mark.parametrize(("make", "caught"), [(Members, False), (LetsTheDeadRest, True)])
-def test_a_group_that_was_cut_off_is_one_fleet_again(make: type[Members], caught: bool) -> None:
+@pytest.mark.parametrize(("make", "caught"), [(Membership, False), (LetsTheDeadRest, True)])
+def test_a_group_that_was_cut_off_is_one_fleet_again(make: type[Membership], caught: bool) -> None:
     fleet = started(make=make)
     for process in fleet.running.values():
         process.members.seeds.clear()  # nobody outside helps
@@ -235,8 +255,8 @@
 
 
 def test_one_that_leaves_while_its_word_was_told_on_answers_still_ends() -> None:
-    one = Members("test", "a", 1, "a:1", (), random.Random(1))
-    one.step(0.0, [Leave()])
+    one = Membership("test", "a", 1, "a:1", (), random.Random(1))
+    one.step(0.0, [LeaveRequested()])
     one.queue.clear()
     one.step(one.next_at())
     assert one.left
@@ -267,8 +287,8 @@
     assert fleet.settle(20.0) is not None
 
 
-@pytest.mark.parametrize(("make", "caught"), [(Members, False), (ForgetsBoot, True)])
-def test_a_front_with_an_old_memory_gives_it_up_and_goes_beyond(make: type[Members], caught: bool) -> None:
+@pytest.mark.parametrize(("make", "caught"), [(Membership, False), (ForgetsBoot, True)])
+def test_a_front_with_an_old_memory_gives_it_up_and_goes_beyond(make: type[Membership], caught: bool) -> None:
     fleet = started(make=make)
     fleet.leave(6)
     fleet.run(fleet.now + 2.0)
@@ -281,23 +301,23 @@
 
 
 def test_a_clock_that_jumps_back_costs_nothing() -> None:
-    one = Members("test", "a", 1, "a:1", ("b:1",), random.Random(1))
+    one = Membership("test", "a", 1, "a:1", ("b:1",), random.Random(1))
     one.step(100.0)
     due = one.next_at()
     one.step(40.0)
     assert one.next_at() - 40.0 == pytest.approx(due - 100.0)
     tries = [one.step(40.0 + tenth / 10) for tenth in range(40)]
     assert sum(map(len, tries)) >= 2  # it still asks its seed
-    assert not [told for told in itertools.chain(*tries) if isinstance(told, Told)]
+    assert not [told for told in itertools.chain(*tries) if isinstance(told, MembershipChanged)]
 
 
-@pytest.mark.parametrize(("make", "most"), [(Members, 200), (WarnsAlways, 10**9)])
-def test_two_that_believe_each_other_dead_don_t_answer_without_end(make: type[Members], most: int) -> None:
+@pytest.mark.parametrize(("make", "most"), [(Membership, 200), (WarnsAlways, 10**9)])
+def test_two_that_believe_each_other_dead_don_t_answer_without_end(make: type[Membership], most: int) -> None:
     mute = type("Mute", (make,), {"refute": NeverRefutes.refute})
     fleet = started(2, make=mute)
     for front in (0, 1):
         other = members(fleet, 1 - front).me()
-        members(fleet, front).believe(Rumour(other.id, other.address, State.DEAD, other.count, True))
+        members(fleet, front).believe(Update(other.id, other.address, MemberState.DEAD, other.count, True))
     before = fleet.traffic()[0]
     fleet.run(fleet.now + 10.0)
     sent = fleet.traffic()[0] - before
@@ -305,20 +325,20 @@
 
 
 def test_its_own_log_is_told_each_transition_once() -> None:
-    one = Members("test", "a", 1, "a:1", (), random.Random(1))
-    told: list[Told] = []
+    one = Membership("test", "a", 1, "a:1", (), random.Random(1))
+    told: list[MembershipChanged] = []
     for at, state, count in ((0.0, 0, 0), (0.1, 0, 0), (0.2, 1, 0), (0.3, 1, 0), (0.4, 0, 1), (0.5, 3, 1)):
         one.actions = []
         one.now = at
-        one.believe(rumour("b", 1, State(state), count, "x"))
-        told += [action for action in one.actions if isinstance(action, Told)]
+        one.believe(rumour("b", 1, MemberState(state), count, "x"))
+        told += [action for action in one.actions if isinstance(action, MembershipChanged)]
     assert [each.change for each in told] == [Change.JOINED, Change.SUSPECTED, Change.RETURNED, Change.LEFT]
 
 
 def test_views_that_differ_without_news_are_exchanged_and_others_are_not() -> None:
     fleet = started()
     one, lost = members(fleet, 2), members(fleet, 9).id
-    one.timing = Timing(sync=3600.0)  # the clock does not help
+    one.timing = MembershipTiming(sync=3600.0)  # the clock does not help
     one.next["sync"] = one.next["join"] = 3600.0
     for process in fleet.running.values():
         process.members.next["sync"] = process.members.next["join"] = 3600.0
@@ -333,11 +353,13 @@
 
 
 def test_a_whole_view_is_answered_by_one() -> None:
-    one = Members("test", "a", 1, "a:1", (), random.Random(1))
-    view = wire.encode_view("test", rumour("b"), [rumour("c", state=State.DEAD)])
-    actions = one.step(0.0, [Asked(7, view)])
-    assert [action.token for action in actions if isinstance(action, Reply)] == [7]
-    assert set(one.present) == {Id("b", 1)} and not [action for action in actions if isinstance(action, Send)]
+    one = Membership("test", "a", 1, "a:1", (), random.Random(1))
+    view = wire.encode_view("test", rumour("b"), [rumour("c", state=MemberState.DEAD)])
+    actions = one.step(0.0, [ExchangeRequested(7, view)])
+    assert [action.token for action in actions if isinstance(action, ReplyExchange)] == [7]
+    assert set(one.present) == {MemberId("b", 1)} and not [
+        action for action in actions if isinstance(action, SendDatagram)
+    ]
 
 
 # Drawn scripts
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -17,20 +17,20 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from cleatyoke.admin.control import Commands, answer
-from cleatyoke.config.deployment import BadConfig, FleetPeers, read_address, read_fronts
+from cleatyoke.admin.control import ControlCommands, answer
+from cleatyoke.config.deployment import ConfigError, FleetSettings, read_address, read_fronts
 from cleatyoke.emulation.network import Fault, Network
 from cleatyoke.emulation.traffic import emulate
 from cleatyoke.fleet.view import MOST_HEARD, FleetView
 from cleatyoke.membership import wire
-from cleatyoke.membership.wire import Gossip, Id, Rumour, State
+from cleatyoke.membership.wire import Gossip, MemberId, MemberState, Update
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling import api
-from cleatyoke.testbed.runner import Report
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.settings import SchedulerSettings
+from cleatyoke.testbed.runner import RunReport
 from cleatyoke.testbed.scenario import make_scenario
 from cleatyoke.testbed.search import play_values, pool, rules
-from cleatyoke.testbed.view_checks import View, ViewJudge, read_view
+from cleatyoke.testbed.view_checks import MembershipChecker, MembershipView, read_view
 from tests.host import settings
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -39,9 +39,11 @@
 
 
 class ViewJudgeCase(unittest.TestCase):
-    def told(self, *fronts: int, sure: str = "certainly-up", digest: str = "d", count: int = 2) -> View:
+    def told(
+        self, *fronts: int, sure: str = "certainly-up", digest: str = "d", count: int = 2
+    ) -> MembershipView:
         first, *others = [(f"n{front}", 1) for front in fronts]
-        return View(first[0], 1, 0, count, digest, dict.fromkeys(others, ("alive", sure)))
+        return MembershipView(first[0], 1, 0, count, digest, dict.fromkeys(others, ("alive", sure)))
 
     def test_each_rule_of_the_fleet_is_broken_once(self) -> None:
         for rule, views in (
@@ -52,15 +54,15 @@
             ("count", [self.told(0, 1), self.told(1, 0, count=1)]),
             ("stopped", [self.told(0, 1), self.told(1, 0, sure="certainly-stopped")]),
         ):
-            judge = ViewJudge(ends=[(1.0, "kill")])
+            judge = MembershipChecker(ends=[(1.0, "kill")])
             judge.seen(2.0, dict(enumerate(views)))
             with self.subTest(rule):
                 self.assertEqual(rules(judge.broken(9.0)), {rule} - {""})
-        judge = ViewJudge()
-        judge.seen(1.0, {0: View("n0", 5, 2, 1)})
-        judge.seen(2.0, {0: View("n0", 5, 1, 1)})
+        judge = MembershipChecker()
+        judge.seen(1.0, {0: MembershipView("n0", 5, 2, 1)})
+        judge.seen(2.0, {0: MembershipView("n0", 5, 1, 1)})
         self.assertEqual(rules(judge.broken(9.0)), {"back"})
-        with self.assertRaises(BadConfig):
+        with self.assertRaises(ConfigError):
             read_view(["fleet.life n0"])
 
     def test_what_a_message_meets_is_drawn_from_it_and_from_nothing_else(self) -> None:
@@ -79,7 +81,7 @@
 class PlayCase(unittest.TestCase):
     """Eight to twelve processes each, two plays at once, as more make exits late on eight cores."""
 
-    plays: ClassVar[dict[str, Future[Report]]]
+    plays: ClassVar[dict[str, Future[RunReport]]]
     values: ClassVar[dict[str, Any]]
 
     @classmethod
@@ -99,7 +101,7 @@
         cls.addClassCleanup(workers.shutdown)
         cls.plays = {name: workers.submit(play_values, name, one) for name, one in values.items()}
 
-    def kept(self, name: str) -> Report:
+    def kept(self, name: str) -> RunReport:
         """What came of this play, in which nothing may have been broken."""
         report = self.plays[name].result()
         self.assertEqual(report.broken, [], "\n".join(report.lines()))
@@ -145,17 +147,21 @@
                 pause,
                 [
                     (
-                        "fleet/conclude.py",
-                        "if rumour.state is State.LEFT or anew:",
-                        "if rumour.state is not State.ALIVE:",
+                        "membership/conclusions.py",
+                        "if rumour.state is MemberState.LEFT or anew:",
+                        "if rumour.state is not MemberState.ALIVE:",
                     )
                 ],
             ),
             "view": (
                 roll,
                 [
-                    ("net/fleet.py", "peers.boot or boot or int(time.time() * 1000)", "1"),
-                    ("fleet/members.py", "self.id, self.count = Id(self.id.name, boot + 1), 0", "pass"),
+                    ("fleet/view.py", "peers.boot or boot or int(time.time() * 1000)", "1"),
+                    (
+                        "membership/members.py",
+                        "self.id, self.count = MemberId(self.id.name, boot + 1), 0",
+                        "pass",
+                    ),
                 ],
             ),
         }
@@ -186,11 +192,11 @@
             view.stop()
         await asyncio.sleep(0)
 
-    async def start(self, number: int, boot: int = 1, goes_by: api.Settings | None = None) -> FleetView:
+    async def start(self, number: int, boot: int = 1, goes_by: SchedulerSettings | None = None) -> FleetView:
         listen = read_address(f"127.1.2.{number}:{self.port}", "listen")
         seeds = [read_address(f"127.1.2.1:{self.port}", "seeds")]
-        peers = FleetPeers("ours", listen, listen, seeds, boot, TIMES)
-        view = FleetView(peers, f"n{number}", 1, number, Faults(Figures()))
+        peers = FleetSettings("ours", listen, listen, seeds, boot, TIMES)
+        view = FleetView(peers, f"n{number}", 1, number, Faults(Metrics()))
         self.views.append(view)
         if goes_by:
             view.say(goes_by)
@@ -207,7 +213,7 @@
         one, other = await self.start(1), await self.start(2)
         await self.until("len(view.members.present)", 1)
         rng = random.Random(1)
-        life = Rumour(Id("n2", 1), other.members.address, State.DEAD, 0)
+        life = Update(MemberId("n2", 1), other.members.address, MemberState.DEAD, 0)
         foreign = wire.encode_datagram("theirs", life, Gossip(), [life])[0]
         own = wire.encode_datagram("ours", other.members.me(), Gossip(), [])[0]
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
@@ -217,8 +223,8 @@
                 if number % 50 == 0:
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.2)
-            self.assertEqual(list(one.members.lives), [Id("n2", 1)])
-            self.assertIsNot(one.members.lives[Id("n2", 1)].rumour.state, State.DEAD)
+            self.assertEqual(list(one.members.lives), [MemberId("n2", 1)])
+            self.assertIsNot(one.members.lives[MemberId("n2", 1)].rumour.state, MemberState.DEAD)
             refused = one.members.figures.refused
             self.assertGreater(min(refused["foreign"], refused["corrupt"]), 300)
             stat = dict(line.split("=") for line in one.figures())
@@ -237,8 +243,8 @@
     async def test_what_comes_while_its_sockets_are_opened_is_no_fault(self) -> None:
         """A front that comes back is pinged at its old address before its listener is there."""
         begin, late = asyncio.start_server, socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        life = Rumour(Id("n2", 1), f"127.1.2.2:{self.port}", State.ALIVE, 0)
-        ping = wire.encode_datagram("ours", life, wire.Ping(1, Id("n1", 1), 0), [])[0]
+        life = Update(MemberId("n2", 1), f"127.1.2.2:{self.port}", MemberState.ALIVE, 0)
+        ping = wire.encode_datagram("ours", life, wire.Ping(1, MemberId("n1", 1), 0), [])[0]
 
         async def slow(*words: Any, **more: Any) -> asyncio.Server:
             late.sendto(ping, ("127.1.2.1", self.port))
@@ -250,9 +256,9 @@
         self.assertEqual((view.faults.figures.faults, view.dropped["early"]), (0, 1))
 
     async def test_fronts_of_other_settings_are_told_of_and_each_keeps_to_its_own(self) -> None:
-        ours, theirs = settings(hosts=3, seed=1), settings(hosts=4)
+        ours, theirs = settings(front_count=3, seed=1), settings(front_count=4)
         for number in (1, 2, 3):
-            await self.start(number, goes_by=theirs if number == 3 else settings(hosts=3, seed=number))
+            await self.start(number, goes_by=theirs if number == 3 else settings(front_count=3, seed=number))
         await self.until("len(view.members.present)", 2)
         one, _, other = self.views
         async with asyncio.timeout(5):
@@ -270,14 +276,14 @@
         new = await self.start(1, boot=2)
         await self.until("len(view.members.present)", 2)
         self.assertFalse(new.members.alone)
-        both = {Id("n1", 1), Id("n1", 2)}
+        both = {MemberId("n1", 1), MemberId("n1", 2)}
         self.assertLessEqual(both, witness.conclusion().perhaps_up)
         self.views.remove(old)
         old.stop()
         await self.until("view.members.alone", True)
         await self.until("len(view.members.over)", 1)
-        self.assertEqual(witness.conclusion().certainly_stopped, {Id("n1", 1)})
-        self.assertEqual(witness.members.lives[Id("n1", 2)].rumour.address, f"127.1.2.1:{self.port}")
+        self.assertEqual(witness.conclusion().certainly_stopped, {MemberId("n1", 1)})
+        self.assertEqual(witness.members.lives[MemberId("n1", 2)].rumour.address, f"127.1.2.1:{self.port}")
         shown = read_view([*witness.lines(), "EOT"])
         self.assertEqual(shown.lives["n1", 1], ("left", "certainly-stopped"))
 
@@ -290,7 +296,7 @@
             "for name in sys.modules))"
         )
         self.assertEqual(subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode, 0)
-        off = Commands(lambda: True, list, bool, bool, lambda: None, lambda: None)
+        off = ControlCommands(lambda: True, list, bool, bool, lambda: None, lambda: None)
         self.assertEqual(answer(off, "show-fleet"), ["FAILURE no view of the fleet is kept"])
 
     def test_each_key_is_checked_and_named(self) -> None:
@@ -318,5 +324,5 @@
                     if not key:
                         self.assertIsNotNone(read_fronts(path, {}, {})[3])
                         continue
-                    with self.assertRaisesRegex(BadConfig, f"^fronts.toml: fleet.{key}:"):
+                    with self.assertRaisesRegex(ConfigError, f"^fronts.toml: fleet.{key}:"):
                         read_fronts(path, {}, {})
