--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -4,105 +4,122 @@
 
 import pytest
 
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import Outcome, Repeat, Scope
+from cleatyoke.scheduling.actions import (
+    CancelAttempt,
+    FailRequest,
+    Reject,
+    SchedulerAction,
+    SendAttempt,
+    WatchEndpoints,
+)
+from cleatyoke.scheduling.events import (
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointState,
+    EndpointUpdate,
+    TimerFired,
+    UpdateKind,
+)
 from cleatyoke.scheduling.node_table import FadingMeans
 from cleatyoke.scheduling.records import Request
 from cleatyoke.scheduling.scheduler import LOST
+from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope, RequestClass
 from tests.host import Host, class_spec, entry, plan_spec, settings
 
-ONCE = class_spec(repeat=Repeat.ONCE)
+ONCE = class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)
 ORDERED = class_spec(ordered=True)
 
 
-def answers(actions: list[api.Action], request: str) -> list[type]:
-    finals = (api.Refuse, api.Fail)
-    return [type(action) for action in actions if isinstance(action, finals) and action.request == request]
+def answers(actions: list[SchedulerAction], request: str) -> list[type]:
+    finals = (Reject, FailRequest)
+    return [type(action) for action in actions if isinstance(action, finals) and action.request_id == request]
 
 
 # One final answer
 
 
 def test_hopeless_on_arrival_is_answered_at_once() -> None:
-    host = Host(settings(retry_after=0.5), [entry(1, 1)])
-    assert host.ask("no node", cell=9) == [api.Refuse("no node", 0.5)]
-    assert answers(host.ask("no time", deadline=host.now + 0.001), "no time") == [api.Refuse]
+    host = Host(settings(max_retry_after=0.5), [entry(1, 1)])
+    assert host.ask("no node", shard=9) == [Reject("no node", 0.5)]
+    assert answers(host.ask("no time", deadline=host.now + 0.001), "no time") == [Reject]
     host.step(*[host.arrival(f"r{number}") for number in range(8)])
     host.policy.nodes[1].queued = 0.1
-    assert answers(host.ask("no slot", deadline=host.now + 0.06), "no slot") == [api.Refuse]
+    assert answers(host.ask("no slot", deadline=host.now + 0.06), "no slot") == [Reject]
     assert "no time" not in host.sent()
 
 
 def test_hopeless_later_is_answered_then() -> None:
-    host = Host(settings(hosts=8), [entry(1, 1)])
-    host.step(host.arrival("a", hosts=8), host.arrival("b", hosts=8))
+    host = Host(settings(front_count=8), [entry(1, 1)])
+    host.step(host.arrival("a", front_count=8), host.arrival("b", front_count=8))
     late = host.now + 0.5 - host.policy.nodes[1].queued
     assert not host.run_until(late - 0.001)
-    assert host.run_until(late + 0.02) == [api.Refuse("b")]
+    assert host.run_until(late + 0.02) == [Reject("b")]
     assert not answers(host.run_until(104.0), "b")
 
 
 def test_still_possible_is_kept_and_sent() -> None:
-    host = Host(settings(hosts=8), [entry(1, 1)])
-    host.step(host.arrival("a", hosts=8), host.arrival("b", hosts=8))
+    host = Host(settings(front_count=8), [entry(1, 1)])
+    host.step(host.arrival("a", front_count=8), host.arrival("b", front_count=8))
     assert not host.run_until(host.now + 0.4)
-    assert host.end("a", Outcome.SERVED) == [api.Send("b", 1)]
+    assert host.end("a", AttemptOutcome.SERVED) == [SendAttempt("b", 1)]
 
 
 def test_a_refusal_says_when_the_spare_rate_has_paid_up_to_what_clients_heed() -> None:
     for debt, wait in ((-1.0, 0.5), (-10.0, 0.8)):
-        host = Host(settings(plans=[plan_spec(reserve=0.0)], retry_after=0.8), [entry(1, 1)])
+        host = Host(settings(plans=[plan_spec(reserved_rate=0.0)], max_retry_after=0.8), [entry(1, 1)])
         host.ask("a")
-        host.end("a", Outcome.SERVED)
+        host.end("a", AttemptOutcome.SERVED)
         host.now += 0.001
         store = host.policy.volumes[1].shares[1]
         store.level, store.filled, host.policy.nodes[1].spare = debt, host.now, 2.0
-        assert host.ask("b", deadline=host.now + 0.03) == [api.Refuse("b", pytest.approx(wait))]
+        assert host.ask("b", deadline=host.now + 0.03) == [Reject("b", pytest.approx(wait))]
 
 
 def test_clients_that_heed_no_advice_get_none() -> None:
     host = Host(settings(), [entry(1, 1)])
-    assert host.ask("a", cell=9) == [api.Refuse("a", 0.0)]
+    assert host.ask("a", shard=9) == [Reject("a", 0.0)]
 
 
 def test_timeout_at_the_deadline_is_answered_in_the_same_batch() -> None:
     host = Host(settings([ONCE]), [entry(1, 1)])
     host.ask("a")
     host.now += 2.0
-    assert answers(host.end("a", Outcome.TIMEOUT), "a") == [api.Fail]
+    assert answers(host.end("a", AttemptOutcome.TIMEOUT), "a") == [FailRequest]
 
 
 def test_a_late_outcome_after_the_client_left_is_not_answered_again() -> None:
     host = Host(settings(), [entry(1, 1)])
     host.ask("a")
-    assert host.step(api.Withdrawn("a")) == [api.Cancel("a", 0)]
-    assert host.end("a", Outcome.CANCELLED, settled=True) == []
-    assert host.step(api.Withdrawn("a")) == []
+    assert host.step(ClientDisconnected("a")) == [CancelAttempt("a", 0)]
+    assert host.end("a", AttemptOutcome.CANCELLED, settled=True) == []
+    assert host.step(ClientDisconnected("a")) == []
 
 
 # Attempts that take far too long
 
 
 def test_an_overdue_attempt_is_called_off_and_its_request_given_up() -> None:
-    host = Host(settings(hosts=8), [entry(1, 1)])
+    host = Host(settings(front_count=8), [entry(1, 1)])
     host.ask("lost")
-    assert host.run_until(host.now + 0.52) == [api.Cancel("lost", 0)]
-    assert host.end("lost", Outcome.CANCELLED, spent=0.52) == [api.Refuse("lost")]
-    assert host.ask("next") == [api.Send("next", 1)]
+    assert host.run_until(host.now + 0.52) == [CancelAttempt("lost", 0)]
+    assert host.end("lost", AttemptOutcome.CANCELLED, elapsed=0.52) == [Reject("lost")]
+    assert host.ask("next") == [SendAttempt("next", 1)]
 
 
 @pytest.mark.parametrize(("late", "pace", "until"), [(0.1, 0.5, 1.5), (0.2, 0.5, 3.0), (0.0, 0.2, 0.5)])
 def test_a_slow_answer_is_waited_for_by_what_it_earns(late: float, pace: float, until: float) -> None:
-    host = Host(settings([class_spec(late_share=late)], hosts=8), [entry(1, 1)])
+    host = Host(settings([class_spec(late_value=late)], front_count=8), [entry(1, 1)])
     host.policy.nodes[1].pace = pace
     began = host.now
     host.ask("slow", deadline=began + 9.0)
     assert host.run_until(began + until - 0.1) == []
-    assert host.run_until(began + until + 0.2) == [api.Cancel("slow", 0)]
+    assert host.run_until(began + until + 0.2) == [CancelAttempt("slow", 0)]
 
 
-@pytest.mark.parametrize("kind", [ONCE, class_spec(repeat=api.Repeat.KEYED, scope=api.Scope.CELL)])
-def test_no_attempt_is_called_off_that_could_go_nowhere_else(kind: api.ClassSpec) -> None:
+@pytest.mark.parametrize(
+    "kind", [ONCE, class_spec(idempotency=Idempotency.KEYED, idempotency_scope=IdempotencyScope.SHARD)]
+)
+def test_no_attempt_is_called_off_that_could_go_nowhere_else(kind: RequestClass) -> None:
     host = Host(settings([kind]), [entry(1, 1)])
     host.ask("a")
     assert host.run_until(host.now + 1.9) == []
@@ -115,7 +132,7 @@
         heavy = number % 2
         host.ask(f"r{number}", class_index=heavy, deadline=host.now + 2.0)
         host.now += 0.5
-        host.end(f"r{number}", Outcome.SERVED, spent=0.12 if heavy else 0.04)
+        host.end(f"r{number}", AttemptOutcome.SERVED, elapsed=0.12 if heavy else 0.04)
     node = host.policy.nodes[1]
     assert node.queued < 0.01
     light, heavy_one = (
@@ -135,11 +152,13 @@
 # No doubled effect
 
 
-@pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET])
-def test_a_once_request_that_may_have_run_fails(outcome: Outcome) -> None:
+@pytest.mark.parametrize(
+    "outcome", [AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECTION_RESET]
+)
+def test_a_once_request_that_may_have_run_fails(outcome: AttemptOutcome) -> None:
     host = Host(settings([ONCE]), [entry(1, 1)])
     host.ask("a")
-    assert answers(host.end("a", outcome), "a") == [api.Fail]
+    assert answers(host.end("a", outcome), "a") == [FailRequest]
     host.run_until(103.0)
     assert host.sent() == ["a"]
 
@@ -147,7 +166,7 @@
 def test_a_once_request_turned_away_unseen_is_tried_again() -> None:
     host = Host(settings([ONCE]), [entry(1, 1)])
     host.ask("a")
-    host.end("a", Outcome.FULL)
+    host.end("a", AttemptOutcome.QUEUE_FULL)
     host.run_until(101.0)
     assert host.sent() == ["a", "a"]
 
@@ -157,34 +176,34 @@
     host.ask("a", deadline=130.0)
     for _ in range(3):
         assert host.policy.requests["a"].out
-        last = host.end("a", Outcome.ERROR)
-    assert answers(last, "a") == [api.Refuse]
+        last = host.end("a", AttemptOutcome.ERROR)
+    assert answers(last, "a") == [Reject]
     assert host.sent() == ["a"] * 3
 
 
 def test_a_keyed_request_goes_again_only_while_it_is_remembered() -> None:
-    keyed = class_spec(repeat=Repeat.KEYED, memory=0.5)
+    keyed = class_spec(idempotency=Idempotency.KEYED, idempotency_window=0.5)
     host = Host(settings([keyed]), [entry(1, 1)])
     host.ask("a")
     host.now += 0.6
-    host.end("a", Outcome.RESET, spent=0.6)
+    host.end("a", AttemptOutcome.CONNECTION_RESET, elapsed=0.6)
     host.run_until(101.9)
     assert host.sent() == ["a"]
 
 
 def test_a_keyed_request_stays_in_its_zone_or_cell() -> None:
-    for scope, fresh in ((Scope.ZONE, 3), (Scope.CELL, 1)):
-        keyed = class_spec(aim=2.0, repeat=Repeat.KEYED, scope=scope)
+    for scope, fresh in ((IdempotencyScope.ZONE, 3), (IdempotencyScope.SHARD, 1)):
+        keyed = class_spec(latency_objective=2.0, idempotency=Idempotency.KEYED, idempotency_scope=scope)
         host = Host(settings([keyed]), [entry(1, 1), entry(2, 2), entry(3, 3)])
         host.policy.nodes[1].queued = 0.001
         for node in (2, 3):
             host.policy.nodes[node].hold_until = 101.0
-        host.ask("a", cell=-1)
-        assert host.log[-1] == api.Send("a", 1)
-        host.policy.nodes[1].hold_until = 110.0 if scope is Scope.ZONE else 101.0
-        host.end("a", Outcome.RESET)
+        host.ask("a", shard=-1)
+        assert host.log[-1] == SendAttempt("a", 1)
+        host.policy.nodes[1].hold_until = 110.0 if scope is IdempotencyScope.ZONE else 101.0
+        host.end("a", AttemptOutcome.CONNECTION_RESET)
         host.run_until(101.2)
-        assert host.log[-1] == api.Send("a", fresh)
+        assert host.log[-1] == SendAttempt("a", fresh)
 
 
 def test_never_two_attempts_at_once() -> None:
@@ -198,10 +217,10 @@
     host = Host(settings(max_attempts=99), [entry(1, 1)])
     host.ask("a", deadline=130.0)
     for _ in range(6):
-        host.end("a", Outcome.NO_CONNECTION)
+        host.end("a", AttemptOutcome.CONNECTION_FAILED)
         host.run_until(host.now + 1.0)
     tries = len(host.sent())
-    host.end("a", Outcome.NO_CONNECTION)
+    host.end("a", AttemptOutcome.CONNECTION_FAILED)
     host.run_until(host.now + 0.45)
     assert len(host.sent()) == tries
 
@@ -209,10 +228,10 @@
 # Drains
 
 
-@pytest.mark.parametrize("state", [api.NodeState.DRAINING, api.NodeState.GONE])
-def test_nothing_to_a_node_that_drains_or_is_gone(state: api.NodeState) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
+def test_nothing_to_a_node_that_drains_or_is_gone(state: EndpointState) -> None:
     host = Host(settings(), [entry(1, 1)])
-    host.step(api.NodeList(api.ListKind.CHANGES, [entry(1, 1, state)]))
+    host.step(EndpointUpdate(UpdateKind.DELTA, [entry(1, 1, state)]))
     host.ask("a")
     host.run_until(101.0)
     assert host.sent() == []
@@ -220,20 +239,20 @@
 
 def test_nothing_to_a_node_absent_from_a_full_list() -> None:
     host = Host(settings(), [entry(1, 1), entry(2, 2)])
-    host.step(api.NodeList(api.ListKind.FULL, [entry(2, 2)]))
+    host.step(EndpointUpdate(UpdateKind.SNAPSHOT, [entry(2, 2)]))
     host.ask("a")
     host.run_until(101.0)
     assert host.sent() == []
 
 
 def test_the_list_is_watched_and_asked_for_again_after_a_loss() -> None:
-    host = Host(settings(must_watch=True, safety={"ask_every": 8.0}), [entry(1, 1)])
-    assert host.log == [api.Watch()]
+    host = Host(settings(watches_endpoints=True, safety={"poll_interval": 8.0}), [entry(1, 1)])
+    assert host.log == [WatchEndpoints()]
     host.run_until(103.0)
-    assert host.log == [api.Watch()]
-    host.step(api.NodeList(api.ListKind.LOST, []))
+    assert host.log == [WatchEndpoints()]
+    host.step(EndpointUpdate(UpdateKind.UNAVAILABLE, []))
     assert not host.run_until(104.9)
-    assert host.run_until(105.1) == [api.Watch()]
+    assert host.run_until(105.1) == [WatchEndpoints()]
 
 
 # Cold nodes
@@ -245,7 +264,7 @@
     while host.now < end:
         host.step(host.arrival(f"at{host.now:.2f}", units=units), at=host.now + 0.02)
         for name in [name for name, held in host.policy.requests.items() if held.out]:
-            host.end(name, Outcome.SERVED, spent=0.02)
+            host.end(name, AttemptOutcome.SERVED, elapsed=0.02)
     return units * (len(host.sent()) - start)
 
 
@@ -253,15 +272,18 @@
     """No host has an even part as large as a request; none knows a rate of its own there."""
     total = 0.0
     for seed in range(60):
-        host = Host(settings(hosts=60, seed=seed, cold_units=12.0, mean=2.0), [entry(1, 1, up_since=99.9)])
+        host = Host(
+            settings(front_count=60, seed=seed, slow_start_units=12.0, mean_request_units=2.0),
+            [entry(1, 1, up_since=99.9)],
+        )
         total += cold_sends(host, 1.0)
     assert 0.0 < total <= 24.0  # 12 in a second are borne in any case; chance counts
 
 
 def test_a_cold_node_gets_a_host_s_own_usual_rate_and_soon_again() -> None:
-    host = Host(settings(safety={"ramp": 10.0}), [entry(1, 1)])
+    host = Host(settings(safety={"slow_start_duration": 10.0}), [entry(1, 1)])
     usual = cold_sends(host, 20.0) / 20
-    host.step(api.NodeList(api.ListKind.CHANGES, [entry(1, 1, up_since=host.now)]))
+    host.step(EndpointUpdate(UpdateKind.DELTA, [entry(1, 1, up_since=host.now)]))
     assert 0.0 < cold_sends(host, 1.0) <= usual * 0.2 * 2.0 + 2.0 * 2
     host.now += 9.0
     assert cold_sends(host, 1.0) > usual * 0.8
@@ -269,17 +291,17 @@
 
 def cold_units(busy: float, known: bool = True) -> float:
     """Units that a host sends to a cold node in its first seconds, where nodes report so much in use."""
-    host = Host(settings(safety={"ramp": 10.0}), [entry(1, 1), entry(2, 2)])
+    host = Host(settings(safety={"slow_start_duration": 10.0}), [entry(1, 1), entry(2, 2)])
     for _ in range(20 * 20):  # two units in every 0.05 s, to the other node where this one is to be unknown
         host.now += 0.05
         name = f"warm{host.now:.2f}"
         node = 1 if known else 2
-        host.ask(name, cell=node, units=2.0)
+        host.ask(name, shard=node, units=2.0)
         if name in host.policy.requests:
-            host.end(name, Outcome.SERVED, node=node, spent=0.02, busy=busy)
+            host.end(name, AttemptOutcome.SERVED, node_id=node, elapsed=0.02, utilization=busy)
     if not known:
         host.policy.table.usual.known.discard(1)
-    host.step(api.NodeList(api.ListKind.CHANGES, [entry(1, 1, up_since=host.now)]))
+    host.step(EndpointUpdate(UpdateKind.DELTA, [entry(1, 1, up_since=host.now)]))
     return cold_sends(host, 3.0)
 
 
@@ -296,29 +318,29 @@
 
 
 def test_a_cold_time_is_no_usual_one() -> None:
-    host = Host(settings(safety={"ramp": 10.0}), [entry(1, 1)])
+    host = Host(settings(safety={"slow_start_duration": 10.0}), [entry(1, 1)])
     cold_sends(host, 10.0)
     usual = host.policy.table.usual.get(1)
-    host.step(api.NodeList(api.ListKind.CHANGES, [entry(1, 1, up_since=host.now)]))
+    host.step(EndpointUpdate(UpdateKind.DELTA, [entry(1, 1, up_since=host.now)]))
     host.run_until(host.now + 8.0)
     host.ask("a")
     assert host.policy.table.usual.get(1) >= usual * 0.9
 
 
 def test_a_restart_in_the_list_makes_a_node_cold_again() -> None:
-    host = Host(settings(cold_units=2.0), [entry(1, 1)])
-    host.step(api.NodeList(api.ListKind.CHANGES, [entry(1, 1, up_since=99.5)]))
+    host = Host(settings(slow_start_units=2.0), [entry(1, 1)])
+    host.step(EndpointUpdate(UpdateKind.DELTA, [entry(1, 1, up_since=99.5)]))
     host.step(host.arrival("a"), host.arrival("b"))
     assert host.sent() == []
     times = []
     for number in range(200):
         host.ask(f"r{number}")
-        times += [host.now] * len([a for a in host.run_until(host.now + 0.02) if isinstance(a, api.Send)])
+        times += [host.now] * len([a for a in host.run_until(host.now + 0.02) if isinstance(a, SendAttempt)])
     assert times[1] - times[0] > 0.8  # a unit each, of one unit a second that grows as the node warms
 
 
 def test_a_warm_node_is_not_held_back() -> None:
-    host = Host(settings(cold_units=2.0), [entry(1, 1, up_since=89.0)])
+    host = Host(settings(slow_start_units=2.0), [entry(1, 1, up_since=89.0)])
     host.step(host.arrival("a"), host.arrival("b"))
     assert host.sent() == ["a", "b"]
 
@@ -330,14 +352,14 @@
     host = Host(settings([ORDERED, ORDERED]), [entry(1, 1)])
     host.step(host.arrival("a", item=5), host.arrival("b", item=5, class_index=1), host.arrival("c", item=6))
     assert sorted(host.sent()) == ["a", "c"]
-    host.end("a", Outcome.SERVED)
+    host.end("a", AttemptOutcome.SERVED)
     assert host.sent()[-1] == "b"
 
 
 def test_a_key_rests_after_an_attempt_that_may_still_run() -> None:
-    host = Host(settings([class_spec(ordered=True, repeat=Repeat.ONCE)]), [entry(1, 1)])
+    host = Host(settings([class_spec(ordered=True, idempotency=Idempotency.NOT_IDEMPOTENT)]), [entry(1, 1)])
     host.step(host.arrival("a", item=5), host.arrival("b", item=5))
-    host.end("a", Outcome.TIMEOUT)
+    host.end("a", AttemptOutcome.TIMEOUT)
     host.run_until(100.08)
     assert host.sent() == ["a"]
     host.run_until(100.2)
@@ -347,9 +369,9 @@
 def test_a_withdrawn_request_holds_its_key_while_its_attempt_is_out() -> None:
     host = Host(settings([ORDERED]), [entry(1, 1)])
     host.step(host.arrival("a", item=5), host.arrival("b", item=5))
-    host.step(api.Withdrawn("a"))
+    host.step(ClientDisconnected("a"))
     assert host.sent() == ["a"]
-    host.end("a", Outcome.CANCELLED, settled=True)
+    host.end("a", AttemptOutcome.CANCELLED, settled=True)
     host.run_until(100.2)
     assert host.sent() == ["a", "b"]
 
@@ -358,23 +380,23 @@
 
 
 def test_extra_attempts_stay_within_the_budget() -> None:
-    budget = {"extra_free": 1.0, "extra_ratio": 0.0, "extra_window": 1.0}
-    host = Host(settings([class_spec(aim=2.0)], safety=budget), [entry(1, 1)])
+    budget = {"retry_budget_minimum": 1.0, "retry_budget_ratio": 0.0, "retry_budget_window": 1.0}
+    host = Host(settings([class_spec(latency_objective=2.0)], safety=budget), [entry(1, 1)])
     host.step(host.arrival("a"), host.arrival("b"))
-    host.end("a", Outcome.ERROR)
-    host.end("b", Outcome.ERROR)
+    host.end("a", AttemptOutcome.ERROR)
+    host.end("b", AttemptOutcome.ERROR)
     assert host.sent() == ["a", "b", "a"]
     host.run_until(101.05)
     assert host.sent() == ["a", "b", "a", "b"]
 
 
 def test_the_budget_grows_with_the_requests_taken() -> None:
-    budget = {"extra_free": 0.0, "extra_ratio": 0.5, "extra_window": 1.0}
-    host = Host(settings([class_spec(aim=2.0)], safety=budget), [entry(1, 1)])
+    budget = {"retry_budget_minimum": 0.0, "retry_budget_ratio": 0.5, "retry_budget_window": 1.0}
+    host = Host(settings([class_spec(latency_objective=2.0)], safety=budget), [entry(1, 1)])
     host.ask("a")
-    host.end("a", Outcome.ERROR)
+    host.end("a", AttemptOutcome.ERROR)
     assert host.sent() == ["a"]
-    host.ask("b", cell=9)
+    host.ask("b", shard=9)
     assert host.sent() == ["a", "a"]
 
 
@@ -382,13 +404,13 @@
 
 
 def test_a_limit_is_drawn_from_this_hosts_part_once_a_request() -> None:
-    limited = plan_spec(limit=4.0, limit_burst=12.0)
-    host = Host(settings([class_spec(aim=2.0), class_spec()], [limited]), [entry(1, 1)])
-    host.step(host.arrival("a", units=2.0, hosts=2), host.arrival("b", units=2.0, hosts=2))
+    limited = plan_spec(rate_limit=4.0, rate_limit_burst=12.0)
+    host = Host(settings([class_spec(latency_objective=2.0), class_spec()], [limited]), [entry(1, 1)])
+    host.step(host.arrival("a", units=2.0, front_count=2), host.arrival("b", units=2.0, front_count=2))
     assert host.sent() == []
     host.run_until(101.05)
     assert host.sent() == ["a"]
-    host.end("a", Outcome.FULL)
+    host.end("a", AttemptOutcome.QUEUE_FULL)
     host.run_until(101.5)
     assert host.sent() == ["a", "a"]
     host.run_until(102.0)
@@ -397,16 +419,16 @@
 
 def test_a_limits_store_fills_from_when_the_process_began() -> None:
     """Guards reserves against an empty store at each start, once for every volume and host of the fleet."""
-    limited = plan_spec(limit=4.0, limit_burst=12.0, limit_slack=4.0)
-    config = settings([class_spec(aim=2.0), class_spec()], [limited], quiet_since=99.0)
+    limited = plan_spec(rate_limit=4.0, rate_limit_burst=12.0, rate_limit_slack=4.0)
+    config = settings([class_spec(latency_objective=2.0), class_spec()], [limited], idle_since=99.0)
     host = Host(config, [entry(1, 1)])
-    host.step(host.arrival("a", units=2.0, hosts=2), host.arrival("b", units=2.0, hosts=2))
+    host.step(host.arrival("a", units=2.0, front_count=2), host.arrival("b", units=2.0, front_count=2))
     assert host.sent() == ["a"], "a second's filling and half of the slack, by two hosts"
     host.run_until(100.55)
     assert host.sent() == ["a", "b"]
     host.run_until(103.0)
     for name, units in (("c", 6.0), ("d", 2.0)):
-        host.step(host.arrival(name, units=units, hosts=2, volume=2))
+        host.step(host.arrival(name, units=units, front_count=2, volume_id=2))
     assert host.sent() == ["a", "b", "c"], "a volume that comes later finds its part, and never more"
 
 
@@ -417,47 +439,52 @@
     for number in range(3):
         host.ask(f"r{number}")
         host.now += 0.6
-        host.end(f"r{number}", Outcome.CANCELLED, spent=0.6)
+        host.end(f"r{number}", AttemptOutcome.CANCELLED, elapsed=0.6)
         queued.append(node.queued)
     assert queued[0] == host.policy.queue_aim / 2 and queued[1] > 2 * queued[0] and queued[2] > queued[1]
 
 
-def lost_answer_host(repeat: api.Repeat) -> Host:
+def lost_answer_host(repeat: Idempotency) -> Host:
     """``a`` is out at a node that has answered ``b``, which was sent later."""
-    host = Host(settings([class_spec(repeat=repeat)], [plan_spec(rate=80.0, reserve=80.0)]), [entry(1, 1)])
+    host = Host(
+        settings([class_spec(idempotency=repeat)], [plan_spec(base_rate=80.0, reserved_rate=80.0)]),
+        [entry(1, 1)],
+    )
     host.ask("a")
     host.step(at=host.now + 0.01)
     host.ask("b")
     host.step(at=host.now + 0.01)
-    host.end("b", Outcome.SERVED, spent=0.01)
+    host.end("b", AttemptOutcome.SERVED, elapsed=0.01)
     return host
 
 
 def test_a_read_whose_answer_is_lost_is_called_off_in_time_for_another_attempt() -> None:
-    host = lost_answer_host(api.Repeat.FREE)
+    host = lost_answer_host(Idempotency.IDEMPOTENT)
     depth = host.policy.nodes[1].depth
-    assert api.Cancel("a", 0) in host.step(at=host.now + LOST * 0.5)
-    host.end("a", Outcome.CANCELLED, spent=0.5)
+    assert CancelAttempt("a", 0) in host.step(at=host.now + LOST * 0.5)
+    host.end("a", AttemptOutcome.CANCELLED, elapsed=0.5)
     assert host.policy.nodes[1].depth == depth, "a lost answer is no failure of its node"
-    assert host.log[-1] == api.Send("a", 1)
+    assert host.log[-1] == SendAttempt("a", 1)
 
 
 def test_a_write_whose_answer_is_lost_gives_its_slot_back_past_its_aim_and_is_not_sent_again() -> None:
-    host = lost_answer_host(api.Repeat.ONCE)
+    host = lost_answer_host(Idempotency.NOT_IDEMPOTENT)
     assert host.step(at=host.now + LOST * 0.5) == []
-    assert api.Cancel("a", 0) in host.step(at=host.now + 0.5)
-    host.end("a", Outcome.CANCELLED, spent=0.8)
-    assert host.log[-1] == api.Fail("a")
+    assert CancelAttempt("a", 0) in host.step(at=host.now + 0.5)
+    host.end("a", AttemptOutcome.CANCELLED, elapsed=0.8)
+    assert host.log[-1] == FailRequest("a")
 
 
 def test_a_host_has_what_the_others_leave_of_a_reserve_as_nodes_tell() -> None:
     def sure(tells: bool, elsewhere: float) -> float:
         """The part of a reserve of 8 units a second that one of two hosts takes for its own in the end."""
-        host = Host(settings(plans=[plan_spec(reserve=8.0)], tells_others=tells), [entry(1, 1)])
+        host = Host(
+            settings(plans=[plan_spec(reserved_rate=8.0)], reports_usage_by_others=tells), [entry(1, 1)]
+        )
         for number in range(40):
-            host.ask(f"r{number}", hosts=2)
+            host.ask(f"r{number}", front_count=2)
             host.step(at=host.now + 0.1)
-            host.end(f"r{number}", Outcome.SERVED, spent=0.1, elsewhere=elsewhere)
+            host.end(f"r{number}", AttemptOutcome.SERVED, elapsed=0.1, units_by_others=elsewhere)
         return host.policy.reserve_here(1, 8.0, 2)
 
     assert sure(False, 0.0) == 4.0
@@ -469,19 +496,27 @@
 def test_what_could_not_be_answered_in_its_client_s_time_is_refused_unsent() -> None:
     host = Host(settings(), [entry(1, 1)])
     host.policy.nodes[1].queued = 0.1
-    assert host.ask("short", deadline=host.now + 0.1) == [api.Refuse("short")]
-    assert host.ask("long", deadline=host.now + 0.2) == [api.Send("long", 1)]
+    assert host.ask("short", deadline=host.now + 0.1) == [Reject("short")]
+    assert host.ask("long", deadline=host.now + 0.2) == [SendAttempt("long", 1)]
 
 
 def fleet_at_a_cold_node(forget: bool = False) -> list[tuple[float, float]]:
     """When and how many units 40 hosts send to a node that came up as they all started anew. Its volumes come
     through 10 of them, ask for their reserves in bunches, and those add up to four fifths of its 50."""
     rng, start, sends = random.Random(7), 100.0, []
-    plan = plan_spec(reserve=40.0 / 20, rate=2.5)
-    figures = {"ramp": 14.0, "tip_after": 2.0, "cold_from": 0.16}
+    plan = plan_spec(reserved_rate=40.0 / 20, base_rate=2.5)
+    figures = {"slow_start_duration": 14.0, "overload_after": 2.0, "slow_start_initial_fraction": 0.16}
     hosts = [
         Host(
-            settings(None, [plan], figures, hosts=40, seed=seed, cold_units=16.0, mean=2.0),
+            settings(
+                None,
+                [plan],
+                figures,
+                front_count=40,
+                seed=seed,
+                slow_start_units=16.0,
+                mean_request_units=2.0,
+            ),
             [entry(1, 1, up_since=start)],
             now=start,
         )
@@ -492,17 +527,17 @@
     )  # of 20 volumes, two units each: 40 a second
     while hosts[0].now < start + 12.0:
         for host in hosts:
-            host.step(api.Woken(0), at=host.now + 0.02)
+            host.step(TimerFired(0), at=host.now + 0.02)
             if forget:
                 host.policy.table.due_rate = FadingMeans()
         now = hosts[0].now
         while asks and asks[0][0] <= now:
             _, volume, number = asks.pop(0)
-            hosts[volume % 10].ask(f"r{number}", volume=volume, units=2.0, deadline=now + 1.0)
+            hosts[volume % 10].ask(f"r{number}", volume_id=volume, units=2.0, deadline=now + 1.0)
         for host in hosts:
             for name in [name for name, held in host.policy.requests.items() if held.out]:
                 sends.append((now, 2.0))
-                host.end(name, Outcome.SERVED, spent=0.04)
+                host.end(name, AttemptOutcome.SERVED, elapsed=0.04)
     return sends
 
 
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -18,21 +18,27 @@
 
 import aiohttp
 
-from cleatyoke.config.deployment import Address, BadConfig, read_config, read_fronts
-from cleatyoke.core import Core, Ending
+from cleatyoke.config.deployment import Address, ConfigError, read_config, read_fronts
+from cleatyoke.core import AttemptResult, Core
 from cleatyoke.discovery import directory as directory_module
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.discovery.listings import read_listing
 from cleatyoke.discovery.watch import Discovery
 from cleatyoke.http import backends as boxes_module
 from cleatyoke.http import server as server_module
-from cleatyoke.http.backends import Boxes, LongBody
-from cleatyoke.http.body_limits import Room
-from cleatyoke.http.messages import Ask, decode_busy
-from cleatyoke.http.server import Front
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import NodeState, Outcome
-from cleatyoke.scheduling.scheduler import Policy
+from cleatyoke.http.backends import BackendPools, StreamedBody
+from cleatyoke.http.body_limits import BodyMemory
+from cleatyoke.http.messages import ClientRequest, decode_busy
+from cleatyoke.http.server import HttpServer
+from cleatyoke.scheduling.events import (
+    AttemptOutcome,
+    EndpointState,
+    EndpointUpdate,
+    RequestArrived,
+    SchedulerEvent,
+    UpdateKind,
+)
+from cleatyoke.scheduling.scheduler import Scheduler
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer, config, instance, listed
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -45,11 +51,13 @@
 TARGET = "/api?block=7f3a9c21e0b4d655"
 
 
-def ask(trace: str, method: str = "GET", body: bytes = b"") -> Ask:
-    return Ask(trace, method, TARGET, int(method == "PUT"), 0, 1, 1, 0, 2.0, 1, 1.5, [body] if body else [])
+def ask(trace: str, method: str = "GET", body: bytes = b"") -> ClientRequest:
+    return ClientRequest(
+        trace, method, TARGET, int(method == "PUT"), 0, 1, 1, 0, 2.0, 1, 1.5, [body] if body else []
+    )
 
 
-async def iterate(body: LongBody) -> AsyncIterator[bytes]:
+async def iterate(body: StreamedBody) -> AsyncIterator[bytes]:
     while piece := await body.read():
         yield piece
     body.close()
@@ -59,9 +67,9 @@
     async def begin(self, script: Any, most: int = 32) -> None:
         self.box: HttpBox = await HttpBox(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
-        self.boxes = Boxes(self.directory, 0.25, 30.0, most)
+        self.boxes = BackendPools(self.directory, 0.25, 30.0, most)
         self.ready = False
-        self.front = Front(config(), self.core, self.boxes, lambda: self.ready)
+        self.front = HttpServer(config(), self.core, self.boxes, lambda: self.ready)
         self.front.listen()
         self.url = f"http://127.0.0.1:{self.front.address.port}"
         self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
@@ -86,8 +94,8 @@
             return response.status, await response.read()
 
     async def attempt(
-        self, node: int, request: Ask, may: Callable[[], bool] = lambda: True
-    ) -> Ending[bytes | LongBody]:
+        self, node: int, request: ClientRequest, may: Callable[[], bool] = lambda: True
+    ) -> AttemptResult[bytes | StreamedBody]:
         until = asyncio.get_running_loop().time() + 1.0
         return await self.boxes.attempt(node, request, until, may)
 
@@ -174,7 +182,7 @@
 
     async def test_without_a_box_a_request_is_refused_at_once(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port, NodeState.DRAINING)))
+        self.core.tell(listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING)))
         began = self.core.now()
         self.assertEqual((await self.ask("t"))[0], 503)
         self.assertLess(self.core.now() - began, 1.4)  # not held back until the deadline
@@ -199,7 +207,7 @@
             status, text = await self.ask("t", **{name: value})
             self.assertEqual(status, 400)
             self.assertIn(name.replace("_", "-"), text.decode())
-        self.front.space = Room(1 << 20)
+        self.front.space = BodyMemory(1 << 20)
         self.assertEqual((await self.ask("t", "PUT", bytes(2 << 20)))[0], 413)
         async with self.client.get(self.url + "/tea") as response:
             self.assertEqual(response.status, 404)
@@ -354,7 +362,7 @@
     async def test_a_word_to_send_that_comes_too_late_frees_its_slot(self) -> None:
         # The client leaves in the turn in which the policy says where to send.
         await self.begin(lambda trace: asyncio.sleep(60))
-        arrival = api.Arrival("t", 0, 0, 1, 1, 0, 1.0, self.core.now() + 60, 1)
+        arrival = RequestArrived("t", 0, 0, 1, 1, 0, 1.0, self.core.now() + 60, 1)
         serving = asyncio.create_task(self.core.serve(arrival, mock.AsyncMock()))
         real, late = self.core.step, []
 
@@ -379,12 +387,12 @@
 
         async def late(pool: Any) -> Any:
             line = await real(pool)
-            listed(self.directory, instance("s-a", self.box.port, NodeState.DRAINING))
+            listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING))
             return line
 
         with mock.patch.object(self.boxes, "dial", late):
             outcome = (await self.attempt(1, ask("t"))).outcome
-        self.assertEqual((outcome, self.box.counts["t"]), (Outcome.NOT_SENT, 0))
+        self.assertEqual((outcome, self.box.counts["t"]), (AttemptOutcome.NOT_SENT, 0))
 
     async def test_a_refused_connection_never_ran_and_pools_of_a_draining_box_are_closed(self) -> None:
         async def script(trace: str) -> bytes:
@@ -393,12 +401,12 @@
         await self.begin(script)
         await self.attempt(1, ask("t"))
         self.assertEqual(self.box.open, 1)
-        listed(self.directory, instance("s-a", self.box.port, NodeState.DRAINING))
+        listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING))
         await self.until(lambda: self.box.open == 0)
         self.box.stop()
         listed(self.directory, instance("s-a", self.box.port))
         outcome = (await self.attempt(1, ask("t"))).outcome
-        self.assertEqual(outcome, Outcome.NO_CONNECTION)
+        self.assertEqual(outcome, AttemptOutcome.CONNECTION_FAILED)
 
     async def test_a_connection_that_ends_as_it_comes_up_never_ran_anything(self) -> None:
         async def script(trace: str) -> bytes:
@@ -414,7 +422,7 @@
 
         with mock.patch.object(self.boxes, "dial", short):
             found = await self.attempt(1, ask("t", "PUT", b"scan"))
-        self.assertEqual(found, Ending(Outcome.NO_CONNECTION))
+        self.assertEqual(found, AttemptResult(AttemptOutcome.CONNECTION_FAILED))
         self.assertEqual((self.box.counts["t"], self.boxes.open), (0, 0))
 
     async def test_a_spoilt_answer_is_a_reset_that_may_have_run_and_ends_its_connection(self) -> None:
@@ -442,7 +450,7 @@
         with mock.patch.object(boxes_module, "GAP", 0.05):
             for place, text in enumerate(spoilt):
                 found = await self.attempt(1, ask(str(place), "PUT", b"scan"))
-                self.assertEqual(found, Ending(Outcome.RESET), text[:80])
+                self.assertEqual(found, AttemptResult(AttemptOutcome.CONNECTION_RESET), text[:80])
         self.assertEqual(set(self.box.counts.values()), {1})
         self.assertEqual((self.box.accepted, self.boxes.open), (len(spoilt), 0))
 
@@ -461,10 +469,12 @@
         with mock.patch.object(boxes_module, "REST", 0.0):
             for place in range(len(cases)):
                 found = await self.attempt(1, ask(str(place)))
-                if isinstance(found.value, LongBody):
+                if isinstance(found.value, StreamedBody):
                     body = b"".join([piece async for piece in iterate(found.value)])
                     found = replace(found, value=body)
-                self.assertEqual(found, Ending(Outcome.SERVED, b"tile" * (70_000 if place == 2 else 1)))
+                self.assertEqual(
+                    found, AttemptResult(AttemptOutcome.SERVED, b"tile" * (70_000 if place == 2 else 1))
+                )
                 self.assertEqual(self.boxes.open, int(place < 3), "what brought more is not used again")
 
     async def test_bytes_that_come_while_a_connection_is_pooled_are_not_the_next_answer(self) -> None:
@@ -474,7 +484,7 @@
         await self.begin(script)
         for trace, read in (("first", True), ("second", False), ("third", True)):
             found = await self.attempt(1, ask(trace))
-            self.assertEqual(found, Ending(Outcome.SERVED, trace.encode()))
+            self.assertEqual(found, AttemptResult(AttemptOutcome.SERVED, trace.encode()))
             (line,) = self.boxes.pools[1].idle
             line.rested_at = 0.0
             (writer,) = self.box.writers
@@ -523,15 +533,15 @@
         with mock.patch.object(directory_module, "MOST_GONE", 3):
             for life in range(9):
                 listed(directory, instance(f"s-{life}", 1))
-                listed(directory, instance(f"s-{life}", 1, NodeState.GONE))
+                listed(directory, instance(f"s-{life}", 1, EndpointState.REMOVED))
         self.assertEqual(directory.numbers, {"s-stays": 1, "s-6": 8, "s-7": 9, "s-8": 10})
         listed(directory, instance("s-6", 1), instance("s-new", 1))
         self.assertEqual((directory.numbers["s-6"], directory.numbers["s-new"]), (8, 11))
 
     def test_cells_that_only_requests_name_leave_nothing_behind(self) -> None:
-        policy = Policy(config().settings)
+        policy = Scheduler(config().settings)
         for cell in range(50):
-            policy.step(100.0, [api.Arrival(f"r{cell}", 0, 0, cell, cell, cell, 1.0, 101.5, 1)])
+            policy.step(100.0, [RequestArrived(f"r{cell}", 0, 0, cell, cell, cell, 1.0, 101.5, 1)])
         for now in (150.0, 200.0):
             policy.step(now, [])
         self.assertEqual((policy.held, policy.volumes, policy.requests, policy.tries), ({}, {}, {}, {}))
@@ -557,17 +567,19 @@
         whole = {"generation": 7, "reset": True, "instances": [entry("SERVING")]}
         change = {"generation": 8, "reset": False, "instances": [entry("DRAINING")]}
         agent = await DiscoveryAgent(whole, [[b"", b"{tea"], [b"", json.dumps(change).encode()]]).start()
-        directory, told = Directory({}), asyncio.Queue[api.Event]()
+        directory, told = Directory({}), asyncio.Queue[SchedulerEvent]()
         discovery = Discovery(Address("127.0.0.1", agent.port), directory, told.put_nowait)
         discovery.start()
         async with asyncio.timeout(5):
             news = [await told.get() for _ in range(3)]
         discovery.stop()
         agent.stop()
-        kinds = [(one.kind, one.entries[0].state) for one in news if isinstance(one, api.NodeList)]
-        full = (api.ListKind.FULL, NodeState.LIVE)
-        self.assertEqual(kinds, [full, full, (api.ListKind.CHANGES, NodeState.DRAINING)])
-        self.assertEqual(len({one.entries[0].node for one in news if isinstance(one, api.NodeList)}), 1)
+        kinds = [(one.kind, one.endpoints[0].state) for one in news if isinstance(one, EndpointUpdate)]
+        full = (UpdateKind.SNAPSHOT, EndpointState.LIVE)
+        self.assertEqual(kinds, [full, full, (UpdateKind.DELTA, EndpointState.DRAINING)])
+        self.assertEqual(
+            len({one.endpoints[0].node_id for one in news if isinstance(one, EndpointUpdate)}), 1
+        )
         self.assertFalse(directory.serves(1))
 
     async def test_a_move_takes_the_new_agent_s_whole_list_and_keeps_the_old_watch_until_then(self) -> None:
@@ -575,7 +587,7 @@
         new_list = {"generation": 7, "reset": True, "instances": [entry("SERVING", 10)]}
         later = {"generation": 71, "reset": False, "instances": [entry("DRAINING")]}
         old, new = await DiscoveryAgent(old_list, [[b""]]).start(), await DiscoveryAgent(new_list, []).start()
-        directory, told = Directory({}), asyncio.Queue[api.Event]()
+        directory, told = Directory({}), asyncio.Queue[SchedulerEvent]()
         discovery = Discovery(Address("127.0.0.1", old.port), directory, told.put_nowait)
         silent = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
         discovery.start()
@@ -838,7 +850,7 @@
             path = Path(folder) / "config.json"
             for change, said in cases:
                 path.write_text(json.dumps({**good, **change}))
-                with self.assertRaises(BadConfig) as caught:
+                with self.assertRaises(ConfigError) as caught:
                     read_config({"RELAY_CONFIG": str(path)})
                 self.assertTrue(str(caught.exception).startswith(said), caught.exception)
 
@@ -855,5 +867,5 @@
             self.assertEqual(metrics, Address("127.0.0.1", 9464))
             self.assertEqual((sftp.volumes[0].prefix, vrrp.interval), ("/plats", 1.0))
             path.write_text(path.read_text().replace("unit_bytes", "unit_byte"))
-            with self.assertRaisesRegex(BadConfig, r"^fronts.toml: sftp.unit_byte: unknown key"):
+            with self.assertRaisesRegex(ConfigError, r"^fronts.toml: sftp.unit_byte: unknown key"):
                 read_fronts(path, classes, plans)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -4,7 +4,7 @@
 
 from structlog.testing import capture_logs
 
-from cleatyoke.scheduling import api
+from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 from tests.host import class_spec
 from tests.test_http_front import FrontCase
 from tests.wire import answer
@@ -19,7 +19,12 @@
             return None if self.tried <= fails else answer()
 
         await self.begin(script)
-        keyed = class_spec(repeat=api.Repeat.KEYED, scope=api.Scope.CELL, memory=2.5, worth=2.0)
+        keyed = class_spec(
+            idempotency=Idempotency.KEYED,
+            idempotency_scope=IdempotencyScope.SHARD,
+            idempotency_window=2.5,
+            priority_weight=2.0,
+        )
         for settings in (self.front.config.settings, self.core.policy.settings):
             settings.classes[1] = keyed
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -19,16 +19,22 @@
 from cleatyoke.config.deployment import Address
 from cleatyoke.core import Core
 from cleatyoke.discovery import listings
-from cleatyoke.discovery.directory import Directory, Instance, Listing
+from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.discovery.listings import AT_ONCE, decode_listing
 from cleatyoke.discovery.watch import Discovery, Watch
 from cleatyoke.emulation.capacity import cost, nodes
-from cleatyoke.http.messages import BadMessage
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import ListKind, NodeState
-from cleatyoke.scheduling.load_probes import Prober
+from cleatyoke.http.messages import MessageError
+from cleatyoke.scheduling.events import (
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    RequestArrived,
+    SchedulerEvent,
+    UpdateKind,
+)
+from cleatyoke.scheduling.load_probes import LoadProber
 from cleatyoke.scheduling.random_rounds import RandomRounds
-from cleatyoke.scheduling.scheduler import Policy
+from cleatyoke.scheduling.scheduler import Scheduler
 from tests.wire import DiscoveryAgent
 
 FEW, MANY = 1000, 8000
@@ -47,7 +53,7 @@
 
 
 def change(front: nodes.ListedFront) -> object:
-    return front.change(700, NodeState.DRAINING)
+    return front.change(700, EndpointState.DRAINING)
 
 
 def rest(front: nodes.ListedFront) -> object:
@@ -70,9 +76,9 @@
     [
         (Directory, "apply", lambda self: [box for box in self.boxes.values() if box.name == ""], change),
         (Directory, "apply", lambda self: dict(self.boxes), change),
-        (Policy, "on_list", lambda self: [node for node in self.nodes.values() if node.live], change),
-        (Policy, "clean_up", lambda self: [node for node in self.nodes.values() if not node.live], rest),
-        (Prober, "step", lambda self, now=0: [node for node in self.warm if node < 0], rest),
+        (Scheduler, "on_list", lambda self: [node for node in self.nodes.values() if node.live], change),
+        (Scheduler, "clean_up", lambda self: [node for node in self.nodes.values() if not node.live], rest),
+        (LoadProber, "step", lambda self, now=0: [node for node in self.warm if node < 0], rest),
     ],
 )
 def test_a_scan_of_all_nodes_is_caught(
@@ -87,20 +93,20 @@
 
 
 def test_an_arrival_under_a_budget_looks_only_at_nodes_with_something_held() -> None:
-    policy = Policy(nodes.settings(1))
-    entries = [api.NodeEntry(node, node, 0, NodeState.LIVE, 0.0) for node in range(50)]
-    policy.step(100.0, [api.NodeList(ListKind.FULL, entries)])
+    policy = Scheduler(nodes.settings(1))
+    entries = [Endpoint(node, node, 0, EndpointState.LIVE, 0.0) for node in range(50)]
+    policy.step(100.0, [EndpointUpdate(UpdateKind.SNAPSHOT, entries)])
     looked: list[int] = []
     real = policy.choose
     policy.choose = lambda node: (looked.append(node.id), real(node))[1]  # type: ignore[method-assign]
     for number in range(40):  # more than node 7 takes at once, so that some are held there
-        policy.step(100.0, [api.Arrival(f"a{number}", 0, 0, 1, None, 7, 1.0, 101.5, 1)])
+        policy.step(100.0, [RequestArrived(f"a{number}", 0, 0, 1, None, 7, 1.0, 101.5, 1)])
     looked.clear()
-    policy.step(100.01, [api.Arrival("b", 0, 0, 1, None, 3, 1.0, 101.5, 1)])
+    policy.step(100.01, [RequestArrived("b", 0, 0, 1, None, 3, 1.0, 101.5, 1)])
     assert set(looked) == {3, 7}
 
 
-def shown(directory: Directory) -> dict[str, tuple[NodeState, float]]:
+def shown(directory: Directory) -> dict[str, tuple[EndpointState, float]]:
     return {box.name: (box.state, box.started) for box in directory.boxes.values()}
 
 
@@ -108,13 +114,13 @@
     """``self.news``: what the policy was told, step by step."""
 
     def setUp(self) -> None:
-        self.news: list[api.NodeList] = []
+        self.news: list[EndpointUpdate] = []
 
     def begin(self, **words: Any) -> Watch:
         self.core = Core(nodes.settings(10))
 
-        def tell(event: api.Event) -> None:
-            assert isinstance(event, api.NodeList)
+        def tell(event: SchedulerEvent) -> None:
+            assert isinstance(event, EndpointUpdate)
             self.news.append(event)
             self.core.tell(event)
 
@@ -131,7 +137,7 @@
 
     async def test_a_long_list_is_taken_in_parts_with_the_same_outcome(self) -> None:
         watch, text = self.begin(), nodes.list_text(4000, version=9, draining=40)
-        await watch.take_text(text, ListKind.FULL)
+        await watch.take_text(text, UpdateKind.SNAPSHOT)
         await asyncio.sleep(0.01)
         expected = Directory({})
         expected.apply(decode_listing(text))
@@ -139,8 +145,8 @@
         self.assertEqual((self.directory.version, watch.version), (9, 9))
         self.assertEqual(self.directory.down(), 40)
         self.assertEqual(len(self.core.policy.holder), 3960)
-        self.assertEqual(len(self.news[0].entries), 40, "who drains comes first")
-        self.assertLessEqual(max(len(news.entries) for news in self.news), AT_ONCE)
+        self.assertEqual(len(self.news[0].endpoints), 40, "who drains comes first")
+        self.assertLessEqual(max(len(news.endpoints) for news in self.news), AT_ONCE)
         self.assertGreaterEqual(len(self.news), 3960 / AT_ONCE)
 
     async def test_the_loop_goes_on_between_parts(self) -> None:
@@ -162,7 +168,7 @@
         await watch.take_text(nodes.list_text(4000))
         self.news.clear()
         await watch.take_text(nodes.list_text(4000, version=2))
-        self.assertEqual(sum(len(news.entries) for news in self.news), 0)
+        self.assertEqual(sum(len(news.endpoints) for news in self.news), 0)
         self.assertEqual(self.directory.version, 2)
 
     async def test_nodes_that_a_long_list_no_longer_has_are_gone_first(self) -> None:
@@ -171,8 +177,8 @@
         self.news.clear()
         await watch.take_text(nodes.list_text(3900, version=2))
         await asyncio.sleep(0.01)
-        self.assertEqual({entry.state for entry in self.news[0].entries}, {NodeState.GONE})
-        self.assertEqual(len(self.news[0].entries), 100)
+        self.assertEqual({entry.state for entry in self.news[0].endpoints}, {EndpointState.REMOVED})
+        self.assertEqual(len(self.news[0].endpoints), 100)
         self.assertEqual(len(self.core.policy.holder), 3900)
 
     async def test_one_spoilt_entry_refuses_a_long_list_as_a_whole(self) -> None:
@@ -184,12 +190,12 @@
         value = json.loads(nodes.list_text(3000, version=2, draining=2000))
         for spoilt in ({"lifecycle": "ASLEEP"}, {"hostPort": 5}, {"cell": "x"}):
             value["instances"][2500].update(spoilt)
-            with self.subTest(spoilt=spoilt), self.assertRaises(BadMessage):
+            with self.subTest(spoilt=spoilt), self.assertRaises(MessageError):
                 await watch.take_text(json.dumps(value).encode())
         whole = nodes.list_text(3000)
         number = b'{"generation":1,"instances":7' + b" " * 200_000 + b"}"
         for text in (b"[" * 200_000, number, whole[:-2], whole.replace(b'n": 1,', b'n": "1",', 1)):
-            with self.subTest(text=text[:40]), self.assertRaises(BadMessage):
+            with self.subTest(text=text[:40]), self.assertRaises(MessageError):
                 await watch.take_text(text)
         self.assertEqual((shown(self.directory), self.news, self.directory.version), (before, [], 1))
         self.assertTrue(gc.isenabled())
@@ -201,8 +207,8 @@
         late = asyncio.create_task(old.take_text(nodes.list_text(1500, version=2)))
         with mock.patch.object(self.discovery, "dismiss"):
             self.discovery.settled(new)
-            only_new = Instance("s-new", Address("10.9.9.9", 1), "z", 9999, NodeState.LIVE, 5.0)
-            new.take(Listing(50, False, [only_new]))
+            only_new = Instance("s-new", Address("10.9.9.9", 1), "z", 9999, EndpointState.LIVE, 5.0)
+            new.take(EndpointList(50, False, [only_new]))
             await late
         self.assertTrue(self.directory.latest("s-new"))
 
@@ -242,8 +248,8 @@
         """The log's events of a front that knows node s-known, until something holds."""
         await agent.start()
         self.directory = Directory({})
-        known = Instance("s-known", Address("10.0.0.1", 1), "z", 1, NodeState.LIVE, 5.0)
-        self.directory.apply(Listing(4, True, [known]))
+        known = Instance("s-known", Address("10.0.0.1", 1), "z", 1, EndpointState.LIVE, 5.0)
+        self.directory.apply(EndpointList(4, True, [known]))
         with (
             mock.patch.object(listings, "MOST_LIST", 2000),
             mock.patch("cleatyoke.discovery.watch.PERIOD", 0.02),
@@ -276,14 +282,14 @@
 
 
 def test_probes_know_warm_nodes_without_looking_at_all() -> None:
-    prober = Prober(3, ramp=10.0, seed=1)
-    entries = [api.NodeEntry(node, node, 0, NodeState.LIVE, 0.0) for node in range(6)]
-    cold = replace(entries[5], up_since=100.0)
-    prober.listed(api.NodeList(ListKind.FULL, [*entries[:5], cold]))
+    prober = LoadProber(3, ramp=10.0, seed=1)
+    entries = [Endpoint(node, node, 0, EndpointState.LIVE, 0.0) for node in range(6)]
+    cold = replace(entries[5], started_at=100.0)
+    prober.listed(EndpointUpdate(UpdateKind.SNAPSHOT, [*entries[:5], cold]))
     asked = [prober.step(100.0 + 0.7 * number) for number in range(30)]
     assert {node for node in asked[:15] if node is not None} == set(range(5))
     assert asked[16:] == [None] * 14, "none is cold any more"
-    prober.listed(api.NodeList(ListKind.FULL, entries[:2]))
+    prober.listed(EndpointUpdate(UpdateKind.SNAPSHOT, entries[:2]))
     assert set(prober.warm) == {0, 1} and not prober.ramp_ends
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from cleatyoke.scheduling import api
+from cleatyoke.scheduling.actions import Reject, SendAttempt
+from cleatyoke.scheduling.events import AttemptOutcome, EndpointState, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.regression import fit
 from cleatyoke.scheduling.scheduler import arbitrate
 from tests.host import Host, class_spec, entry, plan_spec, settings
@@ -97,11 +98,11 @@
 def test_leaving_and_joining_nodes_change_the_total_and_the_split() -> None:
     host = Host(settings(), [entry(1, 1), entry(2, 2)])
     assert total(host) == 8.0  # the default of eight a node, halved between two hosts
-    host.step(api.NodeList(api.ListKind.CHANGES, [entry(2, 2, api.NodeState.GONE)]))
+    host.step(EndpointUpdate(UpdateKind.DELTA, [entry(2, 2, EndpointState.REMOVED)]))
     assert total(host) == 4.0
     host.policy.allocate(0, 4.0, host.policy.table.in_use())
     assert host.policy.nodes[1].split == [4]
-    host.step(api.NodeList(api.ListKind.CHANGES, [entry(3, 2)]))
+    host.step(EndpointUpdate(UpdateKind.DELTA, [entry(3, 2)]))
     assert total(host) == 8.0
     host.policy.allocate(0, 8.0, host.policy.table.in_use())
     assert host.policy.nodes[3].split == [4]
@@ -116,7 +117,7 @@
 
 
 def test_a_class_within_its_split_goes_before_a_loan() -> None:
-    host = Host(settings([class_spec(worth=9.0), class_spec(worth=1.0)]), [entry(1, 1)])
+    host = Host(settings([class_spec(priority_weight=9.0), class_spec(priority_weight=1.0)]), [entry(1, 1)])
     host.policy.nodes[1].depth = 2.0
     host.policy.nodes[1].split = [1, 1]
     host.step(host.arrival("a"), host.arrival("b"), host.arrival("c", class_index=1))
@@ -128,17 +129,17 @@
     host.policy.nodes[1].depth = 1.0
     host.step(host.arrival("a"), host.arrival("b"))
     host.now += 0.3
-    host.end("a", api.Outcome.SERVED, spent=0.3)
+    host.end("a", AttemptOutcome.SERVED, elapsed=0.3)
     host.now += 0.1
-    host.end("b", api.Outcome.SERVED, spent=0.1)
+    host.end("b", AttemptOutcome.SERVED, elapsed=0.1)
     assert host.policy.waited[0] == pytest.approx(0.3 + 0.4)
 
 
 def test_new_objects_go_where_they_are_answered_soonest() -> None:
     host = Host(settings(), [entry(1, 1), entry(2, 2)])
     host.policy.nodes[1].queued, host.policy.nodes[2].queued = 0.2, 0.05
-    host.step(host.arrival("a", cell=-1), host.arrival("b", cell=-1))
-    assert [action.node for action in host.log if isinstance(action, api.Send)] == [2, 2]
+    host.step(host.arrival("a", shard=-1), host.arrival("b", shard=-1))
+    assert [action.node_id for action in host.log if isinstance(action, SendAttempt)] == [2, 2]
 
 
 def test_depth_rises_while_answers_are_short_and_falls_while_long() -> None:
@@ -150,35 +151,35 @@
             node.spare = 1e6
             host.step(*[host.arrival(f"{spent}-{number}-{extra}") for extra in range(8)])
             for request in [name for name, held in host.policy.requests.items() if held.out]:
-                host.end(request, api.Outcome.SERVED, spent=spent)
+                host.end(request, AttemptOutcome.SERVED, elapsed=spent)
         assert node.depth == depth
 
 
 def test_spare_rate_falls_with_long_answers_at_one_slot_and_recovers_with_short_ones() -> None:
-    host = Host(settings(hosts=8), [entry(1, 1)])
+    host = Host(settings(front_count=8), [entry(1, 1)])
     node = host.policy.nodes[1]
     node.spare = 64.0
     spares = [node.spare]
     for number, spent in enumerate([0.02] + [0.9] * 3 + [0.02] * 12):
         host.now += 1.0
-        host.ask(f"r{number}", volume=number)
-        host.end(f"r{number}", api.Outcome.SERVED, spent=spent)
+        host.ask(f"r{number}", volume_id=number)
+        host.end(f"r{number}", AttemptOutcome.SERVED, elapsed=spent)
         spares.append(node.spare)
     assert min(spares[2:]) < max(spares) / 4
     assert spares[-1] > max(spares) / 2
 
 
 def test_what_is_beyond_the_reserve_waits_for_its_part_of_the_spare_rate() -> None:
-    host = Host(settings([class_spec(aim=20.0)]), [entry(1, 1)])
+    host = Host(settings([class_spec(latency_objective=20.0)]), [entry(1, 1)])
     node = host.policy.nodes[1]
     node.spare = 0.5  # units a second, and no more than a second of it at once
     host.step(*[host.arrival(f"r{number}", units=5.0, deadline=host.now + 20) for number in range(4)])
     assert host.sent() == ["r0", "r1", "r2"]  # two in the reserve, one on the first credit
     for name in ("r0", "r1", "r2"):
-        host.end(name, api.Outcome.SERVED)
-    host.ask("reserved", volume=2)
+        host.end(name, AttemptOutcome.SERVED)
+    host.ask("reserved", volume_id=2)
     assert host.sent()[3:] == ["reserved"]
-    host.end("reserved", api.Outcome.SERVED)
+    host.end("reserved", AttemptOutcome.SERVED)
     node.spare = 0.6
     host.run_until(host.now + 7.0)  # in debt by 4.5 units: seven and a half seconds
     assert "r3" not in host.sent()
@@ -187,18 +188,18 @@
 
 
 def test_heavier_plans_have_more_of_the_spare_rate() -> None:
-    host = Host(settings(plans=[plan_spec(), plan_spec(weight=4.0)]), [entry(1, 1)])
+    host = Host(settings(plans=[plan_spec(), plan_spec(fair_share_weight=4.0)]), [entry(1, 1)])
     host.policy.nodes[1].spare = 1.0
     host.policy.nodes[1].depth = 8.0
     for number in range(40):
-        host.step(host.arrival(f"light{number}"), host.arrival(f"heavy{number}", volume=2, plan=1))
+        host.step(host.arrival(f"light{number}"), host.arrival(f"heavy{number}", volume_id=2, plan_index=1))
     for volume in host.policy.volumes.values():
         volume.due.clear()
     start = len(host.sent())
     for _ in range(200):
         host.run_until(host.now + 0.02)
         for name in [name for name, held in host.policy.requests.items() if held.out]:
-            host.end(name, api.Outcome.SERVED, spent=0.01)
+            host.end(name, AttemptOutcome.SERVED, elapsed=0.01)
         host.policy.nodes[1].spare = 1.0
     later = host.sent()[start:]
     light = sum(name.startswith("light") for name in later)
@@ -208,7 +209,9 @@
 def test_what_earns_less_pays_more_of_the_spare_rate() -> None:
     paid = []
     for worth in (4.0, 1.0):
-        host = Host(settings([class_spec(worth=worth), class_spec(worth=4.0)]), [entry(1, 1)])
+        host = Host(
+            settings([class_spec(priority_weight=worth), class_spec(priority_weight=4.0)]), [entry(1, 1)]
+        )
         host.policy.nodes[1].spare = 8.0
         host.step(host.arrival("a", units=6.0), host.arrival("b", units=6.0))
         paid.append(8.0 - host.policy.volumes[1].shares[1].level)
@@ -216,13 +219,13 @@
 
 
 def test_requests_inside_the_reserve_go_before_dearer_ones_beyond_it() -> None:
-    host = Host(settings([class_spec(worth=2.0), class_spec(worth=3.0)]), [entry(1, 1)])
+    host = Host(settings([class_spec(priority_weight=2.0), class_spec(priority_weight=3.0)]), [entry(1, 1)])
     node = host.policy.nodes[1]
     node.depth, node.split = 1.0, [1, 1]
     host.ask("out")
     host.policy.volumes[1].reserve.level = 0.0
-    host.step(host.arrival("dear", class_index=1), host.arrival("reserved", volume=2))
-    host.end("out", api.Outcome.SERVED)
+    host.step(host.arrival("dear", class_index=1), host.arrival("reserved", volume_id=2))
+    host.end("out", AttemptOutcome.SERVED)
     assert host.sent()[:2] == ["out", "reserved"]
 
 
@@ -230,26 +233,26 @@
     host = Host(settings(), [entry(1, 1)])
     host.policy.nodes[1].depth = 1.0
     host.ask("out")
-    host.ask("late", volume=2)
+    host.ask("late", volume_id=2)
     host.now += 0.45
-    host.ask("fresh", volume=3)
-    host.end("out", api.Outcome.SERVED)
+    host.ask("fresh", volume_id=3)
+    host.end("out", AttemptOutcome.SERVED)
     assert host.sent()[:2] == ["out", "fresh"]
 
 
 def test_a_repeat_belongs_to_its_first_try() -> None:
-    host = Host(settings([class_spec(aim=0.5)]), [entry(1, 1)])
+    host = Host(settings([class_spec(latency_objective=0.5)]), [entry(1, 1)])
     host.ask("first", item=7, units=4.0, deadline=host.now + 0.2)
     level = host.policy.volumes[1].reserve.level
     host.now += 0.2
-    host.end("first", api.Outcome.TIMEOUT, spent=0.2)
+    host.end("first", AttemptOutcome.TIMEOUT, elapsed=0.2)
     host.ask("again", item=7, units=4.0)
     again = host.policy.requests["again"]
     assert again.aim_at == pytest.approx(host.now + 0.3)
     filled = level + 4.0 * 0.2
     assert host.policy.volumes[1].reserve.level == pytest.approx(filled), "the reserve is drawn once"
     assert again.volume.due[int(again.arrived)] == pytest.approx(0.0) and again.full == pytest.approx(4.0)
-    host.end("again", api.Outcome.SERVED)
+    host.end("again", AttemptOutcome.SERVED)
     host.ask("new", item=7, units=1.0)
     assert host.policy.requests["new"].aim_at == pytest.approx(host.now + 0.5)
 
@@ -260,11 +263,11 @@
     for number in range(4):
         host.ask(f"r{number}", deadline=host.now + 0.1)
         host.now += 0.1
-        host.end(f"r{number}", api.Outcome.TIMEOUT, spent=0.1)
+        host.end(f"r{number}", AttemptOutcome.TIMEOUT, elapsed=0.1)
     assert host.policy.nodes[1].depth == depth
     host.ask("slow")
     host.now += 2.0
-    host.end("slow", api.Outcome.TIMEOUT, spent=2.0)
+    host.end("slow", AttemptOutcome.TIMEOUT, elapsed=2.0)
     assert host.policy.nodes[1].depth == depth / 2
 
 
@@ -280,13 +283,17 @@
 
 def test_many_hosts_together_send_no_more_at_the_least_spare_rate_than_one() -> None:
     def sends(hosts: int) -> float:
-        host = Host(settings(plans=[plan_spec(reserve=0.0, rate=2.0)], hosts=hosts), [entry(1, 1)])
+        host = Host(
+            settings(plans=[plan_spec(reserved_rate=0.0, base_rate=2.0)], front_count=hosts), [entry(1, 1)]
+        )
         host.policy.nodes[1].depth, host.policy.nodes[1].pace = 8.0, 0.02
         for number in range(100):
-            host.ask(f"r{number}", hosts=hosts)
+            host.ask(f"r{number}", front_count=hosts)
             host.run_until(host.now + 0.2)
             for name in [name for name, held in host.policy.requests.items() if held.out]:
-                host.end(name, api.Outcome.SERVED, spent=0.6)  # over the aim: the rate stays at its least
+                host.end(
+                    name, AttemptOutcome.SERVED, elapsed=0.6
+                )  # over the aim: the rate stays at its least
         return len(host.sent())
 
     assert sends(16) <= sends(1) / 4
@@ -299,12 +306,12 @@
         host.now += 1.0
         units = 1.0 + number % 3
         host.ask(f"r{number}", units=units, deadline=host.now + 5)
-        host.end(f"r{number}", api.Outcome.SERVED, spent=0.2 * units)
+        host.end(f"r{number}", AttemptOutcome.SERVED, elapsed=0.2 * units)
     assert node.queued < 0.01 and node.spare > host.policy.spare
     for number in range(3):  # half a second of queue on top
         host.now += 1.0
         host.ask(f"q{number}", deadline=host.now + 5)
-        host.end(f"q{number}", api.Outcome.SERVED, spent=0.7)
+        host.end(f"q{number}", AttemptOutcome.SERVED, elapsed=0.7)
     assert node.queued > host.policy.queue_aim
 
 
@@ -312,28 +319,28 @@
     host = Host(settings(), [entry(1, 1), entry(2, 2)])
     for number in range(20):
         host.ask(f"r{number}")
-        host.end(f"r{number}", api.Outcome.SERVED, spent=0.02)
-    host.ask("far", cell=2)
-    host.end("far", api.Outcome.SERVED, node=2, spent=0.9)
+        host.end(f"r{number}", AttemptOutcome.SERVED, elapsed=0.02)
+    host.ask("far", shard=2)
+    host.end("far", AttemptOutcome.SERVED, node_id=2, elapsed=0.9)
     assert host.policy.nodes[2].pace < 0.07
 
 
 def test_new_objects_have_their_spare_rate_at_all_nodes_together_and_never_go_late() -> None:
     def sends(nodes: int) -> int:
-        config = settings(plans=[plan_spec(reserve=0.0, rate=2.0)])
+        config = settings(plans=[plan_spec(reserved_rate=0.0, base_rate=2.0)])
         host = Host(config, [entry(node, node) for node in range(1, nodes + 1)])
         for number in range(100):
             for node in host.policy.nodes.values():
                 node.spare = 2.0
-            host.ask(f"r{number}", cell=-1, units=2.0)
+            host.ask(f"r{number}", shard=-1, units=2.0)
             host.run_until(host.now + 0.2)
             for name in [name for name, held in host.policy.requests.items() if held.out]:
-                host.end(name, api.Outcome.SERVED, node=1, spent=0.05)
+                host.end(name, AttemptOutcome.SERVED, node_id=1, elapsed=0.05)
         return len(host.sent())
 
     assert sends(8) <= sends(1) + 8
     host = Host(settings(), [entry(1, 1)])
     host.policy.nodes[1].queued = 0.6
-    assert host.ask("held here", cell=1) == [api.Send("held here", 1)]
-    assert host.ask("late", cell=-1) == []
-    assert api.Refuse("late") in host.run_until(host.now + 0.52)
+    assert host.ask("held here", shard=1) == [SendAttempt("held here", 1)]
+    assert host.ask("late", shard=-1) == []
+    assert Reject("late") in host.run_until(host.now + 0.52)
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -9,8 +9,8 @@
 
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.middleware import NODE, NeverRan, scheduled
-from cleatyoke.scheduling import api
+from cleatyoke.middleware import NODE, NeverExecutedError, scheduled
+from cleatyoke.scheduling.events import RequestArrived
 from tests.host import plan_spec
 from tests.wire import instance, listed, two_classes
 
@@ -18,7 +18,7 @@
 class MiddlewareCase(unittest.IsolatedAsyncioTestCase):
     async def ask(self, method: str, script: list[object], node: bool = True) -> tuple[int, list[int | None]]:
         """The status, and the node of each run of the handler, which does as scripted."""
-        core = Core(two_classes(plans=[plan_spec(rate=80.0, reserve=80.0)]))
+        core = Core(two_classes(plans=[plan_spec(base_rate=80.0, reserved_rate=80.0)]))
         if node:
             core.tell(listed(Directory({}), instance("s-0", 1), whole=True))
         runs: list[int | None] = []
@@ -31,11 +31,11 @@
                 case status:
                     return web.Response(status=int(str(status)))
 
-        async def describe(request: web.Request) -> api.Arrival | None:
+        async def describe(request: web.Request) -> RequestArrived | None:
             if request.path == "/free":
                 return None
             kind = int(request.method == "PUT")
-            return api.Arrival(core.new_id(), kind, 0, 1, 1, 0, 1.0, core.now() + 1.0, 1)
+            return RequestArrived(core.new_id(), kind, 0, 1, 1, 0, 1.0, core.now() + 1.0, 1)
 
         app = web.Application(middlewares=[scheduled(core, describe)])
         app.router.add_route("*", "/{path:.*}", handler)
@@ -48,7 +48,7 @@
         self.assertEqual(await self.ask("GET /free", [200]), (200, [None]))
 
     async def test_a_write_runs_again_only_if_it_never_ran(self) -> None:
-        self.assertEqual(await self.ask("PUT /tile", [NeverRan(), 201]), (201, [1, 1]))
+        self.assertEqual(await self.ask("PUT /tile", [NeverExecutedError(), 201]), (201, [1, 1]))
         self.assertEqual(await self.ask("PUT /tile", [500, 201]), (500, [1]))
         self.assertEqual(await self.ask("PUT /tile", [RuntimeError("half done"), 201]), (502, [1]))
 
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import Outcome
+from cleatyoke.scheduling.actions import Reject, SendAttempt
+from cleatyoke.scheduling.events import AttemptFinished, AttemptOutcome, EndpointState
 from cleatyoke.simulator import read_entry, read_settings
 from tests.host import Host, class_spec, entry, plan_spec, settings
 
 
 def test_one_host_has_all_that_a_cold_node_bears() -> None:
-    host = Host(settings(hosts=1), [entry(1, 1, up_since=99.9)])
+    host = Host(settings(front_count=1), [entry(1, 1, up_since=99.9)])
     host.ask("a")
     host.run_until(101.9)
     assert host.sent() == ["a"]
@@ -21,43 +21,43 @@
 def test_an_unknown_number_of_hosts_is_not_one(hosts: int) -> None:
     """A warm node is sent to at once; of what a cold one bears no part is known to be this host's, so that it
     goes by what comes within reserves, which all hosts' add up to what the node serves."""
-    host = Host(settings(hosts=hosts), [entry(1, 1), entry(2, 2, up_since=99.9)])
-    assert host.ask("warm") == [api.Send("warm", 1)]
-    host.ask("cold", cell=2)
+    host = Host(settings(front_count=hosts), [entry(1, 1), entry(2, 2, up_since=99.9)])
+    assert host.ask("warm") == [SendAttempt("warm", 1)]
+    host.ask("cold", shard=2)
     host.run_until(100.4)
     assert host.sent() == ["warm"]
     for number in range(100):
-        host.ask(f"r{number}", cell=2, units=1.0)
+        host.ask(f"r{number}", shard=2, units=1.0)
         host.run_until(host.now + 0.1)
         for name in [name for name, held in host.policy.requests.items() if held.out]:
-            host.end(name, Outcome.SERVED, node=2)
+            host.end(name, AttemptOutcome.SERVED, node_id=2)
     assert 10 <= len(host.sent()) < 100
 
 
 @pytest.mark.parametrize("hosts", [0, -1, 99])
 def test_a_volume_has_between_one_and_all_hosts(hosts: int) -> None:
-    host = Host(settings(hosts=4), [entry(1, 1)])
-    host.ask("a", hosts=hosts)
+    host = Host(settings(front_count=4), [entry(1, 1)])
+    host.ask("a", front_count=hosts)
     assert host.policy.requests["a"].hosts == (4 if hosts == 99 else 1)
 
 
 def test_a_request_of_no_units_is_served() -> None:
     host = Host(settings(), [entry(1, 1)])
     host.ask("a", units=0.0)
-    host.end("a", Outcome.SERVED)
+    host.end("a", AttemptOutcome.SERVED)
     assert host.sent() == ["a"] and not host.policy.requests
 
 
 def test_a_node_without_a_cell_takes_new_objects_only() -> None:
     host = Host(settings(), [entry(1, -1)])
-    host.step(host.arrival("new", cell=-1), host.arrival("old", cell=5))
+    host.step(host.arrival("new", shard=-1), host.arrival("old", shard=5))
     assert host.sent() == ["new"]
-    host.end("new", Outcome.SERVED)
-    assert read_entry({"Shelf": 3, "StageState": "live"}).cell == -1
+    host.end("new", AttemptOutcome.SERVED)
+    assert read_entry({"Shelf": 3, "StageState": "live"}).shard == -1
 
 
 def test_a_node_listed_twice_stands_as_named_last() -> None:
-    host = Host(settings(), [entry(1, 1), entry(1, 1, api.NodeState.DRAINING)])
+    host = Host(settings(), [entry(1, 1), entry(1, 1, EndpointState.DRAINING)])
     host.ask("a")
     assert host.sent() == []
 
@@ -65,16 +65,16 @@
 def test_an_outcome_for_an_unknown_attempt_changes_nothing() -> None:
     host = Host(settings(), [entry(1, 1)])
     host.ask("a")
-    odd = api.Ended("a", 7, 1, Outcome.ERROR, 0.1, False)
-    assert host.step(odd, replace(odd, request="never")) == []
-    host.end("a", Outcome.SERVED)
+    odd = AttemptFinished("a", 7, 1, AttemptOutcome.ERROR, 0.1, False)
+    assert host.step(odd, replace(odd, request_id="never")) == []
+    host.end("a", AttemptOutcome.SERVED)
     assert not host.policy.requests
 
 
 def test_what_can_earn_nothing_is_not_sent_but_answered() -> None:
-    config = settings([class_spec(late_share=0.0)], [plan_spec(reserve=0.0)], within_share=0.0)
+    config = settings([class_spec(late_value=0.0)], [plan_spec(reserved_rate=0.0)], unreserved_value=0.0)
     host = Host(config, [entry(1, 1)])
-    assert host.ask("a") == [api.Refuse("a")]
+    assert host.ask("a") == [Reject("a")]
 
 
 def test_absent_and_null_settings_mean_no_such_figure() -> None:
@@ -89,4 +89,4 @@
     host = Host(read_settings(facts, 1), [entry(1, 1, up_since=99.0)])
     host.ask("a")
     host.run_until(102.0)
-    assert [action for action in host.log if isinstance(action, api.Refuse)] == [api.Refuse("a")]
+    assert [action for action in host.log if isinstance(action, Reject)] == [Reject("a")]
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,18 +13,18 @@
 
 import aiohttp
 
-from cleatyoke.admin.control import Commands, ControlListener, answer
-from cleatyoke.admin.maintenance import Holds
+from cleatyoke.admin.control import ControlCommands, ControlListener, answer
+from cleatyoke.admin.maintenance import OperatorHolds
 from cleatyoke.admin.prometheus import MetricsListener
 from cleatyoke.config.deployment import Address
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.http.backends import Boxes
-from cleatyoke.http.server import Front
+from cleatyoke.http.backends import BackendPools
+from cleatyoke.http.server import HttpServer
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.handover import HoldFile
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling import api
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.events import EndpointState
 from tests.wire import HttpBox, config, instance, listed
 from tests.wire import answer as box_answer
 
@@ -40,7 +40,7 @@
 
 class HoldsCase(unittest.TestCase):
     def test_a_hold_is_not_counted_and_an_unknown_id_is_refused(self) -> None:
-        holds = Holds()
+        holds = OperatorHolds()
         self.assertFalse(holds.disable("s-x", known=False))
         self.assertTrue(holds.disable("s-a", known=True))
         self.assertTrue(holds.disable("s-a", known=True))
@@ -51,7 +51,7 @@
         self.assertEqual(holds.started("s-a", 0.0), 50.0)  # it comes back cold
 
     def test_holds_written_by_another_process_are_taken_and_noise_changes_nothing(self) -> None:
-        one, two = Holds(), Holds()
+        one, two = OperatorHolds(), OperatorHolds()
         one.disable("s-a", True)
         one.disable("s-b", True)
         self.assertEqual(two.adopt(one.encode(), 10.0), (["s-a", "s-b"], []))
@@ -65,22 +65,22 @@
 class DirectoryCase(unittest.TestCase):
     def test_a_held_box_drains_for_the_policy_and_a_released_one_is_new(self) -> None:
         directory = Directory({})
-        entry = listed(directory, instance("s-a", 1), whole=True).entries[0]
-        self.assertEqual(entry.state, api.NodeState.LIVE)
+        entry = listed(directory, instance("s-a", 1), whole=True).endpoints[0]
+        self.assertEqual(entry.state, EndpointState.LIVE)
         directory.holds.disable("s-a", True)
-        self.assertFalse(directory.serves(entry.node))
+        self.assertFalse(directory.serves(entry.node_id))
         self.assertEqual(directory.down(), 1)
-        held = listed(directory, instance("s-a", 1), whole=True).entries[0]  # whatever discovery says
-        self.assertEqual(held.state, api.NodeState.DRAINING)
+        held = listed(directory, instance("s-a", 1), whole=True).endpoints[0]  # whatever discovery says
+        self.assertEqual(held.state, EndpointState.DRAINING)
         directory.holds.enable("s-a", True, 70.0)
         back = directory.changed(["s-a"])[0]
-        self.assertEqual((back.state, back.up_since), (api.NodeState.LIVE, 70.0))
-        self.assertTrue(directory.serves(entry.node))
+        self.assertEqual((back.state, back.started_at), (EndpointState.LIVE, 70.0))
+        self.assertTrue(directory.serves(entry.node_id))
 
 
 class FiguresCase(unittest.TestCase):
     def test_each_class_is_named_under_each_outcome_and_refusals_are_busy(self) -> None:
-        figures = Figures()
+        figures = Metrics()
         for status in (200, 200, 503, 429, 502, 400):
             figures.answered("tile-read", status)
         lines = figures.lines(["tile-read", "record-write"], 3, 1)
@@ -94,7 +94,7 @@
             self.assertIn(line, lines)
 
 
-def commands(**changes: object) -> Commands:
+def commands(**changes: object) -> ControlCommands:
     held: set[str] = set()
     base = {
         "ready": lambda: True,
@@ -104,7 +104,7 @@
         "drain": lambda: None,
         "resume": lambda: None,
     }
-    return Commands(**{**base, **changes})  # type: ignore[arg-type]
+    return ControlCommands(**{**base, **changes})  # type: ignore[arg-type]
 
 
 class CallsCase(unittest.TestCase):
@@ -159,8 +159,8 @@
 
         self.box: HttpBox = await HttpBox(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
-        self.boxes = Boxes(self.directory, 0.25, 30.0, 32)
-        self.front = Front(config(), self.core, self.boxes, lambda: True)
+        self.boxes = BackendPools(self.directory, 0.25, 30.0, 32)
+        self.front = HttpServer(config(), self.core, self.boxes, lambda: True)
         self.front.listen()
         self.url = f"http://127.0.0.1:{self.front.address.port}"
         self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -15,28 +15,28 @@
 from cleatyoke import simulator as simhost
 from cleatyoke.config.deployment import read_settings
 from cleatyoke.core import Core
-from cleatyoke.http.backends import Boxes
-from cleatyoke.http.load_probes import Probes
-from cleatyoke.http.messages import Answer, decode_probe
+from cleatyoke.http.backends import BackendPools
+from cleatyoke.http.load_probes import LoadProbeRunner
+from cleatyoke.http.messages import BackendAnswer, decode_probe
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.load_probes import ENOUGH, FRESH, LEAST, PERIOD, Prober
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
+from cleatyoke.scheduling.load_probes import ENOUGH, FRESH, LEAST, PERIOD, LoadProber
 from tests.test_simhost import FACTS, ROOT, SHELF
 from tests.wire import Directory, HttpBox, answer, config, instance, listed
 
 RAMP = 10.0
 
 
-def node_list(**since: float) -> api.NodeList:
+def node_list(**since: float) -> EndpointUpdate:
     """Live nodes by ``nN``, each with its start."""
     entries = [
-        api.NodeEntry(int(name[1:]), int(name[1:]), 0, api.NodeState.LIVE, at) for name, at in since.items()
+        Endpoint(int(name[1:]), int(name[1:]), 0, EndpointState.LIVE, at) for name, at in since.items()
     ]
-    return api.NodeList(api.ListKind.FULL, entries)
+    return EndpointUpdate(UpdateKind.SNAPSHOT, entries)
 
 
-def run(prober: Prober, until: float, now: float = 0.0) -> list[tuple[float, int]]:
+def run(prober: LoadProber, until: float, now: float = 0.0) -> list[tuple[float, int]]:
     asked = []
     while (now := prober.next_at(now)) <= until:
         if (node := prober.step(now)) is not None:
@@ -48,15 +48,15 @@
 
 class ProberCase(unittest.TestCase):
     def test_nothing_is_asked_while_no_node_is_cold_and_cold_ones_never(self) -> None:
-        prober = Prober(2, RAMP, 1)
+        prober = LoadProber(2, RAMP, 1)
         prober.listed(node_list(n1=0.0, n2=0.0, n3=0.0))
         self.assertEqual(run(prober, 60.0), [])
-        prober.listed(api.NodeList(api.ListKind.CHANGES, node_list(n4=100.0).entries))
+        prober.listed(EndpointUpdate(UpdateKind.DELTA, node_list(n4=100.0).endpoints))
         asked = run(prober, 130.0, 100.0)
         self.assertEqual({node for _, node in asked}, {1, 2, 3})
         self.assertTrue(100.0 <= asked[0][0] <= 101.0 and 109.0 < asked[-1][0] < 100.0 + RAMP)
-        gone = api.NodeEntry(4, 4, 0, api.NodeState.GONE, 100.0)
-        prober.listed(api.NodeList(api.ListKind.CHANGES, [gone]))
+        gone = Endpoint(4, 4, 0, EndpointState.REMOVED, 100.0)
+        prober.listed(EndpointUpdate(UpdateKind.DELTA, [gone]))
         self.assertEqual(run(prober, 130.0, 105.0), [])
 
     @settings(max_examples=40, deadline=None)
@@ -64,7 +64,7 @@
     def test_all_hosts_ask_a_node_once_in_its_period(self, hosts: int, nodes: int, seed: int) -> None:
         asked: list[tuple[float, int]] = []
         for host in range(hosts):
-            prober = Prober(hosts, 100.0, seed + host)
+            prober = LoadProber(hosts, 100.0, seed + host)
             prober.listed(node_list(**{f"n{number}": 0.0 for number in range(nodes)}, n99=10.0))
             mine = run(prober, 40.0, 10.0)
             self.assertTrue(all(b[0] - a[0] >= LEAST - 1e-9 for a, b in zip(mine, mine[1:])))
@@ -74,7 +74,7 @@
         self.assertLessEqual(max(counts) - min(counts), hosts)
 
     def test_what_is_not_known_counts_as_busy(self) -> None:
-        prober = Prober(1, RAMP, 1)
+        prober = LoadProber(1, RAMP, 1)
         prober.listed(node_list(n1=0.0, n2=0.0, n3=0.0, n4=0.0))
         for node in range(1, ENOUGH):
             prober.told(node, 5.0, 0.4)
@@ -97,8 +97,8 @@
             (b"\xff\x00util", None),
             (b" " * 2000 + b"util=0.5", None),
         ):
-            self.assertEqual(decode_probe(Answer(200, {}, body, True)), told, body)
-        self.assertIsNone(decode_probe(Answer(404, {}, b"util=0.5", True)))
+            self.assertEqual(decode_probe(BackendAnswer(200, {}, body, True)), told, body)
+        self.assertIsNone(decode_probe(BackendAnswer(404, {}, b"util=0.5", True)))
 
 
 class SettingsCase(unittest.TestCase):
@@ -107,7 +107,7 @@
         return {**FACTS, "PolicyLimits": limits, "Report": {"How": how, "Fields": list(fields)}}
 
     def test_they_are_on_only_where_load_is_told_by_probes_alone(self) -> None:
-        self.assertTrue(read_settings(self.facts("probe"), 1).probes)
+        self.assertTrue(read_settings(self.facts("probe"), 1).load_by_probes)
         for off in (
             self.facts("answers"),
             self.facts("none"),
@@ -115,14 +115,14 @@
             self.facts("probe", fields=("queue",)),
             FACTS,
         ):
-            self.assertFalse(read_settings(off, 1).probes)
+            self.assertFalse(read_settings(off, 1).load_by_probes)
 
     def test_nothing_of_them_is_imported_where_they_are_off(self) -> None:
         look = "import sys, cleatyoke.__main__; sys.exit(any('probes' in name for name in sys.modules))"
         self.assertEqual(subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode, 0)
 
     def test_the_adapter_asks_and_its_policy_hears(self) -> None:
-        gateway = simhost.Gateway()
+        gateway = simhost.SimulatorAdapter()
         number = 0
 
         def batch(now: float, *news: dict[str, Any]) -> list[dict[str, Any]]:
@@ -173,14 +173,14 @@
         box = await Asked(script).start()
         self.addCleanup(box.stop)
         core, directory = Core(config().settings), Directory({})
-        boxes = Boxes(directory, 0.25, 30.0, 32)
+        boxes = BackendPools(directory, 0.25, 30.0, 32)
         self.addCleanup(boxes.close)
-        probes = Probes(core, boxes, Prober(1, 3600.0, 1), 0.1, Faults(Figures()))
+        probes = LoadProbeRunner(core, boxes, LoadProber(1, 3600.0, 1), 0.1, Faults(Metrics()))
         probes.start()
         self.addCleanup(probes.stop)
         core.tell(listed(directory, instance("s-a", box.port), whole=True))
-        fresh = api.NodeEntry(2, 1, 0, api.NodeState.LIVE, core.now())
-        core.tell(api.NodeList(api.ListKind.CHANGES, [fresh]))
+        fresh = Endpoint(2, 1, 0, EndpointState.LIVE, core.now())
+        core.tell(EndpointUpdate(UpdateKind.DELTA, [fresh]))
         async with asyncio.timeout(5):
             while core.policy.busy != 0.25:
                 await asyncio.sleep(0.01)
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -8,20 +8,42 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import NodeState, Outcome, Repeat, Scope
+from cleatyoke.scheduling.actions import FailRequest, Reject, SchedulerAction, SendAttempt
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointState,
+    EndpointUpdate,
+    RequestArrived,
+    SchedulerEvent,
+    TimerFired,
+    UpdateKind,
+)
+from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope, RequestClass
 from tests.host import Host, class_spec, entry, plan_spec
 from tests.host import settings as host_settings
 
 CLASSES = [
-    class_spec(aim=0.3),
-    class_spec(repeat=Repeat.ONCE, ordered=True),
-    class_spec(repeat=Repeat.KEYED, scope=Scope.CELL, memory=0.8, ordered=True),
-    class_spec(repeat=Repeat.KEYED, scope=Scope.ALL, memory=0.8),
+    class_spec(latency_objective=0.3),
+    class_spec(idempotency=Idempotency.NOT_IDEMPOTENT, ordered=True),
+    class_spec(
+        idempotency=Idempotency.KEYED,
+        idempotency_scope=IdempotencyScope.SHARD,
+        idempotency_window=0.8,
+        ordered=True,
+    ),
+    class_spec(idempotency=Idempotency.KEYED, idempotency_scope=IdempotencyScope.ALL, idempotency_window=0.8),
 ]
-PLANS = [plan_spec(), plan_spec(limit=6.0, limit_burst=24.0)]
-SAFETY = {"extra_free": 2.0, "extra_ratio": 0.2, "extra_window": 1.0, "ask_every": 10.0, "key_rest": 0.1}
-PROOF = (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+PLANS = [plan_spec(), plan_spec(rate_limit=6.0, rate_limit_burst=24.0)]
+SAFETY = {
+    "retry_budget_minimum": 2.0,
+    "retry_budget_ratio": 0.2,
+    "retry_budget_window": 1.0,
+    "poll_interval": 10.0,
+    "ordering_pause": 0.1,
+}
+PROOF = (AttemptOutcome.QUEUE_FULL, AttemptOutcome.CONNECTION_FAILED, AttemptOutcome.NOT_SENT)
 CELLS = 3
 
 
@@ -30,14 +52,14 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        config = host_settings(CLASSES, PLANS, SAFETY, must_watch=True, hosts=2)
+        config = host_settings(CLASSES, PLANS, SAFETY, watches_endpoints=True, front_count=2)
         self.host = Host(config, [entry(cell, cell) for cell in range(CELLS)], now=50.0)
         self.safety = config.safety
         self.config = config
         self.node_of = {cell: cell for cell in range(CELLS)}
-        self.state = dict.fromkeys(range(CELLS), NodeState.LIVE)
+        self.state = dict.fromkeys(range(CELLS), EndpointState.LIVE)
         self.up_since = dict.fromkeys(range(CELLS), 0.0)
-        self.asked: dict[str, api.Arrival] = {}
+        self.asked: dict[str, RequestArrived] = {}
         self.owed: set[str] = set()
         self.answered: set[str] = set()
         self.out: dict[str, tuple[int, int, float, float]] = {}  # attempt, node, sent, ends
@@ -50,42 +72,46 @@
         self.to_node: dict[int, list[tuple[float, float]]] = defaultdict(list)
         self.drawn: dict[int, list[tuple[float, float]]] = defaultdict(list)
 
-    def kind(self, name: str) -> api.ClassSpec:
+    def kind(self, name: str) -> RequestClass:
         return CLASSES[self.asked[name].class_index]
 
-    def arrive(self) -> api.Event:
+    def arrive(self) -> SchedulerEvent:
         now, rng = self.host.now, self.rng
         volume = rng.randrange(6)
         event = self.host.arrival(
             f"q{len(self.asked)}",
             class_index=rng.randrange(len(CLASSES)),
-            plan=volume % 2,
-            volume=volume,
+            plan_index=volume % 2,
+            volume_id=volume,
             item=rng.randrange(4) if rng.random() < 0.8 else None,
-            cell=rng.choice([-1, 0, 1, 2]),
+            shard=rng.choice([-1, 0, 1, 2]),
             units=float(rng.randint(1, 6)),
             deadline=now + rng.choice([0.0, 0.01, 0.5, 2.0]),
-            hosts=2,
+            front_count=2,
         )
-        self.asked[event.request] = event
-        self.owed.add(event.request)
+        self.asked[event.request_id] = event
+        self.owed.add(event.request_id)
         self.taken.append(now)
-        if self.kind(event.request).ordered and event.item is not None:
-            self.line[event.item].append(event.request)
+        if self.kind(event.request_id).ordered and event.item is not None:
+            self.line[event.item].append(event.request_id)
         return event
 
-    def finish(self, name: str, outcome: Outcome) -> api.Event:
+    def finish(self, name: str, outcome: AttemptOutcome) -> SchedulerEvent:
         attempt, node, sent, _ = self.out.pop(name)
-        if outcome not in PROOF and outcome is not Outcome.SERVED:
+        if outcome not in PROOF and outcome is not AttemptOutcome.SERVED:
             self.ran.setdefault(name, (sent, node))
-        if outcome is Outcome.SERVED:
+        if outcome is AttemptOutcome.SERVED:
             self.owed.discard(name)
         item = self.asked[name].item
-        unsure = outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
+        unsure = outcome in (
+            AttemptOutcome.TIMEOUT,
+            AttemptOutcome.CONNECTION_RESET,
+            AttemptOutcome.CANCELLED,
+        )
         if unsure and self.kind(name).ordered and item is not None:
-            self.rest[item] = self.host.now + self.safety.key_rest
+            self.rest[item] = self.host.now + self.safety.ordering_pause
         self.leave_line(name)
-        return api.Ended(name, attempt, node, outcome, self.host.now - sent, name not in self.owed)
+        return AttemptFinished(name, attempt, node, outcome, self.host.now - sent, name not in self.owed)
 
     def leave_line(self, name: str) -> None:
         item = self.asked[name].item
@@ -93,53 +119,57 @@
         if over and item is not None and name in self.line[item]:
             self.line[item].remove(name)
 
-    def news(self) -> api.Event:
+    def news(self) -> SchedulerEvent:
         if self.rng.random() < 0.2:
-            return api.NodeList(api.ListKind.LOST, [])
+            return EndpointUpdate(UpdateKind.UNAVAILABLE, [])
         cell = self.rng.randrange(CELLS)
-        if self.state[cell] is NodeState.LIVE:
-            self.state[cell] = self.rng.choice([NodeState.DRAINING, NodeState.GONE])
+        if self.state[cell] is EndpointState.LIVE:
+            self.state[cell] = self.rng.choice([EndpointState.DRAINING, EndpointState.REMOVED])
         else:
-            self.state[cell] = NodeState.LIVE
+            self.state[cell] = EndpointState.LIVE
             self.up_since[cell] = self.host.now - self.rng.choice([0.0, 5.0, 50.0])
             self.to_node[cell].clear()
         changed = entry(cell, cell, self.state[cell], self.up_since[cell])
-        return api.NodeList(api.ListKind.CHANGES, [changed])
+        return EndpointUpdate(UpdateKind.DELTA, [changed])
 
     def step(self) -> None:
         host, rng = self.host, self.rng
         host.now += rng.choice([0.0, 0.005, 0.02, 0.02])
-        events: list[api.Event] = [api.Woken(0)]
+        events: list[SchedulerEvent] = [TimerFired(0)]
         if rng.random() < 0.05:
             events.append(self.news())
         for name, (_, _, _, ends) in list(self.out.items()):
             if host.now >= self.asked[name].deadline:
-                events.append(self.finish(name, Outcome.TIMEOUT))
+                events.append(self.finish(name, AttemptOutcome.TIMEOUT))
             elif host.now >= ends:
                 bad = rng.random() < 0.4
-                events.append(self.finish(name, rng.choice(list(Outcome)) if bad else Outcome.SERVED))
-        ended = {event.request for event in events if isinstance(event, api.Ended)}
+                events.append(
+                    self.finish(name, rng.choice(list(AttemptOutcome)) if bad else AttemptOutcome.SERVED)
+                )
+        ended = {event.request_id for event in events if isinstance(event, AttemptFinished)}
         if (there := sorted(self.owed - ended)) and rng.random() < 0.03:
             name = rng.choice(there)
             self.owed.discard(name)
             self.leave_line(name)
-            events.append(api.Withdrawn(name))
+            events.append(ClientDisconnected(name))
         events += [self.arrive() for _ in range(rng.choice([0, 0, 1, 3]))]
         for action in host.step(*events):
             self.check(action)
         late = [name for name in self.owed if self.asked[name].deadline < host.now and name not in self.out]
         assert not late, f"no final answer in time: {late}"
 
-    def check(self, action: api.Action) -> None:
+    def check(self, action: SchedulerAction) -> None:
         now = self.host.now
-        if isinstance(action, api.Send):
-            self.check_send(action.request, action.node, now)
-        elif isinstance(action, api.Refuse | api.Fail):
-            name = action.request
+        if isinstance(action, SendAttempt):
+            self.check_send(action.request_id, action.node_id, now)
+        elif isinstance(action, Reject | FailRequest):
+            name = action.request_id
             assert name in self.owed and name not in self.out, "one final answer"
-            if isinstance(action, api.Refuse) and name in self.ran:
+            if isinstance(action, Reject) and name in self.ran:
                 kind = self.kind(name)
-                assert kind.repeat is Repeat.FREE or (kind.repeat is Repeat.KEYED and kind.scope is Scope.ALL)
+                assert kind.idempotency is Idempotency.IDEMPOTENT or (
+                    kind.idempotency is Idempotency.KEYED and kind.idempotency_scope is IdempotencyScope.ALL
+                )
             self.owed.discard(name)
             self.leave_line(name)
 
@@ -147,38 +177,45 @@
         ask, kind, safety = self.asked[name], self.kind(name), self.safety
         assert name in self.owed and name not in self.out, "over, or two attempts at once"
         assert self.sends[name] < self.config.max_attempts
-        assert ask.cell in (-1, node), "another cell"
-        assert self.state[node] is NodeState.LIVE, "drains"
+        assert ask.shard in (-1, node), "another cell"
+        assert self.state[node] is EndpointState.LIVE, "drains"
         if name in self.ran:
             sent, home = self.ran[name]
-            assert kind.repeat is not Repeat.ONCE, "doubled effect"
-            if kind.repeat is Repeat.KEYED:
-                assert now <= sent + kind.memory and (kind.scope is Scope.ALL or node == home)
+            assert kind.idempotency is not Idempotency.NOT_IDEMPOTENT, "doubled effect"
+            if kind.idempotency is Idempotency.KEYED:
+                assert now <= sent + kind.idempotency_window and (
+                    kind.idempotency_scope is IdempotencyScope.ALL or node == home
+                )
         if kind.ordered and ask.item is not None:
             assert self.line[ask.item][0] == name and now >= self.rest[ask.item], "order by key"
         if self.sends[name]:
             self.extras.append(now)
-            recent = sum(1 for time in self.taken if time > now - safety.extra_window)
-            used = sum(1 for time in self.extras if time > now - safety.extra_window)
-            assert used <= safety.extra_free + safety.extra_ratio * recent, "attempt budget"
-        elif PLANS[ask.plan].limit:
-            plan, draws = PLANS[ask.plan], self.drawn[ask.volume]
+            recent = sum(1 for time in self.taken if time > now - safety.retry_budget_window)
+            used = sum(1 for time in self.extras if time > now - safety.retry_budget_window)
+            assert used <= safety.retry_budget_minimum + safety.retry_budget_ratio * recent, "attempt budget"
+        elif PLANS[ask.plan_index].rate_limit:
+            plan, draws = PLANS[ask.plan_index], self.drawn[ask.volume_id]
             draws.append((now, ask.units))
             for index, (start, _) in enumerate(draws):
                 drawn = sum(units for _, units in draws[index:])
-                assert drawn <= (plan.limit_burst + plan.limit * (now - start)) / 2 + 1e-6, "limit"
+                assert drawn <= (plan.rate_limit_burst + plan.rate_limit * (now - start)) / 2 + 1e-6, "limit"
         self.to_node[node].append((now, ask.units))
-        if self.up_since[node] and now - self.up_since[node] < safety.ramp:
-            window = safety.tip_after
+        if self.up_since[node] and now - self.up_since[node] < safety.slow_start_duration:
+            window = safety.overload_after
             sent = sum(units for time, units in self.to_node[node] if time > now - window)
             policy = self.host.policy
             rates = {cell: policy.table.usual.get(cell) for cell in policy.table.usual.known}
             mean = sum(rates.values()) / max(1, len(rates))
-            usual = rates.get(node, mean) * safety.tip_multiple * 3  # twice, and half of that saved up
-            warmer = (1 - safety.cold_from) / safety.cold_from * (now - self.up_since[node]) / safety.ramp
-            stated = self.config.cold_units / self.config.hosts * (1 + warmer)
+            usual = rates.get(node, mean) * safety.overload_multiple * 3  # twice, and half of that saved up
+            warmer = (
+                (1 - safety.slow_start_initial_fraction)
+                / safety.slow_start_initial_fraction
+                * (now - self.up_since[node])
+                / safety.slow_start_duration
+            )
+            stated = self.config.slow_start_units / self.config.front_count * (1 + warmer)
             due = policy.table.due_rate.get(node)
-            own = max(stated, usual * window, due * window) + self.config.largest
+            own = max(stated, usual * window, due * window) + self.config.max_request_units
             assert sent <= own + 1e-6, "cold node"
         self.out[name] = (self.sends[name], node, now, now + self.rng.choice([0.01, 0.05, 0.2, 1.0, 9.0]))
         self.sends[name] += 1
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -13,4 +13,4 @@
     printed = io.StringIO()
     with contextlib.redirect_stdout(printed):
         exec(compile(code, str(README), "exec"), {})
-    assert "Send(request='a', node=11)" in printed.getvalue()
+    assert "SendAttempt(request_id='a', node_id=11)" in printed.getvalue()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -4,13 +4,13 @@
 
 import random
 
-from cleatyoke.discovery.backoff import Pace
+from cleatyoke.discovery.backoff import Backoff
 
 PERIOD = 3.6
 
 
-def fleet(hosts: int) -> list[Pace]:
-    return [Pace(random.Random(seed), hosts, 0.075, 4, 0.25, PERIOD) for seed in range(hosts)]
+def fleet(hosts: int) -> list[Backoff]:
+    return [Backoff(random.Random(seed), hosts, 0.075, 4, 0.25, PERIOD) for seed in range(hosts)]
 
 
 def busiest(times: list[float], window: float = 1.0) -> int:
@@ -58,18 +58,20 @@
 
 
 def test_an_answer_ends_the_growth_and_a_small_fleet_hardly_waits() -> None:
-    pace = Pace(random.Random(1), 40, 0.075, 4, 0.25, 100.0)
+    pace = Backoff(random.Random(1), 40, 0.075, 4, 0.25, 100.0)
     grown = [pace.failed() for _ in range(200)][10:]
     assert max(grown) > 10.0
     assert max(pace.broke() for _ in range(200)) <= 3.0
     assert max(pace.broke(within=1.3) for _ in range(200)) <= 1.3
-    small = Pace(random.Random(1), 4, 0.075, 4, 0.25, PERIOD)
+    small = Backoff(random.Random(1), 4, 0.075, 4, 0.25, PERIOD)
     assert max(small.failed() for _ in range(200)) <= 1.2
 
 
 def test_hosts_that_do_not_know_their_number_come_back_spread_over_the_whole_period() -> None:
-    paces = [Pace(random.Random(seed), float("inf"), 0.075, 4, 0.25, PERIOD) for seed in range(200)]
+    paces = [Backoff(random.Random(seed), float("inf"), 0.075, 4, 0.25, PERIOD) for seed in range(200)]
     for waits in ([pace.broke() for pace in paces], [pace.failed() for pace in paces]):
         assert max(waits) <= PERIOD
-    fresh = [Pace(random.Random(seed), float("inf"), 0.075, 4, 0.25, PERIOD).failed() for seed in range(200)]
+    fresh = [
+        Backoff(random.Random(seed), float("inf"), 0.075, 4, 0.25, PERIOD).failed() for seed in range(200)
+    ]
     assert busiest(fresh) <= 200 / PERIOD * 1.5
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -12,15 +12,15 @@
 from hypothesis import strategies as st
 
 from cleatyoke.coordination import replicated_holds as replicas
-from cleatyoke.coordination.hold_replication import Sharing
-from cleatyoke.coordination.replicated_holds import Highest, Holds, Latest
+from cleatyoke.coordination.hold_replication import HoldReplication
+from cleatyoke.coordination.replicated_holds import HoldSet, LatestValues, MaximumValues
 from cleatyoke.emulation.fleet import Fleet
 from cleatyoke.membership import wire
-from cleatyoke.membership.interface import Asked
-from cleatyoke.membership.members import Members
-from cleatyoke.membership.wire import Id, Rumour, State
+from cleatyoke.membership.interface import ExchangeRequested
+from cleatyoke.membership.members import Membership
+from cleatyoke.membership.wire import MemberId, MemberState, Update
 
-LIVES = [Id(name, boot) for name in "abc" for boot in (1, 2)]
+LIVES = [MemberId(name, boot) for name in "abc" for boot in (1, 2)]
 Step = tuple[str, int, int, str]
 STEPS = st.lists(
     st.tuples(
@@ -33,19 +33,21 @@
 )
 
 
-class ReleaseWins(Holds, frozen=True):
+class ReleaseWins(HoldSet, frozen=True):
     """A set without dots: a release takes away what it has never heard of."""
 
-    def merge(self, other: Holds) -> Holds:
+    def merge(self, other: HoldSet) -> HoldSet:
         merged = super().merge(other)
         both = self.held.keys() & other.held.keys()
         return ReleaseWins(merged.clock, {box: dots for box, dots in merged.held.items() if box in both})
 
 
-def played(steps: list[Step], empty: Holds) -> tuple[list[Holds], list[Latest], list[Highest], bool]:
+def played(
+    steps: list[Step], empty: HoldSet
+) -> tuple[list[HoldSet], list[LatestValues], list[MaximumValues], bool]:
     """Three fronts do and hear; the last says whether each front's holds are as the model has them: a hold
     stands at a front unless a release that knew of it is known there."""
-    holds, latest, highest = [empty] * 3, [Latest()] * 3, [Highest()] * 3
+    holds, latest, highest = [empty] * 3, [LatestValues()] * 3, [MaximumValues()] * 3
     known: list[set[int]] = [set(), set(), set()]  # of each front: numbers of the holds that it knows of ...
     dead: list[set[int]] = [set(), set(), set()]  # ... and of those that it knows to be released
     box_of: list[str] = []
@@ -78,7 +80,7 @@
 @settings(deadline=None, derandomize=True, max_examples=200)
 @given(STEPS)
 def test_a_hold_stands_until_a_release_that_knew_of_it_is_known(steps: list[Step]) -> None:
-    assert played(steps, Holds())[3]
+    assert played(steps, HoldSet())[3]
 
 
 def test_a_hold_wins_over_a_release_at_the_same_time_and_a_set_without_dots_is_caught() -> None:
@@ -90,7 +92,7 @@
         ("merge", 0, 1, ""),
         ("merge", 1, 0, ""),
     ]
-    holds, _, _, right = played(split, Holds())
+    holds, _, _, right = played(split, HoldSet())
     assert right and [copy.boxes() for copy in holds[:2]] == [{"s-1"}, {"s-1"}]
     assert not played(split, ReleaseWins())[3]
 
@@ -98,8 +100,8 @@
 @settings(deadline=None, derandomize=True, max_examples=100)
 @given(STEPS)
 def test_merges_commute_associate_and_repeat_harmlessly(steps: list[Step]) -> None:
-    for copies in played(steps, Holds())[:3]:
-        kind = {Holds: "holds", Latest: "latest", Highest: "highest"}[type(copies[0])]
+    for copies in played(steps, HoldSet())[:3]:
+        kind = {HoldSet: "holds", LatestValues: "latest", MaximumValues: "highest"}[type(copies[0])]
         a, b, c = copies
         both = replicas.merge(kind, a, b)
         assert both == replicas.merge(kind, b, a)
@@ -110,7 +112,7 @@
 
 def test_old_numbers_go_only_when_every_copy_has_them() -> None:
     a, b = LIVES[0], LIVES[2]
-    one, behind = Holds().hold(a, "s-1").release("s-1").hold(b, "s-2"), Holds().hold(b, "s-2")
+    one, behind = HoldSet().hold(a, "s-1").release("s-1").hold(b, "s-2"), HoldSet().hold(b, "s-2")
     assert one.has(behind) and not behind.has(one)
     assert one.forget([a, b], [one, behind]) == one  # a copy that may still come in lacks them
     assert one.forget([a, b], [one]).clock == {b: 1}  # of b a hold is left
@@ -142,11 +144,11 @@
     """A fleet whose lives keep their copies in a place of their front's own."""
 
     def __init__(self, size: int = 12, keeps: bool = True) -> None:
-        self.copies: dict[str, Sharing] = {}
+        self.copies: dict[str, HoldReplication] = {}
 
-        def make(deployment: str, name: str, boot: int, address: str, *rest: Any, **more: Any) -> Members:
-            life = Members(deployment, name, boot, address, *rest, **more)
-            life.store = sharing = Sharing(lambda: life.id)
+        def make(deployment: str, name: str, boot: int, address: str, *rest: Any, **more: Any) -> Membership:
+            life = Membership(deployment, name, boot, address, *rest, **more)
+            life.store = sharing = HoldReplication(lambda: life.id)
             if before := self.copies.get(address):
                 sharing.restore(before.dump() if keeps else b"", before.holds.boxes())
             self.copies[address] = sharing
@@ -220,19 +222,19 @@
 def test_copies_that_cannot_be_are_refused_and_counted_and_the_view_still_counts() -> None:
     shared = Shared(4)
     one = shared.fleet.running[shared.fleet.address(0)].members
-    stranger = Rumour(Id("z", 1), "z:1", State.ALIVE, 0)
+    stranger = Update(MemberId("z", 1), "z:1", MemberState.ALIVE, 0)
     for bad in (b"\xc1", msgspec.msgpack.encode({"held": {"s": [[["a", 1], 9]]}})):
-        one.step(shared.fleet.now, [Asked(1, wire.encode_view("test", stranger, [], bad))])
+        one.step(shared.fleet.now, [ExchangeRequested(1, wire.encode_view("test", stranger, [], bad))])
     assert one.figures.refused == {"copies unreadable": 1, "copies holds without their numbers": 1}
     assert stranger.id in one.lives and shared.held() == {frozenset()}
 
 
 def test_a_digest_is_summed_up_once_for_each_change() -> None:
     """Every probe asks for it: at 3,200 holds one sum took 20 ms."""
-    sharing = Sharing(lambda: Id("a", 1))
+    sharing = HoldReplication(lambda: MemberId("a", 1))
     sums: list[int] = []
-    real = Sharing.sum_up
-    with mock.patch.object(Sharing, "sum_up", lambda self: (sums.append(1), real(self))[1]):
+    real = HoldReplication.sum_up
+    with mock.patch.object(HoldReplication, "sum_up", lambda self: (sums.append(1), real(self))[1]):
         first = [sharing.digest() for _ in range(5)]
         sharing.hold("s-1")
         second = [sharing.digest() for _ in range(5)]
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,9 +12,11 @@
 
 import aiohttp
 
-from cleatyoke.config.deployment import BadConfig, read_config
-from cleatyoke.config.reload import Places, missing, shape
-from cleatyoke.scheduling import api
+from cleatyoke.config.deployment import ConfigError, read_config
+from cleatyoke.config.reload import IndexAllocator, missing, shape
+from cleatyoke.scheduling.actions import FailRequest, Reject, SendAttempt
+from cleatyoke.scheduling.events import AttemptOutcome, SettingsReloaded
+from cleatyoke.scheduling.settings import Idempotency
 from tests.host import Host, class_spec, entry, settings
 from tests.test_http_front import HEADERS, TARGET, DaemonCase
 from tests.test_http_front import entry as listed
@@ -23,7 +25,7 @@
 
 class PlacesCase(unittest.TestCase):
     def test_a_name_keeps_its_place_and_one_that_is_gone_leaves_it_retired(self) -> None:
-        places = Places.of(["read", "write"]).follow(["scan", "write"])
+        places = IndexAllocator.of(["read", "write"]).follow(["scan", "write"])
         self.assertEqual((places.live, places.retired()), ({"scan": 2, "write": 1}, {0}))
         self.assertEqual(places.arrange(["r", "w"], ["scan", "write"], ["s", "W"]), ["r", "W", "s"])
         back = places.follow(["read"])
@@ -39,40 +41,44 @@
 
 class PolicyCase(unittest.TestCase):
     def host(self) -> Host:
-        return Host(settings([class_spec(), class_spec()], hosts=1), [entry(1, 1), entry(2, 2)])
+        return Host(settings([class_spec(), class_spec()], front_count=1), [entry(1, 1), entry(2, 2)])
 
     def test_a_new_class_is_served_at_once_by_its_own_effect_and_the_bounds_still_add_up(self) -> None:
         host = self.host()
-        kinds = [class_spec(), class_spec(), class_spec(repeat=api.Repeat.ONCE, worth=3.0)]
-        host.step(api.Retuned(settings(kinds, hosts=1)))
+        kinds = [
+            class_spec(),
+            class_spec(),
+            class_spec(idempotency=Idempotency.NOT_IDEMPOTENT, priority_weight=3.0),
+        ]
+        host.step(SettingsReloaded(settings(kinds, front_count=1)))
         self.assertAlmostEqual(sum(host.policy.bounds), 1.0)
-        self.assertIn(api.Send("n", 1), host.ask("n", class_index=2))
+        self.assertIn(SendAttempt("n", 1), host.ask("n", class_index=2))
         host.now += 0.05
-        self.assertIn(api.Fail("n"), host.end("n", api.Outcome.RESET))  # it may have run
+        self.assertIn(FailRequest("n"), host.end("n", AttemptOutcome.CONNECTION_RESET))  # it may have run
         host.run_until(host.now + 5)  # control rounds with the new class
-        self.assertIn(api.Send("m", 1), host.ask("m", class_index=2))
+        self.assertIn(SendAttempt("m", 1), host.ask("m", class_index=2))
 
     def test_what_is_under_way_keeps_its_class_and_a_class_that_is_gone_gives_its_bound_back(self) -> None:
         host = self.host()
         host.ask("old", class_index=1)
-        gone = [class_spec(), class_spec(aim=0.001, worth=1e-9)]
-        host.step(api.Retuned(settings(gone, hosts=1), frozenset({1})))
+        gone = [class_spec(), class_spec(latency_objective=0.001, priority_weight=1e-9)]
+        host.step(SettingsReloaded(settings(gone, front_count=1), frozenset({1})))
         self.assertEqual(host.policy.bounds, [1.0, 0.0])
-        self.assertEqual(host.policy.requests["old"].kind.aim, class_spec().aim)
-        host.end("old", api.Outcome.FULL)
+        self.assertEqual(host.policy.requests["old"].kind.latency_objective, class_spec().latency_objective)
+        host.end("old", AttemptOutcome.QUEUE_FULL)
         host.run_until(host.now + 0.2)
         self.assertEqual(host.sent().count("old"), 2)  # turned away unrun, it is sent again
-        host.end("old", api.Outcome.SERVED)
+        host.end("old", AttemptOutcome.SERVED)
         host.run_until(host.now + 4)
         self.assertLess(host.policy.bounds[1], 0.06)
-        host.step(api.Retuned(settings([class_spec(), class_spec()], hosts=1)))  # it comes back
+        host.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1)))  # it comes back
         self.assertGreater(host.policy.bounds[1], 0.3)
 
     def test_fewer_attempts_bind_what_is_under_way(self) -> None:
         host = self.host()
         host.ask("a")
-        host.step(api.Retuned(settings([class_spec(), class_spec()], hosts=1, max_attempts=1)))
-        self.assertTrue(any(isinstance(one, api.Refuse) for one in host.end("a", api.Outcome.FULL)))
+        host.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1, max_attempts=1)))
+        self.assertTrue(any(isinstance(one, Reject) for one in host.end("a", AttemptOutcome.QUEUE_FULL)))
         self.assertEqual(host.sent().count("a"), 1)
 
 
@@ -121,7 +127,7 @@
                     del subject[one[1]]
                 else:
                     subject[one[1]] = one[2]
-            with self.assertRaises(BadConfig, msg=str(one)):
+            with self.assertRaises(ConfigError, msg=str(one)):
                 config.reload(self.read(values))
             self.assertEqual(config, before, one)
         self.assertGreater(len(broken), 30)
@@ -137,7 +143,7 @@
         self.assertEqual((taken.retired, taken.waiting), ({1}, []))
         self.assertEqual(config.classes, {"scan": 2, "tile-read": 0})
         self.assertEqual((config.give_up, config.writes), ([1.5, 1.5, 2.5], [False, None, True]))
-        self.assertEqual([kind.aim for kind in config.settings.classes], [0.5, 0.5, 0.7])
+        self.assertEqual([kind.latency_objective for kind in config.settings.classes], [0.5, 0.5, 0.7])
         self.assertEqual((config.settings.max_attempts, config.notice()), (2, 3.2))
         self.assertIsNone(config.reload(self.read(new)).retired)  # the same again is no change
         new["settings"]["Lanes"].append({**scan, "Name": "more"})  # and the list of writes stays behind
--- a/tests/test_rights.py
+++ b/tests/test_rights.py
@@ -12,31 +12,40 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.coordination.demand import SPAN, Meters
-from cleatyoke.coordination.quota_leases import KEPT, Came, Need, Part, Peers, Post, Rights, Terms
+from cleatyoke.coordination.demand import SPAN, DemandMeters
+from cleatyoke.coordination.quota_leases import (
+    KEPT,
+    DemandChanged,
+    LeaseMessageReceived,
+    LeaseTerms,
+    PeersChanged,
+    QuotaFractionChanged,
+    QuotaLeases,
+    SendLeaseMessage,
+)
 from cleatyoke.emulation.network import Network
-from cleatyoke.emulation.quota_leases import RESOURCE, Lenders
-from cleatyoke.membership.wire import HOME, Grant, Id, Want
+from cleatyoke.emulation.quota_leases import RESOURCE, LeaseSimulation
+from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
 
 
-class KeptOverRestart(Rights):
+class KeptOverRestart(QuotaLeases):
     """A new life takes its home for whole at once."""
 
-    def __init__(self, began: float, rng: random.Random, terms: Terms | None = None) -> None:
+    def __init__(self, began: float, rng: random.Random, terms: LeaseTerms | None = None) -> None:
         super().__init__(began - 3600.0, rng, terms)
 
 
-class EndsAfterGrant(Rights):
+class EndsAfterGrant(QuotaLeases):
     """The borrower judges its lease by when the grant came, that is by the lender's clock."""
 
-    def take(self, now: float, lender: Id, grant: Grant) -> None:
+    def take(self, now: float, lender: MemberId, grant: LeaseGrant) -> None:
         super().take(now, lender, grant)
         for debt in self.accounts[grant.resource].debts.values():
             if debt.number == grant.number:
                 debt.end = self.terms.borrower(now)
 
 
-class SilenceFrees(Rights):
+class SilenceFrees(QuotaLeases):
     """The lender takes back from one that it no longer counts among its peers."""
 
     def forget(self, now: float, account: object) -> None:
@@ -45,13 +54,13 @@
         super().forget(now, account)  # type: ignore[arg-type]
 
 
-def play(seed: int, make: type[Rights] = Rights, seconds: float = 40.0) -> Lenders:
+def play(seed: int, make: type[QuotaLeases] = QuotaLeases, seconds: float = 40.0) -> LeaseSimulation:
     """Random needs, restarts, stops, loss, doubles and long delays."""
     rng = random.Random(f"play:{seed}")
     network = Network(
         seed, delay=0.001, jitter=rng.choice((0.01, 0.5, 3.0)), loss=rng.choice((0.0, 0.3)), doubles=0.05
     )
-    market = Lenders(6, seed, network, make=make)
+    market = LeaseSimulation(6, seed, network, make=make)
     while market.now < seconds:
         front = rng.randrange(market.size)
         match rng.randrange(6):
@@ -76,12 +85,12 @@
 
 
 @pytest.mark.parametrize("make", [KeptOverRestart, EndsAfterGrant])
-def test_wrong_variants_are_caught_by_random_plays(make: type[Rights]) -> None:
+def test_wrong_variants_are_caught_by_random_plays(make: type[QuotaLeases]) -> None:
     assert any(play(seed, make).most > 6 * HOME for seed in range(12))
 
 
 def test_the_need_is_met_where_it_is_and_moves_with_it() -> None:
-    market = Lenders(8, 1, Network(1))
+    market = LeaseSimulation(8, 1, Network(1))
     for hot in (0, 5, 2):
         market.needs = [300.0] * market.size
         market.needs[hot] = 3000.0
@@ -96,14 +105,14 @@
 
 
 def test_where_all_need_more_each_keeps_its_home() -> None:
-    market = Lenders(5, 1, Network(1))
+    market = LeaseSimulation(5, 1, Network(1))
     market.needs = [2000.0] * 5
     market.run(5.0)
     assert [one.rights.usable(RESOURCE, market.now) for one in market.traders.values()] == [HOME] * 5
 
 
 def test_a_stopped_borrower_finds_at_wake_that_its_lease_is_over() -> None:
-    market = Lenders(3, 1, Network(1))
+    market = LeaseSimulation(3, 1, Network(1))
     market.needs = [2500.0, 0.0, 0.0]
     market.run(2.5)
     trader = market.traders[0]
@@ -117,58 +126,86 @@
 
 
 def test_a_new_life_uses_what_is_never_lent_until_all_loans_before_it_are_over() -> None:
-    terms = Terms()
-    rights = Rights(100.0, random.Random(1), terms)
+    terms = LeaseTerms()
+    rights = QuotaLeases(100.0, random.Random(1), terms)
     assert rights.usable(RESOURCE, 100.0) == KEPT
-    [post] = rights.step(101.0, [Need({RESOURCE: 0.0}), Came(Id("b", 1), Want(RESOURCE, 1, 500))])
-    assert post.message == Grant(RESOURCE, 1, 0, 0)
+    [post] = rights.step(
+        101.0,
+        [
+            DemandChanged({RESOURCE: 0.0}),
+            LeaseMessageReceived(MemberId("b", 1), LeaseRequest(RESOURCE, 1, 500)),
+        ],
+    )
+    assert post.message == LeaseGrant(RESOURCE, 1, 0, 0)
     assert rights.usable(RESOURCE, terms.lender(100.0)) == HOME
-    rights.step(103.0, [Need({RESOURCE: 0.0}), Part(0.5)])  # beside another process of this front
-    [post] = rights.step(103.0, [Came(Id("b", 1), Want(RESOURCE, 2, 500))])
-    assert post.message == Grant(RESOURCE, 2, 0, 0)
-    rights.step(104.0, [Part(1.0)])
-    [post] = rights.step(104.0, [Came(Id("b", 1), Want(RESOURCE, 3, 500))])
-    assert post.message == Grant(RESOURCE, 3, 500, 750)
+    rights.step(
+        103.0, [DemandChanged({RESOURCE: 0.0}), QuotaFractionChanged(0.5)]
+    )  # beside another process of this front
+    [post] = rights.step(103.0, [LeaseMessageReceived(MemberId("b", 1), LeaseRequest(RESOURCE, 2, 500))])
+    assert post.message == LeaseGrant(RESOURCE, 2, 0, 0)
+    rights.step(104.0, [QuotaFractionChanged(1.0)])
+    [post] = rights.step(104.0, [LeaseMessageReceived(MemberId("b", 1), LeaseRequest(RESOURCE, 3, 500))])
+    assert post.message == LeaseGrant(RESOURCE, 3, 500, 750)
 
 
 def test_what_comes_twice_late_or_unasked_changes_nothing() -> None:
-    one, b = Rights(-100.0, random.Random(1)), Id("b", 1)
-    first = one.step(0.0, [Peers((b,)), Need({RESOURCE: 0.0}), Came(b, Want(RESOURCE, 1, 300))])
-    assert one.step(1.0, [Came(b, Want(RESOURCE, 1, 300))]) == first  # the same loan, no longer one
-    assert one.next_change(1.0) == Terms().lender(0.0)
-    one.step(1.1, [Came(b, Want(RESOURCE, 3, 0))])
+    one, b = QuotaLeases(-100.0, random.Random(1)), MemberId("b", 1)
+    first = one.step(
+        0.0,
+        [
+            PeersChanged((b,)),
+            DemandChanged({RESOURCE: 0.0}),
+            LeaseMessageReceived(b, LeaseRequest(RESOURCE, 1, 300)),
+        ],
+    )
+    assert (
+        one.step(1.0, [LeaseMessageReceived(b, LeaseRequest(RESOURCE, 1, 300))]) == first
+    )  # the same loan, no longer one
+    assert one.next_change(1.0) == LeaseTerms().lender(0.0)
+    one.step(1.1, [LeaseMessageReceived(b, LeaseRequest(RESOURCE, 3, 0))])
     assert one.usable(RESOURCE, 1.1) == HOME
-    assert one.step(1.2, [Came(b, Want(RESOURCE, 2, 300)), Came(b, Want(RESOURCE, 3, 0))]) == []
-    for grant in (Grant(RESOURCE, 9, 500, 0), Grant("limit:2", 1, 500, 0)):
-        one.step(1.3, [Came(b, grant)])
+    assert (
+        one.step(
+            1.2,
+            [
+                LeaseMessageReceived(b, LeaseRequest(RESOURCE, 2, 300)),
+                LeaseMessageReceived(b, LeaseRequest(RESOURCE, 3, 0)),
+            ],
+        )
+        == []
+    )
+    for grant in (LeaseGrant(RESOURCE, 9, 500, 0), LeaseGrant("limit:2", 1, 500, 0)):
+        one.step(1.3, [LeaseMessageReceived(b, grant)])
     assert one.usable(RESOURCE, 1.3) == HOME
-    one.step(2.0, [Need({RESOURCE: 1400.0})])
+    one.step(2.0, [DemandChanged({RESOURCE: 1400.0})])
     debt = one.accounts[RESOURCE].debts[b]
     assert debt.asked
-    one.step(2.1, [Came(b, Grant(RESOURCE, debt.asked[0], 1000, 0))])  # more than was asked for
+    one.step(
+        2.1, [LeaseMessageReceived(b, LeaseGrant(RESOURCE, debt.asked[0], 1000, 0))]
+    )  # more than was asked for
     assert one.usable(RESOURCE, 2.1) == HOME
-    flood = [Came(b, Want(f"limit:{number}", number, 1)) for number in range(5000)]
+    flood = [LeaseMessageReceived(b, LeaseRequest(f"limit:{number}", number, 1)) for number in range(5000)]
     one.step(3.0, flood)
     assert list(one.accounts) == [RESOURCE]  # at home in nothing else
-    one.step(4.0, [Need({f"limit:{number}": 0.0 for number in range(5000)})])
+    one.step(4.0, [DemandChanged({f"limit:{number}": 0.0 for number in range(5000)})])
     assert len(one.accounts) == 4096 and one.refused > 900
 
 
 # An exhaustive search of our own states
 
 
-def steps(lease: float) -> Terms:
-    return Terms(lease=lease, drift=0.0, slack=0.0, ahead=1.0, swing=0, patience=lease, scrape=1)
+def steps(lease: float) -> LeaseTerms:
+    return LeaseTerms(lease=lease, drift=0.0, slack=0.0, ahead=1.0, swing=0, patience=lease, scrape=1)
 
 
-State = tuple[list[Rights], list[tuple[int, int, object]], int, frozenset[str], tuple[int, int]]
+State = tuple[list[QuotaLeases], list[tuple[int, int, object]], int, frozenset[str], tuple[int, int]]
 
 
-def ids(boots: tuple[int, ...] = (1, 1, 1)) -> list[Id]:
-    return [Id(str(front), boot) for front, boot in enumerate(boots)]
+def ids(boots: tuple[int, ...] = (1, 1, 1)) -> list[MemberId]:
+    return [MemberId(str(front), boot) for front, boot in enumerate(boots)]
 
 
-def moves(state: State, make: type[Rights], terms: Terms, faults: str) -> Iterator[State]:
+def moves(state: State, make: type[QuotaLeases], terms: LeaseTerms, faults: str) -> Iterator[State]:
     """Each state that one more second may bring: messages in flight come or wait; once in all, where it is
     among ``faults``, one is lost and one doubled, one front starts anew and one stands for three seconds."""
     rights, flight, now, done, stopped = state
@@ -189,14 +226,16 @@
                 out += [message for message in coming if message[1] == front]
                 continue
             events: list[object] = [
-                Came(Id(str(source), 1), message) for source, target, message in coming if target == front
+                LeaseMessageReceived(MemberId(str(source), 1), message)
+                for source, target, message in coming
+                if target == front
             ]  # type: ignore[arg-type]
             events += [
-                Peers(tuple(id for id in ids() if id.name != str(front))),
-                Need({RESOURCE: 1500.0 if front == hot else 0.0}),
+                PeersChanged(tuple(id for id in ids() if id.name != str(front))),
+                DemandChanged({RESOURCE: 1500.0 if front == hot else 0.0}),
             ]
             for post in one.step(float(now), events):  # type: ignore[arg-type]
-                assert isinstance(post, Post)
+                assert isinstance(post, SendLeaseMessage)
                 out.append((front, int(post.receiver.name), post.message))
         return fresh, out, now + 1, done, halt
 
@@ -212,7 +251,7 @@
             yield after(flight, done | {fault}, come=len(flight), **{fault: front})
 
 
-def search(make: type[Rights], lease: float, seconds: int, faults: str) -> tuple[int, int]:
+def search(make: type[QuotaLeases], lease: float, seconds: int, faults: str) -> tuple[int, int]:
     """How many states there are, and the most parts that all together could use in any."""
     terms = steps(lease)
     first: State = [make(-100.0, random.Random(1), terms) for _ in range(3)], [], 0, frozenset(), (-1, 0)
@@ -245,25 +284,34 @@
 def test_no_state_that_can_be_reached_holds_more_than_the_whole(
     lease: float, seconds: int, faults: str
 ) -> None:
-    states, used = search(Rights, lease, seconds, faults)
+    states, used = search(QuotaLeases, lease, seconds, faults)
     assert states > 500 and used == 3 * HOME
 
 
 @pytest.mark.parametrize(("make", "place"), [(KeptOverRestart, 0), (EndsAfterGrant, 1)])
-def test_the_search_finds_wrong_variants(make: type[Rights], place: int) -> None:
+def test_the_search_finds_wrong_variants(make: type[QuotaLeases], place: int) -> None:
     assert search(make, *SEARCHES[place])[1] > 3 * HOME
 
 
-@pytest.mark.parametrize(("make", "left"), [(Rights, HOME - 700), (SilenceFrees, HOME)])
-def test_what_was_lent_to_one_that_the_view_has_lost_is_still_lent(make: type[Rights], left: int) -> None:
-    one, b = make(-100.0, random.Random(1)), Id("b", 1)
-    one.step(0.0, [Peers((b,)), Need({RESOURCE: 0.0}), Came(b, Want(RESOURCE, 1, 700))])
-    one.step(0.1, [Peers(())])  # it may be at work beyond a cut
+@pytest.mark.parametrize(("make", "left"), [(QuotaLeases, HOME - 700), (SilenceFrees, HOME)])
+def test_what_was_lent_to_one_that_the_view_has_lost_is_still_lent(
+    make: type[QuotaLeases], left: int
+) -> None:
+    one, b = make(-100.0, random.Random(1)), MemberId("b", 1)
+    one.step(
+        0.0,
+        [
+            PeersChanged((b,)),
+            DemandChanged({RESOURCE: 0.0}),
+            LeaseMessageReceived(b, LeaseRequest(RESOURCE, 1, 700)),
+        ],
+    )
+    one.step(0.1, [PeersChanged(())])  # it may be at work beyond a cut
     assert one.usable(RESOURCE, 0.1) == left
 
 
 def test_what_is_asked_for_by_chance_moves_a_need_less_than_a_change_does() -> None:
-    rng, meters, needs = random.Random(2), Meters[int](), list[float]()
+    rng, meters, needs = random.Random(2), DemandMeters[int](), list[float]()
     at, now = 0.0, 0.0
     for _ in range(400):  # two requests a second at a home of five units: 400 parts
         now += SPAN
@@ -287,9 +335,9 @@
 
 
 def test_a_loan_that_is_renewed_is_asked_for_more_where_more_is_lacking() -> None:
-    rights, b = Rights(-100.0, random.Random(1)), Id("b", 1)
-    [post] = rights.step(0.0, [Need({RESOURCE: 1600.0}), Peers((b,))])
-    assert isinstance(post.message, Want)
-    rights.step(0.0, [Came(b, Grant(RESOURCE, post.message.number, 200, 0))])
-    [post] = rights.step(1.2, [Need({RESOURCE: 1600.0})])
-    assert post.message == Want(RESOURCE, 2, HOME - KEPT)
+    rights, b = QuotaLeases(-100.0, random.Random(1)), MemberId("b", 1)
+    [post] = rights.step(0.0, [DemandChanged({RESOURCE: 1600.0}), PeersChanged((b,))])
+    assert isinstance(post.message, LeaseRequest)
+    rights.step(0.0, [LeaseMessageReceived(b, LeaseGrant(RESOURCE, post.message.number, 200, 0))])
+    [post] = rights.step(1.2, [DemandChanged({RESOURCE: 1600.0})])
+    assert post.message == LeaseRequest(RESOURCE, 2, HOME - KEPT)
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -11,7 +11,7 @@
 
 from cleatyoke.config.deployment import REPEATS
 from cleatyoke.testbed.generator import THEMES, Values, draw, dump
-from cleatyoke.testbed.runner import ROOT, Report
+from cleatyoke.testbed.runner import ROOT, RunReport
 from cleatyoke.testbed.scenario import make_scenario
 from cleatyoke.testbed.search import play_values, pool, rules, shorten
 
@@ -57,7 +57,7 @@
 
 
 class PlayedDraws(unittest.TestCase):
-    def play(self, draws: Iterable[tuple[str, int]]) -> dict[str, Report]:
+    def play(self, draws: Iterable[tuple[str, int]]) -> dict[str, RunReport]:
         with pool(JOBS) as workers:
             out = {
                 f"{theme}:{seed}": workers.submit(play_values, f"{theme}-{seed}", draw(theme, seed))
@@ -76,16 +76,28 @@
     def test_wrong_programs_are_caught(self) -> None:
         """One line is wrong in each, and the draw named says so by its rule."""
         wrong = {
-            "mangled": ("net/messages.py", "if ask.key is not None", "if not ask.key", "settings", 1),
+            "mangled": ("http/messages.py", "if ask.key is not None", "if not ask.key", "settings", 1),
             "key": (
-                "rules.py",
-                "if not request.ran or request.kind.repeat is Repeat.FREE:",
+                "scheduling/scheduler.py",
+                "if not request.ran or request.kind.idempotency is Idempotency.IDEMPOTENT:",
                 "if True:",
                 "settings",
                 12,
             ),
-            "limit": ("rules.py", "if not plan.limit or request.sends:", "if True:", "trouble", 4),
-            "attempts": ("rules.py", "request.sends >= self.settings.max_attempts", "False", "settings", 3),
+            "limit": (
+                "scheduling/scheduler.py",
+                "if not plan.rate_limit or request.sends:",
+                "if True:",
+                "trouble",
+                4,
+            ),
+            "attempts": (
+                "scheduling/scheduler.py",
+                "request.sends >= self.settings.max_attempts",
+                "False",
+                "settings",
+                3,
+            ),
         }
         with tempfile.TemporaryDirectory() as folder, pool(JOBS) as workers:
             plays = {}
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -7,20 +7,20 @@
 from dataclasses import replace
 from typing import Any
 
-from cleatyoke.config.deployment import Address, SftpFront, VolumePath
+from cleatyoke.config.deployment import Address, SftpSettings, VolumePath
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import NodeState
+from cleatyoke.scheduling.events import EndpointState
+from cleatyoke.scheduling.settings import VolumePlan
 from cleatyoke.sftp import packets as p
-from cleatyoke.sftp.backends import FileBoxes
-from cleatyoke.sftp.server import FileFront
+from cleatyoke.sftp.backends import SftpBackends
+from cleatyoke.sftp.server import SftpServer
 from tests.host import plan_spec
 from tests.wire import FileBox, instance, listed, two_classes
 
 NONE = p.Attrs()
 STORE = p.Flags.WRITE | p.Flags.CREAT | p.Flags.TRUNC
-PUBLIC = plan_spec(rate=80.0, reserve=80.0)
+PUBLIC = plan_spec(base_rate=80.0, reserved_rate=80.0)
 
 
 class Client:
@@ -55,13 +55,13 @@
 
 
 class SftpCase(unittest.IsolatedAsyncioTestCase):
-    async def begin(self, *boxes: FileBox, plan: api.PlanSpec = PUBLIC, **changes: Any) -> Client:
+    async def begin(self, *boxes: FileBox, plan: VolumePlan = PUBLIC, **changes: Any) -> Client:
         self.core, self.directory = Core(two_classes(plans=[plan])), Directory({})
-        front = SftpFront(
+        front = SftpSettings(
             Address("127.0.0.1", 0), [VolumePath("/plats", 7, 0, 0, 1)], 0, 1, 0, 65536, 8192, 4, 5.0, 1.0
         )
-        self.files = FileBoxes(self.directory, 0, 0.25, 30.0, 32)
-        self.front = FileFront(replace(front, **changes), self.core, self.files, 32)
+        self.files = SftpBackends(self.directory, 0, 0.25, 30.0, 32)
+        self.front = SftpServer(replace(front, **changes), self.core, self.files, 32)
         await self.front.open()
         self.boxes = [await box.start() for box in boxes]
         if boxes:
@@ -125,7 +125,7 @@
         self.core.tell(
             listed(
                 self.directory,
-                instance("s-0", old.port, NodeState.DRAINING),
+                instance("s-0", old.port, EndpointState.DRAINING),
                 instance("s-1", new.port),
             )
         )
@@ -138,7 +138,7 @@
 
         def reply(packet: p.Packet, handles: Any) -> p.Packet | None:
             if isinstance(packet, p.Init):
-                event = listed(self.directory, instance("s-0", box.port, NodeState.DRAINING))
+                event = listed(self.directory, instance("s-0", box.port, EndpointState.DRAINING))
                 self.core.tell(event)
             return real(packet, handles)
 
@@ -159,7 +159,9 @@
         self.assertEqual(box.commands, ["Open"])
 
     async def test_uploads_beyond_the_limit_of_public_are_refused(self) -> None:
-        plan = replace(PUBLIC, limit=0.01, limit_burst=8.0)  # a host that starts has none of it to spare
+        plan = replace(
+            PUBLIC, rate_limit=0.01, rate_limit_burst=8.0
+        )  # a host that starts has none of it to spare
         client = await self.begin(box := FileBox(), plan=plan, deadline=0.4)
         self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "refused")
         self.core.policy.volumes[7].limit.level = 2.0
@@ -218,5 +220,5 @@
             raw = p.encode(packet)
             self.assertEqual(p.decode(raw[4:]), packet)
             for cut in range(5, len(raw) - 4):
-                with self.assertRaises(p.BadPacket):
+                with self.assertRaises(p.PacketError):
                     p.decode(raw[4 : 4 + cut])
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -82,13 +82,13 @@
     return json.dumps({"TsS": now, "round": number, "news": news})
 
 
-def steps(gateway: simhost.Gateway, news: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def steps(gateway: simhost.SimulatorAdapter, news: list[dict[str, Any]]) -> list[dict[str, Any]]:
     reply = gateway.reply(batch(1, news))
     return [step for step in reply["steps"] if step["type"] != "TIMER"]
 
 
 def test_request_is_routed_with_unknown_keys_passed_over() -> None:
-    gateway = simhost.Gateway()
+    gateway = simhost.SimulatorAdapter()
     got = steps(gateway, [*born(), request("a")])
     assert got == [{"type": "ROUTE", "Head": 0, "Req": "a", "Shelf": 11}]
 
@@ -103,13 +103,13 @@
 
 
 def test_a_batch_of_megabytes_is_answered() -> None:
-    gateway = simhost.Gateway()
+    gateway = simhost.SimulatorAdapter()
     got = steps(gateway, [*born(), *(request(f"r{number}") for number in range(8000))])
     assert 1 <= len(got) <= 8
 
 
 def test_a_killed_instance_acts_no_more_and_a_new_one_starts_with_nothing() -> None:
-    gateway = simhost.Gateway()
+    gateway = simhost.SimulatorAdapter()
     steps(gateway, [*born(), request("a")])
     got = steps(gateway, [request("b"), {"type": "SHUTDOWN", "Head": 0}, *born(), request("c")])
     assert [step["Req"] for step in got] == ["c"]
@@ -117,7 +117,7 @@
 
 
 def test_instances_share_nothing() -> None:
-    gateway = simhost.Gateway()
+    gateway = simhost.SimulatorAdapter()
     together = steps(gateway, [*born(0), *born(1), request("a", 0), request("b", 1)])
     assert together == [
         {"type": "ROUTE", "Head": head, "Req": name, "Shelf": 11} for head, name in ((0, "a"), (1, "b"))
@@ -128,8 +128,8 @@
     def broken(*_: object) -> None:
         raise RuntimeError("out of slots")
 
-    monkeypatch.setattr(simhost.Policy, "step", broken)
-    got = steps(simhost.Gateway(), born())
+    monkeypatch.setattr(simhost.Scheduler, "step", broken)
+    got = steps(simhost.SimulatorAdapter(), born())
     assert got == [{"type": "INTERNAL_ERROR", "Head": 0, "Msg": "RuntimeError: out of slots"}]
 
 
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -9,29 +9,29 @@
 from typing import Any
 from unittest import mock
 
-from cleatyoke.config.deployment import BadConfig
-from cleatyoke.scheduling import api
-from cleatyoke.testbed.backend import Box
-from cleatyoke.testbed.backend_model import BoxModel, Fate, chance
-from cleatyoke.testbed.checker import Asked, Form, Judge
-from cleatyoke.testbed.discovery_agent import Agent, Registry
-from cleatyoke.testbed.runner import Report, play
-from cleatyoke.testbed.scenario import BoxPower, make_scenario, read_scenario
+from cleatyoke.config.deployment import ConfigError
+from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
+from cleatyoke.testbed.backend import TestBackend
+from cleatyoke.testbed.backend_model import BackendModel, RequestFate, chance
+from cleatyoke.testbed.checker import ClientRequestRecord, RequestForm, RuleChecker
+from cleatyoke.testbed.discovery_agent import DiscoveryAgent, Registry
+from cleatyoke.testbed.runner import RunReport, run_scenario
+from cleatyoke.testbed.scenario import BackendCapacity, make_scenario, read_scenario
 
 SCENARIOS = Path(__file__).resolve().parent / "scenarios"
 FLEET = {"fronts": 2, "boxes": 4, "seconds": 3.0, "limit": 10}
 PLAIN = make_scenario("plain", {"fleet": FLEET, "load": {"rate": 10, "units": 1}})
 READ, WRITE = PLAIN.kinds
-KEYED = replace(WRITE, repeat=api.Repeat.KEYED, scope=api.Scope.CELL, memory=1.0)
+KEYED = replace(WRITE, repeat=Idempotency.KEYED, scope=IdempotencyScope.SHARD, memory=1.0)
 
 
 class JudgeCase(unittest.TestCase):
     """Each rule is broken once, and beside it what only looks like it."""
 
     def setUp(self) -> None:
-        self.judge = Judge(PLAIN.plans, PLAIN.terms)
-        self.judge.took("w", Asked(0, 1, WRITE, 2.0, 10.0, 11.5))
-        self.judge.took("r", Asked(0, 1, READ, 2.0, 10.0, 11.5))
+        self.judge = RuleChecker(PLAIN.plans, PLAIN.terms)
+        self.judge.took("w", ClientRequestRecord(0, 1, WRITE, 2.0, 10.0, 11.5))
+        self.judge.took("r", ClientRequestRecord(0, 1, READ, 2.0, 10.0, 11.5))
 
     def rules(self) -> list[str]:
         return [line.partition(":")[0] for line in self.judge.broken(1.0)]
@@ -75,23 +75,23 @@
             ("k1", "s-1", 1, 10.2, ["key"]),
             ("k2", "s-0", 0, 11.2, ["key"]),
         ):
-            self.judge.took(trace, Asked(0, 1, KEYED, 2.0, 10.0, 11.5))
+            self.judge.took(trace, ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5))
             self.judge.attempt(trace, "s-0", 10.0, cell=0).ended = 10.1
             self.judge.attempt(trace, box, at, cell=cell).ended = at + 0.1
             self.judge.answer(trace, 502, b"", 11.4)
             self.end()
             self.assertEqual(self.rules(), rules, trace)
             del self.judge.asked[trace]
-        self.judge.took("k3", Asked(0, 1, KEYED, 2.0, 10.0, 11.5))
+        self.judge.took("k3", ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5))
         self.judge.attempt("k3", "s-0", 10.0).ended = 10.1
         self.judge.answer("k3", 503, b"", 10.2)
         self.assertEqual(self.rules(), ["refused write"])
-        self.judge.asked["k3"].kind = replace(KEYED, scope=api.Scope.ALL)  # every box drops its repeat
+        self.judge.asked["k3"].kind = replace(KEYED, scope=IdempotencyScope.ALL)  # every box drops its repeat
         self.assertEqual(self.rules(), [])
 
     def test_a_request_that_is_not_as_its_client_sent_it_and_a_probe_that_is_not_allowed(self) -> None:
-        form = Form("PUT", "/api?block=1", "k", b"scan")
-        self.judge.took("f", Asked(0, 1, KEYED, 2.0, 10.0, 11.5, form))
+        form = RequestForm("PUT", "/api?block=1", "k", b"scan")
+        self.judge.took("f", ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5, form))
         self.judge.attempt("f", "s-0", 10.0, form=form).refused = True
         self.judge.asked["f"].attempts[0].ended = 10.1
         self.judge.answer("f", 503, b"", 10.2)
@@ -137,36 +137,38 @@
         self.judge.bears("s-0", 11.4, 4.0, 8.0)
         for number in range(9):
             trace = f"x{number}"
-            self.judge.took(trace, Asked(number, 4, READ, 2.0, 10.0, 11.5))
+            self.judge.took(trace, ClientRequestRecord(number, 4, READ, 2.0, 10.0, 11.5))
             self.judge.attempt(trace, "s-1", 10.0 + number / 100).ended = 10.2
             self.judge.answer(trace, 502, b"", 10.3)
         self.assertEqual(self.rules(), ["cold", "limit"])
 
 
 class ModelCase(unittest.TestCase):
-    power = BoxPower(units=20.0, queue=2, cold_from=0.2, ramp=4.0, tip_multiple=2.0, tip_after=1.0)
+    power = BackendCapacity(units=20.0, queue=2, cold_from=0.2, ramp=4.0, tip_multiple=2.0, tip_after=1.0)
 
     def test_a_cold_box_works_slowly_and_a_full_one_turns_away(self) -> None:
-        warm, cold = BoxModel(self.power, None), BoxModel(self.power, 10.0)
+        warm, cold = BackendModel(self.power, None), BackendModel(self.power, 10.0)
         self.assertAlmostEqual(warm.take(10.0, "a", 2.0).ends, 10.1)
         self.assertAlmostEqual(cold.take(10.0, "a", 2.0).ends, 10.5)
         self.assertAlmostEqual(cold.rate(12.0), 12.0)
         fates = [warm.take(10.0, str(number), 2.0).fate for number in range(4)]
-        self.assertEqual(fates, [Fate.ANSWERED, Fate.ANSWERED, Fate.FULL, Fate.FULL])
+        self.assertEqual(
+            fates, [RequestFate.ANSWERED, RequestFate.ANSWERED, RequestFate.FULL, RequestFate.FULL]
+        )
 
     def test_what_waits_can_be_withdrawn_and_what_works_cannot(self) -> None:
-        box = BoxModel(self.power, None)
+        box = BackendModel(self.power, None)
         first, second = box.take(10.0, "a", 2.0), box.take(10.0, "b", 2.0)
         self.assertFalse(box.withdraw(10.01, first))
         self.assertTrue(box.withdraw(10.01, second))
         self.assertAlmostEqual(box.free_at, 10.1)
 
     def test_the_same_ids_meet_the_same_troubles_in_every_run(self) -> None:
-        box = BoxModel(self.power, None, seed=3)
+        box = BackendModel(self.power, None, seed=3)
         box.ailing["lose_answers"] = 0.25
         fates = [box.take(float(number), f"t{number}", 1.0).fate for number in range(400)]
-        self.assertEqual(fates.count(Fate.LOST), sum(chance(3, f"t{n}") < 0.25 for n in range(400)))
-        self.assertTrue(60 < fates.count(Fate.LOST) < 140)
+        self.assertEqual(fates.count(RequestFate.LOST), sum(chance(3, f"t{n}") < 0.25 for n in range(400)))
+        self.assertTrue(60 < fates.count(RequestFate.LOST) < 140)
 
 
 class SilenceCase(unittest.IsolatedAsyncioTestCase):
@@ -174,9 +176,9 @@
 
     async def write(self, **during: Any) -> list[float]:
         """When two requests came: one written amid the trouble and given up, and one written after it."""
-        judge, clock = Judge(PLAIN.plans, PLAIN.terms), asyncio.get_running_loop().time
-        box = Box("s-0", 0, "basement", judge, clock)
-        await box.live(BoxModel(PLAIN.power, None))
+        judge, clock = RuleChecker(PLAIN.plans, PLAIN.terms), asyncio.get_running_loop().time
+        box = TestBackend("s-0", 0, "basement", judge, clock)
+        await box.live(BackendModel(PLAIN.power, None))
         self.addCleanup(box.stop)
         began = clock()
         if during.get("cut"):
@@ -185,8 +187,8 @@
             stall = asyncio.ensure_future(box.stall(0.3))
             self.addCleanup(stall.cancel)
         for trace in ("amid", "after"):
-            form = Form("GET", f"/api?block={trace}", None, b"")
-            judge.took(trace, Asked(0, 0, READ, 1.0, began, began + 1.5, form))
+            form = RequestForm("GET", f"/api?block={trace}", None, b"")
+            judge.took(trace, ClientRequestRecord(0, 0, READ, 1.0, began, began + 1.5, form))
             reader, writer = await asyncio.open_connection("127.0.0.1", box.port)
             writer.write(f"GET {form.target} HTTP/1.1\r\nX-Trace-Id: {trace}\r\n\r\n".encode())
             if trace == "amid":
@@ -216,7 +218,7 @@
         await registry.set("s-0", lifecycle="SERVING")
         judge = mock.Mock()
         judge.drains = lambda front, name, at: told.append((front, name))
-        agent = Agent(0, registry, judge, asyncio.get_running_loop().time)
+        agent = DiscoveryAgent(0, registry, judge, asyncio.get_running_loop().time)
         agent.late = 0.2
         await agent.start()
         for stays in (False, True):
@@ -245,15 +247,15 @@
             ({"plan": [{"name": "p"}, {"name": "q", "limits": 3}]}, r"plan\[1\].limits: unknown key"),
             ({"terms": {"attempts": 0}}, "terms.attempts: want a whole number"),
         ):
-            with self.assertRaisesRegex(BadConfig, word):
+            with self.assertRaisesRegex(ConfigError, word):
                 make_scenario("x", {**good, **change})
 
 
 class Plays(unittest.TestCase):
     """Fronts as real processes; the same requests and troubles in every run."""
 
-    def play(self, name: str) -> Report:
-        report = asyncio.run(play(read_scenario(SCENARIOS / f"{name}.toml")))
+    def run_scenario(self, name: str) -> RunReport:
+        report = asyncio.run(run_scenario(read_scenario(SCENARIOS / f"{name}.toml")))
         self.assertEqual(report.broken, [], "\n".join(report.lines()))
         self.assertLessEqual(report.most_runs_of_a_write, 1)
         self.assertEqual(report.log["left"], report.log["leaving"])
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -24,36 +24,36 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.config.deployment import FLEET_TIMES, FleetPeers, read_address
-from cleatyoke.coordination.hold_replication import Sharing
-from cleatyoke.coordination.replicated_holds import Holds
-from cleatyoke.coordination.staged_start import BOUNDS, ORDER, Evidence, Recovery, Stage
-from cleatyoke.durability.records import Doubt, Memory, Row
-from cleatyoke.durability.store import Disk
+from cleatyoke.config.deployment import FLEET_TIMES, FleetSettings, read_address
+from cleatyoke.coordination.hold_replication import HoldReplication
+from cleatyoke.coordination.replicated_holds import HoldSet
+from cleatyoke.coordination.staged_start import BOUNDS, ORDER, Evidence, StagedStart, StartStage
+from cleatyoke.durability.records import FrontState, RestoreDoubt, Row
+from cleatyoke.durability.store import StateDatabase
 from cleatyoke.emulation import durability
 from cleatyoke.emulation.durability import recalls
-from cleatyoke.fleet.startup import Startup
+from cleatyoke.fleet.startup import StagedStartRunner
 from cleatyoke.fleet.view import FleetView
-from cleatyoke.membership.wire import Id
+from cleatyoke.membership.wire import MemberId
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.metrics import Figures
-from cleatyoke.testbed.runner import Report
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.testbed.runner import RunReport
 from cleatyoke.testbed.scenario import read_scenario, settings_of
 from cleatyoke.testbed.search import play_values, pool
 
 ROOT = Path(__file__).resolve().parent.parent
-Looks = list[tuple[float, list[Stage]]]  # seconds since the last one, and the evidence that came
+Looks = list[tuple[float, list[StartStage]]]  # seconds since the last one, and the evidence that came
 
 
-def faults(make: type[Recovery], looks: Looks) -> list[str]:
+def faults(make: type[StagedStart], looks: Looks) -> list[str]:
     """What a play of these looks breaks. The lease before ends at 2.05."""
-    recovery, now, out, came = make(0.0, 2.05), 0.0, list[str](), set[Stage]()
+    recovery, now, out, came = make(0.0, 2.05), 0.0, list[str](), set[StartStage]()
     for after, events in looks:
         now += after
         came |= set(events)
         before = recovery.since
         for one in recovery.step(now, [Evidence(stage, "word") for stage in events]):
-            if one.stage is Stage.LENT and now < 2.05:
+            if one.stage is StartStage.LENT and now < 2.05:
                 out.append("lease")
             bound = BOUNDS.get(one.stage, 0.0)
             if one.stage not in came and one.stage in BOUNDS and now < before + bound:
@@ -61,9 +61,9 @@
         stages = [one.stage for one in recovery.passed]
         if stages != ORDER[: len(stages)]:
             out.append("order")
-        if recovery.door_open() != (Stage.LIST in stages):
+        if recovery.door_open() != (StartStage.LIST in stages):
             out.append("door")
-        if recovery.stage is not Stage.OPEN and now >= recovery.ends_at():
+        if recovery.stage is not StartStage.OPEN and now >= recovery.ends_at():
             out.append("bound")
     return out
 
@@ -76,10 +76,10 @@
 @settings(deadline=None, derandomize=True, max_examples=300)
 @given(looks)
 def test_stages_pass_in_order_by_evidence_or_their_bound_and_a_lease_by_time_alone(looks: Looks) -> None:
-    assert faults(Recovery, looks) == []
+    assert faults(StagedStart, looks) == []
 
 
-class ByTimeAlone(Recovery):
+class ByTimeAlone(StagedStart):
     """Waits for nothing but a while."""
 
     def step(self, now: float, events: Any = ()) -> Any:
@@ -87,25 +87,25 @@
         return out
 
 
-class TrustsItsDisk(Recovery):
+class TrustsItsDisk(StagedStart):
     """A word from the disk says that what was lent is over."""
 
     def step(self, now: float, events: Any = ()) -> Any:
-        if any(event.stage is Stage.DISK for event in events):
+        if any(event.stage is StartStage.DISK for event in events):
             self.lent_until = now
         return super().step(now, events)
 
 
 def test_wrong_variants_are_caught() -> None:
-    everything = list(Stage)
+    everything = list(StartStage)
     assert "early" in faults(ByTimeAlone, [(0.45, [])])
     assert "lease" in faults(TrustsItsDisk, [(0.1, everything), (0.1, [])])
-    assert faults(Recovery, [(0.1, everything), (0.1, []), (1.9, [])]) == []
+    assert faults(StagedStart, [(0.1, everything), (0.1, []), (1.9, [])]) == []
 
 
 def test_what_a_start_waits_for_is_told() -> None:
-    recovery = Recovery(10.0, 12.05)
-    recovery.step(10.1, [Evidence(Stage.DISK, "found"), Evidence(Stage.LIST, "an old list")])
+    recovery = StagedStart(10.0, 12.05)
+    recovery.step(10.1, [Evidence(StartStage.DISK, "found"), Evidence(StartStage.LIST, "an old list")])
     assert recovery.lines(10.4) == [
         "recovery.stage peers",
         "recovery.passed disk by=found waited=0.100",
@@ -115,17 +115,17 @@
     assert recovery.door_open()
 
 
-class TakesAbsenceForRelease(Sharing):
+class TakesAbsenceForRelease(HoldReplication):
     """A peer's copy counts for whole."""
 
-    def load(self, sender: Id, data: bytes) -> bool:
+    def load(self, sender: MemberId, data: bytes) -> bool:
         news = super().load(sender, data)
         self.holds = self.told[sender]
         return news
 
 
-def reads_nothing(rows: Sequence[Row], name: str) -> Memory:
-    return Memory(boot=recalls(rows, name).boot)
+def reads_nothing(rows: Sequence[Row], name: str) -> FrontState:
+    return FrontState(boot=recalls(rows, name).boot)
 
 
 def test_no_hold_that_was_kept_is_lost_in_any_order_of_losses_and_wrong_variants_are_caught() -> None:
@@ -138,7 +138,7 @@
 class LossCase(unittest.TestCase):
     """Eight processes that lose their power together, and such with a part of the mend taken out."""
 
-    plays: ClassVar[dict[str, Future[Report]]]
+    plays: ClassVar[dict[str, Future[RunReport]]]
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -149,7 +149,7 @@
         forgetful = Path(tempfile.mkdtemp())
         cls.addClassCleanup(shutil.rmtree, forgetful)
         shutil.copytree(ROOT / "cleatyoke", forgetful / "cleatyoke")
-        part = forgetful / "cleatyoke" / "net" / "fleet.py"
+        part = forgetful / "cleatyoke" / "fleet" / "view.py"
         right = "self.copies.holds = self.copies.holds.merge(memory.holds)"
         text = part.read_text()
         assert text.count(right) == 1
@@ -274,11 +274,11 @@
             self.assertIn("replica.holds entries=0", await self.call("show-replica"))
             process.send_signal(signal.SIGTERM)
             self.assertEqual(await asyncio.wait_for(process.wait(), 10), 0)
-        self.assertGreater(Disk(self.durable, "ours/n1").load()[0].boot, 0)
+        self.assertGreater(StateDatabase(self.durable, "ours/n1").load()[0].boot, 0)
 
     async def test_killed_at_any_stage_ten_times_in_a_row_it_goes_on_from_what_it_kept(self) -> None:
-        held = Memory(Holds().hold(Id("n1", 5), "s-003"), 1 << 52)  # far ahead of any clock
-        disk = Disk(self.durable, "ours/n1")
+        held = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)  # far ahead of any clock
+        disk = StateDatabase(self.durable, "ours/n1")
         self.assertEqual(disk.save(held), [])
         rng, boots = random.Random(4), [held.boot]
         for number in range(10):
@@ -298,17 +298,17 @@
 
     async def test_a_disk_that_does_not_answer_is_waited_for_shortly_and_counts_once_it_does(self) -> None:
         go = threading.Event()
-        remembered = Memory(Holds().hold(Id("n1", 5), "s-003"), 1 << 52)
+        remembered = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)
 
-        class Late(Disk):
-            def load(self) -> tuple[Memory, list[Doubt]]:
+        class Late(StateDatabase):
+            def load(self) -> tuple[FrontState, list[RestoreDoubt]]:
                 go.wait(10)
                 return remembered, []
 
         listen = read_address(f"127.0.0.1:{self.ports[3]}", "listen")
-        peers = FleetPeers("ours", listen, listen, [], 0, FLEET_TIMES, durable=self.durable)
-        faults, startup = Faults(Figures()), Startup()
-        with unittest.mock.patch("cleatyoke.fleet.restore.Disk", Late):
+        peers = FleetSettings("ours", listen, listen, [], 0, FLEET_TIMES, durable=self.durable)
+        faults, startup = Faults(Metrics()), StagedStartRunner()
+        with unittest.mock.patch("cleatyoke.fleet.restore.StateDatabase", Late):
             recall = await startup.recall(peers, "n1", faults)
         assert recall
         self.assertEqual([one.what for one in startup.recovery.passed], ["bound"])
@@ -327,4 +327,4 @@
         self.assertEqual((changed, view.members.id.boot), ([frozenset({"s-003"})], (1 << 52) + 2))
         view.stop()
         self.assertEqual(faults.figures.faults, 0)
-        self.assertEqual(Disk(self.durable, "ours/n1").load()[0].boot, (1 << 52) + 2)
+        self.assertEqual(StateDatabase(self.durable, "ours/n1").load()[0].boot, (1 << 52) + 2)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -15,16 +15,15 @@
 
 from cleatyoke.config.deployment import Address
 from cleatyoke.discovery import watch as module
-from cleatyoke.discovery.directory import Directory, Listing
+from cleatyoke.discovery.directory import Directory, EndpointList
 from cleatyoke.discovery.watch import Discovery, Watch
 from cleatyoke.emulation import clock
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.api import NodeState
+from cleatyoke.scheduling.events import EndpointState, SchedulerEvent, UpdateKind
 from tests.wire import DiscoveryAgent, instance
 
 FRONTS = 200
 TOLD = 6.0
-DRAINS = Listing(2, False, [instance("s-a", 1, NodeState.DRAINING)])
+DRAINS = EndpointList(2, False, [instance("s-a", 1, EndpointState.DRAINING)])
 
 
 class Service:
@@ -62,7 +61,7 @@
     async def fetch(self, watch: Watch, session: Any, within: float) -> None:
         await self.answered(within)
         if watch.speaks():
-            watch.take(DRAINS, api.ListKind.FULL)
+            watch.take(DRAINS, UpdateKind.SNAPSHOT)
 
     async def watch(self, watch: Watch, session: Any, within: float) -> None:
         """The watch that stands at the beginning breaks at 1 s, or falls silent just after a line then."""
@@ -92,7 +91,7 @@
         loop, fronts = asyncio.get_running_loop(), []
         for number in range(fronts_in_all):
 
-            def tell(event: api.Event, number: int = number) -> None:
+            def tell(event: SchedulerEvent, number: int = number) -> None:
                 times.setdefault(number, loop.time())
 
             address, directory = Address("127.0.0.1", 1), Directory({})
@@ -285,7 +284,7 @@
 
         server = await asyncio.start_server(slow, "127.0.0.1", 0)
         directory = Directory({})
-        directory.apply(Listing(7, True, [instance("s-a", 1)]))
+        directory.apply(EndpointList(7, True, [instance("s-a", 1)]))
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
         discovery = Discovery(address, directory, lambda event: None, pushed=True)
         discovery.start()
@@ -323,7 +322,7 @@
 
         server = await asyncio.start_server(talk, "127.0.0.1", 0)
         directory = Directory({})
-        directory.apply(Listing(7, True, [instance("s-a", 1)]))
+        directory.apply(EndpointList(7, True, [instance("s-a", 1)]))
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
         discovery = Discovery(address, directory, lambda event: None, 200, pushed=pushed)
         discovery.start()
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -16,8 +16,8 @@
 from cleatyoke.emulation import value as earnings
 from cleatyoke.emulation.clock import Idle, run
 from cleatyoke.emulation.traffic import UNIX, Emulation, emulate
-from cleatyoke.emulation.value import Wish
-from cleatyoke.scheduling import api
+from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario, make_scenario
 
 
@@ -88,9 +88,9 @@
     assert {status for _, status, _ in answers(one)} == {200, 502, 503, None}
 
 
-def opened_at_once(settings: api.Settings) -> Core:
+def opened_at_once(settings: SchedulerSettings) -> Core:
     """A front that takes every box for warm."""
-    settings.safety = dataclasses.replace(settings.safety, ramp=0.0)
+    settings.safety = dataclasses.replace(settings.safety, slow_start_duration=0.0)
     return Core(settings, UNIX)
 
 
@@ -123,10 +123,10 @@
     small = scenario([])
     kind = small.kinds[0]
     wishes = [
-        Wish(0.1, 0, kind, 2.0, 0.2),
-        Wish(0.2, 0, kind, 2.0, 0.2 + kind.aim + 0.1),
-        Wish(0.3, 0, kind, 4.0, 0.4),
-        Wish(1.3, 0, kind, 4.0, None),
+        RequestTemplate(0.1, 0, kind, 2.0, 0.2),
+        RequestTemplate(0.2, 0, kind, 2.0, 0.2 + kind.aim + 0.1),
+        RequestTemplate(0.3, 0, kind, 4.0, 0.4),
+        RequestTemplate(1.3, 0, kind, 4.0, None),
     ]
     unit = kind.worth * 2
     late = 2 * 0.35 * unit * kind.late_share  # all of its second's reserve is taken by the two in time
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,12 +15,20 @@
 import aiohttp
 
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.handover import HEARD, MARK, Lives
-from cleatyoke.process.metrics import Figures
-from cleatyoke.scheduling import api
-from cleatyoke.scheduling.records import ShareClock
-from cleatyoke.scheduling.scheduler import Policy
-from cleatyoke.transport.sockets import NotListening, take_listening
+from cleatyoke.process.handover import HEARD, MARK, SiblingProcesses
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.scheduling.actions import SendAttempt
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    EndpointUpdate,
+    QuotaShareChanged,
+    RequestArrived,
+    UpdateKind,
+)
+from cleatyoke.scheduling.records import QuotaClock
+from cleatyoke.scheduling.scheduler import Scheduler
+from cleatyoke.transport.sockets import NotListeningError, take_listening
 from tests.host import class_spec, entry, plan_spec, settings
 from tests.wire import FACTS, config
 
@@ -49,10 +57,10 @@
     def test_only_a_listening_tcp_socket_is_taken_and_nothing_else_is_closed(self) -> None:
         with tempfile.TemporaryFile() as plain, socket.socket() as unbound:
             for descriptor in (plain.fileno(), unbound.fileno()):
-                with self.assertRaises(NotListening):
+                with self.assertRaises(NotListeningError):
                     take_listening(descriptor)
                 os.fstat(descriptor)  # still open
-        with self.assertRaises(NotListening):
+        with self.assertRaises(NotListeningError):
             take_listening(999)
 
 
@@ -105,22 +113,22 @@
         settings, told = config().settings, []
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / f"{MARK}{2**22 + 7}").write_text("")  # a process that died
-            lives = Lives(Path(folder), settings, Faults(Figures()), 50.0)
-            self.assertEqual((settings.limit_share, settings.taken_over), (1.0, False))
-            self.assertEqual(settings.quiet_since, 50.0)
+            lives = SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0)
+            self.assertEqual((settings.initial_quota_share, settings.replaces_process), (1.0, False))
+            self.assertEqual(settings.idle_since, 50.0)
             other = Path(folder) / f"{MARK}{os.getppid()}"
             other.write_text("")  # one that lives
             lives.start(told.append)
-            self.assertEqual(told, [api.Shared(0.5)])
+            self.assertEqual(told, [QuotaShareChanged(0.5)])
             other.unlink()
             await asyncio.sleep(0.12)
-            self.assertEqual(told, [api.Shared(0.5), api.Shared(1.0)])
+            self.assertEqual(told, [QuotaShareChanged(0.5), QuotaShareChanged(1.0)])
             lives.stop()
             self.assertFalse(lives.mark.exists())
             other.write_text("")
-            Lives(Path(folder), settings, Faults(Figures()), 50.0).mark.unlink()
-            self.assertEqual((settings.limit_share, settings.taken_over), (0.5, True))
-            self.assertGreater(settings.quiet_since or 0.0, time.time())  # not before the other has heard
+            SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0).mark.unlink()
+            self.assertEqual((settings.initial_quota_share, settings.replaces_process), (0.5, True))
+            self.assertGreater(settings.idle_since or 0.0, time.time())  # not before the other has heard
 
 
 class Overlap(unittest.TestCase):
@@ -128,40 +136,44 @@
 
     limit, burst, slack = 30.0, 55.0, 8.0
 
-    def policy(self, since: float, part: float, taken_over: bool) -> Policy:
-        plan = plan_spec(reserve=0.0, limit=self.limit, limit_burst=self.burst, limit_slack=self.slack)
+    def policy(self, since: float, part: float, taken_over: bool) -> Scheduler:
+        plan = plan_spec(
+            reserved_rate=0.0, rate_limit=self.limit, rate_limit_burst=self.burst, rate_limit_slack=self.slack
+        )
         made = settings(
             [class_spec()],
             [plan],
-            hosts=1,
-            quiet_since=since,
-            limit_share=part,
-            taken_over=taken_over,
+            front_count=1,
+            idle_since=since,
+            initial_quota_share=part,
+            replaces_process=taken_over,
             max_attempts=4,
         )
-        policy = Policy(made)
-        policy.step(since + 0.3, [api.NodeList(api.ListKind.FULL, [entry(11, 0)])])
+        policy = Scheduler(made)
+        policy.step(since + 0.3, [EndpointUpdate(UpdateKind.SNAPSHOT, [entry(11, 0)])])
         return policy
 
-    def ask(self, policy: Policy, now: float, units: float) -> float:
+    def ask(self, policy: Scheduler, now: float, units: float) -> float:
         """Units that go out for a request made now, which a node answers at once."""
         self.asked += 1
-        arrival = api.Arrival(
-            request=str(self.asked),
+        arrival = RequestArrived(
+            request_id=str(self.asked),
             class_index=0,
-            plan=0,
-            volume=1,
+            plan_index=0,
+            volume_id=1,
             item=self.asked,
-            cell=0,
+            shard=0,
             units=units,
             deadline=now + 1.5,
-            hosts=1,
+            front_count=1,
         )
         sent = 0.0
         for action in policy.step(now, [arrival]):
-            if isinstance(action, api.Send):
+            if isinstance(action, SendAttempt):
                 sent += units
-                policy.step(now, [api.Ended(action.request, 0, 11, api.Outcome.SERVED, 0.001, True)])
+                policy.step(
+                    now, [AttemptFinished(action.request_id, 0, 11, AttemptOutcome.SERVED, 0.001, True)]
+                )
         return sent
 
     def play(self, overlap: float, lag: float, quiet: float) -> float:
@@ -178,10 +190,10 @@
             level = min(self.burst, level + self.limit * 0.02)
             if now >= started + lag and not told:
                 told = True
-                old.step(now, [api.Shared(0.5)])
+                old.step(now, [QuotaShareChanged(0.5)])
             if now >= started + overlap and not ended:
                 ended = True
-                new.step(now, [api.Shared(1.0)])
+                new.step(now, [QuotaShareChanged(1.0)])
             if not ended:
                 level -= self.ask(old, now, 2.0)
             if now >= started + max(0.5, quiet):
@@ -197,6 +209,6 @@
                 self.assertLess(least, self.burst / 2)  # it was asked for more than it could give
 
     def test_a_share_is_not_counted_for_the_time_before_it_held(self) -> None:
-        clock = ShareClock(0.5, 10.0)
+        clock = QuotaClock(0.5, 10.0)
         clock.change(1.0, 14.0)
         self.assertEqual((clock.time(14.0), clock.time(15.0), clock.time(12.0)), (2.0, 3.0, 2.0))
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -5,8 +5,16 @@
 import asyncio
 import unittest
 
-from cleatyoke.config.deployment import Address, VrrpPeers
-from cleatyoke.vrrp.instance import Advertisement, BadAdvertisement, Carrier, Router, State, decode, encode
+from cleatyoke.config.deployment import Address, VrrpSettings
+from cleatyoke.vrrp.instance import (
+    Advertisement,
+    AdvertisementError,
+    Carrier,
+    State,
+    VirtualRouter,
+    decode,
+    encode,
+)
 
 
 def said(priority: int, interval: float = 1.0) -> Advertisement:
@@ -14,8 +22,8 @@
 
 
 class RouterCase(unittest.TestCase):
-    def backup(self, priority: int = 128, preempt: bool = True) -> Router:
-        router = Router(priority, 1.0, preempt, "10.0.0.2")
+    def backup(self, priority: int = 128, preempt: bool = True) -> VirtualRouter:
+        router = VirtualRouter(priority, 1.0, preempt, "10.0.0.2")
         self.assertEqual(router.startup(100.0), [])
         return router
 
@@ -29,7 +37,7 @@
         self.assertEqual((router.state, router.due), (State.MASTER, 106.5))
 
     def test_the_owner_is_master_at_once_and_says_so_when_it_leaves(self) -> None:
-        router = Router(255, 1.0, True, "10.0.0.2")
+        router = VirtualRouter(255, 1.0, True, "10.0.0.2")
         self.assertEqual(router.startup(100.0), [255])
         self.assertEqual(router.shutdown(), [0])
         self.assertEqual(router.state, State.INITIALIZE)
@@ -68,7 +76,7 @@
         self.assertEqual(decode(message), said(100, 2.5))
         wrong = (b"", message[:-4], bytes([0x21]) + message[1:], message[:-1] + b"\0", message + bytes(4))
         for bad in wrong:
-            with self.assertRaises(BadAdvertisement):
+            with self.assertRaises(AdvertisementError):
                 decode(bad)
 
 
@@ -78,7 +86,7 @@
         news: list[asyncio.Queue[bool]] = []
         for host, priority in (("127.0.0.1", 200), ("127.0.0.2", 100)):
             heard: asyncio.Queue[bool] = asyncio.Queue()
-            config = VrrpPeers(Address(host, 0), [], 1, priority, 0.05, True, ["10.0.0.9"])
+            config = VrrpSettings(Address(host, 0), [], 1, priority, 0.05, True, ["10.0.0.9"])
             carriers.append(Carrier(config, heard.put))
             news.append(heard)
         first = await carriers[0].start()
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -9,9 +9,10 @@
 from dataclasses import replace
 from typing import Any
 
-from cleatyoke.config.deployment import Address, Config, Shares
-from cleatyoke.discovery.directory import Directory, Instance, Listing
-from cleatyoke.scheduling import api
+from cleatyoke.config.deployment import Address, Config, SocketBudget
+from cleatyoke.discovery.directory import Directory, EndpointList, Instance
+from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, UpdateKind
+from cleatyoke.scheduling.settings import Idempotency, SchedulerSettings
 from cleatyoke.sftp import packets as p
 from cleatyoke.testbed.peer import Peer
 from tests.host import class_spec, plan_spec, settings
@@ -30,9 +31,9 @@
 }
 
 
-def two_classes(**changes: Any) -> api.Settings:
-    once = class_spec(repeat=api.Repeat.ONCE, worth=2.0)
-    return settings([class_spec(worth=3.0), once], hosts=1, max_attempts=4, **changes)
+def two_classes(**changes: Any) -> SchedulerSettings:
+    once = class_spec(idempotency=Idempotency.NOT_IDEMPOTENT, priority_weight=2.0)
+    return settings([class_spec(priority_weight=3.0), once], front_count=1, max_attempts=4, **changes)
 
 
 def config(**changes: Any) -> Config:
@@ -42,9 +43,9 @@
         discovery=Address("127.0.0.1", 1),
         file_discovery=Address("127.0.0.1", 1),
         seed=1,
-        shares=Shares.of(1024, False),
+        shares=SocketBudget.of(1024, False),
         known={},
-        settings=two_classes(plans=[plan_spec(rate=80.0, reserve=80.0)]),
+        settings=two_classes(plans=[plan_spec(base_rate=80.0, reserved_rate=80.0)]),
         classes={"tile-read": 0, "record-write": 1},
         plans={"public": 0},
         give_up=[1.5, 1.5],
@@ -59,13 +60,13 @@
     return replace(base, **changes)
 
 
-def instance(name: str, port: int, state: api.NodeState = api.NodeState.LIVE, cell: int = 0) -> Instance:
+def instance(name: str, port: int, state: EndpointState = EndpointState.LIVE, cell: int = 0) -> Instance:
     return Instance(name, Address("127.0.0.1", port), "basement", cell, state, 0.0)
 
 
-def listed(directory: Directory, *instances: Instance, whole: bool = False) -> api.NodeList:
-    kind = api.ListKind.FULL if whole else api.ListKind.CHANGES
-    return api.NodeList(kind, directory.apply(Listing(1, whole, list(instances))))
+def listed(directory: Directory, *instances: Instance, whole: bool = False) -> EndpointUpdate:
+    kind = UpdateKind.SNAPSHOT if whole else UpdateKind.DELTA
+    return EndpointUpdate(kind, directory.apply(EndpointList(1, whole, list(instances))))
 
 
 # trace id -> a whole answer, its pieces as they come, or None to break off
