--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -173,9 +173,11 @@
             self.front.listen()
             self.files = await FileService.start(config, self.core, directory)
         except NotListeningError as error:
-            raise ConfigError(f"RELAY_ACCEPT_FD: {error}") from error
+            msg = f"RELAY_ACCEPT_FD: {error}"
+            raise ConfigError(msg) from error
         except OSError as error:
-            raise ConfigError(f"listen: {error}") from error
+            msg = f"listen: {error}"
+            raise ConfigError(msg) from error
         if not self.control:
             self.open_control()
         if config.metrics:
@@ -188,7 +190,8 @@
             try:
                 self.control = ControlListener(self.config.ops, self.commands())
             except OSError as error:
-                raise ConfigError(f"ops: {error}") from error
+                msg = f"ops: {error}"
+                raise ConfigError(msg) from error
             self.control.start()
 
     def start_probes(self, config: Config) -> LoadProbeRunner:
@@ -205,7 +208,8 @@
 
     async def recover(self, peers: FleetSettings) -> None:
         """What comes before the door opens where fronts keep a view of one another: the own memory, the
-        peers' view, the list; each waited for within a bound (``fleet.recovery``)."""
+        peers' view, the list; each waited for within a bound (``fleet.recovery``).
+        """
         try:
             from cleatyoke.fleet.startup import StagedStartRunner
             from cleatyoke.fleet.view import FleetView  # an optional extra, imported only where it is on
@@ -224,7 +228,8 @@
             view.say(config.settings)
             await view.start()
         except (ImportError, OSError) as error:
-            raise ConfigError(f"fleet: {error}") from error
+            msg = f"fleet: {error}"
+            raise ConfigError(msg) from error
         self.fleet = view
         await startup.meet(view)
         await startup.hear_of_boxes(bool(directory.boxes), discovery.heard)
@@ -234,7 +239,8 @@
         try:
             from cleatyoke.distribution.network import Subscription  # imported only where it is on
         except ImportError as error:
-            raise ConfigError(f"distribution: {error}") from error
+            msg = f"distribution: {error}"
+            raise ConfigError(msg) from error
         config = self.config
         return Subscription(
             relays, config.name, config.seed, self.faults, self.put_in_force, self.discovery.take
@@ -253,7 +259,8 @@
                 lambda: self.subscription.gauges() if self.subscription else {},
             )
         except (ImportError, OSError) as error:
-            raise ConfigError(f"metrics: {error}") from error
+            msg = f"metrics: {error}"
+            raise ConfigError(msg) from error
 
     def commands(self) -> ControlCommands:
         front, directory = self.front, self.directory
@@ -368,7 +375,8 @@
 
     def release(self) -> None:
         """Each by itself: one that cannot be given back must not keep the others, nor end the exit by a
-        fault."""
+        fault.
+        """
         steps = {
             "discovery": self.discovery.stop,
             "fleet": self.fleet.stop if self.fleet else lambda: None,
@@ -394,7 +402,8 @@
         raise
     except Exception as error:
         daemon.faults.told("start_fault", error)
-        raise ConfigError(f"start: {type(error).__name__}: {error}") from error
+        msg = f"start: {type(error).__name__}: {error}"
+        raise ConfigError(msg) from error
     try:
         await daemon.serve()
     except Exception as error:
@@ -410,7 +419,8 @@
         fronts = FRONTS
         if words:
             if len(words) != 2 or words[0] != "--fronts":
-                raise ConfigError(f"arguments: want none or --fronts FILE, found {' '.join(words)}")
+                msg = f"arguments: want none or --fronts FILE, found {' '.join(words)}"
+                raise ConfigError(msg)
             fronts = Path(words[1])
         return asyncio.run(run(read_config(os.environ, fronts), fronts)).value
     except ConfigError as error:
--- a/cleatyoke/admin/control.py
+++ b/cleatyoke/admin/control.py
@@ -169,7 +169,7 @@
         try:
             sent = caller.socket.send(caller.out)
         except BlockingIOError:
-            return
+            return None
         except OSError:
             return self.close(caller)
         caller.out = caller.out[sent:]
--- a/cleatyoke/admin/maintenance.py
+++ b/cleatyoke/admin/maintenance.py
@@ -9,7 +9,8 @@
 @dataclass(slots=True)
 class OperatorHolds:
     """Boxes by instance id that nothing is sent to until they are released. A hold is not counted: two calls
-    to disable need one call back. A released box comes back as one started anew, so it is paced as cold."""
+    to disable need one call back. A released box comes back as one started anew, so it is paced as cold.
+    """
 
     held: dict[str, None] = field(default_factory=dict)
     released: dict[str, float] = field(default_factory=dict)  # id: when it was released, in Unix time
@@ -40,7 +41,8 @@
 
     def adopt(self, text: str, now: float) -> tuple[list[str], list[str]]:
         """Take the holds that another process of this front wrote; returns the ids newly held and released.
-        Text that cannot be read changes nothing."""
+        Text that cannot be read changes nothing.
+        """
         try:
             values = json.loads(text)
             held = [str(name) for name in values["held"]]
--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -118,7 +118,8 @@
 @dataclass(slots=True, frozen=True)
 class SocketBudget:
     """How the descriptors of the process are dealt out. A request in work holds a client's connection and at
-    most one to a box, so as many are kept for boxes as for clients, and no attempt wants for one."""
+    most one to a box, so as many are kept for boxes as for clients, and no attempt wants for one.
+    """
 
     clients: int
     crowd: int  # idle ones beyond which each ends with its answer: half of what clients open
@@ -182,9 +183,11 @@
         """Take what a reload takes: the settings (of classes and plans, attempts, limits), and the address of
         discovery, where the file names a new one. That wins over RELAY_DISCOVERY, as a running process cannot
         be given another. ``known`` and ``seed`` count at a start only. A file that lacks a key that the last
-        one had is a ``BadConfig``, and nothing is taken from it."""
+        one had is a ``BadConfig``, and nothing is taken from it.
+        """
         if lost := missing(self.keys, new.keys):
-            raise ConfigError(f"{lost}: missing, and the file had it before")
+            msg = f"{lost}: missing, and the file had it before"
+            raise ConfigError(msg)
         kept = (
             "name",
             "listen",
@@ -317,7 +320,8 @@
 def read_address(text: str, key: str) -> Address:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= 65535:
-        raise ConfigError(f"{key}: want HOST:PORT, found {text!r}")
+        msg = f"{key}: want HOST:PORT, found {text!r}"
+        raise ConfigError(msg)
     return Address(host.strip("[]"), int(port))
 
 
@@ -395,25 +399,31 @@
     environment: Mapping[str, str], fronts: Path = FRONTS, settings: Callable[[Any], Any] = lambda own: own
 ) -> Config:
     """All that the daemon is told. RELAY_* variables win over the same keys of the file. ``settings``: of the
-    file's settings, those that hold, where others were distributed."""
+    file's settings, those that hold, where others were distributed.
+    """
     path = environment.get("RELAY_CONFIG", "")
     if not path:
-        raise ConfigError("RELAY_CONFIG: missing")
+        msg = "RELAY_CONFIG: missing"
+        raise ConfigError(msg)
     try:
         values = json.loads(Path(path).read_bytes())
     except OSError as error:
-        raise ConfigError(f"RELAY_CONFIG: cannot read {path}: {error.strerror}") from error
+        msg = f"RELAY_CONFIG: cannot read {path}: {error.strerror}"
+        raise ConfigError(msg) from error
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"RELAY_CONFIG: {path} is no JSON: {error}") from error
+        msg = f"RELAY_CONFIG: {path} is no JSON: {error}"
+        raise ConfigError(msg) from error
     if not isinstance(values, dict):
-        raise ConfigError(f"RELAY_CONFIG: {path} holds no object")
+        msg = f"RELAY_CONFIG: {path} holds no object"
+        raise ConfigError(msg)
     values = {**values, "settings": settings(values.get("settings"))}
     root = Table(values, "")
     seed_text = root.text("seed", "0")
     try:
         seed = int(seed_text, 16)
     except ValueError as error:
-        raise ConfigError(f"seed: want hex digits, found {seed_text!r}") from error
+        msg = f"seed: want hex digits, found {seed_text!r}"
+        raise ConfigError(msg) from error
     facts = root.table("settings")
     limits = facts.table("PolicyLimits")
     lanes, extra = facts.tables("Lanes"), facts.table("Extra", {})
@@ -468,7 +478,8 @@
     if text is None or text == "":
         return None
     if not text.isascii() or not text.isdecimal() or not 0 <= int(text) < 1 << 20:
-        raise ConfigError(f"RELAY_ACCEPT_FD: want a descriptor number, found {text!r}")
+        msg = f"RELAY_ACCEPT_FD: want a descriptor number, found {text!r}"
+        raise ConfigError(msg)
     return int(text)
 
 
@@ -487,7 +498,8 @@
     except FileNotFoundError:
         return None, None, None, None, None
     except (OSError, ValueError) as error:
-        raise ConfigError(f"{path.name}: {error}") from error
+        msg = f"{path.name}: {error}"
+        raise ConfigError(msg) from error
     root = Table(values, f"{path.name}: ")
     sftp = read_sftp(root.table("sftp", {}), classes, plans)
     vrrp = read_vrrp(root.table("vrrp", {}))
@@ -503,7 +515,8 @@
         return None
     deployment = table.text("deployment")
     if not 1 <= len(deployment) <= 64:
-        raise table.fail("deployment", f"want 1 to 64 letters, found {deployment!r}")
+        msg = "deployment"
+        raise table.fail(msg, f"want 1 to 64 letters, found {deployment!r}")
     found = {}
     for key in ("relays", "others"):
         rows = table.rows(key, [])
@@ -511,12 +524,15 @@
             raise table.fail(key, "want a list of texts")
         found[key] = [read_address(one, f"{table.path}{key}") for one in rows]
     if not found["relays"]:
-        raise table.fail("relays", "want one at the least")
+        msg = "relays"
+        raise table.fail(msg, "want one at the least")
     poll, rate = table.positive("poll_s", 2.0), table.positive("bytes_s", 2300.0)
     if not 0.1 <= poll <= 60:
-        raise table.fail("poll_s", f"want 0.1 to 60 seconds, found {poll:g}")
+        msg = "poll_s"
+        raise table.fail(msg, f"want 0.1 to 60 seconds, found {poll:g}")
     if not 500 <= rate <= 1e9:
-        raise table.fail("bytes_s", f"want 500 to 1e9, found {rate:g}")
+        msg = "bytes_s"
+        raise table.fail(msg, f"want 500 to 1e9, found {rate:g}")
     relays = DistributionSettings(
         deployment=deployment,
         relays=found["relays"],
@@ -534,23 +550,29 @@
         return None
     deployment = table.text("deployment")
     if not 1 <= len(deployment) <= 64:
-        raise table.fail("deployment", f"want 1 to 64 letters, found {deployment!r}")
+        msg = "deployment"
+        raise table.fail(msg, f"want 1 to 64 letters, found {deployment!r}")
     listen, seeds = table.address("listen"), table.rows("seeds")
     if not all(isinstance(one, str) for one in seeds):
-        raise table.fail("seeds", "want a list of texts")
+        msg = "seeds"
+        raise table.fail(msg, "want a list of texts")
     if not listen.port:
-        raise table.fail("listen", "want a port, as others have to find it again")
+        msg = "listen"
+        raise table.fail(msg, "want a port, as others have to find it again")
     timing = {}
     for name, usual in FLEET_TIMES.items():
         timing[name] = table.positive(f"{name}_s", usual)
         if not 0.01 <= timing[name] <= 3600:
-            raise table.fail(f"{name}_s", f"want 0.01 to 3600 seconds, found {timing[name]:g}")
+            msg = f"{name}_s"
+            raise table.fail(msg, f"want 0.01 to 3600 seconds, found {timing[name]:g}")
     for name in ("answer", "gossip"):
         if timing[name] >= timing["period"]:
-            raise table.fail(f"{name}_s", f"want less than period_s, found {timing[name]:g}")
+            msg = f"{name}_s"
+            raise table.fail(msg, f"want less than period_s, found {timing[name]:g}")
     folder = table.text("durable", "")
     if folder and not Path(folder).is_absolute():
-        raise table.fail("durable", f"want an absolute path, found {folder!r}")
+        msg = "durable"
+        raise table.fail(msg, f"want an absolute path, found {folder!r}")
     fleet = FleetSettings(
         deployment=deployment,
         listen=listen,
@@ -582,12 +604,14 @@
     for entry in table.tables("volume"):
         prefix = entry.text("path")
         if not prefix.startswith("/") or prefix != "/" + prefix.strip("/"):
-            raise entry.fail("path", f"want an absolute path without a closing slash, found {prefix!r}")
+            msg = "path"
+            raise entry.fail(msg, f"want an absolute path without a closing slash, found {prefix!r}")
         digits = entry.text("volume")
         try:
             volume = int(digits, 16)
         except ValueError as error:
-            raise entry.fail("volume", f"want hex digits, found {digits!r}") from error
+            msg = "volume"
+            raise entry.fail(msg, f"want hex digits, found {digits!r}") from error
         plan, cell = entry.one_of("plan", plans), entry.whole("shard", -1, 1 << 31)
         volumes.append(VolumePath(prefix, volume, plan, cell, entry.whole("hosts", 1, 1 << 16, 1)))
         entry.nothing_else()
--- a/cleatyoke/config/reload.py
+++ b/cleatyoke/config/reload.py
@@ -55,7 +55,8 @@
     plan_names: Sequence[str],
 ) -> SchedulerSettings:
     """The settings that hold from now on: the new ones with every class and plan at its place, and what
-    belongs to this life of the process (its seed, when it began) as it was."""
+    belongs to this life of the process (its seed, when it began) as it was.
+    """
     kinds = classes.arrange(old.classes, class_names, new.classes)
     for place in classes.retired():
         kinds[place] = replace(kinds[place], priority_weight=RETIRED)
@@ -75,7 +76,8 @@
 ) -> list[bool | None]:
     """Which classes change data, by place. A new list counts where it names as many as there are classes. The
     platform's stays as it was while classes come and go, and would then be read for the wrong ones: a class
-    keeps what was said of it, and of a new one nothing is known."""
+    keeps what was said of it, and of a new one nothing is known.
+    """
     out: list[bool | None] = [None] * len(classes.ever)
     if len(new) == len(classes.live):
         for place, value in zip(classes.live.values(), new):
@@ -101,6 +103,7 @@
 
 def missing(old: frozenset[str], new: frozenset[str]) -> str | None:
     """The first key that the file had and has no more: a file that is written halfway, or by a faulty hand,
-    must change nothing, even where the key has a default."""
+    must change nothing, even where the key has a default.
+    """
     lost = sorted(old - new)
     return lost[0] if lost else None
--- a/cleatyoke/coordination/demand.py
+++ b/cleatyoke/coordination/demand.py
@@ -1,5 +1,6 @@
 """How much of each shared thing is asked for here, in parts of this front's home in it. No input, output or
-clock; times are of one clock."""
+clock; times are of one clock.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/coordination/hold_replication.py
+++ b/cleatyoke/coordination/hold_replication.py
@@ -1,7 +1,8 @@
 """The copies that one front keeps and shares: what its operators do here, what comes from others, who has it.
 
 No input, output or clock. ``members`` carries a dump along with every exchange of views, and exchanges where
-the digests of two fronts differ."""
+the digests of two fronts differ.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +36,8 @@
 
     def digest(self) -> int:
         """The same where the same is held by the same dots, and as much is known to be released. Every probe
-        asks for it, so that it is summed up once for each change."""
+        asks for it, so that it is summed up once for each change.
+        """
         if self.digested is None or self.digested[0] is not self.holds:
             self.digested = self.holds, self.sum_up()
         return self.digested[1]
@@ -53,7 +55,8 @@
 
     def load(self, sender: MemberId, data: bytes) -> bool:
         """Merge a dump; whether anything here is new by it. Raises ``ValueError``, and takes nothing of one
-        that cannot be."""
+        that cannot be.
+        """
         copy = decode("holds", data)
         if len(self.told) >= MOST_ACTORS and sender not in self.told:
             del self.told[next(iter(self.told))]
@@ -70,7 +73,8 @@
 
     def restore(self, data: bytes, held: frozenset[str]) -> None:
         """At a start: the copy that the life before kept, so that a release that it missed still counts, and
-        what is held by hand beside it. Where the copy cannot be read, all that is held is held anew."""
+        what is held by hand beside it. Where the copy cannot be read, all that is held is held anew.
+        """
         with contextlib.suppress(ValueError):
             self.holds = merge("holds", self.holds, decode("holds", data))
         for box in held - self.holds.boxes():
--- a/cleatyoke/coordination/quota_leases.py
+++ b/cleatyoke/coordination/quota_leases.py
@@ -58,7 +58,8 @@
 @dataclass(slots=True, frozen=True)
 class DemandChanged:
     """What this front could use of each resource now, in parts of a home. It is at home in these and in no
-    others: who has never had a request for a volume may not be one of its fronts."""
+    others: who has never had a request for a volume may not be one of its fronts.
+    """
 
     parts: Mapping[str, float]
 
@@ -73,7 +74,8 @@
 @dataclass(slots=True, frozen=True)
 class QuotaFractionChanged:
     """How much of all this a process may use, where two of one front live, as in an upgrade. Who uses this
-    scales by it; here, what is under 1 neither lends nor borrows, so that soon all is as it was before."""
+    scales by it; here, what is under 1 neither lends nor borrows, so that soon all is as it was before.
+    """
 
     part: float
 
--- a/cleatyoke/coordination/rate_limit_leases.py
+++ b/cleatyoke/coordination/rate_limit_leases.py
@@ -1,7 +1,8 @@
 """Limits of volumes by rights: what is asked for here, what may be used, and when the policy hears of it.
 
 No input, output or clock. A volume's resource is its number; its home part is a front's even part of the
-limit, as the policy has it without this."""
+limit, as the policy has it without this.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/coordination/replicated_holds.py
+++ b/cleatyoke/coordination/replicated_holds.py
@@ -68,7 +68,8 @@
     def forget(self, stopped: Collection[MemberId], everywhere: Collection[HoldSet]) -> HoldSet:
         """Drop the numbers of lives that are certainly over, of which no hold is left and whose dots every
         copy that may still be merged has. Should an older copy come back all the same, what was released
-        there is held again, which is the safe side."""
+        there is held again, which is the safe side.
+        """
         left = {life for dots in self.held.values() for life, _ in dots}
         gone = {
             life
@@ -82,7 +83,8 @@
 
 class TimestampedValue(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What an origin says; ``number`` rises with each word of its life, and ``at`` is its wall clock, told to
-    people only."""
+    people only.
+    """
 
     number: Count
     value: Annotated[str, msgspec.Meta(max_length=MOST_WORD)]
@@ -129,15 +131,18 @@
 def decode(kind: str, data: bytes) -> Any:
     """A copy of this kind. Raises ``ValueError`` with a reason of few words, and takes nothing of it then."""
     if kind not in MERGES:
-        raise ValueError("unknown kind")
+        msg = "unknown kind"
+        raise ValueError(msg)
     try:
         copy = msgspec.msgpack.decode(data, type=MERGES[kind][0])
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise ValueError("unreadable") from error
+        msg = "unreadable"
+        raise ValueError(msg) from error
     if isinstance(copy, HoldSet):
         for dots in copy.held.values():
             if not dots or not all(copy.covers(dot) for dot in dots):
-                raise ValueError("holds without their numbers")
+                msg = "holds without their numbers"
+                raise ValueError(msg)
     return copy
 
 
--- a/cleatyoke/coordination/staged_start.py
+++ b/cleatyoke/coordination/staged_start.py
@@ -59,7 +59,8 @@
 
 class StagedStart:
     """One life's start. ``lent_until``: on its own clock, when all is over that the life before can have
-    lent."""
+    lent.
+    """
 
     def __init__(self, began: float, lent_until: float) -> None:
         self.stage, self.since, self.lent_until = StartStage.DISK, began, lent_until
--- a/cleatyoke/core.py
+++ b/cleatyoke/core.py
@@ -46,7 +46,8 @@
 @dataclass(slots=True)
 class AttemptResult(Generic[T]):
     """How an attempt ended, its answer, and the units of its volume that the node served by other hosts
-    and the part of its power that it reports in use."""
+    and the part of its power that it reports in use.
+    """
 
     outcome: AttemptOutcome
     value: T | None = None
@@ -153,7 +154,8 @@
 
     def hurry(self, last: float) -> None:
         """The process is to end: everything that is open now is answered by ``last`` (Unix time), as is what
-        comes after. Guards requests whose clients wait longer than the process may take to leave."""
+        comes after. Guards requests whose clients wait longer than the process may take to leave.
+        """
         self.last = last
         for call in self.calls.values():
             for timer, margin in ((call.limit, ANSWER_MARGIN), (call.out, ATTEMPT_MARGIN)):
@@ -218,7 +220,8 @@
         """One attempt, until its timer ends it or the policy calls it off by the same timer. Its end is told
         once its connection is free or closed, so that there are never two out. What it is allowed by, the
         time ``before`` which nodes know its request and its own time, is looked at again directly before its
-        first byte: a connection may take long to come up."""
+        first byte: a connection may take long to come up.
+        """
         number, sent = call.attempts, self.now()
 
         def may() -> bool:
--- a/cleatyoke/discovery/backoff.py
+++ b/cleatyoke/discovery/backoff.py
@@ -20,7 +20,8 @@
     ``each`` is the time that the service is given for one host's call, in seconds, so that a span of ``hosts
     * each``, ``least`` at the least, spreads the fleet; ``hosts`` is infinite where nobody tells. The span
     doubles with each failure in a row, up to ``most`` times the first. ``period``: seconds from the beginning
-    of one call to that of the next at the most."""
+    of one call to that of the next at the most.
+    """
 
     def __init__(
         self, rng: random.Random, hosts: float, each: float, most: int, least: float, period: float
@@ -37,7 +38,8 @@
 
     def broke(self, within: float | None = None) -> float:
         """Before the next call, after an answer that came ended: it may have ended for all. ``within``: what
-        may pass until then."""
+        may pass until then.
+        """
         self.failures = 0
         span = min(self.span, self.period if within is None else within)
         self.failures = 1
--- a/cleatyoke/discovery/listings.py
+++ b/cleatyoke/discovery/listings.py
@@ -40,7 +40,8 @@
 @contextlib.contextmanager
 def collection_put_off() -> Iterator[None]:
     """No garbage collection meanwhile, and what is there afterwards is passed over by later ones: at 25,000
-    nodes one collection stood for 50 ms. What is frozen is freed by its reference count as ever."""
+    nodes one collection stood for 50 ms. What is frozen is freed by its reference count as ever.
+    """
     was_on = gc.isenabled()
     gc.disable()
     try:
@@ -112,28 +113,36 @@
 def read_head(value: Any) -> tuple[int, bool]:
     """The version, and whether the list is a whole one."""
     if not isinstance(value, dict):
-        raise MessageError("want an object")
+        msg = "want an object"
+        raise MessageError(msg)
     version, entries = value.get("generation"), value.get("instances")
     if not isinstance(version, int) or isinstance(version, bool):
-        raise MessageError(f"generation: want a whole number, found {version!r}")
+        msg = f"generation: want a whole number, found {version!r}"
+        raise MessageError(msg)
     if not isinstance(entries, list):
-        raise MessageError("instances: want a list")
+        msg = "instances: want a list"
+        raise MessageError(msg)
     return version, value.get("reset") is True
 
 
 def read_instance(entry: Any) -> Instance:
     if not isinstance(entry, dict):
-        raise MessageError("instances: want objects")
+        msg = "instances: want objects"
+        raise MessageError(msg)
     name, state, cell = entry.get("instanceId"), entry.get("lifecycle"), entry.get("cell")
     started = entry.get("startedAtMs") or 0
     if not isinstance(name, str) or not name:
-        raise MessageError(f"instanceId: want a text, found {name!r}")
+        msg = f"instanceId: want a text, found {name!r}"
+        raise MessageError(msg)
     if state not in STATES:
-        raise MessageError(f"lifecycle: unknown state {state!r}")
+        msg = f"lifecycle: unknown state {state!r}"
+        raise MessageError(msg)
     if cell is not None and (isinstance(cell, bool) or not isinstance(cell, int)):
-        raise MessageError(f"cell: want a whole number, found {cell!r}")
+        msg = f"cell: want a whole number, found {cell!r}"
+        raise MessageError(msg)
     if isinstance(started, bool) or not isinstance(started, int | float):
-        raise MessageError(f"startedAtMs: want a number, found {started!r}")
+        msg = f"startedAtMs: want a number, found {started!r}"
+        raise MessageError(msg)
     try:
         address = read_address(str(entry.get("hostPort")), "hostPort")
     except ConfigError as error:
--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -69,7 +69,8 @@
     ) -> None:
         """``pushed``: lists come from an agent of the front's own, which a call costs nothing, and what it
         has counts as told at once; else calls load a service that all fronts share. ``grace``: seconds after
-        a change was told in which a node may still be sent to, by the rule on drains."""
+        a change was told in which a node may still be sent to, by the rule on drains.
+        """
         self.pushed = pushed
         self.keep_pace(grace)
         self.address, self.directory, self.tell = address, directory, tell
@@ -91,7 +92,8 @@
     async def take_long(self, listing: EndpointList, watch: Watch) -> None:
         """A long list, in parts between which the event loop goes on; it is empty afterwards. Who drains or
         is gone comes first, in one turn; nodes of which nothing new is said are passed over. The directory's
-        version is the new one only once all is taken."""
+        version is the new one only once all is taken.
+        """
         directory, latest = self.directory, {box.name: box for box in listing.instances}
         names, version = frozenset(latest), directory.version or 0
         listing.instances.clear()  # given back in parts, as to free them all in one turn takes long
@@ -113,14 +115,16 @@
 
     def not_in(self, listing: EndpointList, names: Collection[str], watch: Watch) -> list[Instance]:
         """The nodes that a whole list no longer has, as gone; of an agent that was moved from it proves
-        nothing that one is missing."""
+        nothing that one is missing.
+        """
         absent = self.directory.absent(names) if listing.whole and watch not in self.retired else []
         return [replace(box, state=EndpointState.REMOVED) for box in absent]
 
     def compare(self, listing: EndpointList, watch: Watch) -> EndpointList:
         """Guards nodes that one agent has said leave against another agent's list, which may be older: amid a
         move they go on leaving until the new agent must know better. A node that is started anew is another
-        life. Of an agent that was moved from, only what it says of leaving counts."""
+        life. Of an agent that was moved from, only what it says of leaving counts.
+        """
         now = asyncio.get_running_loop().time()
         self.down = {life: told for life, told in self.down.items() if told[0] > now - TOLD}
         if watch in self.retired:
@@ -157,13 +161,15 @@
 
     def move(self, address: Address) -> None:
         """Watch another agent. The whole list comes first, as the old one's versions are nothing to it. Until
-        it has come the old watch goes on: nothing is missed, and no wait on the old one delays the new."""
+        it has come the old watch goes on: nothing is missed, and no wait on the old one delays the new.
+        """
         self.address = address
         self.watches.append(Watch(self, address, None))
 
     def settled(self, watch: Watch) -> None:
         """This one has told its whole list: from here on, older ones may only say who leaves, in what they
-        have sent by now."""
+        have sent by now.
+        """
         while self.watches and self.watches[0] is not watch:
             old = self.watches.pop(0)
             self.retired.add(old)
@@ -222,7 +228,8 @@
 
     def wait(self, silent: bool) -> float:
         """Seconds before the next call. An own agent's calls cost nothing, so that only what a loop can do
-        bounds them."""
+        bounds them.
+        """
         if self.refused:
             return PERIOD  # reading it again costs, whoever sends it
         if self.owner.pushed:
@@ -247,7 +254,8 @@
         """Call an own agent, which answers at once unless discovery is down, and then not even at its return.
         What it has at that moment counts as told at once, so a call that is not answered soon gets company
         every few moments. The first of them is waited for longest, should the agent only be slow. Whichever
-        is answered first is the watch; returns or raises as that ends."""
+        is answered first is the watch; returns or raises as that ends.
+        """
         loop, calls = asyncio.get_running_loop(), list[asyncio.Task[None]]()
         self.speaker = None
         try:
@@ -279,7 +287,8 @@
 
     async def call(self, session: aiohttp.ClientSession, within: float) -> None:
         """The whole list where it is needed, then the watch until that ends; an answer has to begin within
-        so many seconds."""
+        so many seconds.
+        """
         self.began = asyncio.get_running_loop().time()
         if self.version is None:
             await self.fetch(session, within)
--- a/cleatyoke/distribution/__main__.py
+++ b/cleatyoke/distribution/__main__.py
@@ -60,11 +60,13 @@
 def source(listen: Address, deployment: str, most: int, folder: Path, epoch: Path) -> None:
     """Distribute what a folder holds; SIGHUP looks at it again."""
     if not folder.is_dir():
-        raise click.ClickException(f"--folder: {folder} is no folder")
+        msg = f"--folder: {folder} is no folder"
+        raise click.ClickException(msg)
     try:
         number = next_epoch(epoch)
     except (EpochError, OSError) as error:
-        raise click.ClickException(f"--epoch: {error}") from error
+        msg = f"--epoch: {error}"
+        raise click.ClickException(msg) from error
     configure_logging()
     asyncio.run(run_source(Source(deployment, "source", number, most), ConfigFolder(folder), listen))
 
--- a/cleatyoke/distribution/contents.py
+++ b/cleatyoke/distribution/contents.py
@@ -31,7 +31,8 @@
     try:
         return json.loads(value)
     except (ValueError, RecursionError) as error:
-        raise InvalidValueError(f"{key}: no JSON: {error}") from error
+        msg = f"{key}: no JSON: {error}"
+        raise InvalidValueError(msg) from error
 
 
 @dataclass(slots=True)
@@ -57,7 +58,8 @@
         values = {key: read_value(key, entry.value or b"") for key, entry in self.entries.items()}
         settings = values.pop(WHOLE, base)
         if not isinstance(settings, dict):
-            raise InvalidValueError(f"{WHOLE}: want an object")
+            msg = f"{WHOLE}: want an object"
+            raise InvalidValueError(msg)
         return {**settings, **{key.removeprefix(PART): value for key, value in sorted(values.items())}}
 
 
--- a/cleatyoke/distribution/folder.py
+++ b/cleatyoke/distribution/folder.py
@@ -71,13 +71,15 @@
 
 def next_epoch(path: Path, unix: float | None = None) -> int:
     """An epoch beyond all that this file has had, on the disk before it is used; by the wall clock, in
-    milliseconds, where that is further. Raises ``BadEpoch`` for a file that holds anything else."""
+    milliseconds, where that is further. Raises ``BadEpoch`` for a file that holds anything else.
+    """
     unix = time.time() if unix is None else unix
     last = 0
     if path.exists():
         text = path.read_text().strip()
         if not text.isascii() or not text.isdecimal() or int(text) >= 1 << 52:
-            raise EpochError(f"{path}: want a number, found {text[:40]!r}")
+            msg = f"{path}: want a number, found {text[:40]!r}"
+            raise EpochError(msg)
         last = int(text)
     epoch = max(last + 1, int(unix * 1000))
     spare = path.with_suffix(".new")
--- a/cleatyoke/distribution/network.py
+++ b/cleatyoke/distribution/network.py
@@ -116,7 +116,8 @@
 
 class Subscription:
     """A front's part. ``settings`` puts settings in force by the path of SIGHUP and returns why not, or
-    nothing; ``nodes`` is given nodes that drain or are gone. Serving waits for none of it."""
+    nothing; ``nodes`` is given nodes that drain or are gone. Serving waits for none of it.
+    """
 
     def __init__(
         self,
@@ -179,7 +180,8 @@
 
     def take_settings(self, entries: list[Entry]) -> None:
         """All that came together; or where that is not valid, one by one, so that a change that is not valid
-        is refused by name and holds up no other."""
+        is refused by name and holds up no other.
+        """
         ours = settings_entries(entries)
         if not ours or not self.try_settings(ours):
             return
@@ -239,7 +241,8 @@
         self.open += 1
         try:
             if self.open > MOST_STREAMS:
-                raise OSError("too many streams")
+                msg = "too many streams"
+                raise OSError(msg)
             async with asyncio.timeout(PATIENCE):
                 data = await read_message(reader, MOST_MESSAGE)
                 if reply := self.answerer.answer(self.loop.time(), data):
--- a/cleatyoke/distribution/records.py
+++ b/cleatyoke/distribution/records.py
@@ -56,7 +56,8 @@
 
 class Position(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What a subscriber knows of a lane: all changes up to ``number``, of the keys up to ``after``. An
-    ``after`` of None: of all keys."""
+    ``after`` of None: of all keys.
+    """
 
     number: Count = 0
     after: Cursor | None = ""
@@ -64,7 +65,8 @@
 
 class Poll(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What is new? ``number`` comes back with the reply; ``most``: bytes of entries that it may hold;
-    ``removals``: whether pages name keys that are gone, as a relay needs them."""
+    ``removals``: whether pages name keys that are gone, as a relay needs them.
+    """
 
     deployment: Text
     form: Count
@@ -79,7 +81,8 @@
 class LaneChanges(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """Of one lane. ``changes``: all with numbers over ``first`` up to ``last``, the latest of each key.
     ``page``: all keys over ``page_after`` up to ``page_to`` (None: to the end), as of ``last`` or later.
-    ``restart``: the subscriber's position is of no use, and pages begin anew."""
+    ``restart``: the subscriber's position is of no use, and pages begin anew.
+    """
 
     first: Count
     last: Count
@@ -142,16 +145,20 @@
 
 def open_message(decoder: msgspec.msgpack.Decoder[Message], data: bytes) -> Message:
     if not is_ours(data):
-        raise WireError("foreign")
+        msg = "foreign"
+        raise WireError(msg)
     try:
         return decoder.decode(unsealed(data[1:], MOST_MESSAGE))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise WireError("unreadable") from error
+        msg = "unreadable"
+        raise WireError(msg) from error
 
 
 def checked(deployment: str, message: Message) -> Message:
     if message.deployment != deployment:
-        raise WireError("foreign")
+        msg = "foreign"
+        raise WireError(msg)
     if message.form != FORM:
-        raise WireError("version")
+        msg = "version"
+        raise WireError(msg)
     return message
--- a/cleatyoke/distribution/relay.py
+++ b/cleatyoke/distribution/relay.py
@@ -97,9 +97,11 @@
     def put(self, now: float, lane: Lane, key: str, value: bytes | None) -> Version:
         """Make a change. Raises ``BadChange`` for one that no message could carry."""
         if not 1 <= len(key) <= 128:
-            raise InvalidChangeError(f"{key[:40]}: want a key of 1 to 128 characters")
+            msg = f"{key[:40]}: want a key of 1 to 128 characters"
+            raise InvalidChangeError(msg)
         if value is not None and len(value) > MOST_VALUE:
-            raise InvalidChangeError(f"{key}: want {MOST_VALUE} bytes at the most, found {len(value)}")
+            msg = f"{key}: want {MOST_VALUE} bytes at the most, found {len(value)}"
+            raise InvalidChangeError(msg)
         self.number += 1
         version = Version(self.store.epoch, self.number)
         self.store.lanes[lane].put(now, Entry(key, version, value))
--- a/cleatyoke/distribution/server.py
+++ b/cleatyoke/distribution/server.py
@@ -35,7 +35,8 @@
 
 def answer(poll: Poll, source: str, store: ChangeStore, age: float) -> Reply:
     """``age``: of the store, in seconds. Changes go before pages, and nodes before settings, but for pages:
-    those of the settings are few."""
+    those of the settings are few.
+    """
     if poll.epoch > store.epoch:
         return refuse(poll, source, store.epoch, Refusal.OLDER)
     same = poll.epoch == store.epoch
@@ -65,7 +66,8 @@
 
 def changes_of(store: LaneStore, position: Position, same: bool, room: int) -> LaneChanges:
     """A position of another epoch, or from before what is remembered, is of no use: the lane begins anew, by
-    pages, and with the changes from now on."""
+    pages, and with the changes from now on.
+    """
     if not same or position.number < store.floor:
         return LaneChanges(store.last, store.last, store.floor, restart=True)
     if room <= 0:
--- a/cleatyoke/distribution/status.py
+++ b/cleatyoke/distribution/status.py
@@ -23,7 +23,8 @@
 @dataclass(slots=True)
 class SubscriptionStatus:
     """``in_force``: the version of the settings that the policy decides by; ``refused``: by key, a version
-    that is not valid, and why."""
+    that is not valid, and why.
+    """
 
     subscriber: Subscriber
     in_force: Version = NOTHING
--- a/cleatyoke/distribution/store.py
+++ b/cleatyoke/distribution/store.py
@@ -30,7 +30,8 @@
 
     def put(self, now: float, entry: Entry) -> bool:
         """Take an entry that is newer than all others of its lane; False where it is not, and changes
-        nothing."""
+        nothing.
+        """
         number = entry.version.number
         if number <= self.last:
             return False
@@ -74,7 +75,8 @@
 
     def changes(self, since: int, most: int) -> tuple[list[Entry], int]:
         """The entries with numbers over ``since``, oldest first, within so many bytes but one at the least;
-        and up to which number these are all."""
+        and up to which number these are all.
+        """
         out: list[Entry] = []
         size = 0
         for place in range(bisect_right(self.numbers, since), len(self.numbers)):
@@ -89,7 +91,8 @@
 
     def page(self, after: str, most: int, removals: bool) -> tuple[list[Entry], str | None]:
         """The entries of the keys over ``after``, within so many bytes but one at the least; and up to which
-        key these are all, or None at the end."""
+        key these are all, or None at the end.
+        """
         out: list[Entry] = []
         size = 0
         for place in range(bisect_right(self.keys, after) if after else 0, len(self.keys)):
--- a/cleatyoke/distribution/subscriber.py
+++ b/cleatyoke/distribution/subscriber.py
@@ -153,7 +153,8 @@
 
 class Subscriber:
     """``tiers``: relays by nearness, those of one tier alike; the first tier is this subscriber's own region.
-    ``whole``: it needs to hear of keys that are gone in pages too, as it serves others."""
+    ``whole``: it needs to hear of keys that are gone in pages too, as it serves others.
+    """
 
     def __init__(
         self,
@@ -168,7 +169,8 @@
         self.rng, self.timing = rng, timing or SubscriberTiming()
         self.order = [relay for tier in tiers for relay in rng.sample(list(tier), len(tier))]
         if not self.order:
-            raise ValueError("want one relay at the least")
+            msg = "want one relay at the least"
+            raise ValueError(msg)
         self.homes = len(tiers[0])  # of the order, those of the own region
         self.place = 0
         self.epoch = 0
@@ -249,7 +251,8 @@
 
     def move(self, now: float, why: str) -> None:
         """Ask another relay, after a time that is drawn, so that the subscribers of one that is gone do not
-        come to the others as one."""
+        come to the others as one.
+        """
         self.asked, self.tried_again = None, False
         span = min(self.timing.spread_most, self.timing.spread * 2.0 ** min(self.failures, 10))
         self.failures += 1
@@ -265,7 +268,8 @@
 
     def next_place(self, now: float, among: int) -> int:
         """Of the first so many relays the next one that is not avoided, those of the own region first; or the
-        one that has been avoided for longest."""
+        one that has been avoided for longest.
+        """
         places = sorted(range(among), key=lambda place: (place >= self.homes, self.distance(place)))
         free = [place for place in places if self.avoided.get(place, -math.inf) <= now]
         return free[0] if free else min(places, key=lambda place: self.avoided[place])
--- a/cleatyoke/durability/__main__.py
+++ b/cleatyoke/durability/__main__.py
@@ -1,5 +1,6 @@
 """``python -m cleatyoke.durability``: what a front's disk remembers, read offline, checked and explained.
-Wants the extra ``tools``. It writes nothing."""
+Wants the extra ``tools``. It writes nothing.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +31,8 @@
 @click.option("--front", default="", help="DEPLOYMENT/NAME; else as the files say.")
 def check(folder: Path, front: str) -> None:
     """Read both files of FOLDER and say what a start would believe of them. Exit status 1 where something
-    is doubtful or missing."""
+    is doubtful or missing.
+    """
     memory, good = FrontState(), True
     with tempfile.TemporaryDirectory() as copies:
         for name in NAMES:
--- a/cleatyoke/durability/records.py
+++ b/cleatyoke/durability/records.py
@@ -102,7 +102,8 @@
 
 def read(rows: Iterable[tuple[Any, ...]], front: str, where: str) -> tuple[FrontState, list[RestoreDoubt]]:
     """What these rows of one file say, and what of them is not believed. Rows come as a file gave them:
-    anything may stand in them."""
+    anything may stand in them.
+    """
     memory, doubts = FrontState(), []
     for values in rows:
         kind, why = str(values[0])[:32] if values else "?", ""
@@ -129,5 +130,6 @@
 
 def next_boot(remembered: int, unix: float) -> int:
     """The boot number of a new life: beyond the last one, whatever the clock did; by the wall clock, in
-    milliseconds, where that is further, so that a front without its memory seldom falls behind its peers'."""
+    milliseconds, where that is further, so that a front without its memory seldom falls behind its peers'.
+    """
     return max(remembered + 1, int(unix * 1000))
--- a/cleatyoke/durability/store.py
+++ b/cleatyoke/durability/store.py
@@ -3,7 +3,8 @@
 
 A file that cannot be read, is damaged or is of a newer form is put aside under a name that says why, and
 begun anew; nothing of it is deleted. What one file lost, the other has: a write is over when both have it,
-or the one that works."""
+or the one that works.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +33,8 @@
 def opened(path: Path, make: bool) -> Iterator[sqlite3.Connection]:
     """Raises ``Unreadable``, or ``sqlite3.Error`` where the disk does not let it be used."""
     if not make and not path.exists():
-        raise UnreadableStoreError("no file")
+        msg = "no file"
+        raise UnreadableStoreError(msg)
     connection = sqlite3.connect(path, timeout=BUSY, isolation_level=None, check_same_thread=False)
     try:
         connection.execute("PRAGMA journal_mode = WAL")
@@ -42,11 +44,14 @@
         )
         tables = connection.execute("SELECT count(*) FROM sqlite_schema").fetchone()[0]
         if tables and application != APPLICATION:
-            raise UnreadableStoreError("foreign")
+            msg = "foreign"
+            raise UnreadableStoreError(msg)
         if form > FORM:
-            raise UnreadableStoreError(f"newer form {form}")
+            msg = f"newer form {form}"
+            raise UnreadableStoreError(msg)
         if (found := connection.execute("PRAGMA quick_check").fetchone()[0]) != "ok":
-            raise UnreadableStoreError(f"damaged: {str(found)[:80]}")
+            msg = f"damaged: {str(found)[:80]}"
+            raise UnreadableStoreError(msg)
         if make and not tables:
             connection.execute(f"PRAGMA application_id = {APPLICATION}")
             connection.execute(f"PRAGMA user_version = {FORM}")
@@ -96,7 +101,8 @@
                 memory = memory.merge(found)
                 doubts += doubtful
                 if any(doubt.why.startswith("of another front") for doubt in doubtful):
-                    raise UnreadableStoreError("of another front")
+                    msg = "of another front"
+                    raise UnreadableStoreError(msg)
             except (UnreadableStoreError, sqlite3.Error, OSError) as error:
                 doubts.append(self.set_aside(path, error))
         return memory, doubts
@@ -112,7 +118,8 @@
 
     def save(self, memory: FrontState) -> list[RestoreDoubt]:
         """Write all to both, one after the other; what failed, by file. A row that is there and cannot be
-        believed any more is written over, as its file passed the look at the start."""
+        believed any more is written over, as its file passed the look at the start.
+        """
         rows, failed = rows_of(memory, self.front), []
         for path in self.paths:
             try:
--- a/cleatyoke/durability/writer.py
+++ b/cleatyoke/durability/writer.py
@@ -3,7 +3,8 @@
 
 Of several writes that wait, the newest counts: each holds all. A disk that is full, read-only, slow or gone
 costs nothing but the promise that what is new outlives a loss of power; it is told once, and tried again
-and again."""
+and again.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +28,8 @@
 @dataclass(slots=True, frozen=True)
 class RestoredState:
     """What the disk said as the process began. ``memory.boot`` is the boot number of this life, which is on
-    the disk before it is used, unless ``failed``; ``found``: a life before has written there."""
+    the disk before it is used, unless ``failed``; ``found``: a life before has written there.
+    """
 
     memory: FrontState
     found: bool
@@ -37,7 +39,8 @@
 
 class StateWriter:
     """From its thread it calls ``recalled`` once, and ``heard`` with what changed: the doubts of the last
-    write, or none any more. ``unix``: the wall clock."""
+    write, or none any more. ``unix``: the wall clock.
+    """
 
     def __init__(
         self,
--- a/cleatyoke/emulation/__main__.py
+++ b/cleatyoke/emulation/__main__.py
@@ -1,5 +1,6 @@
 """``python -m cleatyoke.emulation``: play drawn fault scripts, or one from its line; exit status 1 where
-one broke. ``python -m cleatyoke.emulation capacity``: make the capacity page."""
+one broke. ``python -m cleatyoke.emulation capacity``: make the capacity page.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/emulation/baselines.py
+++ b/cleatyoke/emulation/baselines.py
@@ -1,5 +1,6 @@
 """What the fleet's members are measured against, on the same wire and in the same virtual time: plain SWIM,
-and a heartbeat to everybody. Both are our own, written from the papers."""
+and a heartbeat to everybody. Both are our own, written from the papers.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +28,8 @@
 
 class PlainSwim(Membership):
     """SWIM with suspicion (Das, Gupta, Motivala 2002): no local health, no suspicion that accusers shorten,
-    nobody told first, no second look, nothing that reaches those believed dead."""
+    nobody told first, no second look, nothing that reaches those believed dead.
+    """
 
     def suspicion_ends(self, life: MemberRecord) -> float:
         timing = self.timing
--- a/cleatyoke/emulation/capacity/command.py
+++ b/cleatyoke/emulation/capacity/command.py
@@ -38,9 +38,11 @@
 
 def checked_folder(out: Path) -> Path:
     if not out.is_dir():
-        raise BadOption(f"--out: {out} is no folder")
+        msg = f"--out: {out} is no folder"
+        raise BadOption(msg)
     if not os.access(out, os.W_OK):
-        raise BadOption(f"--out: {out} can't be written")
+        msg = f"--out: {out} can't be written"
+        raise BadOption(msg)
     return out
 
 
@@ -67,10 +69,12 @@
     checked_folder(out)
     duties = [one.duty for one in measure.SERIES]
     if unknown := [name for name in chosen if name not in duties]:
-        raise BadOption(f"--duty: {unknown[0]!r} is none of {', '.join(duties)}")
+        msg = f"--duty: {unknown[0]!r} is none of {', '.join(duties)}"
+        raise BadOption(msg)
     if page_only:
         if not (out / TABLE).is_file():
-            raise BadOption(f"--page-only: {out / TABLE} is not there")
+            msg = f"--page-only: {out / TABLE} is not there"
+            raise BadOption(msg)
         write_page(results.Results(results.read_rows(out / TABLE), results.read_spreads(out / SPREADS)), out)
         return
     series = [one for one in measure.SERIES if not chosen or one.duty in chosen]
--- a/cleatyoke/emulation/capacity/cost.py
+++ b/cleatyoke/emulation/capacity/cost.py
@@ -18,7 +18,8 @@
 @dataclass(slots=True, frozen=True)
 class Cost:
     """``operations``: of the interpreter; ``peak``: bytes that were allocated at once, at the most. What C
-    code copies or scans is no operation, but a copy shows in ``peak``."""
+    code copies or scans is no operation, but a copy shows in ``peak``.
+    """
 
     operations: int
     peak: int
--- a/cleatyoke/emulation/capacity/duties.py
+++ b/cleatyoke/emulation/capacity/duties.py
@@ -125,7 +125,8 @@
 
 def cold_wait(hosts: int, seed: int) -> float:
     """Seconds until one front's even part of a node that has just started has paid off a request of mean
-    units, where the front knows no usual rate: by ``Policy.bears_at``."""
+    units, where the front knows no usual rate: by ``Policy.bears_at``.
+    """
     front = ListedFront(8, hosts)
     front.replace_node(seed)
     node = front.policy.nodes[max(front.policy.nodes)]
@@ -136,7 +137,8 @@
 
 def limit_wait(hosts: int) -> float:
     """Seconds until one front's even part of a limit of the archive's size has filled by a request of mean
-    units: on paper, by the rate that ``Policy.within_limit_at`` takes."""
+    units: on paper, by the rate that ``Policy.within_limit_at`` takes.
+    """
     plan, terms = settings(hosts).plans[0], settings(hosts)
     return terms.mean_request_units / (plan.base_rate / hosts)
 
--- a/cleatyoke/emulation/capacity/fit.py
+++ b/cleatyoke/emulation/capacity/fit.py
@@ -14,7 +14,8 @@
 @dataclass(slots=True, frozen=True)
 class Fit:
     """``factor * size ** exponent``. ``residual``: root of the mean square of what is left, in natural logs,
-    so that 0.1 is some 10%. ``error``: standard error of the exponent."""
+    so that 0.1 is some 10%. ``error``: standard error of the exponent.
+    """
 
     factor: float
     exponent: float
@@ -26,7 +27,8 @@
 
     def range_at(self, size: float, largest: float) -> tuple[float, float]:
         """Within two residuals, and two errors of the exponent over the distance from the largest size that
-        was measured."""
+        was measured.
+        """
         beyond = 2 * self.error * max(0.0, math.log(size / largest))
         spread = math.exp(2 * self.residual + beyond)
         return self.at(size) / spread, self.at(size) * spread
@@ -35,7 +37,8 @@
 def fit(points: Sequence[tuple[float, float]]) -> Fit:
     """Of (size, value). Raises ``ValueError`` for fewer than two sizes."""
     if len({size for size, _ in points}) < 2:
-        raise ValueError("want two sizes at the least")
+        msg = "want two sizes at the least"
+        raise ValueError(msg)
     sizes = numpy.log([size for size, _ in points])
     values = numpy.log([max(FLOOR, value) for _, value in points])
     columns = numpy.stack([sizes, numpy.ones_like(sizes)], axis=1)
--- a/cleatyoke/emulation/capacity/hollow.py
+++ b/cleatyoke/emulation/capacity/hollow.py
@@ -44,7 +44,8 @@
 class EventCosts:
     """After an event: seconds until all have one view again (infinite: not within the time), the most bytes
     that a member sent in ``WINDOW``, in the mean and at the one that sent most, and a member's processor
-    seconds in all."""
+    seconds in all.
+    """
 
     settled: float
     mean_bytes: float
--- a/cleatyoke/emulation/capacity/measure.py
+++ b/cleatyoke/emulation/capacity/measure.py
@@ -27,7 +27,8 @@
 @dataclass(slots=True, frozen=True)
 class Series:
     """One duty at several sizes. ``design``: the size that is planned; ``near``: one more run, as near to it
-    as a machine carries, that takes no part in the fit."""
+    as a machine carries, that takes no part in the fit.
+    """
 
     duty: str
     sized_by: str
--- a/cleatyoke/emulation/capacity/needs.py
+++ b/cleatyoke/emulation/capacity/needs.py
@@ -30,7 +30,8 @@
 @dataclass(slots=True, frozen=True)
 class Need:
     """``need`` and ``budget`` are in ``unit``. ``mechanism``: the file and function that carries it today;
-    empty where nothing does."""
+    empty where nothing does.
+    """
 
     duty: str
     need: float
--- a/cleatyoke/emulation/capacity/nodes.py
+++ b/cleatyoke/emulation/capacity/nodes.py
@@ -189,7 +189,8 @@
 
 async def take_whole(text: bytes) -> tuple[float, float, float, float]:
     """The real path from the list's text into the policy: processor time in all and of the longest turn of
-    the loop, for the first time and for the same list once more."""
+    the loop, for the first time and for the same list once more.
+    """
     core, directory = Core(settings(3100)), Directory({})
     with mock.patch.object(Watch, "run", asyncio.Event().wait):  # it calls nobody
         address = Address("127.0.0.1", 1)
--- a/cleatyoke/emulation/capacity/page.py
+++ b/cleatyoke/emulation/capacity/page.py
@@ -125,7 +125,8 @@
         before, found, rest = text.partition(begin)
         _, closed, after = rest.partition(end)
         if not found or not closed:
-            raise ValueError(f"the page has no place for the table {name}")
+            msg = f"the page has no place for the table {name}"
+            raise ValueError(msg)
         text = f"{before}{begin}\n\n{made}\n\n{end}{after}"
     return text
 
--- a/cleatyoke/emulation/capacity/processes.py
+++ b/cleatyoke/emulation/capacity/processes.py
@@ -50,7 +50,8 @@
 @contextlib.asynccontextmanager
 async def front_process(nodes: int, seed: int) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
     """A front that knows so many nodes from its file, once it is ready, and its port; killed at the end. Its
-    discovery does not answer."""
+    discovery does not answer.
+    """
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "config.json"
         values = {
@@ -86,7 +87,8 @@
     while line := await process.stdout.readline():
         if b"event='ready'" in line:
             return int(line.split(b"port=")[1].split(b")")[0])
-    raise RuntimeError("the front ended before it was ready")
+    msg = "the front ended before it was ready"
+    raise RuntimeError(msg)
 
 
 async def start(nodes: int, seed: int) -> Used:
@@ -114,7 +116,8 @@
         sampling = asyncio.create_task(sample(play))
         report = await play.run()
         if report.broken:
-            raise RuntimeError(f"the play broke a rule: {report.broken[0]}")
+            msg = f"the play broke a rule: {report.broken[0]}"
+            raise RuntimeError(msg)
         return await sampling
 
 
--- a/cleatyoke/emulation/capacity/results.py
+++ b/cleatyoke/emulation/capacity/results.py
@@ -45,7 +45,8 @@
 class Spread:
     """How changes were spread to all fronts in one situation (``emulate.distribution_measure``): seconds from
     a change to its being known, over all changes and fronts; bytes of a front a second in the mean, and the
-    most that one took in a window of 13 s."""
+    most that one took in a window of 13 s.
+    """
 
     what: str
     lane: str
--- a/cleatyoke/emulation/capacity/situations.py
+++ b/cleatyoke/emulation/capacity/situations.py
@@ -18,7 +18,8 @@
 @dataclass(slots=True, frozen=True)
 class Situation:
     """Of one front: bytes in the worst 13 s, processor seconds in the worst 13 s, seconds until all is in
-    force at 3 KB/s; and what of it nothing carries."""
+    force at 3 KB/s; and what of it nothing carries.
+    """
 
     name: str
     bytes: float
--- a/cleatyoke/emulation/clock.py
+++ b/cleatyoke/emulation/clock.py
@@ -2,7 +2,8 @@
 
 What is written for asyncio runs on it unchanged, hours in seconds, the same way every time: nothing comes
 from outside, so the order of all steps follows from the program and its seeds. No sockets, threads or
-processes."""
+processes.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +29,8 @@
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise Idle("everything waits, and nothing is due")
+            msg = "everything waits, and nothing is due"
+            raise Idle(msg)
         self.now += max(0.0, timeout)
         return []
 
--- a/cleatyoke/emulation/distribution.py
+++ b/cleatyoke/emulation/distribution.py
@@ -43,7 +43,8 @@
 @dataclass(slots=True)
 class Measured:
     """``latencies``: seconds from a change to its being known, for each subscriber that is watched;
-    ``windows``: most bytes of a subscriber in any ``WINDOW`` in turn."""
+    ``windows``: most bytes of a subscriber in any ``WINDOW`` in turn.
+    """
 
     latencies: dict[Lane, list[float]] = field(default_factory=lambda: {lane: [] for lane in Lane})
     deliveries: int = 0
@@ -51,7 +52,8 @@
 
 class Tree:
     """``fronts`` subscribers spread evenly over ``regions``, as are the ``relays``. Each asks the relays of
-    its region first."""
+    its region first.
+    """
 
     def __init__(
         self,
--- a/cleatyoke/emulation/distribution_measure.py
+++ b/cleatyoke/emulation/distribution_measure.py
@@ -44,7 +44,8 @@
     for number in range(NODES):
         tree.put(Lane.NODES, f"nodes/{number:05d}", tree.rng.randbytes(150))
     if tree.settle(120.0, 1.0) is None:
-        raise RuntimeError("the fronts have no whole copy within 120 s")
+        msg = "the fronts have no whole copy within 120 s"
+        raise RuntimeError(msg)
     for front in tree.subscribers.values():
         front.timing = SubscriberTiming()
         front.level = 0.0
@@ -109,7 +110,8 @@
 
 def return_after(fronts: int, relays: int, regions: int, seed: int) -> tuple[float, float, float]:
     """A region is cut off for an hour: bytes a front and second in it afterwards, seconds until all know all,
-    and changes that were missed. Fewer fronts show as much, as each returns by itself."""
+    and changes that were missed. Fewer fronts show as much, as each returns by itself.
+    """
     tree = settled_tree(fronts, relays, regions, seed)
     keys = [f"db/{number:05d}" for number in range(SETTINGS)]
     missed = round(PLAN.config_rate * HOUR)
@@ -164,7 +166,8 @@
     while line := await process.stderr.readline():
         if b"event='ready'" in line:
             return process, int(line.split(b"port=")[1].split(b")")[0])
-    raise RuntimeError(f"the {role} ended before it was ready")
+    msg = f"the {role} ended before it was ready"
+    raise RuntimeError(msg)
 
 
 async def poll_relay(pid: int, port: int, subscribers: int, seed: int) -> RelayCosts:
@@ -206,7 +209,8 @@
         if reply.parts:
             return reply.epoch, [Position(part.last, None) for part in reply.parts]
         await asyncio.sleep(0.1)
-    raise RuntimeError("the relay has no whole copy")
+    msg = "the relay has no whole copy"
+    raise RuntimeError(msg)
 
 
 @dataclass(slots=True, frozen=True)
@@ -269,7 +273,8 @@
     before, found, rest = text.partition(begin)
     _, closed, after = rest.partition(end)
     if not found or not closed:
-        raise ValueError(f"the page has no place for the table {name}")
+        msg = f"the page has no place for the table {name}"
+        raise ValueError(msg)
     return f"{before}{begin}\n\n{made}\n\n{end}{after}"
 
 
@@ -300,7 +305,8 @@
     """Measure the distribution of configuration, and make its tables and plot again."""
     checked_folder(out)
     if relays < regions:
-        raise BadOption(f"--relays: want one a region at the least, found {relays}")
+        msg = f"--relays: want one a region at the least, found {relays}"
+        raise BadOption(msg)
     steps: list[tuple[str, Callable[[], object]]] = [
         ("in virtual time", lambda: usual_and_burst(fronts, relays, regions, seed)),
         ("a return", lambda: return_after(min(fronts, 90), min(relays, 9), 3, seed)),
--- a/cleatyoke/emulation/durability.py
+++ b/cleatyoke/emulation/durability.py
@@ -3,7 +3,8 @@
 
 The model knows which holds must stand (told as kept on a disk, and not released by one that knew of it) and
 which may (not kept yet, or released by one that may have lost its memory of that). A front that has settled
-holds all of the first and nothing beyond both: a hold too many is the safe side, one too few is not."""
+holds all of the first and nothing beyond both: a hold too many is the safe side, one too few is not.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/emulation/measure.py
+++ b/cleatyoke/emulation/measure.py
@@ -1,6 +1,7 @@
 """``python -m cleatyoke.emulation.measure --out docs``: what the fleet's view costs and how soon it knows, at
 several sizes, against the baselines, in virtual time. Writes ``fleet-view.csv`` and, with the extra
-``plots``, ``fleet-view-*.svg``. The same seeds give the same figures."""
+``plots``, ``fleet-view-*.svg``. The same seeds give the same figures.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +56,8 @@
 
 def detection(kind: str, size: int, seed: int) -> Row:
     """Seconds from a kill to the first who suspects it (SWIM's detection), to the first who believes it, and
-    to the last: deaths wait for the refutation that may come, the longer the larger the fleet."""
+    to the last: deaths wait for the refutation that may come, the longer the larger the fleet.
+    """
     fleet, doubts, firsts, lasts = started(kind, size, seed), [], [], []
     for front in range(size - 1, size - 1 - KILLS, -1):
         id = fleet.running[fleet.address(front)].members.id
--- a/cleatyoke/emulation/network.py
+++ b/cleatyoke/emulation/network.py
@@ -92,7 +92,8 @@
 
     def stream(self, source: str, target: str, data: bytes) -> float | None:
         """Seconds until it has come whole; None: it never does. A cut one way parts both, as nothing is
-        acknowledged; loss only makes it slower."""
+        acknowledged; loss only makes it slower.
+        """
         if self.parted(source, target) or self.parted(target, source):
             return None
         again = 1 + 5 * self.share("loss", source, target)
--- a/cleatyoke/emulation/quota_leases.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -1,5 +1,6 @@
 """Rights among many fronts in virtual time: real ``fleet.rights`` on a network with faults, clocks that run
-apart, crashes and stops; at each event the sum of what all may use against the whole."""
+apart, crashes and stops; at each event the sum of what all may use against the whole.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -1,6 +1,7 @@
 """``python -m cleatyoke.emulation.recovery --out docs``: what is earned from a loss of all power on, in
 virtual time and by processes, and what of a limit is used under a skewed load. Writes ``recovery.csv`` and,
-with the extra ``plots``, pictures. The same seeds give the same figures, but for the processes' own."""
+with the extra ``plots``, pictures. The same seeds give the same figures, but for the processes' own.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +35,8 @@
 
 def loss(fronts: int, seed: int, view: bool) -> Values:
     """Three boxes for ten fronts, at two thirds of what they can do; clients ask once more, and for 10 s
-    after the return half as much again comes."""
+    after the return half as much again comes.
+    """
     boxes = max(2, fronts * 3 // 10)
     return {
         "fleet": {"fronts": fronts, "boxes": boxes, "seconds": 30.0, "seed": seed},
@@ -69,7 +71,8 @@
 def skewed(fronts: int, seed: int, lend: bool) -> Values:
     """A limit that more is asked of than it allows, through one front ten times as much as through another,
     and which one it is changes every 7 s. Plans are sized so large that nothing but the limit binds: reserves
-    and spare rates are even parts too, which are not lent."""
+    and spare rates are even parts too, which are not lent.
+    """
     return {
         "fleet": {"fronts": fronts, "boxes": 4, "seconds": 42.0, "seed": seed},
         "box": {"units": 20.0 * fronts},
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -3,7 +3,8 @@
 
 What the sockets do stays out: connections, heads and bodies, a busy processor, signals. A box takes a
 request when its last byte has come, ``LATENCY`` after it was sent. Troubles of processes that are stopped,
-lists that are spoilt and calls to hold are for real processes only."""
+lists that are spoilt and calls to hold are for real processes only.
+"""
 
 from __future__ import annotations
 
@@ -344,7 +345,8 @@
                 await asyncio.sleep(trouble.lasts)
                 self.publish(self.boxes[subject])
             case other:
-                raise ConfigError(f"trouble.kind: {other} is for real processes only")
+                msg = f"trouble.kind: {other} is for real processes only"
+                raise ConfigError(msg)
 
     async def trouble_links(self, trouble: FaultEvent) -> None:
         links = trouble.links
--- a/cleatyoke/emulation/value.py
+++ b/cleatyoke/emulation/value.py
@@ -2,7 +2,8 @@
 
 For each volume and second, units within the reserve earn the full worth of their class and plan, the rest
 the settings' part of it. A request that is served in time takes the best that is still due of its second, a
-late one what is then left, at its class's part (protocol page, Score)."""
+late one what is then left, at its class's part (protocol page, Score).
+"""
 
 from __future__ import annotations
 
@@ -83,7 +84,8 @@
     scenario: Scenario, wishes: Sequence[RequestTemplate], power: Callable[[int, float], float]
 ) -> list[float]:
     """By place, what one that sees everything earns: of each cell, slot by slot, what its box can do at that
-    moment goes to what earns most a unit, as long as it is not late. ``power``: units a second of a cell."""
+    moment goes to what earns most a unit, as long as it is not late. ``power``: units a second of a cell.
+    """
     reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
     cells: defaultdict[int, list[int]] = defaultdict(list)
     for place in sorted(range(len(wishes)), key=lambda place: wishes[place].at, reverse=True):
--- a/cleatyoke/emulation/view.py
+++ b/cleatyoke/emulation/view.py
@@ -1,5 +1,6 @@
 """The fleet's view, and what is lent by it, of fronts by the hundred in one process: the real carrier's
-steps on a network in virtual time in place of its sockets."""
+steps on a network in virtual time in place of its sockets.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/fleet/restore.py
+++ b/cleatyoke/fleet/restore.py
@@ -1,6 +1,7 @@
 """A front's memory on its disk, towards the loop: read at the start, written from then on. Thin; imported
 only where it is on. What is believed is in ``durable.records``, what is waited for in
-``fleet.recovery``."""
+``fleet.recovery``.
+"""
 
 from __future__ import annotations
 
@@ -77,7 +78,8 @@
 
     def serve(self, view: DurableReplicas) -> None:
         """Give the view what the disk said, now or once it does, and keep what the view knows from then
-        on."""
+        on.
+        """
         self.view = view
         if self.first.done():
             view.recall = self
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -1,5 +1,6 @@
 """A process's start where fronts keep a view of one another: what ``fleet.recovery`` waits for, towards the
-loop. Thin; imported only where the view is on."""
+loop. Thin; imported only where the view is on.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -211,7 +211,8 @@
 
     def share(self, file: HoldFile, folder: Path) -> None:
         """Keep the holds by hand in step with the other fronts'. What is known of them stands in a file too,
-        so that a release that this front misses while it is down still counts for it."""
+        so that a release that this front misses while it is down still counts for it.
+        """
         kept = folder / COPIES
         data = b""
         with contextlib.suppress(OSError):
@@ -244,7 +245,8 @@
 
     def remember(self, memory: FrontState) -> None:
         """Take what the disk says, which may come after the start. Whom this front knew before is asked
-        too, as its seeds may be down."""
+        too, as its seeds may be down.
+        """
         self.copies.holds = self.copies.holds.merge(memory.holds)
         known = self.members.seeds
         known += [peer for peer in memory.peers if peer not in known][:HINTS]
@@ -268,7 +270,8 @@
 
     def held_by(self, box: str, hold: bool, within: float) -> tuple[int, int]:
         """From the operators' thread: how many fronts have a call made here, of how many that may be up;
-        waits for them so many seconds at the most, and for the disk."""
+        waits for them so many seconds at the most, and for the disk.
+        """
         until = time.monotonic() + within
         while True:
             members = self.members
@@ -281,7 +284,8 @@
 
     def say(self, settings: SchedulerSettings) -> None:
         """Tell the others which settings this front goes by, that fronts of a fleet notice where they differ.
-        What is a process's own is left out."""
+        What is a process's own is left out.
+        """
         shared = dataclasses.replace(
             settings, seed=0, idle_since=None, initial_quota_share=1.0, replaces_process=False
         )
@@ -304,7 +308,8 @@
 
     def lend(self, core: Core, name: Callable[[int], str | None]) -> None:
         """Lend parts of limits and of what cold boxes bear, and borrow them, from now on. ``name``: of a
-        node, the id that all fronts know it by."""
+        node, the id that all fronts know it by.
+        """
         self.core = core
         if self.peers.limits:
             self.limits = RateLimitLeases(self.rights, lambda: core.policy.settings.plans)
@@ -489,7 +494,8 @@
 
     def replica_lines(self) -> list[str]:
         """For ``show-replica``: of each kind its entries, who is not known to have them, and copies that
-        differed and were settled by the rule."""
+        differed and were settled by the rule.
+        """
         members, copies, rights = self.members, self.copies, self.rights
         there = list(members.present)
         lacking = sorted(id.name for id in there if copies.lacks(id))
--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -146,7 +146,8 @@
 
     async def exchange(self, request: list[bytes], written: Callable[[], None]) -> BackendAnswer:
         if self.transport is None or self.transport.is_closing():
-            raise ConnectionError("it ended before the first byte")  # so nothing ran
+            msg = "it ended before the first byte"
+            raise ConnectionError(msg)  # so nothing ran
         self.reader, self.answer = AnswerReader(), self.loop.create_future()
         self.rest, self.written = request[::-1], written
         self.write_on()
@@ -163,7 +164,8 @@
 
 class StreamedBody:
     """A long answer's body on its way from the box to the client. It has an owner who reads it and closes it;
-    should none turn up, it ends by itself."""
+    should none turn up, it ends by itself.
+    """
 
     def __init__(self, line: BackendConnection, answer: BackendAnswer) -> None:
         self.line, self.length = line, answer.length
@@ -285,7 +287,8 @@
         """Send the request to the box, once; any ending that is not proven harmless may have run. A long
         answer counts as served with its first bytes; whoever gets its body closes it. ``until``: when the
         attempt is given up, by the loop's clock, which the box is told; ``may``: whether it may still begin,
-        asked directly before its first byte, as is whether the box still serves."""
+        asked directly before its first byte, as is whether the box still serves.
+        """
         if not self.directory.serves(node):
             return AttemptResult(AttemptOutcome.NOT_SENT)
         pool, line, answer, unused = self.pool(node), None, None, False
@@ -317,7 +320,8 @@
 
     async def probe(self, node: int, within: float) -> float | None:
         """Ask a box for its load report, by a connection that rests where there is one: the part of its power
-        in use, or None where no report came within so many seconds."""
+        in use, or None where no report came within so many seconds.
+        """
         if not self.directory.serves(node) or self.open >= self.most:
             return None  # the places left are for requests
         pool, line, answer = self.pool(node), None, None
--- a/cleatyoke/http/body_limits.py
+++ b/cleatyoke/http/body_limits.py
@@ -23,7 +23,8 @@
 class BodyMemory:
     """The memory that bodies share, ``total`` bytes. Each body takes what it holds beyond ``WHOLE`` step by
     step. One of them, the first that was ever told to wait, may always go on to ``most``: what that needs is
-    kept free of the others, so they cannot block each other half read."""
+    kept free of the others, so they cannot block each other half read.
+    """
 
     def __init__(self, total: int, most: int = MOST_UPLOAD) -> None:
         self.total, self.most = total, min(most, total)
--- a/cleatyoke/http/messages.py
+++ b/cleatyoke/http/messages.py
@@ -64,19 +64,23 @@
     """A number of a header; only digits, as int() alone would take signs, blanks and underscores."""
     digits = (text or "").removeprefix("-")
     if not digits.isascii() or not digits.isalnum():
-        raise MessageError(f"{name}: want a number, found {text!r}")
+        msg = f"{name}: want a number, found {text!r}"
+        raise MessageError(msg)
     try:
         value = int(text or "", base)
     except ValueError as error:
-        raise MessageError(f"{name}: want a number, found {text!r}") from error
+        msg = f"{name}: want a number, found {text!r}"
+        raise MessageError(msg) from error
     if not least <= value <= most:
-        raise MessageError(f"{name}: {value} is not within {least} to {most}")
+        msg = f"{name}: {value} is not within {least} to {most}"
+        raise MessageError(msg)
     return value
 
 
 def hex16(text: str | None, name: str) -> int:
     if len(text or "") != 16:
-        raise MessageError(f"{name}: want 16 hex digits, found {text!r}")
+        msg = f"{name}: want 16 hex digits, found {text!r}"
+        raise MessageError(msg)
     return whole(text, name, 0, (1 << 64) - 1, 16)
 
 
@@ -87,30 +91,39 @@
     target = origin_form(target)
     for name in FIELDS:
         if len(headers.getall(name, ())) > 1:
-            raise MessageError(f"{name}: given twice")
+            msg = f"{name}: given twice"
+            raise MessageError(msg)
     trace = headers.get("X-Trace-Id", "")
     if not VISIBLE.fullmatch(trace) or len(trace) > MOST_ID:
-        raise MessageError(f"X-Trace-Id: want an id, found {trace!r}")
+        msg = f"X-Trace-Id: want an id, found {trace!r}"
+        raise MessageError(msg)
     if not VISIBLE.fullmatch(target):
-        raise MessageError("target: want visible ASCII characters")
+        msg = "target: want visible ASCII characters"
+        raise MessageError(msg)
     kind, plan = headers.get("X-Qos", ""), headers.get("X-Plan", "")
     if kind not in config.classes:
-        raise MessageError(f"X-Qos: unknown class {kind!r}")
+        msg = f"X-Qos: unknown class {kind!r}"
+        raise MessageError(msg)
     if plan not in config.plans:
-        raise MessageError(f"X-Plan: unknown plan {plan!r}")
+        msg = f"X-Plan: unknown plan {plan!r}"
+        raise MessageError(msg)
     blocks = parse_qs(target.partition("?")[2]).get("block", [])
     pairs = [part.strip().partition("=")[::2] for part in headers.get("X-IO", "").split(",")]
     fields = dict(pairs)
     if len(blocks) != 1:
-        raise MessageError("block: want one")
+        msg = "block: want one"
+        raise MessageError(msg)
     if len(fields) != len(pairs):
-        raise MessageError("X-IO: a field is given twice")
+        msg = "X-IO: a field is given twice"
+        raise MessageError(msg)
     if method == "GET" and body:
-        raise MessageError("Content-Length: a read has no body")
+        msg = "Content-Length: a read has no body"
+        raise MessageError(msg)
     index, largest = config.classes[kind], int(config.settings.max_request_units) or 1 << 20
     said = config.writes[index] if index < len(config.writes) else None
     if said not in (None, method == "PUT"):
-        raise MessageError(f"X-Qos: {kind!r} does not go with {method}")
+        msg = f"X-Qos: {kind!r} does not go with {method}"
+        raise MessageError(msg)
     wait = whole(headers.get("X-Expires-In-Ms"), "X-Expires-In-Ms", 0, LONGEST_WAIT_MS) / 1000
     return ClientRequest(
         trace=trace,
@@ -132,20 +145,24 @@
 def read_key(headers: CIMultiDictProxy[str], repeat: Idempotency) -> str | None:
     """The ``Idempotency-Key``, which a keyed class carries and which passes on unchanged (protocol page,
     Clients to fronts). Without it, or with one that a box may read in another way, a repeat would run twice:
-    a ``BadKey``. Other classes may carry one too."""
+    a ``BadKey``. Other classes may carry one too.
+    """
     keys = headers.getall(KEY, [])
     if not keys and repeat is not Idempotency.KEYED:
         return None
     if len(keys) != 1:
-        raise IdempotencyKeyError(f"{KEY}: want one, found {len(keys)}")
+        msg = f"{KEY}: want one, found {len(keys)}"
+        raise IdempotencyKeyError(msg)
     if not VISIBLE.fullmatch(keys[0]) or len(keys[0]) > MOST_KEY:
-        raise IdempotencyKeyError(f"{KEY}: want up to {MOST_KEY} visible ASCII characters")
+        msg = f"{KEY}: want up to {MOST_KEY} visible ASCII characters"
+        raise IdempotencyKeyError(msg)
     return keys[0]
 
 
 def origin_form(target: str) -> str:
     """A target without scheme and authority, which a client may send and a server has to take (RFC 9112,
-    3.2.2); the authority names this front, whatever it says."""
+    3.2.2); the authority names this front, whatever it says.
+    """
     if target[:7].lower() != "http://":
         return target
     _, slash, rest = target[7:].partition("/")
@@ -183,7 +200,8 @@
 
 class AnswerReader:
     """Reads one answer. Each head is cut out and given to aiohttp's parser by itself, so that neither 1xx
-    answers in front nor bytes behind can be taken for the answer, or spoil one that is whole."""
+    answers in front nor bytes behind can be taken for the answer, or spoil one that is whole.
+    """
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -201,11 +219,13 @@
         self.buffer += data
         while self.message is None:
             if not self.buffer.startswith(b"HTTP/1."[: len(self.buffer)]):
-                raise MalformedAnswerError("no answer")
+                msg = "no answer"
+                raise MalformedAnswerError(msg)
             end = self.buffer.find(b"\r\n\r\n", 0, MOST_HEAD) + 4
             if end < 4:
                 if len(self.buffer) >= MOST_HEAD:
-                    raise MalformedAnswerError("its head does not end")
+                    msg = "its head does not end"
+                    raise MalformedAnswerError(msg)
                 return None
             head = bytes(self.buffer[:end])
             del self.buffer[:end]
@@ -236,7 +256,8 @@
         if self.until_close:
             self.chunk_bytes += len(data)
             if self.chunk_bytes > MOST_ANSWER:
-                raise MalformedAnswerError("too large")
+                msg = "too large"
+                raise MalformedAnswerError(msg)
             return data
         if self.length is None:
             self.parse_chunks(data)
@@ -269,14 +290,17 @@
         try:
             messages, upgraded, _ = parser.feed_data(head)
         except (HttpProcessingError, ValueError) as error:
-            raise MalformedAnswerError("its head cannot be read") from error
+            msg = "its head cannot be read"
+            raise MalformedAnswerError(msg) from error
         if len(messages) != 1 or upgraded:
-            raise MalformedAnswerError("its head is none of this protocol")
+            msg = "its head is none of this protocol"
+            raise MalformedAnswerError(msg)
         message, payload = messages[0]
         if 100 <= message.code < 200:
             self.early += 1
             if self.early > MOST_EARLY:
-                raise MalformedAnswerError("too many answers in front")
+                msg = "too many answers in front"
+                raise MalformedAnswerError(msg)
             return
         length = message.headers.get("Content-Length")
         if message.chunked:
@@ -286,7 +310,8 @@
         elif length is None and "close" in message.headers.get("Connection", "").lower():
             self.until_close = True  # RFC 9112, 6.3: without a length it ends with its connection
         elif length is None or not length.isdecimal() or int(length) > MOST_ANSWER:
-            raise MalformedAnswerError("its length is missing or too large")
+            msg = "its length is missing or too large"
+            raise MalformedAnswerError(msg)
         else:
             self.length = int(length)
         self.message = message
@@ -310,9 +335,11 @@
         except (HttpProcessingError, ValueError) as error:
             self.clean = False  # spoilt, or noise behind the whole answer
             if not self.chunks.is_eof() or self.chunks.exception():
-                raise MalformedAnswerError("its chunks cannot be read") from error
+                msg = "its chunks cannot be read"
+                raise MalformedAnswerError(msg) from error
         if self.chunk_bytes > 2 * MOST_ANSWER or self.chunks.total_bytes > MOST_ANSWER:
-            raise MalformedAnswerError("too large")
+            msg = "too large"
+            raise MalformedAnswerError(msg)
 
     def whole(self, body: bytes, clean: bool) -> BackendAnswer:
         assert self.message
@@ -331,7 +358,8 @@
 
 def decode_elsewhere(headers: Mapping[str, str]) -> float:
     """The units that the shard served the volume through other fronts. A good answer may bring an odd figure:
-    that counts as none, and never spoils the answer."""
+    that counts as none, and never spoils the answer.
+    """
     text = headers.get("X-Served-Elsewhere", "0")
     return float(text) if PLAIN.fullmatch(text) else 0.0
 
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -80,7 +80,8 @@
 
     def gone(self) -> bool:
         """The client has closed, whether or not the loop has heard of it: no attempt may begin for it, and
-        its request is withdrawn."""
+        its request is withdrawn.
+        """
         if self.transport is not None and ended(self.transport):
             self.transport.abort()
         return self.transport is None or self.transport.is_closing()
@@ -117,7 +118,8 @@
         self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None
     ) -> tuple[web.StreamResponse, bool]:
         """The connection is idle only once the answer is written: none of those that look for idle ones may
-        find it before."""
+        find it before.
+        """
         try:
             return await super().finish_response(request, resp, start_time)
         finally:
@@ -134,13 +136,15 @@
 
     def part(self) -> None:
         """End an idle connection cleanly, whatever crosses the end: a client whose request does sees an end
-        in order and no answer, and sends it again elsewhere (protocol page, Clients to fronts)."""
+        in order and no answer, and sends it again elsewhere (protocol page, Clients to fronts).
+        """
         self.front.forget(self)
         self.force_close()
 
     def _process_keepalive(self) -> None:
         """Close an idle connection, but let a head that has begun to come be read to its end, and bytes that
-        have come in the turn of the loop in which it is due be read first."""
+        have come in the turn of the loop in which it is due be read first.
+        """
         rest = self.began + HEAD - self._loop.time() if self.began else 0.0
         if rest <= 0 and not self.spared and self.transport is not None and unread(self.transport):
             self.spared, rest = True, READ
@@ -215,7 +219,8 @@
 
     def room(self) -> bool:
         """Whether one more connection has a place. At the bound the oldest that never spoke makes room, or
-        else the longest idle; where a flood has just filled it, the kernel holds newcomers for an instant."""
+        else the longest idle; where a flood has just filled it, the kernel holds newcomers for an instant.
+        """
         if len(self.clients) + len(self.parting) < self.most_clients:
             return True
         before = self.core.loop.time() - SILENT
@@ -267,7 +272,8 @@
 
     def open(self) -> int:
         """Connections on which something may still be owed, and those whose answer may not be read yet: it
-        has not left, or so lately that its reader had no time. Others hold up no exit."""
+        has not left, or so lately that its reader had no time. Others hold up no exit.
+        """
         late = self.core.loop.time() - READ_BY
         return len(self.clients) + sum(
             since > late or not parting.flushed() for parting, since in self.parting.items()
@@ -300,7 +306,8 @@
 
         Guards against clients that ask once and keep their connection for good: they would soon hold all
         that clients can open, and the next find none. A close that the answer tells of crosses nothing.
-        Only idle ones count: amid a storm of repeats, new connections would cost what the answers need."""
+        Only idle ones count: amid a storm of repeats, new connections would cost what the answers need.
+        """
         crowded = len(self.idle) - len(self.silent) + 1 > self.config.shares.crowd  # with this one
         leaving = self.closing or self.drain.draining
         return crowded or leaving or not request.content.is_eof() or client.crowded()
@@ -351,7 +358,8 @@
                     request.writer.output_size = 0  # it is no part of the answer
                 ask.body = await self.gather(request, client)
             if ask.body and ask.method == "GET":
-                raise MessageError("Content-Length: a read has no body")
+                msg = "Content-Length: a read has no body"
+                raise MessageError(msg)
         except TimeoutError:
             return web.Response(status=408)
         except HeadTooLongError:
@@ -420,7 +428,8 @@
         self, body: StreamedBody, request: web.BaseRequest, client: ClientConnection
     ) -> web.StreamResponse:
         """A long answer, each piece as it comes. Where the box does not give the whole of it, the connection
-        ends, so that the client can tell."""
+        ends, so that the client can tell.
+        """
         response = web.StreamResponse()
         if body.length is not None:
             response.content_length = body.length
@@ -444,7 +453,8 @@
 
     def sweep(self) -> None:
         """While the front drains or leaves: no connection is kept idle, nor one that has not sent a request
-        in time."""
+        in time.
+        """
         self.sweeper = None
         if not (self.drain.draining or self.closing):
             return
@@ -465,14 +475,16 @@
 
     def leave(self, last: float) -> None:
         """The process is to end: all that is open, and what is taken from now on, is answered within so many
-        seconds. Connections are kept while it still serves, as their clients could come back by no other."""
+        seconds. Connections are kept while it still serves, as their clients could come back by no other.
+        """
         self.last_answer = self.core.now() + last
         self.core.hurry(self.last_answer)
 
     def stop_accepting(self) -> None:
         """No new connections, no idle ones; what was taken is answered, each answer with its close. A message
         that has begun to come, or that nobody has read yet, is taken too. Not by ``web.Server.pre_shutdown``:
-        after that the rest of a body that is on its way is never read."""
+        after that the rest of a body that is on its way is never read.
+        """
         self.closing = True  # from now on each answer says that its connection ends
         if self.listener:
             self.listener.close()
--- a/cleatyoke/membership/conclusions.py
+++ b/cleatyoke/membership/conclusions.py
@@ -38,7 +38,8 @@
 
 def conclude(me: Update, known: Iterable[Known], hosts: int, now: float) -> Conclusion:
     """``hosts``: how many fronts the settings state. The count is never under it, as a front that started
-    beyond a cut is in nobody's view here: so nobody may start more fronts than the settings state."""
+    beyond a cut is in nobody's view here: so nobody may start more fronts than the settings state.
+    """
     lives = list(known)
     by_address: dict[tuple[str, str], int] = {}
     for rumour in [me, *(one.rumour for one in lives)]:
--- a/cleatyoke/membership/interface.py
+++ b/cleatyoke/membership/interface.py
@@ -1,5 +1,6 @@
 """The membership's events in, actions out and times: what ``members`` is told, and what it asks of its
-carrier. Plain records."""
+carrier. Plain records.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/membership/member_records.py
+++ b/cleatyoke/membership/member_records.py
@@ -61,7 +61,8 @@
 
 def rank(rumour: Update) -> tuple[bool, int, int]:
     """Of two rumours of one life the greater holds. Leaving is by its own word and final; else its own count
-    decides, which only it raises, and at one count the graver state."""
+    decides, which only it raises, and at one count the graver state.
+    """
     return rumour.state is MemberState.LEFT, rumour.count, int(rumour.state)
 
 
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -95,7 +95,8 @@
 
     def step(self, now: float, events: Iterable[MembershipEvent] = ()) -> list[MembershipAction]:
         """Take in events and whatever is due. Times are of a monotonic clock; should one jump back, it
-        goes on here from where it was."""
+        goes on here from where it was.
+        """
         self.actions, self.news = [], []
         self.shift = max(self.shift, self.now - now)
         now += self.shift
@@ -144,7 +145,8 @@
 
     def wake(self, now: float, gap: float) -> None:
         """This process stood still: what it did not hear proves nothing of others, and they may have given it
-        up. It says at once, under a new count, that it is there."""
+        up. It says at once, under a new count, that it is there.
+        """
         self.probes.clear()
         self.relayed.clear()
         for life in self.doubted.values():
@@ -200,7 +202,8 @@
 
     def join(self) -> None:
         """Ask a seed that is in no life's place here. Goes on for ever, if slowly: two groups that formed
-        around two seeds, which were down when the other's first member asked, would else never meet."""
+        around two seeds, which were down when the other's first member asked, would else never meet.
+        """
         there, seeds = {self.lives[id].rumour.address for id in self.present}, self.other_seeds()
         strange = [seed for seed in seeds if seed not in there]
         lone = not self.joined or not there
@@ -214,7 +217,8 @@
 
     def rise(self, boot: int) -> None:
         """Another life of our name has this boot number or a higher one: ours is an old one that came back.
-        Give it up, by our own word, and go beyond."""
+        Give it up, by our own word, and go beyond.
+        """
         self.keep(
             MemberRecord(Update(self.id, self.address, MemberState.LEFT, self.count, self.alone), self.now)
         )
@@ -325,7 +329,8 @@
 
     def swap(self, address: str) -> None:
         """Exchange whole views with one from beyond a cut: what each side held for dead is suspected on the
-        other, where it can refute. Once in a while only, as all meet somebody at once."""
+        other, where it can refute. Once in a while only, as all meet somebody at once.
+        """
         if self.now >= self.next["swap"]:
             self.next["swap"] = self.now + self.timing.departed
             self.exchange(address)
@@ -337,7 +342,8 @@
         try:
             news = self.store.load(sender, copies)
         except ValueError as error:
-            raise WireError(f"copies {error}") from error
+            msg = f"copies {error}"
+            raise WireError(msg) from error
         if news:
             self.news_at = self.now
             there = self.there()
@@ -367,14 +373,16 @@
     def compare(self, there: int, address: str) -> None:
         """Where the other has others there than we, though nothing new has come for a while, rumours have
         left something out: exchange views. Whole views go by this, and hardly by the clock, so that what a
-        member sends doesn't grow with the fleet."""
+        member sends doesn't grow with the fleet.
+        """
         if there != self.there_sum() and self.now >= self.news_at + QUIET * self.timing.period:
             self.swap(address)
 
     def warn(self, life: MemberRecord, sender: Update) -> None:
         """Tell it first what is believed of it, that it may refute; once in a while only: two that believe
         each other dead, of which one cannot refute, would answer each other without end, and each datagram
-        that a link doubles would start another such exchange."""
+        that a link doubles would start another such exchange.
+        """
         doubted = life.rumour.state is not MemberState.ALIVE and rank(life.rumour) > rank(sender)
         if doubted and self.now >= life.warned + self.timing.answer:
             life.warned = self.now
@@ -383,7 +391,8 @@
     def merge(self, sender: Update, lives: list[Update], first: bool) -> None:
         """A whole view. Who is dead in it may be so for its sender alone, as after a cut: it is suspected
         here, and may refute. ``first``: nobody has told us anything before, so that a higher boot number of
-        our name is not our successor's in an upgrade, but says that ours is an old one that came back."""
+        our name is not our successor's in an upgrade, but says that ours is an old one that came back.
+        """
         if sender.id != self.id:
             self.believe(sender)
             if sender.id in self.lives:
@@ -410,10 +419,10 @@
                 self.actions.append(MembershipChanged(Change.JOINED, rumour.id, rumour.by))
                 place = self.rng.randrange(len(self.round) + 1)
                 self.round.insert(place, rumour.id)
-            return
+            return None
         old = life.rumour
         if rumour.count < old.count and rumour.state is not MemberState.LEFT:
-            return  # the most frequent case by far: old news
+            return None  # the most frequent case by far: old news
         if rank(rumour) > rank(old):
             self.changed(life, old, rumour)
         elif (
@@ -448,7 +457,8 @@
 
     def refute(self, rumour: Update) -> None:
         """Somebody doubts us: go beyond its count. What is said of us with a count that we never gave comes
-        from a life whose memory we lost: beyond that too."""
+        from a life whose memory we lost: beyond that too.
+        """
         if self.leaving or (rumour.state is MemberState.ALIVE and rumour.count <= self.count):
             return
         if rumour.state is MemberState.LEFT:  # not by our word: what left never returns under its number
--- a/cleatyoke/membership/probing.py
+++ b/cleatyoke/membership/probing.py
@@ -1,5 +1,6 @@
 """Whom a life probes, and what it makes of a missing answer: SWIM's probe of one member a period, through
-others where it is silent, and Lifeguard's local health."""
+others where it is silent, and Lifeguard's local health.
+"""
 
 from __future__ import annotations
 
@@ -83,7 +84,8 @@
     def probe_departed(self) -> None:
         """One of those believed dead: were it a cut that parted us, it heals by this. Or one that left and
         has no successor at its address: it may be back, and its seeds be gone. The rate is one life's,
-        however many there are."""
+        however many there are.
+        """
         there = {self.lives[id].rumour.address for id in self.present} if self.over else set()
         left = [id for id in self.over if self.lives[id].rumour.address not in {*there, self.address}]
         choices = [choice for choice in (list(self.departed), left) if choice]
@@ -94,7 +96,8 @@
 
     def look_again(self) -> None:
         """Ping one that has been suspected for a period. Its answer has its count, should its refutation not
-        have come by others, as rumours reach nearly all and not all; no answer accuses nobody."""
+        have come by others, as rumours reach nearly all and not all; no answer accuses nobody.
+        """
         for id, at in self.looks.items():
             if self.now >= at:
                 del self.looks[id]
--- a/cleatyoke/membership/wire.py
+++ b/cleatyoke/membership/wire.py
@@ -56,7 +56,8 @@
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping", forbid_unknown_fields=True):
     """Are you there? ``target`` guards against an address that another life has taken over; ``there`` is a
-    sum of whom the sender believes there."""
+    sum of whom the sender believes there.
+    """
 
     number: Count
     target: MemberId
@@ -87,7 +88,8 @@
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag="want", forbid_unknown_fields=True):
     """Lend me so many parts, in place of all that you lent me of this by a lower number. 0: I hold nothing of
-    yours from here on."""
+    yours from here on.
+    """
 
     resource: Text
     number: Count
@@ -152,9 +154,11 @@
 def unsealed(data: bytes, most: int) -> bytes:
     """A bit that flipped on the way could say of a life that it left, which is final."""
     if len(data) > most:
-        raise WireError("too long")
+        msg = "too long"
+        raise WireError(msg)
     if len(data) <= SUM or zlib.crc32(data[:-SUM]) != int.from_bytes(data[-SUM:], "big"):
-        raise WireError("corrupt")
+        msg = "corrupt"
+        raise WireError(msg)
     return data[:-SUM]
 
 
@@ -162,7 +166,8 @@
     try:
         message = datagrams.decode(unsealed(data, MOST_DATAGRAM))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise WireError("unreadable") from error
+        msg = "unreadable"
+        raise WireError(msg) from error
     check(deployment, message.deployment, message.version)
     return message
 
@@ -175,13 +180,16 @@
     try:
         message = views.decode(unsealed(data, MOST_STREAM))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise WireError("unreadable") from error
+        msg = "unreadable"
+        raise WireError(msg) from error
     check(deployment, message.deployment, message.version)
     return message
 
 
 def check(ours: str, theirs: str, version: int) -> None:
     if theirs != ours:
-        raise WireError("foreign")
+        msg = "foreign"
+        raise WireError(msg)
     if version != VERSION:
-        raise WireError("version")
+        msg = "version"
+        raise WireError(msg)
--- a/cleatyoke/process/faults.py
+++ b/cleatyoke/process/faults.py
@@ -53,7 +53,8 @@
 
 class Watchdog:
     """Calls ``act`` every so many seconds on the loop, for good: a call that raises is told and the next one
-    comes all the same. asyncio's timers end with their first exception."""
+    comes all the same. asyncio's timers end with their first exception.
+    """
 
     def __init__(self, faults: Faults, name: str, every: float, act: Callable[[], None]) -> None:
         self.faults, self.name, self.every, self.act = faults, name, every, act
@@ -75,7 +76,8 @@
 ) -> None:
     """Take up ``duty`` again for as long as this is not cancelled, after ``wait()`` seconds each time that it
     ended. Guards the front's knowledge: a watch that died of an exception would leave it serving for ever by
-    the last list, drained boxes included."""
+    the last list, drained boxes included.
+    """
     while True:
         try:
             await duty()
--- a/cleatyoke/process/handover.py
+++ b/cleatyoke/process/handover.py
@@ -128,7 +128,8 @@
     over.
 
     Made at the start, it tells the settings what this process may use from when: where an older one lives, no
-    part of the slack, as that one has it, and nothing of the time before that one has heard of this."""
+    part of the slack, as that one has it, and nothing of the time before that one has heard of this.
+    """
 
     def __init__(self, folder: Path, settings: SchedulerSettings, faults: Faults, began: float) -> None:
         self.folder = folder
--- a/cleatyoke/process/lifecycle.py
+++ b/cleatyoke/process/lifecycle.py
@@ -55,7 +55,8 @@
     def of(cls, notice: float, aims: Sequence[float]) -> Notice:
         """``notice``: seconds from SIGTERM to SIGKILL. ``aims``: of the classes, in seconds. Accepting goes
         on for as long as the quickest class can still be answered, as clients could come back by no other;
-        what takes longer has its deadline cut to ``last``, and is refused at once where it cannot meet it."""
+        what takes longer has its deadline cut to ``last``, and is refused at once where it cannot meet it.
+        """
         last = max(LINGER, notice - EXIT)
         return cls(LINGER, max(LINGER, last - ANSWERS * min(aims, default=0.0)), last)
 
--- a/cleatyoke/scheduling/events.py
+++ b/cleatyoke/scheduling/events.py
@@ -119,7 +119,8 @@
 @dataclass(slots=True)
 class QuotaShareChanged:
     """This process may use ``fraction`` (1 at most) of its front's quotas from now on; other processes of the
-    front, which run beside it, use the rest."""
+    front, which run beside it, use the rest.
+    """
 
     fraction: float
 
@@ -127,7 +128,8 @@
 @dataclass(slots=True)
 class QuotaLeaseChanged:
     """This front's even share of a volume's rate limit counts ``multiplier`` times from now on, as fronts
-    lease quota to each other; the sum over all fronts stays the whole limit."""
+    lease quota to each other; the sum over all fronts stays the whole limit.
+    """
 
     volume_id: int
     multiplier: float
@@ -136,7 +138,8 @@
 @dataclass(slots=True)
 class SlowStartLeaseChanged:
     """This front's even share of what a warming node bears counts ``multiplier`` times from now on, as fronts
-    lease it to each other; the sum over all fronts stays the whole."""
+    lease it to each other; the sum over all fronts stays the whole.
+    """
 
     node_id: int
     multiplier: float
@@ -145,7 +148,8 @@
 @dataclass(slots=True)
 class SettingsReloaded:
     """New settings for requests that arrive from now on. Classes and plans keep their indexes; new ones are
-    appended. ``retired_classes``: indexes of removed classes, which requests in flight keep."""
+    appended. ``retired_classes``: indexes of removed classes, which requests in flight keep.
+    """
 
     settings: SchedulerSettings
     retired_classes: frozenset[int] = frozenset()
--- a/cleatyoke/scheduling/load_probes.py
+++ b/cleatyoke/scheduling/load_probes.py
@@ -80,7 +80,8 @@
 
     def told(self, node: int, now: float, busy: float | None) -> None:
         """What a probe brought. None: no answer, or none that can be read. A node that does not answer may be
-        as busy as can be, and it would be wrong to take it for idle."""
+        as busy as can be, and it would be wrong to take it for idle.
+        """
         self.reports[node] = now, 1.0 if busy is None else min(1.0, max(0.0, busy))
 
     def busy(self, now: float) -> float:
--- a/cleatyoke/scheduling/node_table.py
+++ b/cleatyoke/scheduling/node_table.py
@@ -17,7 +17,8 @@
 
 class FadingMeans:
     """Mean rates by cell that all fade by the same part, at a cost that does not grow with the cells. A cell
-    that is kept does not fade until it is resumed."""
+    that is kept does not fade until it is resumed.
+    """
 
     LEAST_SCALE = 1e-100  # below it the figures are written anew, far from where floats end
 
@@ -110,7 +111,8 @@
 
     def choose_holders(self, is_cold: IsCold) -> list[Node]:
         """Choose the holder of each changed cell: of its live nodes the one that started last, and of those
-        that started together the one that was listed last. Returns who held them before."""
+        that started together the one that was listed last. Returns who held them before.
+        """
         replaced = []
         cells, self.changed = self.changed, {}
         for cell in cells:
@@ -133,7 +135,8 @@
     def holders_to_try(self, cell: int) -> Iterable[Node]:
         """The holder of the cell. For a new object all holders, or where there are very many some that are
         drawn, others each time: of a few hundred the best is hardly worse than of all (the power of choices),
-        and a look at all would cost by them."""
+        and a look at all would cost by them.
+        """
         if cell != -1:
             return [self.holder[cell]] if cell in self.holder else []
         if len(self.holder) <= self.MOST_TRIED:
@@ -187,7 +190,8 @@
 
     def count_rates(self, passed: float, span: float, due_span: float, is_cold: IsCold) -> None:
         """Fade both rates by the time that passed, and add what came meanwhile. ``span`` and ``due_span``:
-        seconds of their means. Cold nodes stay in use until they are warm."""
+        seconds of their means. Cold nodes stay in use until they are warm.
+        """
         self.usual.fade(1 - passed / span)
         self.due_rate.fade(1 - passed / due_span)
         for cell, units in self.due_units.items():
--- a/cleatyoke/scheduling/random_rounds.py
+++ b/cleatyoke/scheduling/random_rounds.py
@@ -46,7 +46,8 @@
         if self.taken >= len(self.items):
             self.taken = 0
         if not self.items:
-            raise IndexError("no items")
+            msg = "no items"
+            raise IndexError(msg)
         self.swap(self.taken, self.rng.randrange(self.taken, len(self.items)))
         self.taken += 1
         return self.items[self.taken - 1]
--- a/cleatyoke/scheduling/records.py
+++ b/cleatyoke/scheduling/records.py
@@ -91,7 +91,8 @@
 
 class QuotaClock:
     """Time as the limits' stores count it: it runs as fast as the part of each limit that this process may
-    use, so that a store that is looked at after a change has filled by each part for as long as it held."""
+    use, so that a store that is looked at after a change has filled by each part for as long as it held.
+    """
 
     def __init__(self, part: float, now: float) -> None:
         self.part, self.told, self.at = part, 0.0, now
@@ -130,7 +131,8 @@
 
     def before(self, volume: int) -> float:
         """For the time before a volume is known here: what was lent away may have been used, and what was
-        borrowed was not ours then."""
+        borrowed was not ours then.
+        """
         return min(1.0, self.parts.get(volume, 1.0))
 
     def tell(self, name: int, part: float, volumes: dict[int, Volume], now: float) -> None:
--- a/cleatyoke/scheduling/scheduler.py
+++ b/cleatyoke/scheduling/scheduler.py
@@ -228,7 +228,8 @@
 
     def allocate(self, index: int, bound: float, nodes: list[Node]) -> None:
         """Split a class's bound over nodes by its mean held-plus-out count there, at least one each.
-        ``nodes``: those in use; all others share one split."""
+        ``nodes``: those in use; all others share one split.
+        """
         seen, even = sum(node.demand[index] for node in nodes), 1 / max(1, len(self.holder))
         self.table.even_split[index] = 1 if seen else max(1, math.ceil(bound * even - 1e-9))
         for node in nodes:
@@ -305,7 +306,8 @@
 
         Guards against many hosts that overfill a node with a slot each: all see its queue and come to like
         rates by weight. A new object, open to every node, has its rate at all of them together and never goes
-        late. Should also catch slow nodes. Harms a volume that uses its hosts very unevenly."""
+        late. Should also catch slow nodes. Harms a volume that uses its hosts very unevenly.
+        """
         if self.sure(request, node):
             return self.now
         new = request.cell == -1
@@ -379,7 +381,8 @@
     def reserve_here(self, name: int, reserve: float, hosts: int) -> float:
         """This host's part of a reserve: an even one, or more by what the other hosts leave of theirs, as the
         nodes tell. Guards against reserves unmet where a volume uses its hosts unevenly. Harms for a moment
-        where the lead changes, as two hosts then spend the same part."""
+        where the lead changes, as two hosts then spend the same part.
+        """
         told = (
             self.volumes[name].others
             if name in self.volumes and self.settings.reports_usage_by_others
@@ -430,14 +433,16 @@
     def patience(self, request: Request, node: Node, sent: float) -> float:
         """How long an attempt may be out, by its node's own record: its aim at least, or a part of that where
         one that was sent later is answered already, as nodes take requests in turn. Past its aim it is waited
-        for by what a late answer still earns: nothing, and its slot is better used at once."""
+        for by what a late answer still earns: nothing, and its slot is better used at once.
+        """
         least = request.kind.latency_objective * (LOST if node.latest > sent else 1.0)
         return max(least, OVERDUE * request.kind.late_value * self.answer_time(request, node))
 
     def call_off_overdue(self, request: Request) -> None:
         """An attempt past its patience gives its slot back. Guards against lost answers and hanging nodes.
         Harms where a node turns slow at once. One that must not run again, or only where it ran, fails by
-        this: it goes only where its answer seems lost, and past its aim."""
+        this: it goes only where its answer seems lost, and past its aim.
+        """
         once = request.kind.idempotency is not Idempotency.IDEMPOTENT
         for attempt, (node, sent) in request.out.items() if self.settings.can_cancel else ():
             due = sent + self.patience(request, node, sent)
@@ -454,7 +459,8 @@
 
     def judge_node(self, node: Node, event: AttemptFinished, request: Request, sent: float) -> None:
         """Bound the node's depth by its own latency: gently up while short, down at once when it fails. Where
-        one that was sent later is answered already, an answer was lost, and the node has not failed."""
+        one that was sent later is answered already, an answer was lost, and the node has not failed.
+        """
         if event.outcome is AttemptOutcome.SERVED:
             node.latest = max(node.latest, sent)
             gap, node.answered, node.failures = min(1.0, self.now - node.answered), self.now, 0
@@ -483,7 +489,8 @@
 
     def tell_service_from_queue(self, node: Node, spent: float, request: Request, gain: float) -> None:
         """Work goes with units and class: a node's short answers by these are its service, the rest its
-        queue. Guards against slow nodes and large requests taken for queues. Harms where none is short."""
+        queue. Guards against slow nodes and large requests taken for queues. Harms where none is short.
+        """
         index, pace = request.index, spent / request.units
         self.paces[index] = short_mean(self.paces[index] or pace, pace)
         work = request.units * self.heaviness(index)
@@ -496,7 +503,8 @@
 
     def on_retuned(self, event: SettingsReloaded) -> None:
         """Classes come and go at run time: a new one starts with an even part of the bounds, one that is gone
-        gives its part back. What is under way keeps its class, as the requests hold it themselves."""
+        gives its part back. What is under way keeps its class, as the requests hold it themselves.
+        """
         self.tune(event.settings)
         count, fresh = len(event.settings.classes), len(event.settings.classes) - len(self.bounds)
         even = 1.0 / max(1, count - len(event.retired_classes))
@@ -535,7 +543,8 @@
 
     def may_send_at(self, request: Request, node: Node) -> float:
         """The earliest time at which every rule could allow it; infinite where only an event can, or where an
-        answer would come too late for the client: such an attempt would take a slot for nothing."""
+        answer would come too late for the client: such an attempt would take a slot for nothing.
+        """
         answered = self.now + self.answer_time(request, node)
         if answered >= request.deadline - MARGIN or not self.within_group(request, node):
             return math.inf
@@ -578,7 +587,8 @@
 
     def within_limit_at(self, request: Request) -> float:
         """Limit: this host's even part of the store. An earlier life may have used it all, so it starts with
-        a part of the slack only, and fills from when this process, and so no other life of it, can send."""
+        a part of the slack only, and fills from when this process, and so no other life of it, can send.
+        """
         plan = self.settings.plans[request.ask.plan_index]
         if not plan.rate_limit or request.sends:
             return self.now
@@ -592,7 +602,8 @@
         an even part of the stated units by the hosts stated or seen, which grow as it warms, or by its usual
         rate there, the mean one where it knows none, or by what comes to it within reserves, as a host just
         started knows no usual rate. All hosts' add up to what a warm node serves, of which load reports tell
-        the part of its power; some is saved up, as a host's few requests come in bunches."""
+        the part of its power; some is saved up, as a host's few requests come in bunches.
+        """
         safety, age = self.safety, self.now - node.up_since
         if not self.is_cold(node):
             return self.now
@@ -618,7 +629,8 @@
         """A held request is kept while it can be in time; once late it goes at once, or is given up.
 
         Guards against backlogs that outlive their worth, whatever holds them up: surges, silent, cold or
-        unlisted nodes. Harms where answers turn short again just after."""
+        unlisted nodes. Harms where answers turn short again just after.
+        """
         node, late_at = self.holder.get(request.cell), request.aim_at
         ready_at, hopeless = math.inf, request.cell != -1 or not self.holder
         if node:
--- a/cleatyoke/sftp/backends.py
+++ b/cleatyoke/sftp/backends.py
@@ -102,7 +102,8 @@
     async def receive(self, request: int) -> Packet:
         reply = decode(await read_packet(self.reader))
         if reply.id != request and not isinstance(reply, Version):
-            raise PacketError(f"an answer to {reply.id}, want one to {request}")
+            msg = f"an answer to {reply.id}, want one to {request}"
+            raise PacketError(msg)
         return reply
 
     def usable(self) -> bool:
@@ -161,7 +162,8 @@
 
     async def connect(self, node: int, fresh: bool) -> SftpConnection:
         """A connection that has said its version. A change has a fresh one: on one that was idle, a break
-        could not be told from a break after the box had stored the change."""
+        could not be told from a break after the box had stored the change.
+        """
         box = self.directory.boxes.get(node)
         if box is None or not self.directory.serves(node):
             raise NotServingError
@@ -180,7 +182,8 @@
                 line = SftpConnection(reader, writer)
                 reply = await line.ask(Init(VERSION))
                 if not isinstance(reply, Version) or reply.id != VERSION:
-                    raise PacketError("no version 3")
+                    msg = "no version 3"
+                    raise PacketError(msg)
                 return line
         except (OSError, EOFError, ValueError, TimeoutError) as error:
             if writer:
@@ -225,7 +228,8 @@
             while isinstance(found := await line.ask(Readdir(0, opened.handle)), Names) and found.names:
                 names += found.names
                 if len(names) > MOST_NAMES:
-                    raise PacketError("too long a listing")
+                    msg = "too long a listing"
+                    raise PacketError(msg)
             await line.ask(Close(0, opened.handle))
             ended = isinstance(found, Names) or (isinstance(found, Status) and found.code == Code.SSH_FX_EOF)
             return Names(0, names) if ended else found
@@ -245,4 +249,5 @@
 
 
 def unexpected(packet: Packet) -> Packet:
-    raise PacketError(f"an answer of type {packet.type}")
+    msg = f"an answer of type {packet.type}"
+    raise PacketError(msg)
--- a/cleatyoke/sftp/packets.py
+++ b/cleatyoke/sftp/packets.py
@@ -287,7 +287,8 @@
 
     def take(self, size: int) -> bytes:
         if self.at + size > len(self.raw):
-            raise PacketError("the packet ends within a field")
+            msg = "the packet ends within a field"
+            raise PacketError(msg)
         self.at += size
         return self.raw[self.at - size : self.at]
 
@@ -327,7 +328,8 @@
         """A count of entries; one that the rest cannot hold is refused before any is made."""
         count = self.u32()
         if count * least > len(self.raw) - self.at:
-            raise PacketError("a count beyond the packet's end")
+            msg = "a count beyond the packet's end"
+            raise PacketError(msg)
         return count
 
 
@@ -344,7 +346,8 @@
     except PacketError as error:
         raise PacketError(str(error), request) from error
     if source.at != len(raw):
-        raise PacketError("bytes after the last field", request)
+        msg = "bytes after the last field"
+        raise PacketError(msg, request)
     return made
 
 
@@ -406,7 +409,8 @@
     """The next packet's length; asyncio.IncompleteReadError where the peer has closed."""
     size = int.from_bytes(await reader.readexactly(4), "big")
     if not 5 <= size <= MOST_PACKET:
-        raise PacketError(f"a packet of {size} bytes")
+        msg = f"a packet of {size} bytes"
+        raise PacketError(msg)
     return size
 
 
--- a/cleatyoke/simulator.py
+++ b/cleatyoke/simulator.py
@@ -100,7 +100,8 @@
         return EndpointUpdate(mode, [] if mode is UpdateKind.UNAVAILABLE else lists[event["Slot"]])
     if kind == "ABORTED":
         return ClientDisconnected(event["Req"])
-    raise MalformedBatchError(f"unknown event type {kind!r}")
+    msg = f"unknown event type {kind!r}"
+    raise MalformedBatchError(msg)
 
 
 def write_action(head: int, action: SchedulerAction) -> dict[str, Any]:
@@ -141,7 +142,8 @@
             for event in news:
                 self.read(event, pending)
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-            raise MalformedBatchError(f"malformed batch: {type(error).__name__}: {error}") from error
+            msg = f"malformed batch: {type(error).__name__}: {error}"
+            raise MalformedBatchError(msg) from error
         for head, events in pending.items():
             self.run(head, now, events, steps)
         return {"round": number, "steps": steps}
--- a/cleatyoke/testbed/backend.py
+++ b/cleatyoke/testbed/backend.py
@@ -29,7 +29,8 @@
 class TestBackend(Peer):
     """A box under one id, at one address for all its lives. While it is silent, connections come up and
     nothing is read, as where the machine is cut off: what was written to it meanwhile has not come, and never
-    does, as those connections are reset once it is back (protocol page, The network)."""
+    does, as those connections are reset once it is back (protocol page, The network).
+    """
 
     def __init__(
         self, name: str, cell: int, zone: str, judge: RuleChecker, clock: Callable[[], float]
--- a/cleatyoke/testbed/checker.py
+++ b/cleatyoke/testbed/checker.py
@@ -181,7 +181,8 @@
 
     def windows(self, box: str, window: float) -> Iterator[tuple[float, float]]:
         """For each request that came to a cold box: the units in the window that it ends, and what the box
-        bears in one."""
+        bears in one.
+        """
         came, start, total = self.cold[box], 0, 0.0
         for at, units, bears in came:
             total += units
@@ -198,7 +199,8 @@
     def repeats(self, trace: str, one: ClientRequestRecord, runs: int) -> list[str]:
         """The rule on duplicate effects: once an attempt may have run, a request of a class ``once`` goes
         nowhere, a keyed one to its group alone and within its window, and neither is told that trying again
-        is harmless, unless every box drops the repeat."""
+        is harmless, unless every box drops the repeat.
+        """
         kind, doubtful = one.kind, [made for made in one.attempts if not made.refused]
         if kind.repeat is Idempotency.IDEMPOTENT or not doubtful:
             return []
--- a/cleatyoke/testbed/discovery_agent.py
+++ b/cleatyoke/testbed/discovery_agent.py
@@ -43,7 +43,8 @@
 
 class DiscoveryAgent(Peer):
     """The agent of one front. ``late``: seconds by which it passes on what it hears. ``spoils``: what it
-    serves in place of a list (``garble``, ``empty``, ``silent``), or nothing."""
+    serves in place of a list (``garble``, ``empty``, ``silent``), or nothing.
+    """
 
     def __init__(
         self, front: int, registry: Registry, judge: RuleChecker, clock: Callable[[], float]
--- a/cleatyoke/testbed/generator.py
+++ b/cleatyoke/testbed/generator.py
@@ -32,7 +32,8 @@
 def draw(theme: str, seed: int) -> Values:
     """The values of the scenario with this number: a ``ValueError`` for an unknown theme."""
     if theme not in SPAN:
-        raise ValueError(f"want one of {', '.join(THEMES)}, found {theme!r}")
+        msg = f"want one of {', '.join(THEMES)}, found {theme!r}"
+        raise ValueError(msg)
     rng, seconds = random.Random(f"{theme}:{seed}"), SPAN[theme]
     fronts, boxes = rng.randint(2, 6), rng.randint(1, 20)
     if theme == "trouble":
@@ -101,7 +102,8 @@
 
 def plans(rng: random.Random, hosts: int, largest: int, limited: bool) -> list[Values]:
     """One to three. Where there is a limit, its store holds two largest requests for each host at the least
-    (brief, This kind of system), and its slack one."""
+    (brief, This kind of system), and its slack one.
+    """
     out: list[Values] = []
     for number in range(rng.randint(1, 3)):
         rate = round(rng.uniform(3, 12), 1)
--- a/cleatyoke/testbed/peer.py
+++ b/cleatyoke/testbed/peer.py
@@ -19,7 +19,8 @@
 
 def hold_port() -> socket.socket:
     """A port of loopback that nobody else is given while the socket stands: who listens on it may come and
-    go. It does not listen itself, so that connections are refused meanwhile."""
+    go. It does not listen itself, so that connections are refused meanwhile.
+    """
     held = socket.socket()
     held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     held.bind(("127.0.0.1", 0))
@@ -28,7 +29,8 @@
 
 class Peer:
     """A listener on loopback whose connections are handled by the subclass. ``open`` counts those that stand,
-    ``accepted`` all that came. Its port stays from one life to the next."""
+    ``accepted`` all that came. Its port stays from one life to the next.
+    """
 
     def __init__(self) -> None:
         self.held: socket.socket | None = None
--- a/cleatyoke/testbed/runner.py
+++ b/cleatyoke/testbed/runner.py
@@ -398,7 +398,8 @@
 
     async def trouble_hold(self, number: int, trouble: FaultEvent) -> None:
         """A box is held by a call at one front, and released by one at the next. The judge holds those fronts
-        to it of which the answer says that they have it: this one, or all."""
+        to it of which the answer says that they have it: this one, or all.
+        """
         box = self.boxes[trouble.box].name
         told = " ".join(await self.fronts[number].call(f"disable-server {box}")).split()
         at = self.clock()
--- a/cleatyoke/testbed/scenario.py
+++ b/cleatyoke/testbed/scenario.py
@@ -165,7 +165,8 @@
     try:
         values = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
-        raise ConfigError(f"{path.name}: {error}") from error
+        msg = f"{path.name}: {error}"
+        raise ConfigError(msg) from error
     return make_scenario(path.stem, values)
 
 
@@ -221,7 +222,8 @@
     )
     for one in scenario.troubles if scenario.view is None else []:
         if one.kind in (*LINK_FAULTS, *CALL_FAULTS):
-            raise root.fail("trouble", f"{one.kind} wants a view of the fleet")
+            msg = "trouble"
+            raise root.fail(msg, f"{one.kind} wants a view of the fleet")
     for table in (root, fleet, load, power, terms, view):
         table.nothing_else()
     return scenario
--- a/cleatyoke/testbed/view_checks.py
+++ b/cleatyoke/testbed/view_checks.py
@@ -44,7 +44,8 @@
             case ["EOT"]:
                 pass
             case _:
-                raise ConfigError(f"show-fleet: {line!r}")
+                msg = f"show-fleet: {line!r}"
+                raise ConfigError(msg)
     return view
 
 
--- a/cleatyoke/testbed/workload.py
+++ b/cleatyoke/testbed/workload.py
@@ -1,5 +1,6 @@
 """The load of a scenario, the same requests in every run and on every clock: who asks for what is drawn from
-its seed. No socket, no clock."""
+its seed. No socket, no clock.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/transport/framing.py
+++ b/cleatyoke/transport/framing.py
@@ -15,7 +15,8 @@
     """Raises ``MessageTooLong`` before any of it is read, ``EOFError`` where the stream ends before it."""
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     if length > most:
-        raise MessageTooLongError(f"a message of {length} bytes, want {most} at the most")
+        msg = f"a message of {length} bytes, want {most} at the most"
+        raise MessageTooLongError(msg)
     return await reader.readexactly(length)
 
 
--- a/cleatyoke/transport/sockets.py
+++ b/cleatyoke/transport/sockets.py
@@ -1,5 +1,6 @@
 """What asyncio does not offer for sockets: a look for unread bytes or the end, a close that costs no answer,
-and a listener that can wait for room."""
+and a listener that can wait for room.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +33,8 @@
 
 def ended(transport: asyncio.BaseTransport) -> bool:
     """The peer has closed or reset the connection, or shut its sending side, whether or not the loop has read
-    that yet; or it is closed on this side."""
+    that yet; or it is closed on this side.
+    """
     descriptor = transport.get_extra_info("socket").fileno()
     if descriptor < 0:
         return True
@@ -59,7 +61,8 @@
     sending side is shut, and what still comes is thrown away until the peer ends it too, within ``PART``
     seconds and ``MOST_PART`` bytes. Guards answers: a close over unread bytes resets the connection, and what
     the peer has not read of the answer goes with it. Its protocol is told of the end at once, and hears
-    nothing more; ``parted`` is called once the descriptor is free."""
+    nothing more; ``parted`` is called once the descriptor is free.
+    """
 
     def __init__(
         self,
@@ -178,10 +181,12 @@
     try:
         taken = socket.socket(fileno=descriptor)
     except OSError as error:
-        raise NotListeningError(f"descriptor {descriptor}: {error.strerror or error}") from error
+        msg = f"descriptor {descriptor}: {error.strerror or error}"
+        raise NotListeningError(msg) from error
     if taken.type != socket.SOCK_STREAM or not taken.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         taken.detach()  # it is not ours to close
-        raise NotListeningError(f"descriptor {descriptor} is no listening TCP socket")
+        msg = f"descriptor {descriptor} is no listening TCP socket"
+        raise NotListeningError(msg)
     return taken
 
 
@@ -189,7 +194,8 @@
     """Accepts a connection only when there is ``room`` for it; until then the kernel holds it.
 
     Guards the descriptors: asyncio's own listener accepts a backlog at a time before any is counted, and
-    pauses for a second once there are none left."""
+    pauses for a second once there are none left.
+    """
 
     def __init__(
         self,
@@ -218,13 +224,13 @@
     def accept(self) -> None:
         for _ in range(ACCEPTED):
             if not readable(self.socket.fileno()):
-                return
+                return None
             if not self.room():
                 return self.wait()
             try:
                 self.take()
             except BlockingIOError:
-                return
+                return None
             except OSError:
                 return self.wait()
 
@@ -249,7 +255,8 @@
 
     def close(self) -> None:
         """What the kernel holds is accepted first, as far as there is room: requests on it count as taken,
-        and the close would reset them. Where the socket is another process's too, that one accepts them."""
+        and the close would reset them. Where the socket is another process's too, that one accepts them.
+        """
         if self.pause_timer:
             self.pause_timer.cancel()
         if self.socket.fileno() < 0:
--- a/cleatyoke/vrrp/instance.py
+++ b/cleatyoke/vrrp/instance.py
@@ -1,7 +1,8 @@
 """VRRP version 3 (RFC 5798): the state machine, without a clock or a wire, and its carrier over UDP.
 
 The carrier stands in for IP protocol 112: peers are named instead of a multicast group, so there is no check
-of the TTL, and the checksum covers the VRRP message alone (UDP's own covers the addresses)."""
+of the TTL, and the checksum covers the VRRP message alone (UDP's own covers the addresses).
+"""
 
 from __future__ import annotations
 
@@ -55,15 +56,19 @@
 
 def decode(message: bytes) -> Advertisement:
     if len(message) < 12 or len(message) % 4:
-        raise AdvertisementError(f"{len(message)} bytes")
+        msg = f"{len(message)} bytes"
+        raise AdvertisementError(msg)
     kind, router, priority, count, interval = struct.unpack(">BBBBH", message[:6])
     if kind != 0x31:
-        raise AdvertisementError(f"version and type {kind:#x}")
+        msg = f"version and type {kind:#x}"
+        raise AdvertisementError(msg)
     if checksum(message):
-        raise AdvertisementError("checksum")
+        msg = "checksum"
+        raise AdvertisementError(msg)
     size, odd = divmod(len(message) - 8, count) if count else (0, 1)
     if odd or size not in (4, 16):
-        raise AdvertisementError(f"{count} addresses")
+        msg = f"{count} addresses"
+        raise AdvertisementError(msg)
     parts = [message[start : start + size] for start in range(8, len(message), size)]
     addresses = tuple(str(ipaddress.ip_address(part)) for part in parts)
     return Advertisement(router, priority, (interval & 0xFFF) / 100, addresses)
@@ -71,7 +76,8 @@
 
 class VirtualRouter:
     """A virtual router's state machine (RFC 5798, 6.4). Each event returns the priorities to advertise now;
-    ``due`` is when ``timer`` wants to be called next."""
+    ``due`` is when ``timer`` wants to be called next.
+    """
 
     def __init__(self, priority: int, interval: float, preempt: bool, address: str) -> None:
         self.priority, self.interval, self.preempt = priority, interval, preempt
@@ -155,10 +161,12 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         try:
             if not any(peer.host == addr[0] for peer in self.config.peers):
-                raise AdvertisementError("not of a peer")
+                msg = "not of a peer"
+                raise AdvertisementError(msg)
             heard = decode(data)
             if heard.router != self.config.router:
-                raise AdvertisementError(f"router {heard.router}")
+                msg = f"router {heard.router}"
+                raise AdvertisementError(msg)
         except AdvertisementError as error:
             log.warning("vrrp_skipped", why=str(error), source=addr[0])
             return
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -7,6 +7,8 @@
 import unittest
 from collections.abc import AsyncIterator
 
+import pytest
+
 from cleatyoke.http.body_limits import MOST_UPLOAD, WHOLE, BodyMemory, patience
 from tests.test_http_front import TARGET, FrontCase
 from tests.wire import answer
@@ -29,23 +31,23 @@
                         if wanted == left[body]:
                             room.leave(body)
                             del left[body]
-                    self.assertLessEqual(sum(room.held.values()), room.total)
-                self.assertTrue(moved, (seed, room.held))
+                    assert sum(room.held.values()) <= room.total
+                assert moved, (seed, room.held)
 
     def test_short_bodies_never_wait_and_one_that_cannot_fit_is_never_favoured(self) -> None:
         room = BodyMemory(MEGABYTE)
-        self.assertFalse(room.take("huge", 3 * MEGABYTE))
-        self.assertTrue(room.take("long", MEGABYTE))
-        self.assertFalse(room.take("next", MEGABYTE))
-        self.assertTrue(room.take("short", WHOLE))
+        assert not room.take("huge", 3 * MEGABYTE)
+        assert room.take("long", MEGABYTE)
+        assert not room.take("next", MEGABYTE)
+        assert room.take("short", WHOLE)
         room.leave("long")
         room.leave("huge")
-        self.assertTrue(room.take("next", MEGABYTE))
+        assert room.take("next", MEGABYTE)
 
     def test_the_slowest_client_is_within_its_patience_and_one_that_stalls_is_not(self) -> None:
         for size in (1, 64_000, 640_000, MOST_UPLOAD):
-            self.assertLess(2.0 + size / 64_000, patience(size))  # 64 kB a second, after a stall of 2 s
-        self.assertLess(patience(0), 3.0)
+            assert 2.0 + size / 64000 < patience(size)  # 64 kB a second, after a stall of 2 s
+        assert patience(0) < 3.0
 
 
 class LongAnswers(FrontCase):
@@ -76,11 +78,11 @@
 
         await self.begin(script)
         for trace in ("a", "chunked", "b", "c"):
-            self.assertEqual(await self.ask(trace), (200, body), trace)
+            assert await self.ask(trace) == (200, body), trace
             await asyncio.sleep(0.05)  # a connection rests before it is used again
-        self.assertEqual((self.box.accepted, self.boxes.open), (1, 1))
-        self.assertEqual(await self.ask("closes"), (200, body))
-        self.assertEqual(await self.ask("closes-short"), (200, body[:9]))
+        assert (self.box.accepted, self.boxes.open) == (1, 1)
+        assert await self.ask("closes") == (200, body)
+        assert await self.ask("closes-short") == (200, body[:9])
 
     async def test_first_bytes_pass_on_before_the_last_have_come_and_after_the_deadline_too(self) -> None:
         body, release = self.body, asyncio.Event()
@@ -97,14 +99,14 @@
         await self.begin(script)
         reader, writer = await self.raw(self.head("t").replace(b"1500", b"300"))
         async with asyncio.timeout(2):
-            self.assertIn(b"%d" % len(body), await self.head_of(reader))
-            self.assertEqual(await reader.readexactly(100_000), body[:100_000])
+            assert b"%d" % len(body) in await self.head_of(reader)
+            assert await reader.readexactly(100000) == body[:100000]
         await asyncio.sleep(0.4)  # past the request's time: what has begun goes on
         release.set()
         async with asyncio.timeout(5):
-            self.assertEqual(await reader.readexactly(len(body) - 100_000), body[100_000:])
+            assert await reader.readexactly(len(body) - 100000) == body[100000:]
         writer.close()
-        self.assertEqual(self.box.counts["t"], 1)
+        assert self.box.counts["t"] == 1
 
     async def test_an_answer_that_breaks_off_ends_its_client_s_connection_and_is_a_failure(self) -> None:
         async def script(trace: str) -> AsyncIterator[bytes]:
@@ -118,12 +120,12 @@
         reader, writer = await self.raw(self.head("t"))
         await self.head_of(reader)
         async with asyncio.timeout(3):
-            with self.assertRaises((asyncio.IncompleteReadError, ConnectionError)):
+            with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await reader.readexactly(len(self.body))
         writer.close()
         figures = self.boxes.figures
         await self.until(lambda: figures.ended["failure"]["tile-read"] == 1)
-        self.assertEqual((figures.ended["success"]["tile-read"], self.box.counts["t"]), (0, 1))
+        assert (figures.ended["success"]["tile-read"], self.box.counts["t"]) == (0, 1)
         await self.until(lambda: self.boxes.open == 0)
 
     async def test_a_client_that_leaves_or_reads_slowly_holds_no_more_than_a_bound(self) -> None:
@@ -143,7 +145,7 @@
         reader, writer = await self.raw(self.head("t"))
         await self.head_of(reader)
         await asyncio.sleep(0.5)  # it reads nothing
-        self.assertLess(sent, 24 * MEGABYTE)  # what the kernel's buffers take, and no more
+        assert sent < 24 * MEGABYTE  # what the kernel's buffers take, and no more
         writer.transport.abort()
         await self.until(lambda: self.boxes.open == 0 and not self.front.clients)
 
@@ -155,7 +157,7 @@
         head = self.head(trace, *fields, method="PUT").replace(b"tile-read", b"record-write")
         reader, writer = await self.raw(head)
         if "Expect: 100-continue" in fields:
-            self.assertEqual(await reader.readuntil(b"\r\n\r\n"), b"HTTP/1.1 100 Continue\r\n\r\n")
+            assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         for start in range(0, len(body), piece):
             part = body[start : start + piece]
             writer.write(b"%x\r\n%s\r\n" % (len(part), part) if chunked else part)
@@ -185,9 +187,9 @@
             found = await asyncio.gather(
                 *(self.upload(trace, body, *fields, wait=wait) for trace, (fields, wait) in cases.items())
             )
-        self.assertEqual([status[9:12] for status in found], [b"200"] * 3)
-        self.assertEqual([self.box.bodies[trace] for trace in cases], [body] * 3)
-        self.assertEqual([self.box.counts[trace] for trace in cases], [1] * 3)
+        assert [status[9:12] for status in found] == [b"200"] * 3
+        assert [self.box.bodies[trace] for trace in cases] == [body] * 3
+        assert [self.box.counts[trace] for trace in cases] == [1] * 3
 
     async def test_uploads_beyond_the_room_wait_for_each_other_and_all_are_served(self) -> None:
         await self.started()
@@ -207,17 +209,17 @@
                 *(self.upload(f"u{n}", body, f"Content-Length: {len(body)}") for n in range(5))
             )
         watching.cancel()
-        self.assertEqual([status[9:12] for status in found], [b"200"] * 5)
-        self.assertLessEqual(most, 3 * MEGABYTE)
-        self.assertGreater(most, MEGABYTE)
-        self.assertEqual((held, self.front.space.waiting), ({}, {}))
+        assert [status[9:12] for status in found] == [b"200"] * 5
+        assert most <= 3 * MEGABYTE
+        assert most > MEGABYTE
+        assert (held, self.front.space.waiting) == ({}, {})
 
     async def test_a_target_in_absolute_form_and_an_unknown_expectation(self) -> None:
         await self.started()
         reader, writer = await self.raw(self.head("t", target="http://anywhere:80" + TARGET))
-        self.assertIn(b" 200 ", await reader.readline())
-        self.assertIn(f"GET {TARGET} HTTP/1.1", self.box.heads[0])
+        assert b" 200 " in await reader.readline()
+        assert f"GET {TARGET} HTTP/1.1" in self.box.heads[0]
         writer.close()
         reader, writer = await self.raw(self.head("u", "Expect: tea"))
-        self.assertIn(b" 417 ", await reader.readline())
+        assert b" 417 " in await reader.readline()
         writer.close()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -17,6 +17,8 @@
 from typing import Any
 from unittest import mock
 
+import pytest
+
 from cleatyoke import __main__ as daemon_module
 from cleatyoke.__main__ import Daemon
 from cleatyoke.config.deployment import read_config
@@ -92,8 +94,8 @@
                 await asyncio.sleep(0)
             await asyncio.sleep(0.3)
             descriptors = len(os.listdir(f"/proc/{daemon.pid}/fd"))
-            self.assertGreater(box.open, SOCKETS // 4, "the requests that were taken have their connections")
-            self.assertLess(descriptors, SOCKETS - 16, "what discovery, the log and a reload need is left")
+            assert box.open > SOCKETS // 4, "the requests that were taken have their connections"
+            assert descriptors < SOCKETS - 16, "what discovery, the log and a reload need is left"
             await agent.start()
             path.write_text(json.dumps({**values, "discovery": f"127.0.0.1:{agent.port}"}))
             daemon.send_signal(signal.SIGHUP)
@@ -107,13 +109,13 @@
             loop = asyncio.get_running_loop()
             async with asyncio.timeout(10):
                 said = [await loop.sock_recv(one, 12) for one in flood[: SOCKETS // 4]]
-            self.assertEqual(set(said), {b"HTTP/1.1 200"}, "the first were taken before the flood")
+            assert set(said) == {b"HTTP/1.1 200"}, "the first were taken before the flood"
             daemon.send_signal(signal.SIGTERM)
             assert daemon.stderr
             async with asyncio.timeout(10):
                 log = await daemon.stderr.read()
-                self.assertEqual(await daemon.wait(), 0, log)
-            self.assertIn(b"faults=0", log)
+                assert await daemon.wait() == 0, log
+            assert b"faults=0" in log
         for one in flood:
             one.close()
         for peer in (agent, box):
@@ -161,12 +163,12 @@
                 statuses = {(await reader.readline())[9:12] for reader, _ in taken}
             daemon.kill()
             await daemon.wait()
-        self.assertEqual(set(found[0::5]), {b"400"})
-        self.assertLessEqual(set(found[1::5]), {b"400", b"431"})
-        self.assertEqual(set(found[2::5]) | set(found[3::5]), {b"400"})
-        self.assertEqual(set(found[4::5]), {b"413"})
-        self.assertLessEqual(statuses, {b"200", b"503"})
-        self.assertIn(b"200", statuses)
+        assert set(found[0::5]) == {b"400"}
+        assert set(found[1::5]) <= {b"400", b"431"}
+        assert set(found[2::5]) | set(found[3::5]) == {b"400"}
+        assert set(found[4::5]) == {b"413"}
+        assert statuses <= {b"200", b"503"}
+        assert b"200" in statuses
         for _, writer in taken:
             writer.close()
         box.stop()
@@ -200,7 +202,7 @@
 
         await asyncio.gather(*(one(known) for known in [old, empty, {}] * 4))
         silent.close()
-        self.assertLess(sorted(took)[int(0.9 * len(took))], 10.0)
+        assert sorted(took)[int(0.9 * len(took))] < 10.0
 
 
 class SignalStories(unittest.IsolatedAsyncioTestCase):
@@ -233,7 +235,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", self.daemon.front.address.port)
         writer.write(head("t"))
         async with asyncio.timeout(5):
-            self.assertIn(b" 200 ", await reader.readline())
+            assert b" 200 " in await reader.readline()
         writer.close()
 
     async def leave(self) -> float:
@@ -245,8 +247,8 @@
         await self.served()
         async with asyncio.timeout(10):
             await serving
-        self.assertIs(self.daemon.life.status, Status.LEFT)
-        self.assertEqual(self.daemon.figures.faults, 0)
+        assert self.daemon.life.status is Status.LEFT
+        assert self.daemon.figures.faults == 0
         return loop.time() - begun
 
     async def test_amid_the_start(self) -> None:
@@ -259,8 +261,8 @@
         with mock.patch.object(HttpServer, "listen", crossing):
             await self.daemon.start()
         await asyncio.sleep(0.01)
-        self.assertTrue(self.daemon.signalled.is_set())
-        self.assertGreater(await self.leave(), 0.7)
+        assert self.daemon.signalled.is_set()
+        assert await self.leave() > 0.7
 
     async def test_amid_a_reload(self) -> None:
         await self.daemon.start()
@@ -271,8 +273,8 @@
 
         with mock.patch.object(daemon_module, "read_config", crossing):
             self.daemon.reload()
-        self.assertEqual(self.daemon.figures.reconfig_ok, 1)
-        self.assertGreater(await self.leave(), 0.7)
+        assert self.daemon.figures.reconfig_ok == 1
+        assert await self.leave() > 0.7
 
     async def test_amid_a_leaving_and_with_a_reload_amid_it(self) -> None:
         await self.daemon.start()
@@ -281,9 +283,9 @@
         loop = asyncio.get_running_loop()
         for place, number in enumerate((signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)):
             loop.call_later(0.1 * place, os.kill, os.getpid(), number)
-        self.assertGreater(await self.leave(), 0.7)
-        self.assertEqual(self.daemon.life.last_answer(), due, "the first one counts")
-        self.assertEqual(self.daemon.figures.reconfig_ok, 1)
+        assert await self.leave() > 0.7
+        assert self.daemon.life.last_answer() == due, "the first one counts"
+        assert self.daemon.figures.reconfig_ok == 1
 
 
 class BoxStories(FrontCase):
@@ -301,11 +303,10 @@
                 one.connect_ex(("127.0.0.1", port))
             await asyncio.sleep(0.05)
             listed(self.directory, instance("s-late", port, cell=3))
-            self.assertEqual(
-                await self.attempt(2, ask("t", "PUT", b"scan")),
-                AttemptResult(AttemptOutcome.CONNECTION_FAILED),
+            assert await self.attempt(2, ask("t", "PUT", b"scan")) == AttemptResult(
+                AttemptOutcome.CONNECTION_FAILED
             )
-            self.assertEqual(self.boxes.open, 0)
+            assert self.boxes.open == 0
             loop, heard = asyncio.get_running_loop(), []
             until = loop.time() + 1.5
             while loop.time() < until:
@@ -317,7 +318,7 @@
                 await asyncio.sleep(0.02)
             for one in full:
                 one.close()
-        self.assertEqual([one for one in heard if one], [])
+        assert [one for one in heard if one] == []
 
     async def test_an_attempt_that_is_given_up_amid_its_writing_never_comes_whole(self) -> None:
         await self.begin(at_once)
@@ -336,15 +337,15 @@
         listed(self.directory, instance("s-slow", server.sockets[0].getsockname()[1], cell=3))
         request = ask("t", "PUT")
         request.body = [bytes(1 << 20)] * 16
-        with self.assertRaises(TimeoutError):
+        with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
                 await self.attempt(2, request)
         reading.set()
         async with asyncio.timeout(5):
             await ended.wait()
         server.close()
-        self.assertLess(len(got), 16 << 20)
-        self.assertEqual((self.boxes.open, self.boxes.figures.backend_calls), (0, 0))
+        assert len(got) < 16 << 20
+        assert (self.boxes.open, self.boxes.figures.backend_calls) == (0, 0)
 
     async def test_an_answer_without_an_end_that_is_reset_is_none_and_one_that_ends_is_served(self) -> None:
         async def play(reset: bool) -> AttemptResult[Any]:
@@ -365,8 +366,8 @@
             server.close()
             return found
 
-        self.assertEqual(await play(reset=True), AttemptResult(AttemptOutcome.CONNECTION_RESET))
-        self.assertEqual(await play(reset=False), AttemptResult(AttemptOutcome.SERVED, b"tile"))
+        assert await play(reset=True) == AttemptResult(AttemptOutcome.CONNECTION_RESET)
+        assert await play(reset=False) == AttemptResult(AttemptOutcome.SERVED, b"tile")
 
     async def test_half_a_status_line_and_an_answer_that_never_ends_are_resets_in_time(self) -> None:
         async def play(*pieces: bytes) -> AttemptResult[Any]:
@@ -388,7 +389,7 @@
             server.close()
             return found
 
-        self.assertEqual(await play(b"HTTP/1.1 2"), AttemptResult(AttemptOutcome.CONNECTION_RESET))
-        self.assertEqual(await play(answer()[:-1]), AttemptResult(AttemptOutcome.CONNECTION_RESET))
+        assert await play(b"HTTP/1.1 2") == AttemptResult(AttemptOutcome.CONNECTION_RESET)
+        assert await play(answer()[:-1]) == AttemptResult(AttemptOutcome.CONNECTION_RESET)
         endless = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ntile\r\n"
-        self.assertEqual(await play(endless), AttemptResult(AttemptOutcome.CONNECTION_RESET))
+        assert await play(endless) == AttemptResult(AttemptOutcome.CONNECTION_RESET)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -27,14 +27,17 @@
 
 def test_a_fit_finds_a_power_law_and_its_residual() -> None:
     found = fit([(size, 3.0 * size**1.5) for size in (10, 20, 40, 80, 160)])
-    assert found.exponent == pytest.approx(1.5) and found.factor == pytest.approx(3.0)
-    assert found.residual < 1e-9 and found.at(1000) == pytest.approx(3.0 * 1000**1.5)
+    assert found.exponent == pytest.approx(1.5)
+    assert found.factor == pytest.approx(3.0)
+    assert found.residual < 1e-9
+    assert found.at(1000) == pytest.approx(3.0 * 1000**1.5)
     rng = random.Random(1)
     rough = fit(
         [(size, size * math.exp(rng.gauss(0, 0.2))) for size in (10, 20, 40, 80, 160) for _ in range(9)]
     )
     low, high = rough.range_at(1600, 160)
-    assert low < 1600 < high and 0.1 < rough.residual < 0.3
+    assert low < 1600 < high
+    assert 0.1 < rough.residual < 0.3
     assert high / low > rough.range_at(160, 160)[1] / rough.range_at(160, 160)[0], "farther is less certain"
 
 
@@ -107,7 +110,8 @@
     assert hollow.agreed(fleet)
     fleet.network = Network(2)
     fleet.run(20.0)
-    assert hollow.agreed(fleet) and fleet.one_view()
+    assert hollow.agreed(fleet)
+    assert fleet.one_view()
     assert not fleet.journal.deaths
 
 
@@ -118,7 +122,8 @@
     hollow.wait_until_agreed(fleet)
     assert hollow.agreed(fleet)
     found = hollow.zone_lost(40, 3)
-    assert 1.0 < found.settled < 60 and found.most_bytes >= found.mean_bytes > 0
+    assert 1.0 < found.settled < 60
+    assert found.most_bytes >= found.mean_bytes > 0
 
 
 def row(duty: str, figure: str, size: int, value: float, fitted: bool = True) -> Row:
@@ -129,7 +134,8 @@
     rows = [row("node list", "rest", size, float(size)) for size in (10, 20, 40)]
     rows += [row("node list", "rest", 80, math.inf), row("node list", "rest", 160, 500.0, fitted=False)]
     found = results.Results(rows)["node list", "rest"]
-    assert found.fit.exponent == pytest.approx(1.0) and found.lost == 1
+    assert found.fit.exponent == pytest.approx(1.0)
+    assert found.lost == 1
     assert (found.near_size, found.near) == (160, 500.0)
     assert math.isnan(results.Results(rows).at("node list", "change"))
 
@@ -142,7 +148,8 @@
 def test_what_nothing_carries_comes_first_and_then_the_largest_factor() -> None:
     needs = all_needs(measured())
     factors = [need.factor for need in needs]
-    assert factors == sorted(factors, reverse=True) and math.isinf(factors[0])
+    assert factors == sorted(factors, reverse=True)
+    assert math.isinf(factors[0])
     assert not any(math.isnan(factor) for factor in factors), "all was measured"
     unmeasured = all_needs(results.Results(results.read_rows(DOCS / "capacity.csv")))
     assert unmeasured[0].duty == "distribution of configuration", "what it was before anything carried it"
--- a/tests/test_cold_shares.py
+++ b/tests/test_cold_shares.py
@@ -57,9 +57,11 @@
     for step in range(1, 9):  # 20 units a second at a home of 2
         shares.heard(step * 0.25, 101.0, [asks(f"a{step}", 5.0, cell=3)])
         needs = shares.needs(step * 0.25)
-    assert list(needs) == [name] and 8 * HOME < needs[name] <= 10 * HOME
+    assert list(needs) == [name]
+    assert 8 * HOME < needs[name] <= 10 * HOME
     [post] = terms.step(2.0, [DemandChanged(needs), PeersChanged((MemberId("b", 1),))])
-    assert isinstance(post.message, LeaseRequest) and post.message.parts == HOME - KEPT
+    assert isinstance(post.message, LeaseRequest)
+    assert post.message.parts == HOME - KEPT
     terms.step(
         2.01, [LeaseMessageReceived(MemberId("b", 1), LeaseGrant(name, post.message.number, HOME - KEPT, 0))]
     )
@@ -75,7 +77,8 @@
     [post] = rights.step(
         1.0, [LeaseMessageReceived(MemberId("b", 1), LeaseRequest(resource("s-7", 100.0), 1, 600))]
     )
-    assert isinstance(post.message, LeaseGrant) and post.message.parts == 600
+    assert isinstance(post.message, LeaseGrant)
+    assert post.message.parts == 600
     assert shares.changes(1.0) == [SlowStartLeaseChanged(BOX, 0.4)]
 
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -60,7 +60,8 @@
     host.policy.choose = count  # type: ignore[method-assign]
     host.ask("a", shard=7)
     host.end("a", AttemptOutcome.SERVED, node_id=7)
-    assert set(looked) == {7} and len(looked) <= 4
+    assert set(looked) == {7}
+    assert len(looked) <= 4
 
 
 def test_a_long_life_forgets_volumes_keys_and_nodes() -> None:
@@ -72,7 +73,8 @@
         host.ask(f"r{number}", volume_id=number, item=number)
         host.end(f"r{number}", AttemptOutcome.SERVED)
     policy = host.policy
-    assert len(policy.volumes) < 100 and len(policy.nodes) < 100
+    assert len(policy.volumes) < 100
+    assert len(policy.nodes) < 100
     assert len(policy.keys) + len(policy.key_rest) + len(policy.requests) < 10
     assert len(policy.agenda.heap) < 10
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -161,7 +161,8 @@
     for number in range(5000):
         source.put(1.0, S, f"k/{number % 10:04d}", b"x")
     lane = source.store.lanes[S]
-    assert len(lane.logged) <= 2 * 10 + store.SLACK + 1 and len(lane.entries) == 10
+    assert len(lane.logged) <= 2 * 10 + store.SLACK + 1
+    assert len(lane.entries) == 10
     assert lane.numbers == sorted(lane.numbers)
 
 
@@ -176,12 +177,14 @@
     front.delivered.clear()
     began, before = front.now, front.subscriber.bytes
     first = front.ask(source)
-    assert [entry.key[:5] for entry in front.delivered[:5]] == ["nodes"] * 5 and first.more
+    assert [entry.key[:5] for entry in front.delivered[:5]] == ["nodes"] * 5
+    assert first.more
     front.ask_until_whole(source)
     assert front.values == true_values(source)
     assert max(Counter(entry.key for entry in front.delivered).values()) == 1
     took, sent = front.now - began, front.subscriber.bytes - before
-    assert sent <= 2300 * took + 4000 and sent < 300 * 300 * 1.5
+    assert sent <= 2300 * took + 4000
+    assert sent < 300 * 300 * 1.5
 
 
 def test_pages_are_resumed_at_another_relay_and_miss_no_change_meanwhile() -> None:
@@ -199,7 +202,8 @@
         front.step(PollAnswered(front.poll().number, None))
     sync(other, source, 10.0)
     reply = front.ask(other)
-    assert not reply.parts[S].restart and reply.parts[S].page_after == after
+    assert not reply.parts[S].restart
+    assert reply.parts[S].page_after == after
     front.ask_until_whole(other)
     assert front.values == true_values(source)
 
@@ -213,8 +217,10 @@
     assert source.store.lanes[S].floor > 0, "the first removal is forgotten"
     assert "k/0007" in front.values
     reply = front.ask(source)
-    assert reply.parts[S].restart and not reply.parts[N].restart
-    assert front.values == true_values(source) and "k/0007" not in front.values
+    assert reply.parts[S].restart
+    assert not reply.parts[N].restart
+    assert front.values == true_values(source)
+    assert "k/0007" not in front.values
 
 
 def test_too_many_removals_are_forgotten_too() -> None:
@@ -223,7 +229,10 @@
         for number in range(5):
             source.put(1.0, S, f"k/{number:04d}", None)
     lane = source.store.lanes[S]
-    assert len(lane.removed) == 3 and lane.floor == 12 and len(lane.entries) == 8 and len(lane.keys) == 8
+    assert len(lane.removed) == 3
+    assert lane.floor == 12
+    assert len(lane.entries) == 8
+    assert len(lane.keys) == 8
 
 
 def test_a_key_that_is_gone_and_back_is_not_forgotten() -> None:
@@ -242,13 +251,16 @@
     old, new, front = a_source(5, epoch=5), a_source(3, epoch=6), Front(["a", "b"])
     front.ask(old)
     front.ask(new)
-    assert front.values == true_values(new) and front.epoch == 6
+    assert front.values == true_values(new)
+    assert front.epoch == 6
     before = dict(front.values)
     poll = front.poll()
     data = old.answer(front.now, poll.data)
-    assert data and decode_reply("d", data).refusal is Refusal.OLDER
+    assert data
+    assert decode_reply("d", data).refusal is Refusal.OLDER
     front.step(PollAnswered(poll.number, data))
-    assert front.values == before and front.epoch == 6
+    assert front.values == before
+    assert front.epoch == 6
     assert front.subscriber.refused[Refusal.OLDER.value] == 1
 
 
@@ -260,7 +272,8 @@
     data = old.answer(front.now, encode(asked))
     assert data
     front.step(PollAnswered(poll.number, data))
-    assert front.values == true_values(new) and front.epoch == 6
+    assert front.values == true_values(new)
+    assert front.epoch == 6
     assert front.subscriber.refused[Refusal.OLDER.value] == 1
 
 
@@ -269,7 +282,8 @@
     front = Front(timing=SubscriberTiming(jitter=0.0))
     front.ask_until_whole(old)
     reply = front.ask(new)
-    assert reply.more and len(front.values) == 300
+    assert reply.more
+    assert len(front.values) == 300
     front.ask_until_whole(new)
     assert front.values == true_values(new)
 
@@ -305,7 +319,9 @@
         for bad in (whole[:place], whole[:place] + bytes([whole[place] ^ 0x21]) + whole[place + 1 :]):
             front = Front(["a", "b"])
             front.step(PollAnswered(front.poll().number, bad))
-            assert not front.values and front.epoch == 0 and sum(front.subscriber.refused.values()) == 1
+            assert not front.values
+            assert front.epoch == 0
+            assert sum(front.subscriber.refused.values()) == 1
             assert front.subscriber.tried_again and front.subscriber.place == 0, "it is asked once more"
             front.step(PollAnswered(front.poll().number, bad))
             assert front.subscriber.place == 1, "then another one is asked"
@@ -329,7 +345,8 @@
     source = a_source()
     before = source.store.last
     assert source.answer(0.0, data) is None
-    assert source.refused == {reason: 1} and source.store.last == before
+    assert source.refused == {reason: 1}
+    assert source.store.last == before
     with pytest.raises(WireError):
         decode_reply("d", data)
 
@@ -418,7 +435,8 @@
     source.put(1.0, S, "brief", b"")
     source.put(1.0, S, "brief", None)
     reply = front.ask(relay_of(source, "fresh", 2.0))
-    assert not reply.parts[S].restart and len(reply.parts[S].changes) == 3
+    assert not reply.parts[S].restart
+    assert len(reply.parts[S].changes) == 3
     assert front.values == true_values(source)
 
 
@@ -449,7 +467,9 @@
     assert serving and serving.epoch == 5 and relay.building, "not whole yet"
     sync(relay, new, now)
     serving = relay.serving()
-    assert serving and serving.epoch == 6 and len(serving.lanes[S].entries) == 4000
+    assert serving
+    assert serving.epoch == 6
+    assert len(serving.lanes[S].entries) == 4000
 
 
 def test_a_relay_back_with_an_older_copy_takes_nobody_back() -> None:
@@ -458,7 +478,8 @@
     source.put(1.0, S, "k/0000", b"newer")
     front.ask(source)
     reply = front.ask(relay)
-    assert reply.refusal is Refusal.BEHIND and front.values == true_values(source)
+    assert reply.refusal is Refusal.BEHIND
+    assert front.values == true_values(source)
     sync(relay, source, front.now + 5)
     front.now += 5
     assert front.ask(relay).refusal is Refusal.NONE
@@ -469,15 +490,19 @@
     front = Front(["a", "b"])
     for relay in (old, new, old, old, new, old):
         front.ask(relay)
-    assert front.epoch == 6 and len(front.values) == 4
+    assert front.epoch == 6
+    assert len(front.values) == 4
 
 
 def test_a_relay_takes_a_bounded_number_and_those_that_left_make_room() -> None:
     admission = PollAdmission(2)
-    assert admission.takes(0.0, "a") and admission.takes(0.0, "b")
-    assert not admission.takes(1.0, "c") and admission.takes(10.0, "a")
+    assert admission.takes(0.0, "a")
+    assert admission.takes(0.0, "b")
+    assert not admission.takes(1.0, "c")
+    assert admission.takes(10.0, "a")
     assert admission.takes(16.0, "c"), "b has not asked for long"
-    assert not admission.takes(16.0, "d") and len(admission.seen) == 2
+    assert not admission.takes(16.0, "d")
+    assert len(admission.seen) == 2
 
 
 def test_one_that_is_refused_as_the_relay_is_full_asks_the_next() -> None:
@@ -498,7 +523,8 @@
     for number in range(2000):
         poll = Poll("d", FORM, f"f{number % 500}", 1, 0, [Position(), Position()], 300)
         relay.answer(number * 0.001, encode(poll))
-    assert (len(lane.numbers), len(lane.entries)) == before and len(relay.admission.seen) <= 160
+    assert (len(lane.numbers), len(lane.entries)) == before
+    assert len(relay.admission.seen) <= 160
 
 
 # Time and bytes
@@ -511,7 +537,8 @@
     while front.now < began + 600:
         asked[front.poll().relay] += 1
         front.step(PollAnswered(front.subscriber.polls, None))
-    assert front.values == true_values(source) and set(asked) == {"a", "b", "c"}
+    assert front.values == true_values(source)
+    assert set(asked) == {"a", "b", "c"}
     assert 600 / 9 < sum(asked.values()) < 600, "8 s at the most between two, and no storm"
     assert front.subscriber.age(front.now) > 590
 
@@ -523,11 +550,13 @@
     assert front.subscriber.due() == asked + AMPLE.answer
     front.now = asked + AMPLE.answer
     front.step()
-    assert front.subscriber.place == 0 and front.subscriber.due() <= front.now + AMPLE.again
+    assert front.subscriber.place == 0
+    assert front.subscriber.due() <= front.now + AMPLE.again
     front.poll()
     front.now += AMPLE.answer
     front.step()
-    assert front.subscriber.place == 1 and front.subscriber.due() <= front.now + AMPLE.spread
+    assert front.subscriber.place == 1
+    assert front.subscriber.due() <= front.now + AMPLE.spread
 
 
 def test_a_relay_that_failed_is_avoided_for_a_while_where_there_is_another() -> None:
@@ -538,7 +567,8 @@
     assert second.relay == first.relay
     front.step(PollAnswered(second.number, None))
     third = front.poll()
-    assert third.relay in "ab" and third.relay != first.relay
+    assert third.relay in "ab"
+    assert third.relay != first.relay
     front.step(PollAnswered(third.number, None))
     front.step(PollAnswered(front.poll().number, None))
     fourth = front.poll()
@@ -556,7 +586,8 @@
         poll = front.poll()
         relays.append(poll.relay)
         front.step(PollAnswered(poll.number, source.answer(front.now, poll.data)))
-    assert relays[0] == "far" and relays[-1] == "home"
+    assert relays[0] == "far"
+    assert relays[-1] == "home"
 
 
 def test_a_subscriber_keeps_to_its_bytes_in_any_13_seconds() -> None:
@@ -603,8 +634,10 @@
     tree.run(tree.now + 60)
     after = tree.bytes()
     assert tree.settle(30) is not None
-    assert worst(tree, S) < 13 and worst(tree, N) < 10
-    assert len(tree.measured.latencies[N]) == 45 and len(tree.measured.latencies[S]) == 45 * 500
+    assert worst(tree, S) < 13
+    assert worst(tree, N) < 10
+    assert len(tree.measured.latencies[N]) == 45
+    assert len(tree.measured.latencies[S]) == 45 * 500
     assert max(after[name] - before[name] for name in after) / (tree.now - began) < 3000
 
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -255,7 +255,7 @@
         wait_for(
             lambda: all("SendCap" in one.config().get("refused.settings/PolicyLimits", "") for one in fronts)
         )
-        self.assertTrue(all(one.config()["in_force"].endswith(".3") for one in fronts), "it stays")
+        assert all(one.config()["in_force"].endswith(".3") for one in fronts), "it stays"
         self.write("settings/Lanes", facts(worth=8.0)["Lanes"])
         source.process.send_signal(signal.SIGHUP)
         wait_for(lambda: all_in_force(5))
@@ -264,25 +264,25 @@
         fronts[0].stop(signal.SIGTERM)
         fronts[0] = self.run_process(FrontProcess(0, self.folder / "n0", links))
         wait_for(lambda: "event='ready'" in fronts[0].text())
-        self.assertEqual(fronts[0].config()["in_force"], "0.0")
-        self.assertTrue(fronts[1].config()["in_force"].endswith(".5"))
+        assert fronts[0].config()["in_force"] == "0.0"
+        assert fronts[1].config()["in_force"].endswith(".5")
         relays += [self.start_relay(number, port, source_port) for number, port in enumerate(relay_ports)]
         wait_for(lambda: all_in_force(5))
         lines = call(fronts[1].ops, "show-stat")
-        self.assertTrue(any(line.startswith("config.age_s=") for line in lines))
+        assert any(line.startswith("config.age_s=") for line in lines)
         for one in fronts:
             text = one.text()
-            self.assertNotIn("_fault", text)
-            self.assertIn("config_in_force", text)
-        self.assertEqual(source.stop(signal.SIGTERM), 0)
+            assert "_fault" not in text
+            assert "config_in_force" in text
+        assert source.stop(signal.SIGTERM) == 0
 
     def test_a_front_with_no_relay_at_all_starts_and_says_so(self) -> None:
         front = self.run_process(FrontProcess(0, self.folder / "n0", [port()]))
         wait_for(lambda: "event='ready'" in front.text())
         found = front.config()
-        self.assertEqual((found["in_force"], found["age_s"], found["source"]), ("0.0", "unknown", "none"))
+        assert (found["in_force"], found["age_s"], found["source"]) == ("0.0", "unknown", "none")
         wait_for(lambda: "event='config_old'" in front.text())
-        self.assertEqual(front.stop(signal.SIGTERM), 0)
+        assert front.stop(signal.SIGTERM) == 0
 
     def test_a_source_begins_each_life_with_a_higher_epoch_and_refuses_files_by_name(self) -> None:
         self.write("settings", facts())
@@ -290,12 +290,12 @@
         listen = port()
         first = self.start_source(listen)
         text = wait_for(lambda: "event='ready'" in first.text() and first.text())
-        self.assertIn("settings/broken: no JSON", text)
+        assert "settings/broken: no JSON" in text
         epoch = int((self.folder / "epoch").read_text())
         first.stop(signal.SIGTERM)
         second = self.start_source(listen)
         wait_for(lambda: "event='ready'" in second.text())
-        self.assertGreater(int((self.folder / "epoch").read_text()), epoch)
+        assert int((self.folder / "epoch").read_text()) > epoch
 
 
 # The edges
@@ -313,7 +313,8 @@
     (tmp_path / "large.json").write_text("1" * (MOST_VALUE + 1))
     (tmp_path / ("k" * 130 + ".json")).write_text("1")
     found = folder.look()
-    assert not found.changes and [line.partition(":")[0] for line in found.bad] == [
+    assert not found.changes
+    assert [line.partition(":")[0] for line in found.bad] == [
         "k" * 40,
         "large",
         "settings/a",
@@ -340,9 +341,11 @@
     none = DistributedSettings()
     assert none.merged({"a": 1}) == {"a": 1}
     part = none.with_entries([entry("settings/b", 2, 5)])
-    assert part.merged({"a": 1}) == {"a": 1, "b": 5} and none.merged({"a": 1}) == {"a": 1}
+    assert part.merged({"a": 1}) == {"a": 1, "b": 5}
+    assert none.merged({"a": 1}) == {"a": 1}
     whole = part.with_entries([entry("settings", 3, {"b": 1, "c": 2})])
-    assert whole.merged({"a": 1}) == {"b": 5, "c": 2} and whole.version == Version(1, 3)
+    assert whole.merged({"a": 1}) == {"b": 5, "c": 2}
+    assert whole.version == Version(1, 3)
     assert whole.with_entries([entry("settings/b", 4, None)]).merged({}) == {"b": 1, "c": 2}
     with pytest.raises(InvalidValueError, match="settings"):
         whole.with_entries([entry("settings", 5, [1])]).merged({})
@@ -381,7 +384,8 @@
     bad = Entry("nodes/x", Version(1, 1), b"{")
     found, names = listed_nodes([entry("nodes/a", 1, {"x": 1}), bad, entry("nodes/b", 2, None)])
     assert (found, names) == ([{"x": 1}], ["nodes/x"])
-    assert lane_of("nodes/a") is Lane.NODES and lane_of("settings/a") is Lane.SETTINGS
+    assert lane_of("nodes/a") is Lane.NODES
+    assert lane_of("settings/a") is Lane.SETTINGS
 
 
 def test_a_message_over_the_bound_is_refused_before_it_is_read() -> None:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -60,7 +60,8 @@
             bad[byte] ^= 1 << byte % 8
             spoilt = [*rows[:place], row._replace(data=bytes(bad)), *rows[place + 1 :]]
             memory, doubts = read(spoilt, FRONT, "a")
-            assert doubts == [RestoreDoubt(f"a: {row.kind}", "sum")] and memory.merge(HELD) == HELD
+            assert doubts == [RestoreDoubt(f"a: {row.kind}", "sum")]
+            assert memory.merge(HELD) == HELD
     for odd, why in (
         ((), "unreadable"),
         ((None,) * 5, "no data"),
@@ -73,7 +74,8 @@
         (("holds", "x", FRONT, b"x", 1), "sum"),
     ):
         memory, [doubt] = read([odd, *rows], FRONT, "a")
-        assert memory == HELD and why in doubt.why
+        assert memory == HELD
+        assert why in doubt.why
 
 
 def test_a_boot_number_only_rises_whatever_the_clock_does() -> None:
@@ -135,8 +137,10 @@
     assert disk.load()[0] == HELD  # both put back: a hold too many at the most, and peers know better
     other = StateDatabase(tmp_path / "disk", "ours/n2")
     memory, doubts = other.load()
-    assert memory == FrontState() and sum("another front" in doubt.why for doubt in doubts) >= 2
-    assert other.save(FrontState(boot=1)) == [] and other.load() == (FrontState(boot=1), [])
+    assert memory == FrontState()
+    assert sum("another front" in doubt.why for doubt in doubts) >= 2
+    assert other.save(FrontState(boot=1)) == []
+    assert other.load() == (FrontState(boot=1), [])
 
 
 def test_a_disk_that_cannot_be_written_is_named_and_costs_nothing_else(tmp_path: Path) -> None:
@@ -149,7 +153,8 @@
         holder.execute("BEGIN EXCLUSIVE")  # another process holds one file
         memory, doubts = disk.load()
     holder.close()
-    assert memory == HELD and not list((tmp_path / "disk").glob("*.doubtful*"))
+    assert memory == HELD
+    assert not list((tmp_path / "disk").glob("*.doubtful*"))
     assert [doubt.where for doubt in doubts] in ([], [NAMES[0]])
 
 
@@ -207,10 +212,13 @@
     writer.start()
     began = time.monotonic()
     numbers = [writer.write(FrontState(boot=boot)) for boot in range(100, 150)]
-    assert time.monotonic() - began < 0.5 and not first and not writer.keeps(numbers[0])
+    assert time.monotonic() - began < 0.5
+    assert not first
+    assert not writer.keeps(numbers[0])
     disk.go.set()
     until(lambda: writer.keeps(numbers[-1]))
-    assert first[0].memory.boot == HELD.boot + 1 and first[0].found
+    assert first[0].memory.boot == HELD.boot + 1
+    assert first[0].found
     assert [one.boot for one in disk.saved] == [HELD.boot + 1, 149]  # the newest of all that waited
     disk.failing = 1
     number = writer.write(FrontState(boot=200))
@@ -238,7 +246,8 @@
 memory, doubts = disk.load()
 assert not doubts, doubts
 for number in range(10000):
-    memory = FrontState(memory.holds.hold(MemberId("n1", memory.boot), f"s-{len(memory.holds.held)}"), memory.boot + 1)
+    holds = memory.holds.hold(MemberId("n1", memory.boot), f"s-{len(memory.holds.held)}")
+    memory = FrontState(holds, memory.boot + 1)
     assert not disk.save(memory)
     print(len(memory.holds.held), memory.boot, flush=True)
 """
@@ -258,7 +267,9 @@
                 if line.endswith("\n"):
                     boxes, boot = map(int, line.split())
         memory, doubts = StateDatabase(tmp_path, FRONT).load()
-        assert doubts == [] and len(memory.holds.held) >= boxes and memory.boot >= boot
+        assert doubts == []
+        assert len(memory.holds.held) >= boxes
+        assert memory.boot >= boot
 
 
 # The command
@@ -267,14 +278,19 @@
 def test_the_command_explains_what_a_start_would_believe(tmp_path: Path) -> None:
     StateDatabase(tmp_path, FRONT).save(HELD)
     shown = CliRunner().invoke(main, ["check", str(tmp_path)])
-    assert shown.exit_code == 0 and "s-003: placed by n1 (boot 7, number 1)" in shown.output
+    assert shown.exit_code == 0
+    assert "s-003: placed by n1 (boot 7, number 1)" in shown.output
     (tmp_path / NAMES[1]).write_text("x" * 5000)
     before = sorted(path.name for path in tmp_path.iterdir())
     shown = CliRunner().invoke(main, ["check", str(tmp_path)])
-    assert shown.exit_code == 1 and "not believed" in shown.output and "s-003" in shown.output
-    assert sorted(path.name for path in tmp_path.iterdir()) == before and rows_in(tmp_path / NAMES[0])
+    assert shown.exit_code == 1
+    assert "not believed" in shown.output
+    assert "s-003" in shown.output
+    assert sorted(path.name for path in tmp_path.iterdir()) == before
+    assert rows_in(tmp_path / NAMES[0])
     other = CliRunner().invoke(main, ["check", str(tmp_path), "--front", "ours/n9"])
-    assert other.exit_code == 1 and "of another front" in other.output
+    assert other.exit_code == 1
+    assert "of another front" in other.output
 
 
 def test_it_is_not_imported_while_it_is_off() -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -60,8 +60,8 @@
         """One whole answer, and then an end in order: no reset."""
         async with asyncio.timeout(5):
             heard = await streams[0].read()
-        self.assertEqual(heard.count(b"HTTP/1.1 200 "), 1, heard)
-        self.assertTrue(heard.endswith(b"\r\n\r\ntile"), heard)
+        assert heard.count(b"HTTP/1.1 200 ") == 1, heard
+        assert heard.endswith(b"\r\n\r\ntile"), heard
 
 
 class LeavingStories(EndingCase):
@@ -89,21 +89,22 @@
         await asyncio.sleep(0)
         streams[1].write(b"there")
         await self.served_and_closed(streams)
-        self.assertEqual(self.box.bodies["t"], b"halfthere")
+        assert self.box.bodies["t"] == b"halfthere"
 
     async def test_what_waits_in_the_backlog_as_the_listener_closes_is_taken_and_answered(self) -> None:
         await self.begin(at_once)
         with socket.create_connection(("127.0.0.1", self.front.address.port)) as first:
             first.sendall(self.head("t"))  # the loop has had no turn since: the kernel holds it
-            assert self.front.listener and not self.front.clients
+            assert self.front.listener
+            assert not self.front.clients
             self.front.stop_accepting()
             first.setblocking(False)
             async with asyncio.timeout(5):
                 heard = b""
                 while piece := await asyncio.get_running_loop().sock_recv(first, 65536):
                     heard += piece
-        self.assertIn(b" 200 ", heard)
-        self.assertTrue(heard.endswith(b"tile"), heard)
+        assert b" 200 " in heard
+        assert heard.endswith(b"tile"), heard
 
     async def test_what_waits_at_a_shared_listener_is_left_to_the_other_process(self) -> None:
         await self.begin(at_once)
@@ -111,15 +112,15 @@
         with other, socket.create_connection(other.getsockname()):
             listener = sockets.Listener("", 0, lambda: True, self.front.admit, other.dup().detach())
             listener.close()
-            self.assertTrue(sockets.readable(other.fileno()))
-        self.assertEqual(len(self.front.clients), 0)
+            assert sockets.readable(other.fileno())
+        assert len(self.front.clients) == 0
 
     async def test_a_connection_that_never_speaks_does_not_hold_up_the_exit(self) -> None:
         client, streams = await self.meet()
         client.came -= server_module.DRAIN_SILENT
         self.front.stop_accepting()
         async with asyncio.timeout(1):
-            self.assertEqual(await streams[0].read(), b"")
+            assert await streams[0].read() == b""
         streams[1].close()
         await self.until(lambda: not self.front.open())
 
@@ -127,8 +128,8 @@
         client, streams = await self.meet(at_once, self.head("t"))
         self.front.closing = True
         await self.until(lambda: self.front.parting)
-        self.assertEqual(self.front.open(), 1)
-        self.assertNotIn(client, self.front.clients)
+        assert self.front.open() == 1
+        assert client not in self.front.clients
         await self.served_and_closed(streams)
         streams[1].close()
         await self.until(lambda: not self.front.open())
@@ -137,11 +138,11 @@
         _, streams = await self.meet(at_once, self.head("t"))
         self.front.closing = True
         await self.until(lambda: self.front.parting)
-        self.assertEqual(self.front.open(), 1)
+        assert self.front.open() == 1
         async with asyncio.timeout(0.5 * sockets.PART):
             while self.front.open():
                 await asyncio.sleep(0.005)
-        self.assertEqual(len(self.front.parting), 1)
+        assert len(self.front.parting) == 1
         await self.served_and_closed(streams)
 
 
@@ -163,8 +164,8 @@
         await streams[0].readuntil(b"\r\n\r\n")
         streams[1].write(self.head("next"))
         async with asyncio.timeout(0.5 * server_module.IDLE):  # not by the idle limit
-            self.assertLess(len(await streams[0].read()), 200_000)
-        self.assertEqual(self.box.counts["next"], 0)
+            assert len(await streams[0].read()) < 200000
+        assert self.box.counts["next"] == 0
 
     async def test_a_close_over_unread_bytes_costs_no_answer(self) -> None:
         release = asyncio.Event()
@@ -180,14 +181,14 @@
         release.set()
         await self.until(lambda: self.front.parting)
         await self.served_and_closed(streams)
-        self.assertEqual(self.box.counts["next"], 0, "read after the shutdown, it must not be sent on")
+        assert self.box.counts["next"] == 0, "read after the shutdown, it must not be sent on"
 
     async def test_a_refused_upload_hears_why_though_none_of_it_is_read(self) -> None:
         head = self.head("t", "Content-Length: 60000000", method="PUT").replace(b"tile-read", b"record-write")
         _, streams = await self.meet(at_once, head, bytes(200_000))
         async with asyncio.timeout(5):
             heard = await streams[0].read()
-        self.assertEqual(heard[9:12], b"413")
+        assert heard[9:12] == b"413"
 
     async def given_up(self, behind: bytes, part: float) -> None:
         with mock.patch.multiple(sockets, PART=part, MOST_PART=1 << 16):
@@ -211,11 +212,11 @@
         if read_first:  # the loop reads, then its timer is due
             client.data_received(self.head("u"))
         client._process_keepalive()
-        self.assertFalse(transport.is_closing())
+        assert not transport.is_closing()
         if not read_first:
             transport.resume_reading()
         async with asyncio.timeout(5):
-            self.assertIn(b" 200 ", await streams[0].readline())
+            assert b" 200 " in await streams[0].readline()
 
     async def test_the_idle_limit_does_not_fall_on_what_was_read_in_the_same_turn(self) -> None:
         await self.idle_limit(read_first=True)
@@ -225,28 +226,28 @@
 
     async def test_a_drain_by_hand_ends_no_connection_on_which_something_has_come(self) -> None:
         client, streams = await self.meet(at_once, self.head("t"))
-        self.assertIn(b" 200 ", await streams[0].readuntil(b"tile"))
+        assert b" 200 " in await streams[0].readuntil(b"tile")
         await self.until(lambda: client in self.front.idle)
         transport = await self.unread(client, streams, self.head("u"))
         self.front.drain.start()
         self.front.sweep()
-        self.assertFalse(transport.is_closing())
+        assert not transport.is_closing()
         transport.resume_reading()
         await self.served_and_closed(streams)
 
     async def test_room_is_made_neither_by_what_is_unread_nor_by_what_was_answered_just_now(self) -> None:
         client, streams = await self.meet(at_once, self.head("t"))
-        self.assertIn(b" 200 ", await streams[0].readuntil(b"tile"))
+        assert b" 200 " in await streams[0].readuntil(b"tile")
         await self.until(lambda: client in self.front.idle)
         self.front.most_clients = 1
         client.came = 0.0
         self.front.idle[client] = self.core.loop.time() + 60
-        self.assertFalse(self.front.room(), "its reader has had no time for the answer")
+        assert not self.front.room(), "its reader has had no time for the answer"
         self.front.idle[client] = 0.0
         transport = await self.unread(client, streams, self.head("u"))
-        self.assertFalse(self.front.room())
+        assert not self.front.room()
         transport.resume_reading()
-        self.assertIn(b" 200 ", await streams[0].readline())
+        assert b" 200 " in await streams[0].readline()
 
     async def test_room_is_not_made_by_a_slow_head_whose_last_byte_has_come(self) -> None:
         client, streams = await self.meet(at_once, self.head("t")[:30])
@@ -254,9 +255,9 @@
         self.front.most_clients = 1
         client.began = client.came = 0.001
         transport = await self.unread(client, streams, self.head("t")[30:])
-        self.assertFalse(self.front.room())
+        assert not self.front.room()
         transport.resume_reading()
-        self.assertIn(b" 200 ", await streams[0].readline())
+        assert b" 200 " in await streams[0].readline()
 
     async def body_limit(self, read_first: bool) -> None:
         """The last bytes of a body come in the turn in which its time is up, or are unread then."""
@@ -273,8 +274,8 @@
             (await self.unread(client, streams, b"there")).resume_reading()
         timer._run()  # the loop finds it due now
         async with asyncio.timeout(5):
-            self.assertIn(b" 200 ", await streams[0].readline())
-        self.assertEqual(self.box.bodies["t"], b"halfthere")
+            assert b" 200 " in await streams[0].readline()
+        assert self.box.bodies["t"] == b"halfthere"
 
     async def test_the_body_limit_does_not_fall_on_what_was_read_in_the_same_turn(self) -> None:
         await self.body_limit(read_first=True)
@@ -284,12 +285,12 @@
 
     async def test_small_writes_are_never_held_back(self) -> None:
         client, streams = await self.meet(at_once, self.head("t"))
-        self.assertIn(b" 200 ", await streams[0].readuntil(b"tile"))
+        assert b" 200 " in await streams[0].readuntil(b"tile")
         (line,) = self.boxes.pools[1].idle
         for transport in (self.transport(client), line.transport):
             assert transport
             one = transport.get_extra_info("socket")
-            self.assertTrue(one.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+            assert one.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     async def test_a_connection_is_idle_only_once_its_answer_is_written(self) -> None:
         seen: list[bool] = []
@@ -304,7 +305,7 @@
             streams[1].write(self.head("t"))
             await streams[0].readuntil(b"tile")
         await self.until(lambda: client in self.front.idle)
-        self.assertEqual(seen, [False])
+        assert seen == [False]
 
 
 class GoneClientStories(EndingCase):
@@ -329,7 +330,7 @@
             up.set()
             await self.until(lambda: not self.core.calls)
         await asyncio.sleep(0.05)
-        self.assertEqual(dict(self.box.counts), {})
+        assert dict(self.box.counts) == {}
 
     async def test_no_attempt_begins_for_a_client_that_closed(self) -> None:
         await self.while_a_connection_comes_up(lambda writer: writer.close())
@@ -355,7 +356,7 @@
         streams[1].write(self.head("t"))
         await turned_away.wait()
         await self.until(lambda: not self.core.calls)
-        self.assertEqual(self.box.counts["t"], 1)
+        assert self.box.counts["t"] == 1
 
     async def test_a_word_to_send_that_waits_as_the_client_goes_sends_nothing(self) -> None:
         client, streams = await self.meet()
@@ -374,8 +375,8 @@
             await word.wait()
             await self.until(lambda: not self.core.calls)
         await asyncio.sleep(0.05)
-        self.assertEqual(dict(self.box.counts), {})
-        self.assertFalse(any(sum(node.out) for node in self.core.policy.nodes.values()))
+        assert dict(self.box.counts) == {}
+        assert not any(sum(node.out) for node in self.core.policy.nodes.values())
 
 
 class LeaseStories(FrontCase):
@@ -387,11 +388,11 @@
             asked.append(self.box.accepted)
             return False
 
-        self.assertIs((await self.attempt(1, ask("t"), may)).outcome, AttemptOutcome.NOT_SENT)
+        assert (await self.attempt(1, ask("t"), may)).outcome is AttemptOutcome.NOT_SENT
         await self.until(lambda: self.box.accepted)
-        self.assertEqual((len(asked), dict(self.box.counts)), (1, {}))
-        self.assertEqual(len(self.boxes.pools[1].idle), 1, "the connection is as good as before")
-        self.assertIs((await self.attempt(1, ask("u"))).outcome, AttemptOutcome.SERVED)
+        assert (len(asked), dict(self.box.counts)) == (1, {})
+        assert len(self.boxes.pools[1].idle) == 1, "the connection is as good as before"
+        assert (await self.attempt(1, ask("u"))).outcome is AttemptOutcome.SERVED
 
     async def test_a_repeat_whose_connection_comes_up_when_nodes_may_have_forgotten_is_not_sent(self) -> None:
         keyed = class_spec(idempotency=Idempotency.KEYED, idempotency_window=1.0, latency_objective=5.0)
@@ -407,8 +408,8 @@
             return AttemptResult(AttemptOutcome.NOT_SENT)
 
         asked = Host(settings(), []).arrival("a", deadline=core.now() + 4.0)
-        self.assertNotIsInstance(await core.serve(asked, attempt), Served)
-        self.assertEqual(looks, [True, True, False])
+        assert not isinstance(await core.serve(asked, attempt), Served)
+        assert looks == [True, True, False]
 
     async def test_an_attempt_whose_own_time_is_up_does_not_begin(self) -> None:
         core, looks = Core(config().settings), list[bool]()
@@ -421,7 +422,7 @@
 
         asked = Host(settings(), []).arrival("a", shard=0, deadline=core.now() + 1.0)
         await core.serve(asked, attempt)
-        self.assertEqual(looks, [False])
+        assert looks == [False]
 
 
 def test_a_repeat_says_when_nodes_may_forget_it_counted_from_the_first_that_may_have_run() -> None:
@@ -433,5 +434,6 @@
     first = host.policy.requests["a"].ran[0][0]
     host.run_until(host.now + 0.2)
     sends = [action.not_after for action in host.log if isinstance(action, SendAttempt)]
-    assert sends[:2] == [float("inf")] * 2 and len(sends) == 3
+    assert sends[:2] == [float("inf")] * 2
+    assert len(sends) == 3
     assert abs(sends[2] - (first + 1.0 - 0.04)) < 1e-9
