--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 from unittest import mock
 
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -48,38 +49,38 @@
 class Leaving(unittest.TestCase):
     def test_it_accepts_for_over_the_page_s_0_7_s_and_is_over_before_the_kill(self) -> None:
         life = leaving()
-        self.assertEqual(life.step(100.74, 3, 0), [])
-        self.assertEqual(life.step(100.76, 3, 1), [Order.CLOSE_FILES])
-        self.assertEqual((life.step(100.8, 3, 1), life.stage), ([], Stage.ACCEPTING))
+        assert life.step(100.74, 3, 0) == []
+        assert life.step(100.76, 3, 1) == [Order.CLOSE_FILES]
+        assert (life.step(100.8, 3, 1), life.stage) == ([], Stage.ACCEPTING)
         self.assertAlmostEqual(life.next_at(), 101.65)
-        self.assertEqual(life.step(101.65, 3, 1), [Order.STOP_ACCEPTING])
-        self.assertEqual(life.step(101.8, 0, 1), [])  # a file command is still at work
-        self.assertEqual(life.step(102.06, 2, 0), [Order.ABANDON, Order.RELEASE])
+        assert life.step(101.65, 3, 1) == [Order.STOP_ACCEPTING]
+        assert life.step(101.8, 0, 1) == []  # a file command is still at work
+        assert life.step(102.06, 2, 0) == [Order.ABANDON, Order.RELEASE]
         life.released()
-        self.assertEqual((life.stage, life.status), (Stage.ENDED, Status.LEFT))
+        assert (life.stage, life.status) == (Stage.ENDED, Status.LEFT)
 
     def test_the_quickest_class_says_how_long_it_accepts(self) -> None:
         """One class that may take long must not shut the door on the others for as long."""
         notice = Notice.of(2.74, [0.11, 0.21, 0.61])
         self.assertAlmostEqual(notice.accept, 2.74 - 0.15 - 2 * 0.11)
-        self.assertEqual(Notice.of(0.8, [0.5, 5.0]).accept, 0.75)
+        assert Notice.of(0.8, [0.5, 5.0]).accept == 0.75
 
     def test_it_ends_with_the_last_answer_and_not_before_accepting_has_ended(self) -> None:
         life = leaving()
-        self.assertEqual(life.step(101.0, 0, 0), [Order.CLOSE_FILES])
-        self.assertEqual(life.step(101.6, 0, 0), [])  # nothing is open, and new connections may still come
-        self.assertEqual(life.step(101.66, 0, 0), [Order.STOP_ACCEPTING])
-        self.assertEqual(life.step(101.67, 0, 0), [Order.RELEASE])
+        assert life.step(101.0, 0, 0) == [Order.CLOSE_FILES]
+        assert life.step(101.6, 0, 0) == []  # nothing is open, and new connections may still come
+        assert life.step(101.66, 0, 0) == [Order.STOP_ACCEPTING]
+        assert life.step(101.67, 0, 0) == [Order.RELEASE]
 
     def test_a_second_signal_changes_nothing_and_one_amid_the_start_counts_from_when_it_came(self) -> None:
         life = leaving()
-        self.assertFalse(life.asked(101.5))
+        assert not life.asked(101.5)
         self.assertAlmostEqual(life.last_answer(), 102.05)
         early = Lifecycle(Notice.of(2.2, [0.2]))
-        self.assertTrue(early.asked(50.0))
-        self.assertEqual((early.step(50.9, 0, 0), early.status), ([], Status.START))
+        assert early.asked(50.0)
+        assert (early.step(50.9, 0, 0), early.status) == ([], Status.START)
         early.serves()
-        self.assertEqual(early.step(51.0, 0, 0), [Order.CLOSE_FILES])
+        assert early.step(51.0, 0, 0) == [Order.CLOSE_FILES]
 
     @given(
         st.lists(st.tuples(st.floats(0.0, 1.0), st.integers(0, 2), st.integers(0, 1)), max_size=40),
@@ -97,16 +98,17 @@
             now += wait
             given_now = life.step(now, connections, files)
             if Order.STOP_ACCEPTING in given_now:
-                self.assertGreaterEqual(now, 0.75)
+                assert now >= 0.75
             if Order.RELEASE in given_now:
-                self.assertTrue(now >= life.notice.last or not connections + files)
+                assert now >= life.notice.last or not connections + files
             orders += given_now
             if life.stage is not Stage.CLOSING:
-                self.assertLess(life.next_at(), float("inf"))  # it never waits for what may not come
-        self.assertEqual(
-            [one for one in orders if one is not Order.ABANDON],
-            [Order.CLOSE_FILES, Order.STOP_ACCEPTING, Order.RELEASE],
-        )
+                assert life.next_at() < float("inf")  # it never waits for what may not come
+        assert [one for one in orders if one is not Order.ABANDON] == [
+            Order.CLOSE_FILES,
+            Order.STOP_ACCEPTING,
+            Order.RELEASE,
+        ]
 
 
 class Hurried(unittest.IsolatedAsyncioTestCase):
@@ -128,12 +130,12 @@
 
         calls = {"read": ask("read", 0, 1), "write": ask("write", 1, 1), "held": ask("held", 1, 2)}
         await asyncio.sleep(0.1)
-        self.assertEqual(sent, ["read", "write"])
+        assert sent == ["read", "write"]
         core.hurry(core.now() + 0.3)
         async with asyncio.timeout(1.0):
             told = {name: type(await call) for name, call in calls.items()}
-        self.assertEqual(told, {"read": Failed, "write": Failed, "held": Rejected})
-        self.assertEqual(sent, ["read", "write"])  # nothing is sent for which no answer could come
+        assert told == {"read": Failed, "write": Failed, "held": Rejected}
+        assert sent == ["read", "write"]  # nothing is sent for which no answer could come
 
     async def test_an_attempt_called_off_as_its_time_is_up_costs_no_other_call_its_word(self) -> None:
         """Both are due at once where the process stood still for a while."""
@@ -147,7 +149,7 @@
                 finally:  # its time is up, and it has not ended yet
                     core.calls["late"].attempts = 1
                     core.step()
-        self.assertEqual(core.calls["other"].words.get_nowait(), FailRequest("other"))
+        assert core.calls["other"].words.get_nowait() == FailRequest("other")
 
 
 class Faulty(unittest.IsolatedAsyncioTestCase):
@@ -163,8 +165,8 @@
         beat.start()
         await asyncio.sleep(0.06)
         beat.stop()
-        self.assertGreater(len(calls), 2)
-        self.assertEqual(figures.faults, 1)
+        assert len(calls) > 2
+        assert figures.faults == 1
 
     async def test_a_lost_task_and_a_callback_that_raises_are_counted_and_end_nothing(self) -> None:
         figures, loop = Metrics(), asyncio.get_running_loop()
@@ -177,7 +179,7 @@
         task = asyncio.create_task(dies())
         await asyncio.sleep(0.01)
         del task
-        self.assertEqual(figures.faults, 2)
+        assert figures.faults == 2
 
     async def test_a_watch_that_dies_of_a_fault_of_ours_is_taken_up_again_with_the_whole_list(self) -> None:
         whole = {"generation": 4, "reset": True, "instances": []}
@@ -191,8 +193,8 @@
             async with asyncio.timeout(5):
                 while not took:
                     await asyncio.sleep(0.01)
-        self.assertEqual(figures.faults, 1)
-        self.assertEqual(agent.asked[:2], ["/discovery/hosts", "/discovery/hosts"])
+        assert figures.faults == 1
+        assert agent.asked[:2] == ["/discovery/hosts", "/discovery/hosts"]
         discovery.stop()
         agent.stop()
 
@@ -227,23 +229,23 @@
             status, log = await self.ended(
                 folder, [signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGINT]
             )
-        self.assertEqual(status, 0, log)
-        self.assertEqual((log.count(b"event='leaving'"), log.count(b"event='left'")), (1, 1), log)
+        assert status == 0, log
+        assert (log.count(b"event='leaving'"), log.count(b"event='left'")) == (1, 1), log
 
     async def test_what_cannot_be_given_back_is_told_and_the_exit_is_still_0(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             status, log = await self.ended(folder, [signal.SIGTERM], broken="cleatyoke-life-PID")
             os.rmdir(next(Path(folder).glob("cleatyoke-life-*")))
-        self.assertEqual(status, 0, log)
-        self.assertIn(b"event='step_fault'", log)
-        self.assertIn(b"event='left'", log)
+        assert status == 0, log
+        assert b"event='step_fault'" in log
+        assert b"event='left'" in log
 
     async def test_holds_that_cannot_be_read_end_neither_the_process_nor_the_looks(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "cleatyoke-holds.json").write_bytes(b"\xff\xfe\x00")
             status, log = await self.ended(folder, [signal.SIGTERM])
-        self.assertEqual(status, 0, log)
-        self.assertNotIn(b"fault'", log)
+        assert status == 0, log
+        assert b"fault'" not in log
 
     async def test_an_unforeseen_fault_at_the_start_is_status_2_with_one_line(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -256,7 +258,7 @@
             config = read_config({"RELAY_CONFIG": str(path), "TMPDIR": folder})
             with (
                 mock.patch.object(daemon.HttpServer, "listen", side_effect=RuntimeError("odd")),
-                self.assertRaisesRegex(ConfigError, "start: RuntimeError: odd"),
+                pytest.raises(ConfigError, match="start: RuntimeError: odd"),
             ):
                 await daemon.run(config)
 
@@ -276,5 +278,5 @@
                     if change is None
                     else json.dumps({**values, "settings": {**FACTS, **change}})
                 )
-                with self.assertRaisesRegex(ConfigError, word):
+                with pytest.raises(ConfigError, match=word):
                     read_config({"RELAY_CONFIG": str(path)})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -88,7 +88,8 @@
 
 def test_a_message_is_taken_whole_or_refused_by_one_reason() -> None:
     data, used = wire.encode_datagram("ours", rumour(), Ping(1, MemberId("b", 1), 0), [rumour("c" * 30)] * 60)
-    assert 10 < used < 60 and len(data) <= wire.MOST_DATAGRAM
+    assert 10 < used < 60
+    assert len(data) <= wire.MOST_DATAGRAM
     assert len(wire.decode_datagram("ours", data).rumours) == used
     alien = wire.sealed(wire.encoder.encode(wire.Datagram("ours", 9, rumour(), Gossip(), [])))
     for deployment, bad, reason in (
@@ -114,7 +115,8 @@
     bad = [rng.randbytes(rng.randrange(40)) for _ in range(1000)]
     bad += [good[: rng.randrange(len(good))] for _ in range(1000)]
     one.step(fleet.now, map(DatagramReceived, bad))
-    assert one.digest() == before and sum(one.figures.refused.values()) == 2000
+    assert one.digest() == before
+    assert sum(one.figures.refused.values()) == 2000
     one.step(fleet.now, [DatagramReceived(good)] * 1000)  # replayed
     assert one.digest() == before
 
@@ -161,7 +163,8 @@
     assert told.perhaps_up == {
         MemberId(name, boot) for name, boot in (("a", 1), ("b", 1), ("d", 2), ("e", 1))
     }
-    assert told.count == 4 and told.may_use(8.0) == 2.0
+    assert told.count == 4
+    assert told.may_use(8.0) == 2.0
     assert conclude(rumour(), lives, 7, 10.0).count == 7  # somebody beyond a cut is in nobody's view
     shared = Update(
         MemberId("d", 2), "d:2", MemberState.ALIVE, 0, False
@@ -222,7 +225,8 @@
     for _ in range(30):
         fleet.run(fleet.now + 1.0)
         fleet.check_counts()
-    assert len(members(fleet, 0).departed) == 7 and len(members(fleet, 11).departed) == 5
+    assert len(members(fleet, 0).departed) == 7
+    assert len(members(fleet, 11).departed) == 5
     fleet.heal()
     assert (fleet.settle(HEAL) is None) == caught
     assert not fleet.broken
@@ -238,7 +242,8 @@
     assert members(fleet, 0).figures.deaths == 0
     fleet.heal()
     # What was suspected just before may still be told dead, and be taken back: 0.1 to 3.4 s over 8 seeds.
-    assert fleet.settle(2 * HEAL) is not None and not fleet.broken
+    assert fleet.settle(2 * HEAL) is not None
+    assert not fleet.broken
 
 
 def test_a_roll_leaves_in_order_and_frightens_nobody() -> None:
@@ -250,7 +255,8 @@
         fleet.start(front)
         fleet.run(fleet.now + 1.0)
     assert fleet.settle(HEAL) is not None
-    assert not fleet.journal.deaths and not fleet.broken
+    assert not fleet.journal.deaths
+    assert not fleet.broken
     assert all(len(members(fleet, front).over) == SIZE for front in range(SIZE - 1))
 
 
@@ -266,7 +272,8 @@
 def test_heavy_loss_leaves_one_view(loss: float) -> None:
     fleet = started(loss=loss, doubles=0.02, garbles=0.02)
     fleet.run(fleet.now + 60.0)
-    assert fleet.settle(20.0) is not None and not fleet.broken
+    assert fleet.settle(20.0) is not None
+    assert not fleet.broken
 
 
 def test_seeds_that_are_down_part_nobody_for_good() -> None:
@@ -357,9 +364,8 @@
     view = wire.encode_view("test", rumour("b"), [rumour("c", state=MemberState.DEAD)])
     actions = one.step(0.0, [ExchangeRequested(7, view)])
     assert [action.token for action in actions if isinstance(action, ReplyExchange)] == [7]
-    assert set(one.present) == {MemberId("b", 1)} and not [
-        action for action in actions if isinstance(action, SendDatagram)
-    ]
+    assert set(one.present) == {MemberId("b", 1)}
+    assert not [action for action in actions if isinstance(action, SendDatagram)]
 
 
 # Drawn scripts
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -17,6 +17,8 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
+import pytest
+
 from cleatyoke.admin.control import ControlCommands, answer
 from cleatyoke.config.deployment import ConfigError, FleetSettings, read_address, read_fronts
 from cleatyoke.emulation.network import Fault, Network
@@ -57,12 +59,12 @@
             judge = MembershipChecker(ends=[(1.0, "kill")])
             judge.seen(2.0, dict(enumerate(views)))
             with self.subTest(rule):
-                self.assertEqual(rules(judge.broken(9.0)), {rule} - {""})
+                assert rules(judge.broken(9.0)) == {rule} - {""}
         judge = MembershipChecker()
         judge.seen(1.0, {0: MembershipView("n0", 5, 2, 1)})
         judge.seen(2.0, {0: MembershipView("n0", 5, 1, 1)})
-        self.assertEqual(rules(judge.broken(9.0)), {"back"})
-        with self.assertRaises(ConfigError):
+        assert rules(judge.broken(9.0)) == {"back"}
+        with pytest.raises(ConfigError):
             read_view(["fleet.life n0"])
 
     def test_what_a_message_meets_is_drawn_from_it_and_from_nothing_else(self) -> None:
@@ -72,10 +74,10 @@
         for number in range(50):
             other.datagram("b", "a", bytes([number]))  # elsewhere
         met = [one.datagram("a", "b", data) for data in messages]
-        self.assertEqual(met, [other.datagram("a", "b", data) for data in messages])
-        self.assertEqual({len(came) for came in met}, {0, 1, 2})
-        self.assertNotEqual(met, [one.datagram("a", "b", data) for data in messages])  # a second time
-        self.assertTrue(all(len(one.datagram("b", "a", data)) == 1 for data in messages))
+        assert met == [other.datagram("a", "b", data) for data in messages]
+        assert {len(came) for came in met} == {0, 1, 2}
+        assert met != [one.datagram("a", "b", data) for data in messages]  # a second time
+        assert all(len(one.datagram("b", "a", data)) == 1 for data in messages)
 
 
 class PlayCase(unittest.TestCase):
@@ -104,32 +106,32 @@
     def kept(self, name: str) -> RunReport:
         """What came of this play, in which nothing may have been broken."""
         report = self.plays[name].result()
-        self.assertEqual(report.broken, [], "\n".join(report.lines()))
-        self.assertEqual(report.faults, [])
+        assert report.broken == [], "\n".join(report.lines())
+        assert report.faults == []
         return report
 
     def test_one_view_comes_back_after_kills_pauses_cuts_and_a_roll(self) -> None:
         for name in ("fleet-kills", "fleet-cuts", "fleet-roll"):
             with self.subTest(name):
-                self.assertGreater(self.kept(name).log["fleet_change"], 12 * 11)
+                assert self.kept(name).log["fleet_change"] > 12 * 11
 
     def test_lent_parts_of_a_limit_stay_within_it_and_go_where_the_need_is(self) -> None:
         """Through every trouble; and without any, against the fixed split."""
         self.kept("fleet-limits")
         lent, fixed = self.kept("fleet-limits lent"), self.kept("fleet-limits fixed")
-        self.assertGreater(lent.served, 1.1 * fixed.served)
+        assert lent.served > 1.1 * fixed.served
 
     def test_lent_parts_of_cold_boxes_stay_within_what_they_bear_and_go_where_the_need_is(self) -> None:
-        self.assertGreater(self.kept("fleet-cold").most_cold, 0.1)
+        assert self.kept("fleet-cold").most_cold > 0.1
         lent, fixed = self.kept("fleet-cold lent"), self.kept("fleet-cold fixed")
-        self.assertGreater(lent.served, 1.15 * fixed.served)
+        assert lent.served > 1.15 * fixed.served
 
     def test_the_emulator_tells_what_processes_do(self) -> None:
         """The same scenario, the same requests, by processes on sockets and in virtual time."""
         for name in ("fleet-cold lent", "fleet-cold fixed"):
             report, played = self.kept(name), emulate(make_scenario(name, self.values[name]))
             there = [one for one in played.judge.asked.values() if not one.excused]
-            self.assertEqual((played.broken(), len(there)), ([], report.requests))
+            assert (played.broken(), len(there)) == ([], report.requests)
             served = sum(one.status == 200 for one in there) / len(there)
             self.assertAlmostEqual(served, report.served, delta=0.08)
 
@@ -172,12 +174,12 @@
                 shutil.copytree(ROOT / "cleatyoke", program / "cleatyoke")
                 for part, right, changed in edits:
                     text = (program / "cleatyoke" / part).read_text()
-                    self.assertEqual(text.count(right), 1, part)
+                    assert text.count(right) == 1, part
                     (program / "cleatyoke" / part).write_text(text.replace(right, changed))
                 plays[rule] = workers.submit(play_values, rule, {**base, "trouble": troubles}, program)
             for rule, play in plays.items():
                 with self.subTest(rule):
-                    self.assertIn(rule, rules(play.result().broken))
+                    assert rule in rules(play.result().broken)
 
 
 class CarrierCase(unittest.IsolatedAsyncioTestCase):
@@ -223,22 +225,22 @@
                 if number % 50 == 0:
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.2)
-            self.assertEqual(list(one.members.lives), [MemberId("n2", 1)])
-            self.assertIsNot(one.members.lives[MemberId("n2", 1)].rumour.state, MemberState.DEAD)
+            assert list(one.members.lives) == [MemberId("n2", 1)]
+            assert one.members.lives[MemberId("n2", 1)].rumour.state is not MemberState.DEAD
             refused = one.members.figures.refused
-            self.assertGreater(min(refused["foreign"], refused["corrupt"]), 300)
+            assert min(refused["foreign"], refused["corrupt"]) > 300
             stat = dict(line.split("=") for line in one.figures())
-            self.assertEqual(int(stat["fleet.refused.foreign"]), refused["foreign"])
+            assert int(stat["fleet.refused.foreign"]) == refused["foreign"]
             for _ in range(3):
                 one.span, one.taken = asyncio.get_running_loop().time(), MOST_HEARD
                 stranger.sendto(own, ("127.1.2.1", self.port))
                 await asyncio.sleep(0.02)
-        self.assertGreater(one.dropped["flood"], 0)
+        assert one.dropped["flood"] > 0
         reader, writer = await asyncio.open_connection("127.1.2.1", self.port)
         writer.write(b"\xff\xff\xff\xffgarbage")  # a stream of four gigabytes
-        self.assertEqual(await reader.read(), b"")
+        assert await reader.read() == b""
         writer.close()
-        self.assertEqual(one.faults.figures.faults, 0)
+        assert one.faults.figures.faults == 0
 
     async def test_what_comes_while_its_sockets_are_opened_is_no_fault(self) -> None:
         """A front that comes back is pinged at its old address before its listener is there."""
@@ -253,7 +255,7 @@
 
         with late, unittest.mock.patch("asyncio.start_server", slow):
             view = await self.start(1)
-        self.assertEqual((view.faults.figures.faults, view.dropped["early"]), (0, 1))
+        assert (view.faults.figures.faults, view.dropped["early"]) == (0, 1)
 
     async def test_fronts_of_other_settings_are_told_of_and_each_keeps_to_its_own(self) -> None:
         ours, theirs = settings(front_count=3, seed=1), settings(front_count=4)
@@ -264,8 +266,8 @@
         async with asyncio.timeout(5):
             while one.differ != ["n3"] or other.differ != ["n1", "n2"]:
                 await asyncio.sleep(0.02)
-        self.assertTrue(one.replica_lines()[1].endswith("differ=n3"))
-        self.assertEqual([view.faults.figures.faults for view in self.views], [0] * 3)
+        assert one.replica_lines()[1].endswith("differ=n3")
+        assert [view.faults.figures.faults for view in self.views] == [0] * 3
         other.say(ours)
         async with asyncio.timeout(5):
             while one.differ or other.differ:
@@ -275,17 +277,17 @@
         old, witness = await self.start(1, boot=1), await self.start(2)
         new = await self.start(1, boot=2)
         await self.until("len(view.members.present)", 2)
-        self.assertFalse(new.members.alone)
+        assert not new.members.alone
         both = {MemberId("n1", 1), MemberId("n1", 2)}
-        self.assertLessEqual(both, witness.conclusion().perhaps_up)
+        assert both <= witness.conclusion().perhaps_up
         self.views.remove(old)
         old.stop()
         await self.until("view.members.alone", True)
         await self.until("len(view.members.over)", 1)
-        self.assertEqual(witness.conclusion().certainly_stopped, {MemberId("n1", 1)})
-        self.assertEqual(witness.members.lives[MemberId("n1", 2)].rumour.address, f"127.1.2.1:{self.port}")
+        assert witness.conclusion().certainly_stopped == {MemberId("n1", 1)}
+        assert witness.members.lives[MemberId("n1", 2)].rumour.address == f"127.1.2.1:{self.port}"
         shown = read_view([*witness.lines(), "EOT"])
-        self.assertEqual(shown.lives["n1", 1], ("left", "certainly-stopped"))
+        assert shown.lives["n1", 1] == ("left", "certainly-stopped")
 
 
 class SettingsCase(unittest.TestCase):
@@ -295,9 +297,9 @@
             "'cleatyoke.membership', 'cleatyoke.coordination', 'cleatyoke.emulation')) "
             "for name in sys.modules))"
         )
-        self.assertEqual(subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode, 0)
+        assert subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode == 0
         off = ControlCommands(lambda: True, list, bool, bool, lambda: None, lambda: None)
-        self.assertEqual(answer(off, "show-fleet"), ["FAILURE no view of the fleet is kept"])
+        assert answer(off, "show-fleet") == ["FAILURE no view of the fleet is kept"]
 
     def test_each_key_is_checked_and_named(self) -> None:
         good = {"enabled": "true", "deployment": '"d"', "listen": '"127.0.0.1:7"', "seeds": "[]"}
@@ -322,7 +324,7 @@
                 path.write_text("[fleet]\n" + "\n".join(f"{name} = {text}" for name, text in keys.items()))
                 with self.subTest(key=key, value=value):
                     if not key:
-                        self.assertIsNotNone(read_fronts(path, {}, {})[3])
+                        assert read_fronts(path, {}, {})[3] is not None
                         continue
-                    with self.assertRaisesRegex(ConfigError, f"^fronts.toml: fleet.{key}:"):
+                    with pytest.raises(ConfigError, match=f"^fronts.toml: fleet.{key}:"):
                         read_fronts(path, {}, {})
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -441,7 +441,9 @@
         host.now += 0.6
         host.end(f"r{number}", AttemptOutcome.CANCELLED, elapsed=0.6)
         queued.append(node.queued)
-    assert queued[0] == host.policy.queue_aim / 2 and queued[1] > 2 * queued[0] and queued[2] > queued[1]
+    assert queued[0] == host.policy.queue_aim / 2
+    assert queued[1] > 2 * queued[0]
+    assert queued[2] > queued[1]
 
 
 def lost_answer_host(repeat: Idempotency) -> Host:
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -17,6 +17,7 @@
 from unittest import mock
 
 import aiohttp
+import pytest
 
 from cleatyoke.config.deployment import Address, ConfigError, read_config, read_fronts
 from cleatyoke.core import AttemptResult, Core
@@ -120,11 +121,11 @@
             return answer(200, b"\x00tile of " + trace.encode())
 
         await self.begin(script)
-        self.assertEqual(await self.ask("t1", "PUT", b"scan"), (200, b"\x00tile of t1"))
+        assert await self.ask("t1", "PUT", b"scan") == (200, b"\x00tile of t1")
         (head,) = self.box.heads
-        self.assertTrue(head.startswith(f"PUT {TARGET} HTTP/1.1\r\n"), head)
-        self.assertIn("X-Trace-Id: t1\r\n", head)
-        self.assertNotIn("Accept-Encoding", head)
+        assert head.startswith(f"PUT {TARGET} HTTP/1.1\r\n"), head
+        assert "X-Trace-Id: t1\r\n" in head
+        assert "Accept-Encoding" not in head
 
     async def test_a_request_on_a_pooled_connection_that_breaks_is_not_resent_by_the_library(self) -> None:
         async def script(trace: str) -> bytes | None:
@@ -134,43 +135,43 @@
         await self.ask("warm")
         self.boxes.pools[1].idle[0].rested_at = 0.0
         status, _ = await self.ask("broken", "PUT", b"scan")
-        self.assertEqual((status, self.box.counts["broken"]), (502, 1))
-        self.assertEqual(self.box.accepted, 1, "the broken one was the pooled connection")
+        assert (status, self.box.counts["broken"]) == (502, 1)
+        assert self.box.accepted == 1, "the broken one was the pooled connection"
 
     async def test_a_write_that_was_turned_away_unrun_is_sent_again(self) -> None:
         async def script(trace: str) -> bytes:
             return answer() if self.box.counts[trace] > 1 else answer(503, b"", "X-Never-Ran: 1")
 
         await self.begin(script)
-        self.assertEqual((await self.ask("t", "PUT", b"scan"))[0], 200)
-        self.assertEqual(self.box.counts["t"], 2)
+        assert (await self.ask("t", "PUT", b"scan"))[0] == 200
+        assert self.box.counts["t"] == 2
 
     async def test_a_503_without_proof_is_no_refusal_of_a_write(self) -> None:
         async def script(trace: str) -> bytes:
             return answer(503, b"")
 
         await self.begin(script)
-        self.assertEqual((await self.ask("t", "PUT", b"scan"))[0], 502)
-        self.assertEqual(self.box.counts["t"], 1)
+        assert (await self.ask("t", "PUT", b"scan"))[0] == 502
+        assert self.box.counts["t"] == 1
 
     async def test_a_silent_box_costs_one_attempt_and_the_answer_beats_the_client(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
         began = self.core.now()
         status, _ = await self.ask("t", "PUT", b"scan", X_Expires_In_Ms="300")
-        self.assertLess(self.core.now() - began, 2.0)  # the box would take a minute
-        self.assertEqual((status, self.box.counts["t"]), (502, 1))
+        assert self.core.now() - began < 2.0  # the box would take a minute
+        assert (status, self.box.counts["t"]) == (502, 1)
         await self.until(lambda: self.box.open == 0)  # the given-up attempt's connection is closed
 
     async def test_a_client_with_hardly_any_time_left_still_hears_that_nothing_was_sent(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
-        self.assertEqual((await self.ask("t", "PUT", b"scan", X_Expires_In_Ms="1"))[0], 503)
-        self.assertEqual(self.box.accepted, 0)
+        assert (await self.ask("t", "PUT", b"scan", X_Expires_In_Ms="1"))[0] == 503
+        assert self.box.accepted == 0
 
     async def test_a_client_that_says_it_waits_for_minutes_gets_no_longer_than_its_class(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
         self.front.config.give_up[1] = 0.3
         async with asyncio.timeout(5):  # the box would take a minute
-            self.assertEqual((await self.ask("t", "PUT", b"scan", X_Expires_In_Ms="600000"))[0], 502)
+            assert (await self.ask("t", "PUT", b"scan", X_Expires_In_Ms="600000"))[0] == 502
 
     async def test_a_client_that_leaves_takes_its_attempt_with_it(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
@@ -178,15 +179,15 @@
         await self.until(lambda: self.box.counts["t"])
         asking.cancel()
         await self.until(lambda: self.box.open == 0 and not self.core.calls)
-        self.assertEqual(sum(sum(node.out) for node in self.core.policy.nodes.values()), 0)
+        assert sum(sum(node.out) for node in self.core.policy.nodes.values()) == 0
 
     async def test_without_a_box_a_request_is_refused_at_once(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
         self.core.tell(listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING)))
         began = self.core.now()
-        self.assertEqual((await self.ask("t"))[0], 503)
-        self.assertLess(self.core.now() - began, 1.4)  # not held back until the deadline
-        self.assertEqual(self.box.accepted, 0)
+        assert (await self.ask("t"))[0] == 503
+        assert self.core.now() - began < 1.4  # not held back until the deadline
+        assert self.box.accepted == 0
 
     async def test_bad_requests_are_answered_by_name(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
@@ -205,17 +206,17 @@
             ("X_IO", HEADERS["X-IO"].replace("=2", "=0x2")),
         ):
             status, text = await self.ask("t", **{name: value})
-            self.assertEqual(status, 400)
-            self.assertIn(name.replace("_", "-"), text.decode())
+            assert status == 400
+            assert name.replace("_", "-") in text.decode()
         self.front.space = BodyMemory(1 << 20)
-        self.assertEqual((await self.ask("t", "PUT", bytes(2 << 20)))[0], 413)
+        assert (await self.ask("t", "PUT", bytes(2 << 20)))[0] == 413
         async with self.client.get(self.url + "/tea") as response:
-            self.assertEqual(response.status, 404)
+            assert response.status == 404
         reader, writer = await asyncio.open_connection("127.0.0.1", int(self.url.rpartition(":")[2]))
         writer.write(b"tea\r\n\r\n")
-        self.assertIn(b" 400 ", await reader.readline())
+        assert b" 400 " in await reader.readline()
         writer.close()
-        self.assertEqual(self.box.accepted, 0)
+        assert self.box.accepted == 0
 
     async def test_silent_connections_make_room_for_clients_that_speak(self) -> None:
         async def script(trace: str) -> bytes:
@@ -225,12 +226,12 @@
         self.front.most_clients = 3
         silent = [await self.raw() for _ in range(3)]
         await self.until(lambda: len(self.front.clients) == 3)
-        self.assertEqual((await self.ask("t"))[0], 200)
-        self.assertEqual(await silent[0][0].read(), b"")  # the oldest has ended
+        assert (await self.ask("t"))[0] == 200
+        assert await silent[0][0].read() == b""  # the oldest has ended
         more = [await self.raw() for _ in range(3)]  # the client's own idle connection outlives them
-        self.assertEqual(await more[0][0].read(), b"")
-        self.assertEqual((await self.ask("u"))[0], 200)
-        self.assertLessEqual(len(self.front.clients), 3)
+        assert await more[0][0].read() == b""
+        assert (await self.ask("u"))[0] == 200
+        assert len(self.front.clients) <= 3
         for _, writer in [*silent, *more]:
             writer.close()
 
@@ -243,12 +244,12 @@
         kept = []
         for trace in "abc":
             kept.append(await self.raw(self.head(trace)))
-            self.assertIn(b" 200 ", await kept[-1][0].readuntil(b"tile"))
-        self.assertEqual(await kept[2][0].read(), b"")
+            assert b" 200 " in await kept[-1][0].readuntil(b"tile")
+        assert await kept[2][0].read() == b""
         await self.until(lambda: len(self.front.clients) == 2)
         kept[0][1].write(self.head("d"))
-        self.assertIn(b" 200 ", await kept[0][0].readuntil(b"tile"))  # those before it are kept
-        self.assertEqual(len(self.front.clients), 2)
+        assert b" 200 " in await kept[0][0].readuntil(b"tile")  # those before it are kept
+        assert len(self.front.clients) == 2
         for _, writer in kept:
             writer.close()
 
@@ -268,10 +269,10 @@
             one.came = 0.0
         for place, (_, writer) in enumerate(young):
             writer.write(self.head(f"y{place}")[:9] if place else self.head("y0"))
-        self.assertIn(b" 200 ", await waiting[0].readline())  # where the one that was answered had been
-        self.assertIn(b" 200 ", await young[0][0].readline())
+        assert b" 200 " in await waiting[0].readline()  # where the one that was answered had been
+        assert b" 200 " in await young[0][0].readline()
         young[1][1].write(self.head("y1")[9:])
-        self.assertIn(b" 200 ", await young[1][0].readline())
+        assert b" 200 " in await young[1][0].readline()
         for _, writer in [*young, waiting]:
             writer.close()
 
@@ -286,7 +287,7 @@
             peers = [await self.raw(case) for case in cases]
             async with asyncio.timeout(2):
                 found = [await reader.read() for reader, _ in peers]
-        self.assertEqual([one[9:12] for one in found], [b"", b"", b"400", b"408", b"413"])
+        assert [one[9:12] for one in found] == [b"", b"", b"400", b"408", b"413"]
         for _, writer in peers:
             writer.close()
 
@@ -301,7 +302,7 @@
             client.began += 60  # as if the first byte had come just now, however late the loop runs
             await asyncio.sleep(0.3)
             writer.write(self.head("t")[9:])
-            self.assertIn(b" 200 ", await reader.readline())
+            assert b" 200 " in await reader.readline()
         writer.close()
 
     async def found(self, look: Any) -> Any:
@@ -321,17 +322,17 @@
             + hidden,
         ):
             reader, writer = await self.raw(case)
-            self.assertEqual((await reader.read())[8:13], b" 400 ", case[:200])
+            assert (await reader.read())[8:13] == b" 400 ", case[:200]
             writer.close()
-        self.assertEqual(self.box.accepted, 0)
+        assert self.box.accepted == 0
         reader, writer = await self.raw(self.head("late"))
         await self.until(lambda: self.box.counts["late"])
         writer.write(hidden)  # behind a request that is already at the box, and is owed one error
         heard = await reader.read()
-        self.assertEqual((heard[8:13], heard.count(b"HTTP/")), (b" 400 ", 1), heard)
-        self.assertIn(b"Connection: close", heard)
+        assert (heard[8:13], heard.count(b"HTTP/")) == (b" 400 ", 1), heard
+        assert b"Connection: close" in heard
         await self.until(lambda: not self.core.calls and not self.box.open)  # its attempt is called off
-        self.assertEqual((self.box.counts["late"], self.box.counts["x"]), (1, 0))
+        assert (self.box.counts["late"], self.box.counts["x"]) == (1, 0)
         writer.close()
 
     async def test_an_id_that_is_taken_is_an_error_without_harm_to_the_first(self) -> None:
@@ -344,20 +345,20 @@
         await self.begin(script)
         first = asyncio.create_task(self.ask("t"))
         await self.until(lambda: self.box.counts["t"])
-        self.assertEqual((await self.ask("t"))[0], 400)
+        assert (await self.ask("t"))[0] == 400
         release.set()
-        self.assertEqual((await first)[0], 200)
-        self.assertEqual((await self.ask("t"))[0], 400, "nor just after it")
-        self.assertEqual(self.box.counts["t"], 1)
+        assert (await first)[0] == 200
+        assert (await self.ask("t"))[0] == 400, "nor just after it"
+        assert self.box.counts["t"] == 1
         with mock.patch.object(self.core, "offset", self.core.offset + 60):
             await self.ask("u")
-        self.assertEqual(self.front.taken, {"u"}, "ids are forgotten in the end")
+        assert self.front.taken == {"u"}, "ids are forgotten in the end"
 
     async def test_up_says_when_the_front_is_ready(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
         for self.ready, status in ((False, 503), (True, 200)):
             async with self.client.get(self.url + "/up") as response:
-                self.assertEqual(response.status, status)
+                assert response.status == status
 
     async def test_a_word_to_send_that_comes_too_late_frees_its_slot(self) -> None:
         # The client leaves in the turn in which the policy says where to send.
@@ -373,8 +374,8 @@
 
         with mock.patch.object(self.core, "step", step):
             await self.until(lambda: late and not self.core.calls and not self.core.policy.requests)
-        self.assertEqual(late, [True])
-        self.assertEqual(sum(sum(node.out) for node in self.core.policy.nodes.values()), 0)
+        assert late == [True]
+        assert sum(sum(node.out) for node in self.core.policy.nodes.values()) == 0
 
 
 class BoxStories(FrontCase):
@@ -392,7 +393,7 @@
 
         with mock.patch.object(self.boxes, "dial", late):
             outcome = (await self.attempt(1, ask("t"))).outcome
-        self.assertEqual((outcome, self.box.counts["t"]), (AttemptOutcome.NOT_SENT, 0))
+        assert (outcome, self.box.counts["t"]) == (AttemptOutcome.NOT_SENT, 0)
 
     async def test_a_refused_connection_never_ran_and_pools_of_a_draining_box_are_closed(self) -> None:
         async def script(trace: str) -> bytes:
@@ -400,13 +401,13 @@
 
         await self.begin(script)
         await self.attempt(1, ask("t"))
-        self.assertEqual(self.box.open, 1)
+        assert self.box.open == 1
         listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING))
         await self.until(lambda: self.box.open == 0)
         self.box.stop()
         listed(self.directory, instance("s-a", self.box.port))
         outcome = (await self.attempt(1, ask("t"))).outcome
-        self.assertEqual(outcome, AttemptOutcome.CONNECTION_FAILED)
+        assert outcome == AttemptOutcome.CONNECTION_FAILED
 
     async def test_a_connection_that_ends_as_it_comes_up_never_ran_anything(self) -> None:
         async def script(trace: str) -> bytes:
@@ -422,8 +423,8 @@
 
         with mock.patch.object(self.boxes, "dial", short):
             found = await self.attempt(1, ask("t", "PUT", b"scan"))
-        self.assertEqual(found, AttemptResult(AttemptOutcome.CONNECTION_FAILED))
-        self.assertEqual((self.box.counts["t"], self.boxes.open), (0, 0))
+        assert found == AttemptResult(AttemptOutcome.CONNECTION_FAILED)
+        assert (self.box.counts["t"], self.boxes.open) == (0, 0)
 
     async def test_a_spoilt_answer_is_a_reset_that_may_have_run_and_ends_its_connection(self) -> None:
         good = answer()
@@ -450,9 +451,9 @@
         with mock.patch.object(boxes_module, "GAP", 0.05):
             for place, text in enumerate(spoilt):
                 found = await self.attempt(1, ask(str(place), "PUT", b"scan"))
-                self.assertEqual(found, AttemptResult(AttemptOutcome.CONNECTION_RESET), text[:80])
-        self.assertEqual(set(self.box.counts.values()), {1})
-        self.assertEqual((self.box.accepted, self.boxes.open), (len(spoilt), 0))
+                assert found == AttemptResult(AttemptOutcome.CONNECTION_RESET), text[:80]
+        assert set(self.box.counts.values()) == {1}
+        assert (self.box.accepted, self.boxes.open) == (len(spoilt), 0)
 
     async def test_a_good_answer_is_served_whatever_comes_with_it_and_only_that(self) -> None:
         good = answer(200, b"tile", "Endpoint-Load-Metrics: \x01 queue=\x7f", "X-Served-Elsewhere: -1e999")
@@ -472,10 +473,8 @@
                 if isinstance(found.value, StreamedBody):
                     body = b"".join([piece async for piece in iterate(found.value)])
                     found = replace(found, value=body)
-                self.assertEqual(
-                    found, AttemptResult(AttemptOutcome.SERVED, b"tile" * (70_000 if place == 2 else 1))
-                )
-                self.assertEqual(self.boxes.open, int(place < 3), "what brought more is not used again")
+                assert found == AttemptResult(AttemptOutcome.SERVED, b"tile" * (70000 if place == 2 else 1))
+                assert self.boxes.open == int(place < 3), "what brought more is not used again"
 
     async def test_bytes_that_come_while_a_connection_is_pooled_are_not_the_next_answer(self) -> None:
         async def script(trace: str) -> bytes:
@@ -484,7 +483,7 @@
         await self.begin(script)
         for trace, read in (("first", True), ("second", False), ("third", True)):
             found = await self.attempt(1, ask(trace))
-            self.assertEqual(found, AttemptResult(AttemptOutcome.SERVED, trace.encode()))
+            assert found == AttemptResult(AttemptOutcome.SERVED, trace.encode())
             (line,) = self.boxes.pools[1].idle
             line.rested_at = 0.0
             (writer,) = self.box.writers
@@ -493,8 +492,8 @@
             if read:
                 await self.until(lambda: self.boxes.open == 0)
             else:
-                self.assertFalse(line.usable())
-        self.assertEqual(self.box.accepted, 3)
+                assert not line.usable()
+        assert self.box.accepted == 3
 
     async def test_a_connection_rests_after_an_answer_and_idle_ones_make_room_at_the_bound(self) -> None:
         async def script(trace: str) -> bytes:
@@ -505,12 +504,12 @@
         with mock.patch.object(boxes_module, "REST", 60):
             for trace in "ab":  # the first one rests, so that the second takes another
                 await self.attempt(1, ask(trace))
-            self.assertEqual((self.box.accepted, self.boxes.open), (2, 2))
+            assert (self.box.accepted, self.boxes.open) == (2, 2)
             await self.attempt(2, ask("c"))
-            self.assertEqual((self.boxes.open, len(self.boxes.pools[1].idle)), (2, 1))
+            assert (self.boxes.open, len(self.boxes.pools[1].idle)) == (2, 1)
         self.boxes.pools[1].idle[0].rested_at = 0.0
         await self.attempt(1, ask("d"))
-        self.assertEqual((self.box.accepted, self.boxes.open), (3, 2))
+        assert (self.box.accepted, self.boxes.open) == (3, 2)
         self.box.stop()  # the boxes close their idle connections
         await self.until(lambda: self.boxes.open == 0)
 
@@ -534,9 +533,9 @@
             for life in range(9):
                 listed(directory, instance(f"s-{life}", 1))
                 listed(directory, instance(f"s-{life}", 1, EndpointState.REMOVED))
-        self.assertEqual(directory.numbers, {"s-stays": 1, "s-6": 8, "s-7": 9, "s-8": 10})
+        assert directory.numbers == {"s-stays": 1, "s-6": 8, "s-7": 9, "s-8": 10}
         listed(directory, instance("s-6", 1), instance("s-new", 1))
-        self.assertEqual((directory.numbers["s-6"], directory.numbers["s-new"]), (8, 11))
+        assert (directory.numbers["s-6"], directory.numbers["s-new"]) == (8, 11)
 
     def test_cells_that_only_requests_name_leave_nothing_behind(self) -> None:
         policy = Scheduler(config().settings)
@@ -544,7 +543,7 @@
             policy.step(100.0, [RequestArrived(f"r{cell}", 0, 0, cell, cell, cell, 1.0, 101.5, 1)])
         for now in (150.0, 200.0):
             policy.step(now, [])
-        self.assertEqual((policy.held, policy.volumes, policy.requests, policy.tries), ({}, {}, {}, {}))
+        assert (policy.held, policy.volumes, policy.requests, policy.tries) == ({}, {}, {}, {})
 
 
 class LoadReports(unittest.TestCase):
@@ -558,8 +557,8 @@
             ("TEXT util=0.1.2", None),
             ("\x01 queue=", None),
         ):
-            self.assertEqual(decode_busy({"Endpoint-Load-Metrics": text}), busy, text)
-        self.assertIsNone(decode_busy({}))
+            assert decode_busy({"Endpoint-Load-Metrics": text}) == busy, text
+        assert decode_busy({}) is None
 
 
 class DiscoveryStory(unittest.IsolatedAsyncioTestCase):
@@ -576,11 +575,9 @@
         agent.stop()
         kinds = [(one.kind, one.endpoints[0].state) for one in news if isinstance(one, EndpointUpdate)]
         full = (UpdateKind.SNAPSHOT, EndpointState.LIVE)
-        self.assertEqual(kinds, [full, full, (UpdateKind.DELTA, EndpointState.DRAINING)])
-        self.assertEqual(
-            len({one.endpoints[0].node_id for one in news if isinstance(one, EndpointUpdate)}), 1
-        )
-        self.assertFalse(directory.serves(1))
+        assert kinds == [full, full, (UpdateKind.DELTA, EndpointState.DRAINING)]
+        assert len({one.endpoints[0].node_id for one in news if isinstance(one, EndpointUpdate)}) == 1
+        assert not directory.serves(1)
 
     async def test_a_move_takes_the_new_agent_s_whole_list_and_keeps_the_old_watch_until_then(self) -> None:
         old_list = {"generation": 70, "reset": True, "instances": [entry("SERVING")]}
@@ -600,14 +597,14 @@
                 line = json.dumps(later).encode()
                 writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
             await told.get()
-            self.assertFalse(directory.serves(1))
+            assert not directory.serves(1)
             discovery.move(Address("127.0.0.1", new.port))
             await told.get()
             while old.open or len(new.asked) < 2:
                 await asyncio.sleep(0.005)
-        self.assertEqual(directory.boxes[1].address.port, 10)
-        self.assertEqual(new.asked, ["/discovery/hosts", "/discovery/hosts?watch=1&after=7"])
-        self.assertEqual(len(discovery.watches), 1)
+        assert directory.boxes[1].address.port == 10
+        assert new.asked == ["/discovery/hosts", "/discovery/hosts?watch=1&after=7"]
+        assert len(discovery.watches) == 1
         discovery.stop()
         for peer in (old, new):
             peer.stop()
@@ -652,7 +649,7 @@
             for host in hosts:
                 host.stop()
         server.close()
-        self.assertEqual(late, [])
+        assert late == []
 
     async def test_an_overbooked_discovery_is_not_hammered_and_the_last_list_stands(self) -> None:
         calls: list[float] = []
@@ -675,9 +672,9 @@
             host.stop()
         server.close()
         # A pause of 0.25 s would make five calls of each in this time.
-        self.assertGreaterEqual(len(calls), 40)
-        self.assertLess(len(calls), 80)
-        self.assertTrue(directory.serves(1))
+        assert len(calls) >= 40
+        assert len(calls) < 80
+        assert directory.serves(1)
 
 
 class DaemonCase(unittest.IsolatedAsyncioTestCase):
@@ -710,7 +707,7 @@
         assert daemon.stderr
         async with asyncio.timeout(10):
             while word not in (line := await daemon.stderr.readline()):
-                self.assertTrue(line, "the daemon ended")
+                assert line, "the daemon ended"
         return line
 
 
@@ -729,9 +726,9 @@
             url = f"http://127.0.0.1:{int(line.split(b'port=')[1].split(b')')[0])}"
             async with aiohttp.ClientSession() as client:
                 async with client.get(f"{url}/up") as response:
-                    self.assertEqual(response.status, 200)
+                    assert response.status == 200
                 async with client.get(f"{url}{TARGET}", headers={**HEADERS, "X-Trace-Id": "a"}) as response:
-                    self.assertEqual(response.status, 200)
+                    assert response.status == 200
             daemon.kill()
             await daemon.wait()
         box.stop()
@@ -770,18 +767,18 @@
                 while b"event='leaving'" not in await daemon.stderr.readline():
                     pass
                 left = asyncio.get_running_loop().time()
-                self.assertEqual(await ask("after"), (200, None))  # on a connection that is kept
+                assert await ask("after") == (200, None)  # on a connection that is kept
                 release.set()
-                self.assertEqual((await before)[0], 200)
+                assert (await before)[0] == 200
                 while asyncio.get_running_loop().time() < left + 0.9:
-                    self.assertEqual((await ask(str(box.accepted + len(box.heads))))[0], 200)
+                    assert (await ask(str(box.accepted + len(box.heads))))[0] == 200
                     await asyncio.sleep(0.1)
                 # Its time ends after the process must; idle connections are closed by then.
-                self.assertIn((await ask("silent"))[0], (502, 503))
-                self.assertLess(asyncio.get_running_loop().time(), left + 2.2)
+                assert (await ask("silent"))[0] in (502, 503)
+                assert asyncio.get_running_loop().time() < left + 2.2
                 async with asyncio.timeout(5):
                     rest = await daemon.stderr.read()
-                    self.assertEqual(await daemon.wait(), 0, rest)
+                    assert await daemon.wait() == 0, rest
         box.stop()
         agent.stop()
 
@@ -806,7 +803,7 @@
             ):
                 path.write_text(json.dumps({**good, **change}))
                 daemon.send_signal(signal.SIGHUP)
-                self.assertIn(word, await self.line(daemon, b"event='reload"))
+                assert word in await self.line(daemon, b"event='reload")
             url = f"http://127.0.0.1:{port}{TARGET}"
             async with aiohttp.ClientSession() as client, asyncio.timeout(10):
                 status, tries = 0, 0
@@ -817,7 +814,7 @@
             daemon.send_signal(signal.SIGHUP)
             daemon.send_signal(signal.SIGTERM)  # amid a reload
             async with asyncio.timeout(5):
-                self.assertEqual(await daemon.wait(), 0)
+                assert await daemon.wait() == 0
         for peer in (box, first, second):
             peer.stop()
 
@@ -825,8 +822,8 @@
         with tempfile.TemporaryDirectory() as folder:
             daemon = await self.start(folder, listen="nowhere")
             _, errors = await daemon.communicate()
-        self.assertEqual((daemon.returncode, errors.count(b"\n")), (2, 1))
-        self.assertTrue(errors.startswith(b"cleatyoke: listen: "), errors)
+        assert (daemon.returncode, errors.count(b"\n")) == (2, 1)
+        assert errors.startswith(b"cleatyoke: listen: "), errors
 
 
 class ConfigCase(unittest.TestCase):
@@ -850,22 +847,24 @@
             path = Path(folder) / "config.json"
             for change, said in cases:
                 path.write_text(json.dumps({**good, **change}))
-                with self.assertRaises(ConfigError) as caught:
+                with pytest.raises(ConfigError) as caught:
                     read_config({"RELAY_CONFIG": str(path)})
-                self.assertTrue(str(caught.exception).startswith(said), caught.exception)
+                assert str(caught.value).startswith(said), caught.value
 
     def test_the_fronts_file_is_off_as_shipped_and_checked_when_on(self) -> None:
         shipped = ROOT / "deploy" / "fronts.toml"
         classes, plans = {"tile-read": 0, "record-write": 1}, {"public": 0}
-        self.assertEqual(read_fronts(shipped, classes, plans), (None,) * 5)
+        assert read_fronts(shipped, classes, plans) == (None,) * 5
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "fronts.toml"
             path.write_text(shipped.read_text().replace("enabled = false", "enabled = true"))
             sftp, vrrp, metrics, _, relays = read_fronts(path, classes, plans)
-            assert sftp and vrrp and relays
-            self.assertEqual((relays.relays, relays.others), ([Address("127.0.0.2", 7951)], []))
-            self.assertEqual(metrics, Address("127.0.0.1", 9464))
-            self.assertEqual((sftp.volumes[0].prefix, vrrp.interval), ("/plats", 1.0))
+            assert sftp
+            assert vrrp
+            assert relays
+            assert (relays.relays, relays.others) == ([Address("127.0.0.2", 7951)], [])
+            assert metrics == Address("127.0.0.1", 9464)
+            assert (sftp.volumes[0].prefix, vrrp.interval) == ("/plats", 1.0)
             path.write_text(path.read_text().replace("unit_bytes", "unit_byte"))
-            with self.assertRaisesRegex(ConfigError, r"^fronts.toml: sftp.unit_byte: unknown key"):
+            with pytest.raises(ConfigError, match=r"^fronts.toml: sftp.unit_byte: unknown key"):
                 read_fronts(path, classes, plans)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -31,17 +31,17 @@
     async def test_the_key_passes_on_unchanged_with_every_attempt(self) -> None:
         await self.begin_keyed(fails=1)
         status, _ = await self.ask("t1", "PUT", b"scan", Idempotency_Key='visit/7,"a";=~')
-        self.assertEqual(status, 200)
-        self.assertEqual(len(self.box.heads), 2)  # within its window a keyed write may go again
+        assert status == 200
+        assert len(self.box.heads) == 2  # within its window a keyed write may go again
         for head in self.box.heads:
-            self.assertEqual(head.count('\r\nIdempotency-Key: visit/7,"a";=~\r\n'), 1, head)
+            assert head.count('\r\nIdempotency-Key: visit/7,"a";=~\r\n') == 1, head
 
     async def test_a_key_of_a_class_that_needs_none_passes_on_too(self) -> None:
         await self.begin_keyed()
-        self.assertEqual((await self.ask("t1", Idempotency_Key="k" * 256))[0], 200)
-        self.assertEqual((await self.ask("t2"))[0], 200)
-        self.assertIn(f"\r\nIdempotency-Key: {'k' * 256}\r\n", self.box.heads[0])
-        self.assertNotIn("Idempotency-Key", self.box.heads[1])
+        assert (await self.ask("t1", Idempotency_Key="k" * 256))[0] == 200
+        assert (await self.ask("t2"))[0] == 200
+        assert f"\r\nIdempotency-Key: {'k' * 256}\r\n" in self.box.heads[0]
+        assert "Idempotency-Key" not in self.box.heads[1]
 
     async def test_a_keyed_request_without_a_good_key_is_an_error_before_any_attempt(self) -> None:
         await self.begin_keyed()
@@ -59,7 +59,7 @@
             head = head.replace(b"tile-read", b"record-write")
             with self.subTest(name), capture_logs() as logs:
                 reader, writer = await self.raw(head, line, b"\r\nscan")
-                self.assertIn(b" 400 ", await reader.readline())
+                assert b" 400 " in await reader.readline()
                 writer.close()
-                self.assertEqual([one["event"] for one in logs], ["key_refused"])
-        self.assertEqual(self.box.heads, [])
+                assert [one["event"] for one in logs] == ["key_refused"]
+        assert self.box.heads == []
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -141,13 +141,13 @@
         await asyncio.sleep(0.01)
         expected = Directory({})
         expected.apply(decode_listing(text))
-        self.assertEqual(shown(self.directory), shown(expected))
-        self.assertEqual((self.directory.version, watch.version), (9, 9))
-        self.assertEqual(self.directory.down(), 40)
-        self.assertEqual(len(self.core.policy.holder), 3960)
-        self.assertEqual(len(self.news[0].endpoints), 40, "who drains comes first")
-        self.assertLessEqual(max(len(news.endpoints) for news in self.news), AT_ONCE)
-        self.assertGreaterEqual(len(self.news), 3960 / AT_ONCE)
+        assert shown(self.directory) == shown(expected)
+        assert (self.directory.version, watch.version) == (9, 9)
+        assert self.directory.down() == 40
+        assert len(self.core.policy.holder) == 3960
+        assert len(self.news[0].endpoints) == 40, "who drains comes first"
+        assert max(len(news.endpoints) for news in self.news) <= AT_ONCE
+        assert len(self.news) >= 3960 / AT_ONCE
 
     async def test_the_loop_goes_on_between_parts(self) -> None:
         watch, turns = self.begin(), 0
@@ -161,15 +161,15 @@
         beat = asyncio.create_task(count())
         await watch.take_text(nodes.list_text(4000))
         beat.cancel()
-        self.assertGreaterEqual(turns, 2 * 4000 / AT_ONCE, "decoded in parts and applied in parts")
+        assert turns >= 2 * 4000 / AT_ONCE, "decoded in parts and applied in parts"
 
     async def test_the_same_list_again_tells_the_policy_nothing_new(self) -> None:
         watch = self.begin()
         await watch.take_text(nodes.list_text(4000))
         self.news.clear()
         await watch.take_text(nodes.list_text(4000, version=2))
-        self.assertEqual(sum(len(news.endpoints) for news in self.news), 0)
-        self.assertEqual(self.directory.version, 2)
+        assert sum(len(news.endpoints) for news in self.news) == 0
+        assert self.directory.version == 2
 
     async def test_nodes_that_a_long_list_no_longer_has_are_gone_first(self) -> None:
         watch = self.begin()
@@ -177,9 +177,9 @@
         self.news.clear()
         await watch.take_text(nodes.list_text(3900, version=2))
         await asyncio.sleep(0.01)
-        self.assertEqual({entry.state for entry in self.news[0].endpoints}, {EndpointState.REMOVED})
-        self.assertEqual(len(self.news[0].endpoints), 100)
-        self.assertEqual(len(self.core.policy.holder), 3900)
+        assert {entry.state for entry in self.news[0].endpoints} == {EndpointState.REMOVED}
+        assert len(self.news[0].endpoints) == 100
+        assert len(self.core.policy.holder) == 3900
 
     async def test_one_spoilt_entry_refuses_a_long_list_as_a_whole(self) -> None:
         watch = self.begin()
@@ -190,15 +190,15 @@
         value = json.loads(nodes.list_text(3000, version=2, draining=2000))
         for spoilt in ({"lifecycle": "ASLEEP"}, {"hostPort": 5}, {"cell": "x"}):
             value["instances"][2500].update(spoilt)
-            with self.subTest(spoilt=spoilt), self.assertRaises(MessageError):
+            with self.subTest(spoilt=spoilt), pytest.raises(MessageError):
                 await watch.take_text(json.dumps(value).encode())
         whole = nodes.list_text(3000)
         number = b'{"generation":1,"instances":7' + b" " * 200_000 + b"}"
         for text in (b"[" * 200_000, number, whole[:-2], whole.replace(b'n": 1,', b'n": "1",', 1)):
-            with self.subTest(text=text[:40]), self.assertRaises(MessageError):
+            with self.subTest(text=text[:40]), pytest.raises(MessageError):
                 await watch.take_text(text)
-        self.assertEqual((shown(self.directory), self.news, self.directory.version), (before, [], 1))
-        self.assertTrue(gc.isenabled())
+        assert (shown(self.directory), self.news, self.directory.version) == (before, [], 1)
+        assert gc.isenabled()
 
     async def test_a_list_of_an_agent_that_was_moved_from_ends_where_a_newer_one_came(self) -> None:
         old = self.begin()
@@ -210,7 +210,7 @@
             only_new = Instance("s-new", Address("10.9.9.9", 1), "z", 9999, EndpointState.LIVE, 5.0)
             new.take(EndpointList(50, False, [only_new]))
             await late
-        self.assertTrue(self.directory.latest("s-new"))
+        assert self.directory.latest("s-new")
 
     async def test_a_long_line_is_no_silence(self) -> None:
         """The time that taking a list takes is none in which nothing came."""
@@ -238,7 +238,7 @@
                     discovery = Discovery(address, directory, lambda event: None, pushed=True)
                     discovery.start()
                     while directory.version != 3:
-                        self.assertFalse([one for one in logs if one["event"] == "discovery_lost"])
+                        assert not [one for one in logs if one["event"] == "discovery_lost"]
                         await asyncio.sleep(0.005)
                 discovery.stop()
             heard.set()
@@ -270,15 +270,15 @@
         small = json.dumps({"generation": 6, "instances": []}).encode()
         agent = DiscoveryAgent({}, [[long], [long], [long], [small]])
         (event,) = await self.refused(agent, lambda: self.directory.version == 6)
-        self.assertEqual((event["log_level"], "2000 bytes" in event["why"]), ("error", True))
-        self.assertTrue(self.directory.latest("s-known"))
-        self.assertEqual(len(agent.asked), 4)
+        assert (event["log_level"], "2000 bytes" in event["why"]) == ("error", True)
+        assert self.directory.latest("s-known")
+        assert len(agent.asked) == 4
 
     async def test_a_whole_list_over_the_bound_that_was_asked_for_is_refused_too(self) -> None:
         agent = DiscoveryAgent(json.loads(nodes.list_text(100, version=5)), [[b"spoilt"]])
         events = await self.refused(agent, lambda: len(agent.asked) >= 4)
-        self.assertEqual(len(events), 1)
-        self.assertTrue(self.directory.latest("s-known"))
+        assert len(events) == 1
+        assert self.directory.latest("s-known")
 
 
 def test_probes_know_warm_nodes_without_looking_at_all() -> None:
@@ -290,7 +290,8 @@
     assert {node for node in asked[:15] if node is not None} == set(range(5))
     assert asked[16:] == [None] * 14, "none is cold any more"
     prober.listed(EndpointUpdate(UpdateKind.SNAPSHOT, entries[:2]))
-    assert set(prober.warm) == {0, 1} and not prober.ramp_ends
+    assert set(prober.warm) == {0, 1}
+    assert not prober.ramp_ends
 
 
 def test_random_rounds_take_each_item_once_a_round() -> None:
@@ -298,7 +299,8 @@
     for item in range(20):
         rounds.add(item)
     first, second = ([rounds.take() for _ in range(20)] for _ in range(2))
-    assert sorted(first) == sorted(second) == list(range(20)) and first != second
+    assert sorted(first) == sorted(second) == list(range(20))
+    assert first != second
     taken = [rounds.take() for _ in range(8)]
     rounds.discard(taken[2])  # it was taken in this round
     left = next(item for item in range(20) if item not in taken)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -251,7 +251,8 @@
     assert again.aim_at == pytest.approx(host.now + 0.3)
     filled = level + 4.0 * 0.2
     assert host.policy.volumes[1].reserve.level == pytest.approx(filled), "the reserve is drawn once"
-    assert again.volume.due[int(again.arrived)] == pytest.approx(0.0) and again.full == pytest.approx(4.0)
+    assert again.volume.due[int(again.arrived)] == pytest.approx(0.0)
+    assert again.full == pytest.approx(4.0)
     host.end("again", AttemptOutcome.SERVED)
     host.ask("new", item=7, units=1.0)
     assert host.policy.requests["new"].aim_at == pytest.approx(host.now + 0.5)
@@ -307,7 +308,8 @@
         units = 1.0 + number % 3
         host.ask(f"r{number}", units=units, deadline=host.now + 5)
         host.end(f"r{number}", AttemptOutcome.SERVED, elapsed=0.2 * units)
-    assert node.queued < 0.01 and node.spare > host.policy.spare
+    assert node.queued < 0.01
+    assert node.spare > host.policy.spare
     for number in range(3):  # half a second of queue on top
         host.now += 1.0
         host.ask(f"q{number}", deadline=host.now + 5)
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -44,16 +44,16 @@
             return response.status, runs
 
     async def test_a_handler_runs_at_the_node_that_the_core_names(self) -> None:
-        self.assertEqual(await self.ask("GET /tile", [200]), (200, [1]))
-        self.assertEqual(await self.ask("GET /free", [200]), (200, [None]))
+        assert await self.ask("GET /tile", [200]) == (200, [1])
+        assert await self.ask("GET /free", [200]) == (200, [None])
 
     async def test_a_write_runs_again_only_if_it_never_ran(self) -> None:
-        self.assertEqual(await self.ask("PUT /tile", [NeverExecutedError(), 201]), (201, [1, 1]))
-        self.assertEqual(await self.ask("PUT /tile", [500, 201]), (500, [1]))
-        self.assertEqual(await self.ask("PUT /tile", [RuntimeError("half done"), 201]), (502, [1]))
+        assert await self.ask("PUT /tile", [NeverExecutedError(), 201]) == (201, [1, 1])
+        assert await self.ask("PUT /tile", [500, 201]) == (500, [1])
+        assert await self.ask("PUT /tile", [RuntimeError("half done"), 201]) == (502, [1])
 
     async def test_an_http_exception_is_the_handler_s_answer(self) -> None:
-        self.assertEqual(await self.ask("GET /tile", [web.HTTPNotFound()]), (404, [1]))
+        assert await self.ask("GET /tile", [web.HTTPNotFound()]) == (404, [1])
 
     async def test_without_a_node_a_request_is_refused(self) -> None:
-        self.assertEqual(await self.ask("GET /tile", [200], node=False), (503, []))
+        assert await self.ask("GET /tile", [200], node=False) == (503, [])
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -45,7 +45,8 @@
     host = Host(settings(), [entry(1, 1)])
     host.ask("a", units=0.0)
     host.end("a", AttemptOutcome.SERVED)
-    assert host.sent() == ["a"] and not host.policy.requests
+    assert host.sent() == ["a"]
+    assert not host.policy.requests
 
 
 def test_a_node_without_a_cell_takes_new_objects_only() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -41,41 +41,41 @@
 class HoldsCase(unittest.TestCase):
     def test_a_hold_is_not_counted_and_an_unknown_id_is_refused(self) -> None:
         holds = OperatorHolds()
-        self.assertFalse(holds.disable("s-x", known=False))
-        self.assertTrue(holds.disable("s-a", known=True))
-        self.assertTrue(holds.disable("s-a", known=True))
-        self.assertTrue(holds.holds("s-a"))
-        self.assertTrue(holds.enable("s-a", known=True, now=50.0))
-        self.assertFalse(holds.holds("s-a"))  # one call back for two calls
-        self.assertFalse(holds.enable("s-x", known=False, now=51.0))
-        self.assertEqual(holds.started("s-a", 0.0), 50.0)  # it comes back cold
+        assert not holds.disable("s-x", known=False)
+        assert holds.disable("s-a", known=True)
+        assert holds.disable("s-a", known=True)
+        assert holds.holds("s-a")
+        assert holds.enable("s-a", known=True, now=50.0)
+        assert not holds.holds("s-a")  # one call back for two calls
+        assert not holds.enable("s-x", known=False, now=51.0)
+        assert holds.started("s-a", 0.0) == 50.0  # it comes back cold
 
     def test_holds_written_by_another_process_are_taken_and_noise_changes_nothing(self) -> None:
         one, two = OperatorHolds(), OperatorHolds()
         one.disable("s-a", True)
         one.disable("s-b", True)
-        self.assertEqual(two.adopt(one.encode(), 10.0), (["s-a", "s-b"], []))
+        assert two.adopt(one.encode(), 10.0) == (["s-a", "s-b"], [])
         one.enable("s-a", True, 11.0)
-        self.assertEqual(two.adopt(one.encode(), 12.0), ([], ["s-a"]))
-        self.assertEqual(two.started("s-a", 0.0), 12.0)
-        self.assertEqual(two.adopt("{", 13.0), ([], []))
-        self.assertTrue(two.holds("s-b"))
+        assert two.adopt(one.encode(), 12.0) == ([], ["s-a"])
+        assert two.started("s-a", 0.0) == 12.0
+        assert two.adopt("{", 13.0) == ([], [])
+        assert two.holds("s-b")
 
 
 class DirectoryCase(unittest.TestCase):
     def test_a_held_box_drains_for_the_policy_and_a_released_one_is_new(self) -> None:
         directory = Directory({})
         entry = listed(directory, instance("s-a", 1), whole=True).endpoints[0]
-        self.assertEqual(entry.state, EndpointState.LIVE)
+        assert entry.state == EndpointState.LIVE
         directory.holds.disable("s-a", True)
-        self.assertFalse(directory.serves(entry.node_id))
-        self.assertEqual(directory.down(), 1)
+        assert not directory.serves(entry.node_id)
+        assert directory.down() == 1
         held = listed(directory, instance("s-a", 1), whole=True).endpoints[0]  # whatever discovery says
-        self.assertEqual(held.state, EndpointState.DRAINING)
+        assert held.state == EndpointState.DRAINING
         directory.holds.enable("s-a", True, 70.0)
         back = directory.changed(["s-a"])[0]
-        self.assertEqual((back.state, back.started_at), (EndpointState.LIVE, 70.0))
-        self.assertTrue(directory.serves(entry.node_id))
+        assert (back.state, back.started_at) == (EndpointState.LIVE, 70.0)
+        assert directory.serves(entry.node_id)
 
 
 class FiguresCase(unittest.TestCase):
@@ -91,7 +91,7 @@
             "front.success.record-write=0",
             "front.hosts_down=1",
         ):
-            self.assertIn(line, lines)
+            assert line in lines
 
 
 def commands(**changes: object) -> ControlCommands:
@@ -110,14 +110,14 @@
 class CallsCase(unittest.TestCase):
     def test_each_call_has_its_answer(self) -> None:
         given = commands()
-        self.assertEqual(answer(given, "ready"), ["SUCCESS"])
-        self.assertEqual(answer(given, "show-stat\r"), ["front.inflight=0", "EOT"])
-        self.assertEqual(answer(given, "disable-server s-a"), ["SUCCESS"])
-        self.assertTrue(answer(given, "disable-server s-zz")[0].startswith("FAILURE"))
-        self.assertTrue(answer(given, "disable-server")[0].startswith("FAILURE"))
-        self.assertTrue(answer(given, "ready now")[0].startswith("FAILURE"))
-        self.assertTrue(answer(given, "reboot")[0].startswith("FAILURE"))
-        self.assertEqual(answer(commands(ready=lambda: False), "ready")[0][:7], "FAILURE")
+        assert answer(given, "ready") == ["SUCCESS"]
+        assert answer(given, "show-stat\r") == ["front.inflight=0", "EOT"]
+        assert answer(given, "disable-server s-a") == ["SUCCESS"]
+        assert answer(given, "disable-server s-zz")[0].startswith("FAILURE")
+        assert answer(given, "disable-server")[0].startswith("FAILURE")
+        assert answer(given, "ready now")[0].startswith("FAILURE")
+        assert answer(given, "reboot")[0].startswith("FAILURE")
+        assert answer(commands(ready=lambda: False), "ready")[0][:7] == "FAILURE"
 
 
 def call(port: int, data: bytes, patience: float = 6.0) -> bytes:
@@ -138,14 +138,14 @@
             stalled = [socket.create_connection(("127.0.0.1", port)) for _ in range(20)]
             stalled[0].sendall(b"read")  # half a call
             began = time.monotonic()
-            self.assertEqual(call(port, b"ready\n"), b"SUCCESS\n")
-            self.assertEqual(call(port, b"show-stat\n"), b"front.inflight=0\nEOT\n")
-            self.assertTrue(call(port, b"x" * 600).startswith(b"FAILURE"))
-            self.assertTrue(call(port, b"\xff\xfe\n").startswith(b"FAILURE"))
-            self.assertLess(time.monotonic() - began, 1.0)
+            assert call(port, b"ready\n") == b"SUCCESS\n"
+            assert call(port, b"show-stat\n") == b"front.inflight=0\nEOT\n"
+            assert call(port, b"x" * 600).startswith(b"FAILURE")
+            assert call(port, b"\xff\xfe\n").startswith(b"FAILURE")
+            assert time.monotonic() - began < 1.0
             stalled[1].settimeout(6.0)
-            self.assertTrue(stalled[1].recv(100).startswith(b"FAILURE"))  # after 4 s without a line
-            self.assertGreater(time.monotonic() - began, 3.9)
+            assert stalled[1].recv(100).startswith(b"FAILURE")  # after 4 s without a line
+            assert time.monotonic() - began > 3.9
             for one in stalled:
                 one.close()
         finally:
@@ -178,20 +178,20 @@
     async def test_a_drain_says_no_at_once_closes_idle_connections_and_resume_says_yes(self) -> None:
         async with aiohttp.ClientSession() as client:
             async with client.get(self.url + "/up") as response:
-                self.assertEqual(response.status, 200)
+                assert response.status == 200
             kept = list(self.front.clients)
-            self.assertTrue(kept)
+            assert kept
             self.front.drained()
             async with client.get(self.url + "/up") as response:
-                self.assertEqual(response.status, 503)
-                self.assertEqual(response.headers.get("Connection"), "close")
+                assert response.status == 503
+                assert response.headers.get("Connection") == "close"
             idle = socket.create_connection(("127.0.0.1", self.front.address.port))
             await asyncio.sleep(0.45)
-            self.assertFalse(self.front.clients)  # neither the kept one nor the one that never spoke
+            assert not self.front.clients  # neither the kept one nor the one that never spoke
             idle.close()
             self.front.drain.resume()
             async with client.get(self.url + "/up") as response:
-                self.assertEqual(response.status, 200)
+                assert response.status == 200
 
     async def test_a_scrape_tells_the_same_figures_as_the_control_address(self) -> None:
         listener = MetricsListener(Address("127.0.0.1", 0), self.boxes.figures, lambda: (3, 1))
@@ -204,7 +204,7 @@
             async with client.get(url + "/metrics") as response:
                 text = await response.text()
             async with client.get(url + "/") as response:
-                self.assertEqual(response.status, 404)
+                assert response.status == 404
         listener.stop()
         for line in (
             'cleatyoke_requests_total{class="tile-read",outcome="success"} 1.0',
@@ -213,27 +213,27 @@
             "cleatyoke_inflight 0.0",
             "cleatyoke_hosts_down 1.0",
         ):
-            self.assertIn(line + "\n", text)
+            assert line + "\n" in text
 
     def test_the_exporter_is_not_imported_where_it_is_off(self) -> None:
         look = "import sys, cleatyoke.__main__; sys.exit('prometheus_client' in sys.modules)"
-        self.assertEqual(subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode, 0)
+        assert subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode == 0
 
     async def test_a_held_box_is_sent_nothing_at_once_and_a_second_process_holds_it_too(self) -> None:
         async with aiohttp.ClientSession() as client:
             headers = {**HEADERS, "X-Trace-Id": "a"}
             async with client.get(self.url + TARGET, headers=headers) as response:
-                self.assertEqual(response.status, 200)
-            self.assertEqual(self.boxes.figures.backend_calls, 1)
-            self.assertFalse(await asyncio.to_thread(self.handed.disable, "s-zz"))
-            self.assertTrue(await asyncio.to_thread(self.handed.disable, "s-a"))
+                assert response.status == 200
+            assert self.boxes.figures.backend_calls == 1
+            assert not await asyncio.to_thread(self.handed.disable, "s-zz")
+            assert await asyncio.to_thread(self.handed.disable, "s-a")
             async with client.get(self.url + TARGET, headers={**headers, "X-Trace-Id": "b"}) as response:
-                self.assertEqual(response.status, 503)  # the only box is held
-            self.assertEqual(len(self.box.heads), 1)
+                assert response.status == 503  # the only box is held
+            assert len(self.box.heads) == 1
             other = Directory({})
             listed(other, instance("s-a", self.box.port), whole=True)
             HoldFile(Path(self.folder.name), other, self.core, self.handed.beat.faults).look()
-            self.assertTrue(other.holds.holds("s-a"))
-            self.assertTrue(await asyncio.to_thread(self.handed.enable, "s-a"))
+            assert other.holds.holds("s-a")
+            assert await asyncio.to_thread(self.handed.enable, "s-a")
             await asyncio.sleep(0.01)
-            self.assertTrue(self.directory.serves(1))
+            assert self.directory.serves(1)
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -50,14 +50,15 @@
     def test_nothing_is_asked_while_no_node_is_cold_and_cold_ones_never(self) -> None:
         prober = LoadProber(2, RAMP, 1)
         prober.listed(node_list(n1=0.0, n2=0.0, n3=0.0))
-        self.assertEqual(run(prober, 60.0), [])
+        assert run(prober, 60.0) == []
         prober.listed(EndpointUpdate(UpdateKind.DELTA, node_list(n4=100.0).endpoints))
         asked = run(prober, 130.0, 100.0)
-        self.assertEqual({node for _, node in asked}, {1, 2, 3})
-        self.assertTrue(100.0 <= asked[0][0] <= 101.0 and 109.0 < asked[-1][0] < 100.0 + RAMP)
+        assert {node for _, node in asked} == {1, 2, 3}
+        assert 100.0 <= asked[0][0] <= 101.0
+        assert 109.0 < asked[-1][0] < 100.0 + RAMP
         gone = Endpoint(4, 4, 0, EndpointState.REMOVED, 100.0)
         prober.listed(EndpointUpdate(UpdateKind.DELTA, [gone]))
-        self.assertEqual(run(prober, 130.0, 105.0), [])
+        assert run(prober, 130.0, 105.0) == []
 
     @settings(max_examples=40, deadline=None)
     @given(st.integers(1, 12), st.integers(1, 40), st.integers(0, 1 << 30))
@@ -67,23 +68,23 @@
             prober = LoadProber(hosts, 100.0, seed + host)
             prober.listed(node_list(**{f"n{number}": 0.0 for number in range(nodes)}, n99=10.0))
             mine = run(prober, 40.0, 10.0)
-            self.assertTrue(all(b[0] - a[0] >= LEAST - 1e-9 for a, b in zip(mine, mine[1:])))
+            assert all(b[0] - a[0] >= LEAST - 1e-09 for a, b in zip(mine, mine[1:]))
             asked += mine
-        self.assertLessEqual(len(asked), nodes * (30.0 / PERIOD + 1) + hosts)
+        assert len(asked) <= nodes * (30.0 / PERIOD + 1) + hosts
         counts = [sum(node == number for _, node in asked) for number in range(nodes)]
-        self.assertLessEqual(max(counts) - min(counts), hosts)
+        assert max(counts) - min(counts) <= hosts
 
     def test_what_is_not_known_counts_as_busy(self) -> None:
         prober = LoadProber(1, RAMP, 1)
         prober.listed(node_list(n1=0.0, n2=0.0, n3=0.0, n4=0.0))
         for node in range(1, ENOUGH):
             prober.told(node, 5.0, 0.4)
-        self.assertEqual(prober.busy(5.0), 1.0)
+        assert prober.busy(5.0) == 1.0
         prober.told(3, 5.0, None)  # it did not answer
         self.assertAlmostEqual(prober.busy(5.0), 0.6)
         prober.told(3, 6.0, 0.1)
         self.assertAlmostEqual(prober.busy(6.0), 0.3)
-        self.assertEqual(prober.busy(6.0 + FRESH), 1.0)  # the others' are old by then
+        assert prober.busy(6.0 + FRESH) == 1.0  # the others' are old by then
         prober.listed(node_list(n3=0.0))
         self.assertAlmostEqual(prober.busy(6.0), 0.1)  # there is no other
 
@@ -97,8 +98,8 @@
             (b"\xff\x00util", None),
             (b" " * 2000 + b"util=0.5", None),
         ):
-            self.assertEqual(decode_probe(BackendAnswer(200, {}, body, True)), told, body)
-        self.assertIsNone(decode_probe(BackendAnswer(404, {}, b"util=0.5", True)))
+            assert decode_probe(BackendAnswer(200, {}, body, True)) == told, body
+        assert decode_probe(BackendAnswer(404, {}, b"util=0.5", True)) is None
 
 
 class SettingsCase(unittest.TestCase):
@@ -107,7 +108,7 @@
         return {**FACTS, "PolicyLimits": limits, "Report": {"How": how, "Fields": list(fields)}}
 
     def test_they_are_on_only_where_load_is_told_by_probes_alone(self) -> None:
-        self.assertTrue(read_settings(self.facts("probe"), 1).load_by_probes)
+        assert read_settings(self.facts("probe"), 1).load_by_probes
         for off in (
             self.facts("answers"),
             self.facts("none"),
@@ -115,11 +116,11 @@
             self.facts("probe", fields=("queue",)),
             FACTS,
         ):
-            self.assertFalse(read_settings(off, 1).load_by_probes)
+            assert not read_settings(off, 1).load_by_probes
 
     def test_nothing_of_them_is_imported_where_they_are_off(self) -> None:
         look = "import sys, cleatyoke.__main__; sys.exit(any('probes' in name for name in sys.modules))"
-        self.assertEqual(subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode, 0)
+        assert subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode == 0
 
     def test_the_adapter_asks_and_its_policy_hears(self) -> None:
         gateway = simhost.SimulatorAdapter()
@@ -145,8 +146,8 @@
                 break
             steps = batch(5.1 + bell["AfterS"] + 0.001, {"type": "BELL", "Ref": simhost.PROBE})
             asked = [one for one in steps if one["type"] == "TOUCH"]
-        self.assertEqual(asked, [{"type": "TOUCH", "Head": 0, "Shelf": 11}])
-        self.assertEqual(gateway.policies[0].busy, 1.0)
+        assert asked == [{"type": "TOUCH", "Head": 0, "Shelf": 11}]
+        assert gateway.policies[0].busy == 1.0
         batch(
             7.5,
             {"type": "HEALTH", "Shelf": 11, "Disposition": "completed", "SpentS": 0.01, "HealthInfo": [0.4]},
@@ -187,7 +188,7 @@
             box.silent = True
             while core.policy.busy != 1.0:
                 await asyncio.sleep(0.01)
-        self.assertTrue(box.heads[0].startswith("GET /metrics/load HTTP/1.1\r\n"))
-        self.assertEqual(box.accepted, 1)  # it rests between probes
+        assert box.heads[0].startswith("GET /metrics/load HTTP/1.1\r\n")
+        assert box.accepted == 1  # it rests between probes
         await asyncio.sleep(0.2)
-        self.assertLessEqual(boxes.open, 1)
+        assert boxes.open <= 1
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -183,9 +183,8 @@
             sent, home = self.ran[name]
             assert kind.idempotency is not Idempotency.NOT_IDEMPOTENT, "doubled effect"
             if kind.idempotency is Idempotency.KEYED:
-                assert now <= sent + kind.idempotency_window and (
-                    kind.idempotency_scope is IdempotencyScope.ALL or node == home
-                )
+                assert now <= sent + kind.idempotency_window
+                assert kind.idempotency_scope is IdempotencyScope.ALL or node == home
         if kind.ordered and ask.item is not None:
             assert self.line[ask.item][0] == name and now >= self.rest[ask.item], "order by key"
         if self.sends[name]:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -93,7 +93,8 @@
         ("merge", 1, 0, ""),
     ]
     holds, _, _, right = played(split, HoldSet())
-    assert right and [copy.boxes() for copy in holds[:2]] == [{"s-1"}, {"s-1"}]
+    assert right
+    assert [copy.boxes() for copy in holds[:2]] == [{"s-1"}, {"s-1"}]
     assert not played(split, ReleaseWins())[3]
 
 
@@ -113,7 +114,8 @@
 def test_old_numbers_go_only_when_every_copy_has_them() -> None:
     a, b = LIVES[0], LIVES[2]
     one, behind = HoldSet().hold(a, "s-1").release("s-1").hold(b, "s-2"), HoldSet().hold(b, "s-2")
-    assert one.has(behind) and not behind.has(one)
+    assert one.has(behind)
+    assert not behind.has(one)
     assert one.forget([a, b], [one, behind]) == one  # a copy that may still come in lacks them
     assert one.forget([a, b], [one]).clock == {b: 1}  # of b a hold is left
     assert one.forget([], [one]) == one
@@ -226,7 +228,8 @@
     for bad in (b"\xc1", msgspec.msgpack.encode({"held": {"s": [[["a", 1], 9]]}})):
         one.step(shared.fleet.now, [ExchangeRequested(1, wire.encode_view("test", stranger, [], bad))])
     assert one.figures.refused == {"copies unreadable": 1, "copies holds without their numbers": 1}
-    assert stranger.id in one.lives and shared.held() == {frozenset()}
+    assert stranger.id in one.lives
+    assert shared.held() == {frozenset()}
 
 
 def test_a_digest_is_summed_up_once_for_each_change() -> None:
@@ -238,4 +241,6 @@
         first = [sharing.digest() for _ in range(5)]
         sharing.hold("s-1")
         second = [sharing.digest() for _ in range(5)]
-    assert len(sums) == 2 and len(set(first)) == len(set(second)) == 1 and first != second
+    assert len(sums) == 2
+    assert len(set(first)) == len(set(second)) == 1
+    assert first != second
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -26,17 +26,17 @@
 class PlacesCase(unittest.TestCase):
     def test_a_name_keeps_its_place_and_one_that_is_gone_leaves_it_retired(self) -> None:
         places = IndexAllocator.of(["read", "write"]).follow(["scan", "write"])
-        self.assertEqual((places.live, places.retired()), ({"scan": 2, "write": 1}, {0}))
-        self.assertEqual(places.arrange(["r", "w"], ["scan", "write"], ["s", "W"]), ["r", "W", "s"])
+        assert (places.live, places.retired()) == ({"scan": 2, "write": 1}, {0})
+        assert places.arrange(["r", "w"], ["scan", "write"], ["s", "W"]) == ["r", "W", "s"]
         back = places.follow(["read"])
-        self.assertEqual((back.live, back.retired()), ({"read": 0}, {1, 2}))
-        self.assertEqual(back.arrange(["r", "W", "s"], ["read"], ["R"]), ["R", "W", "s"])
+        assert (back.live, back.retired()) == ({"read": 0}, {1, 2})
+        assert back.arrange(["r", "W", "s"], ["read"], ["R"]) == ["R", "W", "s"]
 
     def test_a_key_that_the_file_had_is_missed_in_every_depth(self) -> None:
         old = {"a": {"b": [{"x": 1, "y": 2}, {"x": 1}]}, "c": None}
-        self.assertEqual(shape(old), {"a", "a.b", "a.b[].x", "c"})
-        self.assertEqual(missing(shape(old), shape({"a": {"b": [{"x": 1}, {"y": 1}]}, "c": 2})), "a.b[].x")
-        self.assertIsNone(missing(shape(old), shape({"a": {"b": [{"x": 5, "z": 1}]}, "c": 1, "d": 1})))
+        assert shape(old) == {"a", "a.b", "a.b[].x", "c"}
+        assert missing(shape(old), shape({"a": {"b": [{"x": 1}, {"y": 1}]}, "c": 2})) == "a.b[].x"
+        assert missing(shape(old), shape({"a": {"b": [{"x": 5, "z": 1}]}, "c": 1, "d": 1})) is None
 
 
 class PolicyCase(unittest.TestCase):
@@ -52,34 +52,34 @@
         ]
         host.step(SettingsReloaded(settings(kinds, front_count=1)))
         self.assertAlmostEqual(sum(host.policy.bounds), 1.0)
-        self.assertIn(SendAttempt("n", 1), host.ask("n", class_index=2))
+        assert SendAttempt("n", 1) in host.ask("n", class_index=2)
         host.now += 0.05
-        self.assertIn(FailRequest("n"), host.end("n", AttemptOutcome.CONNECTION_RESET))  # it may have run
+        assert FailRequest("n") in host.end("n", AttemptOutcome.CONNECTION_RESET)  # it may have run
         host.run_until(host.now + 5)  # control rounds with the new class
-        self.assertIn(SendAttempt("m", 1), host.ask("m", class_index=2))
+        assert SendAttempt("m", 1) in host.ask("m", class_index=2)
 
     def test_what_is_under_way_keeps_its_class_and_a_class_that_is_gone_gives_its_bound_back(self) -> None:
         host = self.host()
         host.ask("old", class_index=1)
         gone = [class_spec(), class_spec(latency_objective=0.001, priority_weight=1e-9)]
         host.step(SettingsReloaded(settings(gone, front_count=1), frozenset({1})))
-        self.assertEqual(host.policy.bounds, [1.0, 0.0])
-        self.assertEqual(host.policy.requests["old"].kind.latency_objective, class_spec().latency_objective)
+        assert host.policy.bounds == [1.0, 0.0]
+        assert host.policy.requests["old"].kind.latency_objective == class_spec().latency_objective
         host.end("old", AttemptOutcome.QUEUE_FULL)
         host.run_until(host.now + 0.2)
-        self.assertEqual(host.sent().count("old"), 2)  # turned away unrun, it is sent again
+        assert host.sent().count("old") == 2  # turned away unrun, it is sent again
         host.end("old", AttemptOutcome.SERVED)
         host.run_until(host.now + 4)
-        self.assertLess(host.policy.bounds[1], 0.06)
+        assert host.policy.bounds[1] < 0.06
         host.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1)))  # it comes back
-        self.assertGreater(host.policy.bounds[1], 0.3)
+        assert host.policy.bounds[1] > 0.3
 
     def test_fewer_attempts_bind_what_is_under_way(self) -> None:
         host = self.host()
         host.ask("a")
         host.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1, max_attempts=1)))
-        self.assertTrue(any(isinstance(one, Reject) for one in host.end("a", AttemptOutcome.QUEUE_FULL)))
-        self.assertEqual(host.sent().count("a"), 1)
+        assert any(isinstance(one, Reject) for one in host.end("a", AttemptOutcome.QUEUE_FULL))
+        assert host.sent().count("a") == 1
 
 
 class FileCase(unittest.TestCase):
@@ -129,8 +129,8 @@
                     subject[one[1]] = one[2]
             with self.assertRaises(ConfigError, msg=str(one)):
                 config.reload(self.read(values))
-            self.assertEqual(config, before, one)
-        self.assertGreater(len(broken), 30)
+            assert config == before, one
+        assert len(broken) > 30
 
     def test_classes_come_and_go_by_name_with_all_that_hangs_on_their_place(self) -> None:
         config = self.read(self.values)
@@ -140,15 +140,15 @@
         new["settings"]["PolicyLimits"]["SendCap"] = 2
         new["settings"]["Extra"] = {"ChangesData": [True, False]}
         taken = config.reload(self.read(new))
-        self.assertEqual((taken.retired, taken.waiting), ({1}, []))
-        self.assertEqual(config.classes, {"scan": 2, "tile-read": 0})
-        self.assertEqual((config.give_up, config.writes), ([1.5, 1.5, 2.5], [False, None, True]))
-        self.assertEqual([kind.latency_objective for kind in config.settings.classes], [0.5, 0.5, 0.7])
-        self.assertEqual((config.settings.max_attempts, config.notice()), (2, 3.2))
-        self.assertIsNone(config.reload(self.read(new)).retired)  # the same again is no change
+        assert (taken.retired, taken.waiting) == ({1}, [])
+        assert config.classes == {"scan": 2, "tile-read": 0}
+        assert (config.give_up, config.writes) == ([1.5, 1.5, 2.5], [False, None, True])
+        assert [kind.latency_objective for kind in config.settings.classes] == [0.5, 0.5, 0.7]
+        assert (config.settings.max_attempts, config.notice()) == (2, 3.2)
+        assert config.reload(self.read(new)).retired is None  # the same again is no change
         new["settings"]["Lanes"].append({**scan, "Name": "more"})  # and the list of writes stays behind
         config.reload(self.read(new))
-        self.assertEqual(config.writes, [False, None, True, None])
+        assert config.writes == [False, None, True, None]
 
 
 class Story(DaemonCase):
@@ -173,23 +173,23 @@
                     return response.status
 
             async with aiohttp.ClientSession() as client:
-                self.assertEqual(await ask(client, "tile-read", "a"), 200)
-                self.assertEqual(await ask(client, "scan", "b"), 400)
+                assert await ask(client, "tile-read", "a") == 200
+                assert await ask(client, "scan", "b") == 400
                 path.write_text(json.dumps(values))
                 daemon.send_signal(signal.SIGHUP)
-                self.assertIn(b"retuned=True", await self.line(daemon, b"event='reloaded'"))
-                self.assertEqual(await ask(client, "scan", "c"), 200)
-                self.assertEqual(await ask(client, "tile-read", "d"), 400)
+                assert b"retuned=True" in await self.line(daemon, b"event='reloaded'")
+                assert await ask(client, "scan", "c") == 200
+                assert await ask(client, "tile-read", "d") == 400
                 values["settings"]["Extra"] = {"ChangesData": [False]}  # says nothing of the second
                 path.write_text(json.dumps(values))
                 daemon.send_signal(signal.SIGHUP)
                 await self.line(daemon, b"event='reloaded'")
-                self.assertEqual(await ask(client, "record-write", "w"), 200)
+                assert await ask(client, "record-write", "w") == 200
                 path.write_text(path.read_text()[:-9])
                 daemon.send_signal(signal.SIGHUP)
                 await self.line(daemon, b"event='reload_failed'")
-                self.assertEqual(await ask(client, "scan", "e"), 200)
+                assert await ask(client, "scan", "e") == 200
             daemon.terminate()
-            self.assertEqual(await daemon.wait(), 0)
+            assert await daemon.wait() == 0
         box.stop()
         agent.stop()
--- a/tests/test_rights.py
+++ b/tests/test_rights.py
@@ -188,7 +188,8 @@
     one.step(3.0, flood)
     assert list(one.accounts) == [RESOURCE]  # at home in nothing else
     one.step(4.0, [DemandChanged({f"limit:{number}": 0.0 for number in range(5000)})])
-    assert len(one.accounts) == 4096 and one.refused > 900
+    assert len(one.accounts) == 4096
+    assert one.refused > 900
 
 
 # An exhaustive search of our own states
@@ -285,7 +286,8 @@
     lease: float, seconds: int, faults: str
 ) -> None:
     states, used = search(QuotaLeases, lease, seconds, faults)
-    assert states > 500 and used == 3 * HOME
+    assert states > 500
+    assert used == 3 * HOME
 
 
 @pytest.mark.parametrize(("make", "place"), [(KeptOverRestart, 0), (EndsAfterGrant, 1)])
@@ -321,7 +323,8 @@
         needs.append(meters.needs(now)[1])
     later = sorted(needs[40:])
     assert 350 < sum(later) / len(later) < 450
-    assert later[len(later) // 10] > 100 and later[-len(later) // 10] < 800  # plain halves: 25 and 902
+    assert later[len(later) // 10] > 100
+    assert later[-len(later) // 10] < 800
     for _ in range(8):  # then 28 a second: 5,600 parts
         now += SPAN
         for _ in range(7):
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -24,21 +24,23 @@
         for theme in THEMES:
             for seed in range(200):
                 values = draw(theme, seed)
-                self.assertEqual(values, draw(theme, seed))
+                assert values == draw(theme, seed)
                 again = tomllib.loads(dump(values))
-                self.assertEqual(make_scenario("x", again), make_scenario("x", values))
+                assert make_scenario("x", again) == make_scenario("x", values)
 
     def test_the_draws_reach_the_ends_of_the_page(self) -> None:
         drawn = [make_scenario("x", draw("settings", seed)) for seed in range(200)]
-        self.assertEqual({len(one.kinds) for one in drawn}, set(range(1, 7)))
-        self.assertEqual({one.terms.attempts for one in drawn}, set(range(1, 7)))
-        self.assertEqual({one.terms.report for one in drawn}, {"answers", "probe", "none"})
-        self.assertEqual({kind.repeat for one in drawn for kind in one.kinds}, set(REPEATS.values()))
-        self.assertEqual(len({(kind.repeat, kind.scope) for one in drawn for kind in one.kinds}), 9)
-        self.assertEqual({bool(plan.limit) for one in drawn for plan in one.plans}, {True, False})
+        assert {len(one.kinds) for one in drawn} == set(range(1, 7))
+        assert {one.terms.attempts for one in drawn} == set(range(1, 7))
+        assert {one.terms.report for one in drawn} == {"answers", "probe", "none"}
+        assert {kind.repeat for one in drawn for kind in one.kinds} == set(REPEATS.values())
+        assert len({(kind.repeat, kind.scope) for one in drawn for kind in one.kinds}) == 9
+        assert {bool(plan.limit) for one in drawn for plan in one.plans} == {True, False}
         spans = sorted(kind.deadline for one in drawn for kind in one.kinds)
-        self.assertTrue(spans[0] < 0.3 and spans[-1] > 7)
-        self.assertTrue(min(one.boxes for one in drawn) == 1 and max(one.boxes for one in drawn) == 20)
+        assert spans[0] < 0.3
+        assert spans[-1] > 7
+        assert min(one.boxes for one in drawn) == 1
+        assert max(one.boxes for one in drawn) == 20
 
     def test_a_scenario_is_made_as_short_as_it_still_breaks_its_rule(self) -> None:
         guilty = {"at": 1.0, "kind": "kill", "of": [0]}
@@ -50,10 +52,10 @@
         values = draw("trouble", 1)
         values["trouble"].insert(1, guilty)
         short = shorten(values, "limit", breaks)
-        self.assertEqual(short["trouble"], [guilty])
-        self.assertEqual(len(short["plan"]), 1)
-        self.assertTrue(2 < short["fleet"]["seconds"] < 3)
-        self.assertEqual(shorten(values, "limit", breaks, most=0), values)
+        assert short["trouble"] == [guilty]
+        assert len(short["plan"]) == 1
+        assert 2 < short["fleet"]["seconds"] < 3
+        assert shorten(values, "limit", breaks, most=0) == values
 
 
 class PlayedDraws(unittest.TestCase):
@@ -69,9 +71,9 @@
         themes = [("trouble", seed) for seed in TROUBLES] + [("settings", seed) for seed in SETTINGS]
         for name, report in self.play(themes).items():
             with self.subTest(name):
-                self.assertEqual(report.broken, [], "\n".join(report.lines()))
-                self.assertEqual([event for event in report.log if event.endswith("_fault")], [])
-                self.assertGreater(report.answers["200"], 10)
+                assert report.broken == [], "\n".join(report.lines())
+                assert [event for event in report.log if event.endswith("_fault")] == []
+                assert report.answers["200"] > 10
 
     def test_wrong_programs_are_caught(self) -> None:
         """One line is wrong in each, and the draw named says so by its rule."""
@@ -105,9 +107,9 @@
                 program = Path(folder) / rule
                 shutil.copytree(ROOT / "cleatyoke", program / "cleatyoke")
                 text = (program / "cleatyoke" / part).read_text()
-                self.assertEqual(text.count(right), 1)
+                assert text.count(right) == 1
                 (program / "cleatyoke" / part).write_text(text.replace(right, changed))
                 plays[rule] = workers.submit(play_values, rule, draw(theme, seed), program)
             for rule, play in plays.items():
                 with self.subTest(rule):
-                    self.assertIn(rule, rules(play.result().broken))
+                    assert rule in rules(play.result().broken)
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -7,6 +7,8 @@
 from dataclasses import replace
 from typing import Any
 
+import pytest
+
 from cleatyoke.config.deployment import Address, SftpSettings, VolumePath
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
@@ -70,7 +72,7 @@
         self.addAsyncCleanup(self.end)
         client = await self.connect()
         client.writer.write(p.encode(p.Init(p.VERSION)))
-        self.assertEqual(p.decode(await p.read_packet(client.reader)), p.Version(p.VERSION))
+        assert p.decode(await p.read_packet(client.reader)) == p.Version(p.VERSION)
         return client
 
     async def connect(self) -> Client:
@@ -88,24 +90,24 @@
             box.stop()
 
     def failed(self, status: Any, code: p.Code, said: str) -> None:
-        self.assertIsInstance(status, p.Status)
-        self.assertEqual(status.code, code, status)
-        self.assertIn(said, status.message)
+        assert isinstance(status, p.Status)
+        assert status.code == code, status
+        assert said in status.message
 
     async def test_an_upload_is_stored_once_and_read_and_listed_and_renamed(self) -> None:
         client = await self.begin(box := FileBox())
         scan = bytes(range(256)) * 200
-        self.assertEqual((await client.put("/plats/t1", scan)).code, p.Code.SSH_FX_OK)
-        self.assertEqual((box.files["/plats/t1"], box.stored["/plats/t1"]), (scan, 1))
-        self.assertEqual(box.commands, ["Open", "Write", "Write", "Close"])
+        assert (await client.put("/plats/t1", scan)).code == p.Code.SSH_FX_OK
+        assert (box.files["/plats/t1"], box.stored["/plats/t1"]) == (scan, 1)
+        assert box.commands == ["Open", "Write", "Write", "Close"]
         handle = (await client.ask(p.Open(0, "/plats/../plats/t1", p.Flags.READ, NONE))).handle
-        self.assertEqual((await client.ask(p.Read(0, handle, 250, 10))).data, scan[250:260])
-        self.assertEqual((await client.ask(p.Fstat(0, handle))).attrs.size, len(scan))
-        self.assertEqual(await client.list("/plats"), ["/plats/t1"])
+        assert (await client.ask(p.Read(0, handle, 250, 10))).data == scan[250:260]
+        assert (await client.ask(p.Fstat(0, handle))).attrs.size == len(scan)
+        assert await client.list("/plats") == ["/plats/t1"]
         renamed = await client.ask(p.Rename(0, "/plats/t1", "/plats/t2"))
-        self.assertEqual(renamed.code, p.Code.SSH_FX_OK)
-        self.assertEqual(await client.list("/"), ["plats"])
-        self.assertEqual((await client.ask(p.Stat(0, "/"))).attrs.permissions, 0o040755)
+        assert renamed.code == p.Code.SSH_FX_OK
+        assert await client.list("/") == ["plats"]
+        assert (await client.ask(p.Stat(0, "/"))).attrs.permissions == 16877
         self.failed(await client.ask(p.Rename(0, "/plats/t1", "/else")), p.Code.SSH_FX_NO_SUCH_FILE, "volume")
         missing = await client.ask(p.Open(0, "/plats/none", p.Flags.READ, NONE))
         self.failed(missing, p.Code.SSH_FX_NO_SUCH_FILE, "no such file")
@@ -114,13 +116,13 @@
         client = await self.begin(box := FileBox(breaks=True))
         status = await client.put("/plats/t1", b"scan")
         self.failed(status, p.Code.SSH_FX_FAILURE, "the change may have been made")
-        self.assertEqual((box.stored["/plats/t1"], box.commands.count("Open"), box.accepted), (1, 1, 1))
+        assert (box.stored["/plats/t1"], box.commands.count("Open"), box.accepted) == (1, 1, 1)
 
     async def test_a_listing_repeated_after_a_drain_does_not_reach_the_draining_box(self) -> None:
         old, new = FileBox(), FileBox()
         client = await self.begin(old, new)
         old.files["/plats/t1"] = new.files["/plats/t1"] = b"scan"
-        self.assertEqual(await client.list("/plats"), ["/plats/t1"])
+        assert await client.list("/plats") == ["/plats/t1"]
         before = list(old.commands)
         self.core.tell(
             listed(
@@ -129,8 +131,8 @@
                 instance("s-1", new.port),
             )
         )
-        self.assertEqual(await client.list("/plats"), ["/plats/t1"])
-        self.assertEqual((old.commands, new.commands), (before, before))
+        assert await client.list("/plats") == ["/plats/t1"]
+        assert (old.commands, new.commands) == (before, before)
 
     async def test_a_box_that_drains_while_the_connection_comes_up_is_sent_no_command(self) -> None:
         client = await self.begin(box := FileBox())
@@ -144,7 +146,7 @@
 
         box.reply = reply  # type: ignore[method-assign]
         self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "refused")
-        self.assertEqual(box.commands, [])
+        assert box.commands == []
 
     async def test_without_a_box_a_command_is_refused_and_nothing_was_done(self) -> None:
         client = await self.begin()
@@ -155,8 +157,8 @@
         began = self.core.now()
         status = await client.put("/plats/t1", b"scan")
         self.failed(status, p.Code.SSH_FX_FAILURE, "the change may have been made")
-        self.assertLess(self.core.now() - began, 2.0)
-        self.assertEqual(box.commands, ["Open"])
+        assert self.core.now() - began < 2.0
+        assert box.commands == ["Open"]
 
     async def test_uploads_beyond_the_limit_of_public_are_refused(self) -> None:
         plan = replace(
@@ -166,13 +168,13 @@
         self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "refused")
         self.core.policy.volumes[7].limit.level = 2.0
         codes = [(await client.put(f"/plats/u{n}", b"scan")).code for n in range(4)]
-        self.assertEqual((codes.count(p.Code.SSH_FX_OK), sum(box.stored.values())), (2, 2))
+        assert (codes.count(p.Code.SSH_FX_OK), sum(box.stored.values())) == (2, 2)
 
     async def test_an_upload_beyond_the_bound_is_not_stored_in_part(self) -> None:
         client = await self.begin(box := FileBox())
         status = await client.put("/plats/t1", bytes(65537))
         self.failed(status, p.Code.SSH_FX_FAILURE, "not stored")
-        self.assertEqual(box.accepted, 0)
+        assert box.accepted == 0
 
     async def test_bad_packets_handles_and_commands_are_told_apart(self) -> None:
         client = await self.begin(FileBox())
@@ -185,17 +187,17 @@
         self.failed(await client.ask(p.Open(0, "/plats/a", STORE, NONE)), p.Code.SSH_FX_FAILURE, "too many")
         client.writer.write(p.u32(9) + bytes([200]) + p.u32(77) + p.u32(0))  # SSH_FXP_EXTENDED
         reply = p.decode(await p.read_packet(client.reader))
-        self.assertEqual((reply.id, reply.code), (77, p.Code.SSH_FX_OP_UNSUPPORTED))  # type: ignore
+        assert (reply.id, reply.code) == (77, p.Code.SSH_FX_OP_UNSUPPORTED)  # type: ignore
         client.writer.write(p.u32(9) + bytes([17]) + p.u32(78) + p.u32(500))  # a path beyond the packet
         reply = p.decode(await p.read_packet(client.reader))
-        self.assertEqual((reply.id, reply.code), (78, p.Code.SSH_FX_BAD_MESSAGE))  # type: ignore
+        assert (reply.id, reply.code) == (78, p.Code.SSH_FX_BAD_MESSAGE)  # type: ignore
         client.writer.write(p.u32(1 << 30))  # a length that no packet has: the stream is lost
-        self.assertEqual(await client.reader.read(), b"")
+        assert await client.reader.read() == b""
         other = await self.connect()
         other.writer.write(p.encode(p.Stat(5, "/plats")))
         reply = p.decode(await p.read_packet(other.reader))
         self.failed(reply, p.Code.SSH_FX_BAD_MESSAGE, "INIT comes first")
-        self.assertEqual(await other.reader.read(), b"")
+        assert await other.reader.read() == b""
 
     async def test_a_client_that_leaves_takes_its_command_with_it(self) -> None:
         client = await self.begin(box := FileBox(silent=True))
@@ -218,7 +220,7 @@
             p.Status(4, 8, "no", "en"),
         ):
             raw = p.encode(packet)
-            self.assertEqual(p.decode(raw[4:]), packet)
+            assert p.decode(raw[4:]) == packet
             for cut in range(5, len(raw) - 4):
-                with self.assertRaises(p.PacketError):
+                with pytest.raises(p.PacketError):
                     p.decode(raw[4 : 4 + cut])
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -142,4 +142,5 @@
     result = subprocess.run(command, cwd=ROOT, input=line + "\n", capture_output=True, text=True)
     assert result.returncode == 2
     assert result.stdout == ""
-    assert result.stderr.startswith("simhost: ") and result.stderr.count("\n") == 1
+    assert result.stderr.startswith("simhost: ")
+    assert result.stderr.count("\n") == 1
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -9,6 +9,8 @@
 from typing import Any
 from unittest import mock
 
+import pytest
+
 from cleatyoke.config.deployment import ConfigError
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 from cleatyoke.testbed.backend import TestBackend
@@ -43,15 +45,15 @@
 
     def test_a_request_without_an_answer_is_lost_unless_its_front_was_killed(self) -> None:
         self.judge.answer("r", 503, b"", 11.9)  # late by less than half a second
-        self.assertEqual(self.rules(), ["lost"])
+        assert self.rules() == ["lost"]
         self.judge.killed(0, 11.0)
-        self.assertEqual(self.rules(), [])
+        assert self.rules() == []
 
     def test_late_second_and_foreign_answers_are_told(self) -> None:
         self.judge.answer("w", 200, b"r s-0 1", 12.1)
         self.judge.answer("r", 200, b"r s-0 1", 10.2)
         self.judge.answer("r", 200, b"r s-0 1", 10.3)
-        self.assertEqual(self.rules(), ["foreign", "answers", "late"])
+        assert self.rules() == ["foreign", "answers", "late"]
 
     def test_a_write_that_ran_twice_or_was_refused_after_it_may_have_run(self) -> None:
         for trace in ("w", "r"):
@@ -60,14 +62,14 @@
                 made.ran, made.ended = True, at + 0.1
         self.judge.answer("w", 503, b"", 10.4)
         self.end()
-        self.assertEqual(self.rules(), ["repeated write", "refused write"])  # the read may repeat
+        assert self.rules() == ["repeated write", "refused write"]  # the read may repeat
 
     def test_a_write_that_may_have_run_goes_nowhere_again_even_if_it_ran_once(self) -> None:
         for at in (10.0, 10.2):
             self.judge.attempt("w", "s-0", at).ended = at + 0.1
         self.judge.asked["w"].attempts[1].ran = True
         self.end()
-        self.assertEqual(self.rules(), ["repeated write"])
+        assert self.rules() == ["repeated write"]
 
     def test_a_keyed_request_stays_in_its_group_and_window(self) -> None:
         for trace, box, cell, at, rules in (
@@ -80,14 +82,14 @@
             self.judge.attempt(trace, box, at, cell=cell).ended = at + 0.1
             self.judge.answer(trace, 502, b"", 11.4)
             self.end()
-            self.assertEqual(self.rules(), rules, trace)
+            assert self.rules() == rules, trace
             del self.judge.asked[trace]
         self.judge.took("k3", ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5))
         self.judge.attempt("k3", "s-0", 10.0).ended = 10.1
         self.judge.answer("k3", 503, b"", 10.2)
-        self.assertEqual(self.rules(), ["refused write"])
+        assert self.rules() == ["refused write"]
         self.judge.asked["k3"].kind = replace(KEYED, scope=IdempotencyScope.ALL)  # every box drops its repeat
-        self.assertEqual(self.rules(), [])
+        assert self.rules() == []
 
     def test_a_request_that_is_not_as_its_client_sent_it_and_a_probe_that_is_not_allowed(self) -> None:
         form = RequestForm("PUT", "/api?block=1", "k", b"scan")
@@ -96,17 +98,17 @@
         self.judge.asked["f"].attempts[0].ended = 10.1
         self.judge.answer("f", 503, b"", 10.2)
         self.end()
-        self.assertEqual(self.rules(), [])
+        assert self.rules() == []
         self.judge.attempt("f", "s-0", 10.3, form=replace(form, key=None)).ended = 10.4
         self.judge.probe("s-0")
-        self.assertEqual(self.rules(), ["mangled", "probe", "refused write"])
+        assert self.rules() == ["mangled", "probe", "refused write"]
 
     def test_a_refusal_that_its_box_proved_is_none_of_a_write_that_ran(self) -> None:
         made = self.judge.attempt("w", "s-0", 10.0)
         made.refused, made.ended = True, 10.0
         self.judge.answer("w", 503, b"", 10.1)
         self.end()
-        self.assertEqual(self.rules(), [])
+        assert self.rules() == []
 
     def test_two_attempts_out_and_more_than_four(self) -> None:
         first = self.judge.attempt("r", "s-0", 10.0)
@@ -115,9 +117,9 @@
         for at in (10.4, 10.5, 10.6):
             self.judge.attempt("r", "s-0", at).ended = at
         self.end()
-        self.assertEqual(self.rules(), ["attempts"])
+        assert self.rules() == ["attempts"]
         first.ended = 10.6
-        self.assertEqual(self.rules(), ["twice out", "attempts"])
+        assert self.rules() == ["twice out", "attempts"]
 
     def test_a_box_that_drains_hears_nothing_later_than_a_second_after_the_word(self) -> None:
         self.judge.drains(0, "s-0", 9.0)
@@ -127,20 +129,20 @@
         self.judge.drains(0, "s-0", None)  # it serves again
         self.judge.attempt("r", "s-0", 12.0).ended = 12.1
         self.end()
-        self.assertEqual(self.rules(), ["drain"])
+        assert self.rules() == ["drain"]
 
     def test_a_cold_box_is_held_to_its_window_and_a_volume_to_its_limit(self) -> None:
         for at in (10.0, 10.5, 11.2):
             self.judge.bears("s-0", at, 4.0, 8.0)
         self.end()
-        self.assertEqual(self.rules(), [])
+        assert self.rules() == []
         self.judge.bears("s-0", 11.4, 4.0, 8.0)
         for number in range(9):
             trace = f"x{number}"
             self.judge.took(trace, ClientRequestRecord(number, 4, READ, 2.0, 10.0, 11.5))
             self.judge.attempt(trace, "s-1", 10.0 + number / 100).ended = 10.2
             self.judge.answer(trace, 502, b"", 10.3)
-        self.assertEqual(self.rules(), ["cold", "limit"])
+        assert self.rules() == ["cold", "limit"]
 
 
 class ModelCase(unittest.TestCase):
@@ -152,23 +154,21 @@
         self.assertAlmostEqual(cold.take(10.0, "a", 2.0).ends, 10.5)
         self.assertAlmostEqual(cold.rate(12.0), 12.0)
         fates = [warm.take(10.0, str(number), 2.0).fate for number in range(4)]
-        self.assertEqual(
-            fates, [RequestFate.ANSWERED, RequestFate.ANSWERED, RequestFate.FULL, RequestFate.FULL]
-        )
+        assert fates == [RequestFate.ANSWERED, RequestFate.ANSWERED, RequestFate.FULL, RequestFate.FULL]
 
     def test_what_waits_can_be_withdrawn_and_what_works_cannot(self) -> None:
         box = BackendModel(self.power, None)
         first, second = box.take(10.0, "a", 2.0), box.take(10.0, "b", 2.0)
-        self.assertFalse(box.withdraw(10.01, first))
-        self.assertTrue(box.withdraw(10.01, second))
+        assert not box.withdraw(10.01, first)
+        assert box.withdraw(10.01, second)
         self.assertAlmostEqual(box.free_at, 10.1)
 
     def test_the_same_ids_meet_the_same_troubles_in_every_run(self) -> None:
         box = BackendModel(self.power, None, seed=3)
         box.ailing["lose_answers"] = 0.25
         fates = [box.take(float(number), f"t{number}", 1.0).fate for number in range(400)]
-        self.assertEqual(fates.count(RequestFate.LOST), sum(chance(3, f"t{n}") < 0.25 for n in range(400)))
-        self.assertTrue(60 < fates.count(RequestFate.LOST) < 140)
+        assert fates.count(RequestFate.LOST) == sum(chance(3, f"t{n}") < 0.25 for n in range(400))
+        assert 60 < fates.count(RequestFate.LOST) < 140
 
 
 class SilenceCase(unittest.IsolatedAsyncioTestCase):
@@ -203,12 +203,12 @@
 
     async def test_a_box_that_is_cut_off(self) -> None:
         (after,) = await self.write(cut=True)
-        self.assertGreater(after, 0.35)
+        assert after > 0.35
 
     async def test_a_box_that_stands_still(self) -> None:
         amid, after = await self.write()
-        self.assertLess(amid, 0.25)
-        self.assertGreater(after, 0.35)
+        assert amid < 0.25
+        assert after > 0.35
 
 
 class AgentCase(unittest.IsolatedAsyncioTestCase):
@@ -228,7 +228,7 @@
             if not stays:
                 writer.close()
             await asyncio.sleep(0.4)
-            self.assertEqual(told, [(0, "s-0")] * stays)
+            assert told == [(0, "s-0")] * stays
             writer.close()
         agent.stop()
 
@@ -236,7 +236,7 @@
 class ScenarioCase(unittest.TestCase):
     def test_faults_are_named(self) -> None:
         good = {"fleet": {"fronts": 2, "boxes": 4, "seconds": 3.0}, "load": {"rate": 10}}
-        self.assertEqual(make_scenario("x", good).load.volumes, 16)
+        assert make_scenario("x", good).load.volumes == 16
         for change, word in (
             ({"load": {"rate": 0}}, "x: load.rate: want a positive"),
             ({"load": {"rate": 5, "speed": 1}}, "x: load.speed: unknown key"),
@@ -247,7 +247,7 @@
             ({"plan": [{"name": "p"}, {"name": "q", "limits": 3}]}, r"plan\[1\].limits: unknown key"),
             ({"terms": {"attempts": 0}}, "terms.attempts: want a whole number"),
         ):
-            with self.assertRaisesRegex(ConfigError, word):
+            with pytest.raises(ConfigError, match=word):
                 make_scenario("x", {**good, **change})
 
 
@@ -256,32 +256,32 @@
 
     def run_scenario(self, name: str) -> RunReport:
         report = asyncio.run(run_scenario(read_scenario(SCENARIOS / f"{name}.toml")))
-        self.assertEqual(report.broken, [], "\n".join(report.lines()))
-        self.assertLessEqual(report.most_runs_of_a_write, 1)
-        self.assertEqual(report.log["left"], report.log["leaving"])
-        self.assertEqual([event for event in report.log if event.endswith("_fault")], [])
+        assert report.broken == [], "\n".join(report.lines())
+        assert report.most_runs_of_a_write <= 1
+        assert report.log["left"] == report.log["leaving"]
+        assert [event for event in report.log if event.endswith("_fault")] == []
         return report
 
     def test_a_roll_with_replaced_boxes_a_reload_and_spoilt_lists(self) -> None:
         report = self.play("roll")
-        self.assertEqual((report.starts, report.log["leaving"], report.log["reloaded"]), (10, 10, 5))
-        self.assertGreater(report.log["discovery_line_skipped"], 0)  # the trouble was met
-        self.assertGreater(report.served, 0.55)
+        assert (report.starts, report.log["leaving"], report.log["reloaded"]) == (10, 10, 5)
+        assert report.log["discovery_line_skipped"] > 0  # the trouble was met
+        assert report.served > 0.55
 
     def test_a_zone_that_is_lost_and_returns_cold_amid_a_surge(self) -> None:
         report = self.play("zone")
-        self.assertGreater(report.fates["spoilt"], 10)
-        self.assertGreater(report.answers["503"], 100)  # what a lost zone's data is asked for, at once
-        self.assertGreater(report.served, 0.35)
+        assert report.fates["spoilt"] > 10
+        assert report.answers["503"] > 100  # what a lost zone's data is asked for, at once
+        assert report.served > 0.35
 
     def test_a_split_with_late_lists_lost_answers_resets_and_killed_fronts(self) -> None:
         report = self.play("split")
-        self.assertEqual((report.starts, report.log["leaving"]), (7, 5))
+        assert (report.starts, report.log["leaving"]) == (7, 5)
         for fate in ("lost", "reset", "unread"):
-            self.assertGreater(report.fates[fate], 3, fate)
-        self.assertGreater(report.served, 0.5)
+            assert report.fates[fate] > 3, fate
+        assert report.served > 0.5
 
     def test_a_zone_cut_off_while_fronts_are_killed_and_rolled_with_late_lists(self) -> None:
         report = self.play("cut-and-kill")
-        self.assertEqual((report.starts, report.log["leaving"]), (16, 12))
-        self.assertGreater(report.served, 0.5)
+        assert (report.starts, report.log["leaving"]) == (16, 12)
+        assert report.served > 0.5
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -175,15 +175,15 @@
         for name in ("whole", "small"):
             report = self.plays[name].result()
             with self.subTest(name):
-                self.assertEqual(report.broken, [], "\n".join(report.lines()))
-                self.assertEqual(report.faults, [])
+                assert report.broken == [], "\n".join(report.lines())
+                assert report.faults == []
         report = self.plays["whole"].result()
-        self.assertEqual(report.log["recovery_stage"], 4 * report.starts)
-        self.assertGreater(report.served, 0.4)
+        assert report.log["recovery_stage"] == 4 * report.starts
+        assert report.served > 0.4
 
     def test_a_front_that_does_not_read_its_disk_is_caught(self) -> None:
         broken = self.plays["forgetful"].result().broken
-        self.assertTrue(any(line.startswith("hold:") for line in broken), broken)
+        assert any(line.startswith("hold:") for line in broken), broken
 
 
 class ProcessCase(unittest.IsolatedAsyncioTestCase):
@@ -265,36 +265,36 @@
         self.fronts('["127.0.0.1:9"]')  # nobody is there
         async with self.process() as process:
             text = await self.log(process, "event='ready'")
-            self.assertIn("passed='disk' by='nothing found'", text)
-            self.assertIn("passed='peers' by='bound'", text)
-            self.assertIn("recovery.stage lent", await self.call("show-recovery"))
+            assert "passed='disk' by='nothing found'" in text
+            assert "passed='peers' by='bound'" in text
+            assert "recovery.stage lent" in await self.call("show-recovery")
             await self.log(process, "passed='lent' by='time'")
             shown = await self.call("show-recovery")
-            self.assertIn("recovery.stage open", shown)
-            self.assertIn("replica.holds entries=0", await self.call("show-replica"))
+            assert "recovery.stage open" in shown
+            assert "replica.holds entries=0" in await self.call("show-replica")
             process.send_signal(signal.SIGTERM)
-            self.assertEqual(await asyncio.wait_for(process.wait(), 10), 0)
-        self.assertGreater(StateDatabase(self.durable, "ours/n1").load()[0].boot, 0)
+            assert await asyncio.wait_for(process.wait(), 10) == 0
+        assert StateDatabase(self.durable, "ours/n1").load()[0].boot > 0
 
     async def test_killed_at_any_stage_ten_times_in_a_row_it_goes_on_from_what_it_kept(self) -> None:
         held = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)  # far ahead of any clock
         disk = StateDatabase(self.durable, "ours/n1")
-        self.assertEqual(disk.save(held), [])
+        assert disk.save(held) == []
         rng, boots = random.Random(4), [held.boot]
         for number in range(10):
             async with self.process() as process:
                 passed = ("disk", "peers", "list", "ready")[number % 4]
                 text = await self.log(process, f"passed='{passed}'" if passed != "ready" else "event='ready'")
-                self.assertIn("passed='disk' by='found'", text)
+                assert "passed='disk' by='found'" in text
                 await asyncio.sleep(rng.uniform(0, 0.05))
             memory, doubts = disk.load()
-            self.assertEqual((doubts, memory.holds), ([], held.holds))
+            assert (doubts, memory.holds) == ([], held.holds)
             boots.append(memory.boot)
-        self.assertEqual(boots, list(range(held.boot, held.boot + 11)))
+        assert boots == list(range(held.boot, held.boot + 11))
         async with self.process() as process:
             await self.log(process, "event='ready'")
-            self.assertIn(f"n1 {boots[-1] + 1} ", await self.call("show-fleet"))
-            self.assertIn("replica.hold s-003", await self.call("show-replica"))
+            assert f"n1 {boots[-1] + 1} " in await self.call("show-fleet")
+            assert "replica.hold s-003" in await self.call("show-replica")
 
     async def test_a_disk_that_does_not_answer_is_waited_for_shortly_and_counts_once_it_does(self) -> None:
         go = threading.Event()
@@ -311,7 +311,7 @@
         with unittest.mock.patch("cleatyoke.fleet.restore.StateDatabase", Late):
             recall = await startup.recall(peers, "n1", faults)
         assert recall
-        self.assertEqual([one.what for one in startup.recovery.passed], ["bound"])
+        assert [one.what for one in startup.recovery.passed] == ["bound"]
         view = FleetView(peers, "n1", 1, 1, faults, recall.last.boot)
         recall.serve(view)
         changed: list[frozenset[str]] = []
@@ -319,12 +319,12 @@
         await view.start()
         await startup.meet(view)
         await startup.hear_of_boxes(True, asyncio.Event())
-        self.assertTrue(startup.recovery.door_open())
+        assert startup.recovery.door_open()
         go.set()
         async with asyncio.timeout(5):
             while not recall.first.done() or not view.on_disk():
                 await asyncio.sleep(0.01)
-        self.assertEqual((changed, view.members.id.boot), ([frozenset({"s-003"})], (1 << 52) + 2))
+        assert (changed, view.members.id.boot) == ([frozenset({"s-003"})], (1 << 52) + 2)
         view.stop()
-        self.assertEqual(faults.figures.faults, 0)
-        self.assertEqual(StateDatabase(self.durable, "ours/n1").load()[0].boot, (1 << 52) + 2)
+        assert faults.figures.faults == 0
+        assert StateDatabase(self.durable, "ours/n1").load()[0].boot == (1 << 52) + 2
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -163,7 +163,8 @@
 def test_the_arithmetic_of_the_page() -> None:
     assert module.SILENCE > module.BEAT, "a beat in time is no silence"
     assert module.SILENCE + module.AFTER_SILENCE + module.ANSWER <= TOLD - module.SLACK + 1e-9
-    assert module.PERIOD + module.ANSWER <= TOLD - module.SLACK + 1e-9 and module.ANSWER < module.PERIOD
+    assert module.PERIOD + module.ANSWER <= TOLD - module.SLACK + 1e-9
+    assert module.ANSWER < module.PERIOD
 
 
 def line(state: str, started: int = 0, version: int = 8) -> dict[str, Any]:
@@ -226,7 +227,7 @@
             self.write(self.old, line("DRAINING"))
             await self.until(lambda: not self.directory.serves(1))
             await self.move(whole("SERVING"))
-            self.assertFalse(self.directory.serves(1))
+            assert not self.directory.serves(1)
             await self.until(lambda: self.directory.serves(1))  # the new agent has stood by its word
 
     async def test_a_node_that_was_started_anew_serves_by_another_agent_s_list_at_once(self) -> None:
@@ -234,7 +235,7 @@
         self.write(self.old, line("DRAINING"))
         await self.until(lambda: not self.directory.serves(1))
         await self.move(whole("SERVING", started=5_000))
-        self.assertTrue(self.directory.serves(1))
+        assert self.directory.serves(1)
 
     async def test_an_agent_s_own_word_that_a_node_serves_again_counts_at_once(self) -> None:
         await self.begin()
@@ -255,8 +256,8 @@
             await self.move(whole("SERVING"))
             await self.until(lambda: not self.directory.serves(1))
         await self.until(lambda: not self.old.open)
-        self.assertEqual(len(self.discovery.watches), 1)
-        self.assertFalse(self.discovery.retired)
+        assert len(self.discovery.watches) == 1
+        assert not self.discovery.retired
 
     async def test_what_an_agent_that_was_moved_from_says_last_brings_no_node_back(self) -> None:
         with mock.patch.object(module, "TOLD", 0.4):
@@ -271,7 +272,7 @@
                 await self.move(whole("DRAINING"))
                 await self.until(lambda: not self.old.open)
             await asyncio.sleep(0.5)
-        self.assertFalse(self.directory.serves(1))
+        assert not self.directory.serves(1)
 
     async def test_of_calls_that_are_answered_late_only_the_first_counts(self) -> None:
         """An agent that is slow at first: the call that it answers last may say what is older."""
@@ -294,8 +295,8 @@
         asked[0].write(head + chunk(line("SERVING", version=7)))
         await self.until(lambda: not directory.serves(1))
         await asyncio.sleep(0.3)
-        self.assertFalse(directory.serves(1))
-        self.assertEqual(len(asked), 2)
+        assert not directory.serves(1)
+        assert len(asked) == 2
         discovery.stop()
         server.close()
 
@@ -339,9 +340,9 @@
             with self.subTest(pushed=pushed):
                 await self.answered(half, pushed)
         cut = b"1e\r\n" + json.dumps(line("DRAINING")).encode()[:30] + b"\r\n0\r\n\r\n"  # and in good order
-        self.assertEqual((await self.answered(cut, True))[1], "/discovery/hosts")
+        assert (await self.answered(cut, True))[1] == "/discovery/hosts"
 
     async def test_a_watch_that_answers_a_head_and_then_nothing_is_asked_again(self) -> None:
         for pushed in (True, False):
             with self.subTest(pushed=pushed):
-                self.assertGreaterEqual(len(await self.answered(b"", pushed)), 2)
+                assert len(await self.answered(b"", pushed)) >= 2
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -101,7 +101,8 @@
         box={"ramp_s": 5, "cold_from": 0.1},
     )
     ours, wrong = emulate(loss), emulate(loss, opened_at_once)
-    assert ours.broken() == [] and not any(box.fell for box in ours.boxes)
+    assert ours.broken() == []
+    assert not any(box.fell for box in ours.boxes)
     assert any(box.fell for box in wrong.boxes)
     assert any(line.startswith("cold:") for line in wrong.broken())
     sums = [sum(earnings.earned(loss, played.wishes)) for played in (wrong, ours)]
@@ -134,7 +135,8 @@
     assert sum(earnings.due(small, wishes)) == pytest.approx((4 + 4 * 0.35 + 4) * unit)
     assert earnings.ideal(small, wishes, lambda cell, at: 0.0) == [0.0] * 4
     few = earnings.ideal(small, wishes, lambda cell, at: 4.0 if at < 1 else 0.0)  # a unit a slot
-    assert few[3] == 0.0 and 4 * unit <= sum(few) < sum(earnings.due(small, wishes[:3]))
+    assert few[3] == 0.0
+    assert 4 * unit <= sum(few) < sum(earnings.due(small, wishes[:3]))
     assert earnings.over_time(wishes, [1.0, 2.0, 3.0, 4.0], 0.0) == [6.0, 4.0]
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,6 +13,7 @@
 from pathlib import Path
 
 import aiohttp
+import pytest
 
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.handover import HEARD, MARK, SiblingProcesses
@@ -57,10 +58,10 @@
     def test_only_a_listening_tcp_socket_is_taken_and_nothing_else_is_closed(self) -> None:
         with tempfile.TemporaryFile() as plain, socket.socket() as unbound:
             for descriptor in (plain.fileno(), unbound.fileno()):
-                with self.assertRaises(NotListeningError):
+                with pytest.raises(NotListeningError):
                     take_listening(descriptor)
                 os.fstat(descriptor)  # still open
-        with self.assertRaises(NotListeningError):
+        with pytest.raises(NotListeningError):
             take_listening(999)
 
 
@@ -79,18 +80,18 @@
                     assert daemon.stderr
                     async with asyncio.timeout(10):
                         while b"event='ready'" not in (line := await daemon.stderr.readline()):
-                            self.assertTrue(line, "the daemon ended")
+                            assert line, "the daemon ended"
                 await asyncio.sleep(1.1)  # without discovery or an old list, /up says yes after 1 s
                 async with aiohttp.ClientSession() as client:
                     for _ in range(20):
                         async with client.get(f"http://127.0.0.1:{port}/up") as response:
-                            self.assertEqual(response.status, 200)
+                            assert response.status == 200
                 old.terminate()
-                self.assertEqual(await old.wait(), 0)
+                assert await old.wait() == 0
                 async with aiohttp.ClientSession() as client:
                     for _ in range(20):
                         async with client.get(f"http://127.0.0.1:{port}/up") as response:
-                            self.assertEqual(response.status, 200)
+                            assert response.status == 200
             finally:
                 for daemon in (old, new):
                     if daemon.returncode is None:
@@ -104,8 +105,8 @@
                 daemon = await start(folder, {"RELAY_ACCEPT_FD": text}, fds)
                 assert daemon.stderr
                 rest = await daemon.stderr.read()
-                self.assertEqual(await daemon.wait(), 2)
-                self.assertIn(b"cleatyoke: RELAY_ACCEPT_FD:", rest)
+                assert await daemon.wait() == 2
+                assert b"cleatyoke: RELAY_ACCEPT_FD:" in rest
 
 
 class SharedLimits(unittest.IsolatedAsyncioTestCase):
@@ -114,21 +115,21 @@
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / f"{MARK}{2**22 + 7}").write_text("")  # a process that died
             lives = SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0)
-            self.assertEqual((settings.initial_quota_share, settings.replaces_process), (1.0, False))
-            self.assertEqual(settings.idle_since, 50.0)
+            assert (settings.initial_quota_share, settings.replaces_process) == (1.0, False)
+            assert settings.idle_since == 50.0
             other = Path(folder) / f"{MARK}{os.getppid()}"
             other.write_text("")  # one that lives
             lives.start(told.append)
-            self.assertEqual(told, [QuotaShareChanged(0.5)])
+            assert told == [QuotaShareChanged(0.5)]
             other.unlink()
             await asyncio.sleep(0.12)
-            self.assertEqual(told, [QuotaShareChanged(0.5), QuotaShareChanged(1.0)])
+            assert told == [QuotaShareChanged(0.5), QuotaShareChanged(1.0)]
             lives.stop()
-            self.assertFalse(lives.mark.exists())
+            assert not lives.mark.exists()
             other.write_text("")
             SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0).mark.unlink()
-            self.assertEqual((settings.initial_quota_share, settings.replaces_process), (0.5, True))
-            self.assertGreater(settings.idle_since or 0.0, time.time())  # not before the other has heard
+            assert (settings.initial_quota_share, settings.replaces_process) == (0.5, True)
+            assert (settings.idle_since or 0.0) > time.time()  # not before the other has heard
 
 
 class Overlap(unittest.TestCase):
@@ -205,10 +206,10 @@
         for overlap in (1.0, 3.0, 6.0):
             for quiet in (0.0, overlap - 0.1, overlap + 0.1, 12.0):
                 least = self.play(overlap, 0.1, quiet)
-                self.assertGreaterEqual(least, -self.slack, (overlap, quiet))
-                self.assertLess(least, self.burst / 2)  # it was asked for more than it could give
+                assert least >= -self.slack, (overlap, quiet)
+                assert least < self.burst / 2  # it was asked for more than it could give
 
     def test_a_share_is_not_counted_for_the_time_before_it_held(self) -> None:
         clock = QuotaClock(0.5, 10.0)
         clock.change(1.0, 14.0)
-        self.assertEqual((clock.time(14.0), clock.time(15.0), clock.time(12.0)), (2.0, 3.0, 2.0))
+        assert (clock.time(14.0), clock.time(15.0), clock.time(12.0)) == (2.0, 3.0, 2.0)
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -5,6 +5,8 @@
 import asyncio
 import unittest
 
+import pytest
+
 from cleatyoke.config.deployment import Address, VrrpSettings
 from cleatyoke.vrrp.instance import (
     Advertisement,
@@ -24,34 +26,34 @@
 class RouterCase(unittest.TestCase):
     def backup(self, priority: int = 128, preempt: bool = True) -> VirtualRouter:
         router = VirtualRouter(priority, 1.0, preempt, "10.0.0.2")
-        self.assertEqual(router.startup(100.0), [])
+        assert router.startup(100.0) == []
         return router
 
     def test_a_backup_takes_over_after_three_intervals_and_its_skew(self) -> None:
         router = self.backup()  # skew (256 - 128) / 256 = 0.5
-        self.assertEqual((router.state, router.due), (State.BACKUP, 103.5))
-        self.assertEqual(router.received(said(200), "10.0.0.1", 102.0), [])
-        self.assertEqual(router.due, 105.5)
-        self.assertEqual(router.timer(105.4), [])
-        self.assertEqual(router.timer(105.5), [128])
-        self.assertEqual((router.state, router.due), (State.MASTER, 106.5))
+        assert (router.state, router.due) == (State.BACKUP, 103.5)
+        assert router.received(said(200), "10.0.0.1", 102.0) == []
+        assert router.due == 105.5
+        assert router.timer(105.4) == []
+        assert router.timer(105.5) == [128]
+        assert (router.state, router.due) == (State.MASTER, 106.5)
 
     def test_the_owner_is_master_at_once_and_says_so_when_it_leaves(self) -> None:
         router = VirtualRouter(255, 1.0, True, "10.0.0.2")
-        self.assertEqual(router.startup(100.0), [255])
-        self.assertEqual(router.shutdown(), [0])
-        self.assertEqual(router.state, State.INITIALIZE)
+        assert router.startup(100.0) == [255]
+        assert router.shutdown() == [0]
+        assert router.state == State.INITIALIZE
 
     def test_a_master_that_leaves_is_followed_after_the_skew_alone(self) -> None:
         router = self.backup()
         router.received(said(0), "10.0.0.1", 101.0)
-        self.assertEqual(router.due, 101.5)
+        assert router.due == 101.5
 
     def test_preemption(self) -> None:
         for preempt, due in ((True, 103.5), (False, 105.5)):
             router = self.backup(preempt=preempt)
             router.received(said(100), "10.0.0.1", 102.0)
-            self.assertEqual(router.due, due)
+            assert router.due == due
 
     def test_of_two_masters_the_higher_priority_stays_then_the_higher_address(self) -> None:
         for priority, source, stays in (
@@ -63,20 +65,20 @@
             router = self.backup()
             router.timer(103.5)
             router.received(said(priority), source, 104.0)
-            self.assertEqual(router.state is State.MASTER, stays, (priority, source))
+            assert (router.state is State.MASTER) == stays, (priority, source)
 
     def test_the_master_s_interval_is_the_backup_s(self) -> None:
         router = self.backup()
         router.received(said(200, 2.0), "10.0.0.1", 102.0)
-        self.assertEqual(router.due, 102.0 + 6.0 + 1.0)
+        assert router.due == 102.0 + 6.0 + 1.0
 
     def test_messages(self) -> None:
         message = encode(said(100, 2.5))
-        self.assertEqual(message[:6], bytes([0x31, 1, 100, 1, 0, 250]))
-        self.assertEqual(decode(message), said(100, 2.5))
+        assert message[:6] == bytes([49, 1, 100, 1, 0, 250])
+        assert decode(message) == said(100, 2.5)
         wrong = (b"", message[:-4], bytes([0x21]) + message[1:], message[:-1] + b"\0", message + bytes(4))
         for bad in wrong:
-            with self.assertRaises(AdvertisementError):
+            with pytest.raises(AdvertisementError):
                 decode(bad)
 
 
@@ -101,5 +103,5 @@
             await carriers[0].stop()
             while not await news[1].get():
                 pass
-        self.assertIs(carriers[1].router.state, State.MASTER)
+        assert carriers[1].router.state is State.MASTER
         await carriers[1].stop()
