--- /dev/null
+++ b/tests/recorded/settings_adapter.py
@@ -0,0 +1,386 @@
+"""The one place where the settings' tests touch the project: reading, in neutral words, and its commands."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+from pathlib import Path
+from typing import Any
+
+from cleatyoke import api
+from cleatyoke.config import (
+    FRONTS,
+    Address,
+    BadConfig,
+    Config,
+    DistributionRelays,
+    FleetPeers,
+    SftpFront,
+    VrrpPeers,
+    read_config,
+)
+from cleatyoke.standin.scenario import Scenario, read_scenario, settings_of
+
+SHIPPED_FRONTS = FRONTS
+MODULES = {
+    "daemon": "cleatyoke",
+    "test fleet": "cleatyoke.standin",
+    "distribution": "cleatyoke.distribution",
+}
+
+REPETITION = {
+    api.Repeat.FREE: "repeatable",
+    api.Repeat.KEYED: "by key",
+    api.Repeat.ONCE: "only once",
+}
+DUPLICATES_DROPPED = {
+    api.Scope.ALL: "everywhere",
+    api.Scope.ZONE: "in the zone",
+    api.Scope.CELL: "in the cell",
+}
+
+
+class Refused(Exception):
+    """The settings cannot be used; the text is the project's own."""
+
+
+def read_deployment(environment: Mapping[str, str], fronts: Path) -> dict[str, Any]:
+    """All that the daemon reads at its start, in neutral words. Raises ``Refused``."""
+    return neutral_deployment(load(environment, fronts))
+
+
+def reload_deployment(
+    environment: Mapping[str, str], fronts: Path, later: Mapping[str, str], later_fronts: Path
+) -> dict[str, Any]:
+    """Read one environment, reload with another: what was taken, and what holds. Raises ``Refused``."""
+    config, new = load(environment, fronts), load(later, later_fronts)
+    try:
+        taken = config.reload(new)
+    except BadConfig as error:
+        raise Refused(str(error)) from error
+    return {
+        "discovery moved": taken.moved,
+        "the log names as waiting for a restart": list(taken.waiting),
+        "classes gone": None if taken.retired is None else sorted(taken.retired),
+        "holds": neutral_deployment(config),
+    }
+
+
+def load(environment: Mapping[str, str], fronts: Path) -> Config:
+    """The project's own object. Raises ``Refused``."""
+    try:
+        return read_config(environment, fronts)
+    except BadConfig as error:
+        raise Refused(str(error)) from error
+
+
+def read_test_scenario(path: Path) -> tuple[dict[str, Any], dict[str, Any]]:
+    """A scenario file in neutral words, and the JSON settings it gives its fronts. Raises ``Refused``."""
+    scenario = load_scenario(path)
+    return neutral_scenario(scenario), settings_of(scenario)
+
+
+def load_scenario(path: Path) -> Scenario:
+    """The project's own object. Raises ``Refused``."""
+    try:
+        return read_scenario(path)
+    except BadConfig as error:
+        raise Refused(str(error)) from error
+
+
+def number(value: float) -> float | str:
+    """Infinity has no place in JSON."""
+    return "infinite" if math.isinf(value) else value
+
+
+def neutral_address(address: Address | None) -> dict[str, Any] | None:
+    """A host and a port, and the text of both."""
+    if address is None:
+        return None
+    return {"machine": address.host, "port": address.port, "text": str(address)}
+
+
+def neutral_deployment(config: Config) -> dict[str, Any]:
+    """Each fact that was read."""
+    return {
+        "front name": config.name,
+        "listens at": neutral_address(config.listen),
+        "discovery at": neutral_address(config.discovery),
+        "discovery in the file": neutral_address(config.file_discovery),
+        "random seed": config.seed,
+        "connections": {
+            "clients": config.shares.clients,
+            "idle clients": config.shares.crowd,
+            "nodes": config.shares.boxes,
+            "file sessions": config.shares.sessions,
+        },
+        "old list": config.known,
+        "policy": neutral_policy(config.settings),
+        "class places": config.classes,
+        "plan places": config.plans,
+        "deadline of class": [number(seconds) for seconds in config.give_up],
+        "bytes for bodies": config.body_bytes,
+        "class changes data": config.writes,
+        "shard count": config.shards,
+        "zone places": config.zones,
+        "connect timeout": config.dial_timeout,
+        "idle timeout": config.idle_close,
+        "drain seconds": config.drain_grace,
+        "file front": neutral_file_front(config.sftp),
+        "address takeover": neutral_takeover(config.vrrp),
+        "peers": neutral_peers(config.fleet),
+        "distributed settings": neutral_distribution(config.distribution),
+        "metrics at": neutral_address(config.metrics),
+        "inherited descriptor": config.accept_fd,
+        "operators at": neutral_address(config.ops),
+        "shared folder": config.state_dir.as_posix(),
+        "keys in the file": sorted(config.keys),
+        "notice before a kill": number(config.notice()),
+    }
+
+
+def neutral_policy(settings: api.Settings) -> dict[str, Any]:
+    """The settings of the decisions."""
+    safety = settings.safety
+    return {
+        "classes": [
+            {
+                "target seconds": one.aim,
+                "value": one.worth,
+                "late part": one.late_share,
+                "repetition": REPETITION[one.repeat],
+                "duplicates dropped": DUPLICATES_DROPPED[one.scope],
+                "duplicates remembered": one.memory,
+                "in order": one.ordered,
+            }
+            for one in settings.classes
+        ],
+        "plans": [
+            {
+                "value factor": one.worth,
+                "base units a second": one.rate,
+                "reserved units a second": one.reserve,
+                "proportion": one.weight,
+                "limit": one.limit,
+                "limit store": one.limit_burst,
+                "limit overdraft": one.limit_slack,
+            }
+            for one in settings.plans
+        ],
+        "cold part": safety.cold_from,
+        "warming seconds": safety.ramp,
+        "overload multiple": safety.tip_multiple,
+        "overload seconds": safety.tip_after,
+        "relist seconds": safety.ask_every,
+        "key pause": safety.key_rest,
+        "free repeats": safety.extra_free,
+        "repeat ratio": safety.extra_ratio,
+        "repeat window": safety.extra_window,
+        "random seed": settings.seed,
+        "front count": settings.hosts,
+        "subscribes": settings.must_watch,
+        "most attempts": settings.max_attempts,
+        "cancels": settings.cancel,
+        "cold units": settings.cold_units,
+        "largest units": settings.largest,
+        "mean units": settings.mean,
+        "part within": settings.within_share,
+        "nodes report others": settings.tells_others,
+        "quiet since": settings.quiet_since,
+        "part of limits": settings.limit_share,
+        "taken over": settings.taken_over,
+        "retry hint seconds": settings.retry_after,
+        "load by probes": settings.probes,
+    }
+
+
+def neutral_file_front(front: SftpFront | None) -> dict[str, Any] | None:
+    """The front for files."""
+    if front is None:
+        return None
+    return {
+        "listens at": neutral_address(front.listen),
+        "volumes": [
+            {
+                "path": one.prefix,
+                "id": one.volume,
+                "plan place": one.plan,
+                "shard": one.cell,
+                "fronts": one.hosts,
+            }
+            for one in front.volumes
+        ],
+        "class of reads": front.read_class,
+        "class of writes": front.write_class,
+        "node port": front.box_port,
+        "upload bytes": front.most_upload,
+        "bytes of a unit": front.unit_bytes,
+        "open files": front.most_handles,
+        "idle seconds": front.idle,
+        "command seconds": front.deadline,
+    }
+
+
+def neutral_takeover(peers: VrrpPeers | None) -> dict[str, Any] | None:
+    """The takeover of addresses."""
+    if peers is None:
+        return None
+    return {
+        "listens at": neutral_address(peers.listen),
+        "peers": [neutral_address(one) for one in peers.peers],
+        "router": peers.router,
+        "priority": peers.priority,
+        "interval seconds": peers.interval,
+        "takes back": peers.preempt,
+        "addresses": peers.addresses,
+    }
+
+
+def neutral_peers(peers: FleetPeers | None) -> dict[str, Any] | None:
+    """The view that fronts keep of one another."""
+    if peers is None:
+        return None
+    return {
+        "deployment": peers.deployment,
+        "listens at": neutral_address(peers.listen),
+        "reached at": neutral_address(peers.advertise),
+        "first contacts": [neutral_address(one) for one in peers.seeds],
+        "boot": peers.boot,
+        "probe period": peers.timing["period"],
+        "probe answer": peers.timing["answer"],
+        "rumour period": peers.timing["gossip"],
+        "exchange period": peers.timing["sync"],
+        "period for the dead": peers.timing["departed"],
+        "joining period": peers.timing["join"],
+        "lends limits": peers.limits,
+        "lends cold parts": peers.cold,
+        "lasting folder": None if peers.durable is None else peers.durable.as_posix(),
+    }
+
+
+def neutral_distribution(relays: DistributionRelays | None) -> dict[str, Any] | None:
+    """Where distributed settings come from."""
+    if relays is None:
+        return None
+    return {
+        "deployment": relays.deployment,
+        "own region": [neutral_address(one) for one in relays.relays],
+        "other regions": [neutral_address(one) for one in relays.others],
+        "nodes too": relays.nodes,
+        "poll seconds": relays.poll,
+        "bytes a second": relays.rate,
+    }
+
+
+def neutral_scenario(scenario: Scenario) -> dict[str, Any]:
+    """Each fact of a scenario."""
+    load, power, terms, view = scenario.load, scenario.power, scenario.terms, scenario.view
+    return {
+        "title": scenario.name,
+        "duration": scenario.seconds,
+        "random seed": scenario.seed,
+        "front count": scenario.fronts,
+        "node count": scenario.boxes,
+        "zones": scenario.zones,
+        "zone of node 3": scenario.zone_of(3),
+        "plan of volume 3": scenario.plan_of(3).name if scenario.plans else None,
+        "notice before a kill": scenario.notice() if scenario.kinds else None,
+        "classes": [
+            {
+                "title": one.name,
+                "part": one.share,
+                "target seconds": one.aim,
+                "deadline seconds": one.deadline,
+                "value": one.worth,
+                "late part": one.late_share,
+                "repetition": REPETITION[one.repeat],
+                "duplicates dropped": DUPLICATES_DROPPED[one.scope],
+                "duplicates remembered": one.memory,
+                "changes data": one.write,
+            }
+            for one in scenario.kinds
+        ],
+        "plans": [
+            {
+                "title": one.name,
+                "base units a second": one.rate,
+                "reserved units a second": one.reserve,
+                "proportion": one.weight,
+                "value factor": one.worth,
+                "limit": one.limit,
+                "limit store": one.burst,
+                "limit overdraft": one.slack,
+            }
+            for one in scenario.plans
+        ],
+        "allowed": {
+            "most attempts": terms.attempts,
+            "drain seconds": terms.drain_grace,
+            "cancels": terms.cancel,
+            "load report": terms.report,
+            "probes": terms.probes,
+            "connect timeout": terms.dial,
+            "idle timeout": terms.idle,
+            "retry hint seconds": terms.retry_after,
+        },
+        "load": {
+            "requests a second": load.rate,
+            "part of writes": load.writes,
+            "volume count": load.volumes,
+            "fronts of a volume": load.hosts,
+            "part for the first volume": load.hot,
+            "least units": load.units,
+            "most units": load.units_most,
+            "part of new objects": load.fresh,
+            "part read again": load.reread,
+            "uneven part": load.skew,
+            "uneven seconds": load.skew_s,
+            "surge begins": load.surge_at,
+            "surge seconds": load.surge_s,
+            "surge factor": load.surge,
+            "client retries": load.retries,
+            "client retry seconds": load.retry_s,
+        },
+        "node": {
+            "units a second": power.units,
+            "queue length": power.queue,
+            "cold part": power.cold_from,
+            "warming seconds": power.ramp,
+            "overload multiple": power.tip_multiple,
+            "overload seconds": power.tip_after,
+        },
+        "troubles": [
+            {
+                "begins": one.at,
+                "sort": one.kind,
+                "numbers": one.of,
+                "spread seconds": one.over,
+                "duration": one.lasts,
+                "part": one.share,
+                "node": one.box,
+                "links": None
+                if one.links is None
+                else {
+                    "towards": one.links.to,
+                    "one direction": one.links.one_way,
+                    "broken": one.links.cut,
+                    "lost part": one.links.loss,
+                    "doubled part": one.links.doubles,
+                    "garbled part": one.links.garbles,
+                    "delay seconds": one.links.delay,
+                    "jitter seconds": one.links.jitter,
+                },
+            }
+            for one in scenario.troubles
+        ],
+        "view": None
+        if view is None
+        else {
+            "probe period": view.period,
+            "settling seconds": view.settles,
+            "first contacts": view.seeds,
+            "lends limits": view.limits,
+            "lends cold parts": view.cold,
+            "lasting folders": view.durable,
+        },
+    }
--- /dev/null
+++ b/tests/recorded/stored_adapter.py
@@ -0,0 +1,217 @@
+"""The one place where the tests of stored data touch the project: writing and reading, in neutral words."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from cleatyoke.core import Core
+from cleatyoke.directory import Directory
+from cleatyoke.distribution.contents import Settings, listed_nodes, settings_entries
+from cleatyoke.distribution.contents import lane_of as lane_of_key
+from cleatyoke.distribution.folder import BadEpoch, Folder, next_epoch
+from cleatyoke.distribution.records import Entry, Lane
+from cleatyoke.distribution.relay import Source
+from cleatyoke.durable import records
+from cleatyoke.durable.store import NAMES, Disk
+from cleatyoke.faults import Faults
+from cleatyoke.figures import Figures
+from cleatyoke.fleet.replicas import Holds
+from cleatyoke.fleet.sharing import Sharing
+from cleatyoke.fleet.wire import Id
+from cleatyoke.net.fleet import COPIES
+from cleatyoke.net.handover import HoldFile, Lives
+from tests import host
+
+CHECK_MODULE = "cleatyoke.durable"
+DURABLE_FILES = NAMES
+COPIES_FILE = COPIES
+LANE_TITLES = {Lane.NODES: "nodes first", Lane.SETTINGS: "settings"}
+
+Neutral = dict[str, Any]
+
+
+def life(name: str, boot: int) -> Id:
+    """A life of a front."""
+    return Id(name, boot)
+
+
+def make_holds(facts: Neutral) -> Holds:
+    """Holds of neutral form: ``known`` numbers by life, and ``held`` nodes with the marks that hold them."""
+    return Holds(
+        clock={life(name, boot): number for name, boot, number in facts["known"]},
+        held={
+            node: frozenset((life(name, boot), number) for name, boot, number in marks)
+            for node, marks in facts["held"].items()
+        },
+    )
+
+
+def neutral_holds(holds: Holds) -> Neutral:
+    """The holds in neutral form, sorted, as sets have no order."""
+    return {
+        "known": sorted([one.name, one.boot, number] for one, number in holds.clock.items()),
+        "held": {
+            node: sorted([one.name, one.boot, number] for one, number in marks)
+            for node, marks in sorted(holds.held.items())
+        },
+    }
+
+
+def save_durable(folder: Path, front: str, facts: Neutral) -> list[list[str]]:
+    """Write both files as a front does; what failed, by file."""
+    memory = records.Memory(holds=make_holds(facts["holds"]), boot=facts["boot"], peers=tuple(facts["peers"]))
+    return [[one.where, one.why] for one in Disk(folder=folder, front=front).save(memory)]
+
+
+def load_durable(folder: Path, front: str) -> Neutral:
+    """What a start believes, and what it does not."""
+    memory, doubts = Disk(folder=folder, front=front).load()
+    return {
+        "holds": neutral_holds(memory.holds),
+        "boot": memory.boot,
+        "peers": list(memory.peers),
+        "doubts": [[one.where, one.why] for one in doubts],
+        "files": sorted(path.name for path in folder.iterdir()),
+    }
+
+
+def sealed_row(kind: str, front: str, data: bytes, form: int) -> tuple[str, int, str, bytes, int]:
+    """A row with a sum that fits it."""
+    row = records.sealed(kind=kind, front=front, data=data, form=form)
+    return row.kind, row.form, row.front, row.data, row.sum
+
+
+def next_boot(remembered: int, unix: float) -> int:
+    """The boot number of a new life."""
+    return records.next_boot(remembered, unix)
+
+
+def with_hold_file(folder: Path, act: Callable[[HoldFile, Directory], None]) -> Neutral:
+    """Act on the hold file of a running loop; what is held then, and the folder's files."""
+
+    async def run() -> Neutral:
+        directory = Directory({})
+        file = HoldFile(folder, directory, Core(host.settings()), Faults(Figures()))
+        act(file, directory)
+        await asyncio.sleep(0)
+        return {
+            "held": list(directory.holds.held),
+            "released": dict(directory.holds.released),
+            "files": sorted(path.name for path in folder.iterdir()),
+        }
+
+    return asyncio.run(run())
+
+
+def write_hold_file(folder: Path, held: list[str], released: dict[str, float]) -> Neutral:
+    """Write what one process of a front holds."""
+
+    def act(file: HoldFile, directory: Directory) -> None:
+        for name in [*held, *released]:
+            directory.holds.disable(name, known=True)
+        for name, when in released.items():
+            directory.holds.enable(name, known=True, now=when)
+        file.write()
+
+    return with_hold_file(folder, act)
+
+
+def read_hold_file(folder: Path) -> Neutral:
+    """What another process of the front takes from the file."""
+    return with_hold_file(folder, lambda file, directory: file.look())
+
+
+def hold_again(folder: Path, name: str) -> Neutral:
+    """An operator holds a node that the file holds already: all is written anew, under the lock."""
+
+    def act(file: HoldFile, directory: Directory) -> None:
+        file.look()
+        file.disable(name)
+
+    return with_hold_file(folder, act)
+
+
+def mark_process(folder: Path) -> Neutral:
+    """What a new process leaves in the folder, and what it may use of limits beside others."""
+
+    async def run() -> Neutral:
+        settings = host.settings()
+        lives = Lives(folder, settings, Faults(Figures()), 50.0)
+        files = [path.name for path in folder.iterdir()]
+        lives.stop()
+        return {
+            "files": sorted(name_of_mark(name) for name in files),
+            "part of limits": settings.limit_share,
+            "taken over": settings.taken_over,
+            "files at the end": len(list(folder.iterdir())),
+        }
+
+    return asyncio.run(run())
+
+
+def name_of_mark(name: str) -> str:
+    """The name of a file that marks a process, with a word for this process and for its parent."""
+    *words, last = name.split("-")
+    return "-".join([*words, {str(os.getpid()): "OWN", str(os.getppid()): "PARENT"}.get(last, last)])
+
+
+def dump_copies(facts: Neutral) -> bytes:
+    """The file by which a front remembers holds, with what it knows of other fronts' releases."""
+    return Sharing(me=lambda: life("n1", 1), holds=make_holds(facts)).dump()
+
+
+def restore_copies(data: bytes, held: list[str]) -> Neutral:
+    """What the next life ``n1``, boot 99, makes of that file and of the nodes that its hold file holds."""
+    sharing = Sharing(me=lambda: life("n1", 99))
+    sharing.restore(data, frozenset(held))
+    return neutral_holds(sharing.holds)
+
+
+class SourceFolder:
+    """A source of distributed settings over its folder."""
+
+    def __init__(self, folder: Path, epoch: int) -> None:
+        self.folder = Folder(folder)
+        self.source = Source("d", "source", epoch)
+
+    def look(self, base: dict[str, Any]) -> Neutral:
+        """Take what changed in the folder; all that the source has then. ``base``: a front's own settings."""
+        found = self.folder.look()
+        for key, value in found.changes.items():
+            self.source.put(0.0, lane_of_key(key), key, value)
+        entries = [entry for lane in Lane for entry in self.source.store.lanes[lane].entries.values()]
+        nodes, unreadable = listed_nodes(entries)
+        return {
+            "changes": {
+                key: None if value is None else value.decode() for key, value in found.changes.items()
+            },
+            "refused": list(found.bad),
+            "last number": self.source.number,
+            "kept": {
+                LANE_TITLES[lane]: [
+                    neutral_entry(one) for one in self.source.store.lanes[lane].entries.values()
+                ]
+                for lane in Lane
+            },
+            "settings of a front": Settings().with_entries(settings_entries(entries)).merged(base),
+            "nodes": nodes,
+            "unreadable nodes": unreadable,
+        }
+
+
+def neutral_entry(entry: Entry) -> list[Any]:
+    """Key, epoch, number and text of an entry."""
+    text = None if entry.value is None else entry.value.decode()
+    return [entry.key, entry.version.epoch, entry.version.number, text]
+
+
+def begin_epoch(path: Path, unix: float) -> int | str:
+    """The epoch that a source's life begins, or why it cannot."""
+    try:
+        return next_epoch(path, unix)
+    except BadEpoch as error:
+        return str(error)
