--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -7,6 +7,8 @@
 
 import asyncio
 import contextlib
+import io
+import json
 import random
 import socket
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -16,7 +18,7 @@
 import msgspec
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from cleatyoke import api, vrrp
+from cleatyoke import api, simhost, vrrp
 from cleatyoke.config import Address, Config, FleetPeers, SftpFront, Shares, VolumePath
 from cleatyoke.core import Core, Failed, Refused, Served
 from cleatyoke.directory import Directory, Instance, Listing
@@ -1252,6 +1254,104 @@
     return answers
 
 
+# The simulator's wire
+
+
+def encode_simulator_step(value: Plain) -> bytes:
+    """A step as the simulator is sent it."""
+    action: api.Action
+    match value["step"]:
+        case "send":
+            action = api.Send(request=value["request"], node=value["node"])
+        case "refuse":
+            action = api.Refuse(request=value["request"], wait=value["seconds"])
+        case "fail":
+            action = api.Fail(request=value["request"])
+        case "cancel":
+            action = api.Cancel(request=value["request"], attempt=value["attempt"])
+        case "timer":
+            action = api.Wake(after=value["seconds"], token=value["token"])
+        case _:
+            action = api.Watch()
+    return json.dumps(simhost.write_action(value["instance"], action)).encode()
+
+
+def plain_event(event: api.Event) -> Plain:
+    """Every field of an event of the simulator's."""
+    match event:
+        case api.Arrival():
+            return {
+                "event": "request",
+                "request": event.request,
+                "class": event.class_index,
+                "plan": event.plan,
+                "volume": event.volume,
+                "item": event.item,
+                "shard": event.cell,
+                "units": event.units,
+                "deadline": event.deadline,
+                "hosts": event.hosts,
+            }
+        case api.Ended():
+            return {
+                "event": "end of an attempt",
+                "request": event.request,
+                "attempt": event.attempt,
+                "node": event.node,
+                "outcome": SIMULATED_OUTCOMES[event.outcome],
+                "seconds": event.spent,
+                "settled": event.settled,
+                "served by other fronts": event.elsewhere,
+            }
+        case api.Woken():
+            return {"event": "timer", "token": event.token}
+        case api.NodeList():
+            nodes = [
+                [one.node, one.cell, one.zone, NODE_STATES[one.state], one.up_since] for one in event.entries
+            ]
+            return {"event": "nodes", "kind": LIST_KINDS[event.kind], "nodes": nodes}
+        case api.Withdrawn():
+            return {"event": "client left", "request": event.request}
+    raise TypeError(type(event))
+
+
+SIMULATED_OUTCOMES = {
+    api.Outcome.SERVED: "served",
+    api.Outcome.ERROR: "failed",
+    api.Outcome.FULL: "never ran",
+    api.Outcome.TIMEOUT: "out of time",
+    api.Outcome.NO_CONNECTION: "no connection",
+    api.Outcome.RESET: "connection broke",
+    api.Outcome.CANCELLED: "cancelled",
+    api.Outcome.NOT_SENT: "not sent",
+}
+
+
+def decode_simulator_event(data: bytes) -> Plain:
+    """What is understood of an event; the list of slot 0 has three nodes."""
+    nodes = [
+        {"Shelf": 1, "Pack": 3, "Area": 2, "StageState": "live", "UpSinceS": 4.5},
+        {"Shelf": 2, "StageState": "quiescing"},
+        {"Shelf": 3, "Pack": None, "Area": None, "StageState": "dead", "UpSinceS": None},
+    ]
+    value = json.loads(data)
+    try:
+        event = simhost.read_event(value["type"], value, {0: [simhost.read_entry(one) for one in nodes]})
+    except simhost.Malformed as error:
+        return {"refused": str(error)}
+    return plain_event(event)
+
+
+def capture_simulator(value: Plain) -> Plain:
+    """A whole conversation with the simulator, line by line."""
+    sink = io.StringIO()
+    try:
+        simhost.serve(io.StringIO("".join(f"{json.dumps(line)}\n" for line in value["lines"])), sink)
+    except simhost.Malformed as error:
+        return {"sent": sink.getvalue(), "refused": str(error)}
+    return {"sent": sink.getvalue()}
+
+
 ENCODERS: dict[str, Callable[[Plain], bytes]] = {
     "fleet datagram": encode_fleet_datagram,
     "fleet view": encode_fleet_view,
@@ -1264,6 +1364,7 @@
     "sftp packet": encode_sftp_packet,
     "request to a node": encode_node_request,
     "probe of a node": encode_node_probe,
+    "simulator step": encode_simulator_step,
 }
 
 DECODERS: dict[str, Callable[[bytes], Plain]] = {
@@ -1276,6 +1377,7 @@
     "distribution reply": decode_reply,
     "vrrp advertisement": decode_vrrp,
     "sftp packet": decode_sftp_packet,
+    "simulator event": decode_simulator_event,
     "node list": lambda data: asyncio.run(decode_node_list(data)),
 }
 
@@ -1292,6 +1394,7 @@
     "discovery exchange": lambda given: asyncio.run(capture_discovery(given)),
     "control calls": lambda given: asyncio.run(capture_control(given)),
     "metrics": lambda given: asyncio.run(capture_metrics(given)),
+    "simulator session": capture_simulator,
     "sftp session": lambda given: asyncio.run(capture_sftp(given)),
 }
 
--- a/tests/recorded/bytes_plain.py
+++ b/tests/recorded/bytes_plain.py
@@ -18,8 +18,8 @@
 
 
 def pack(data: bytes) -> Plain:
-    """Bytes as JSON: a text where they are printable ASCII with line ends, else hex digits. Of a text with long
-    runs of one character, a list of texts and of ``[character, times]``."""
+    """Bytes as JSON: a text where they are printable ASCII with line ends, else hex digits. A text with long
+    runs of one character is a list of texts and of ``[character, times]``."""
     if not all(byte in b"\r\n\t" or 32 <= byte < 127 for byte in data):
         return {"hex": data.hex()}
     text, parts, end = data.decode("ascii"), list[Plain](), 0
--- a/tests/recorded/bytes_samples.py
+++ b/tests/recorded/bytes_samples.py
@@ -710,3 +710,83 @@
         },
         "metrics: without": {"kind": "metrics", "given": {"gauges": False, "calls": metrics[:1]}},
     }
+
+
+def simulator() -> dict[str, Plain]:
+    """Events and steps of the simulator's wire, and a short conversation."""
+    steps: dict[str, Plain] = {
+        "send": {"request": "r1", "node": 5},
+        "refuse": {"request": "r1", "seconds": 1.5},
+        "fail": {"request": "r1"},
+        "cancel": {"request": "r1", "attempt": 2},
+        "timer": {"seconds": 0.25, "token": 7},
+        "watch": {},
+    }
+    request = {
+        "type": "REQ",
+        "Head": 0,
+        "Req": "r1",
+        "Contract": 2,
+        "Profile": 1,
+        "Item": 9,
+        "Placement": 3,
+        "StoreUser": 4,
+        "DeadlineS": 9.0,
+        "NHosts": 5,
+        "CostUnits": 2,
+    }
+    ended = {"type": "FINISHED", "Req": "r1", "Shot": 2, "Shelf": 5, "SpentS": 0.5}
+    ends = [
+        "completed",
+        "errored",
+        "saturated",
+        "overdue",
+        "refused_conn",
+        "severed",
+        "recalled",
+        "superseded",
+    ]
+    events: dict[str, Plain] = {
+        "request": request,
+        "request without optional fields": {
+            name: one for name, one in request.items() if name not in ("Item", "NHosts", "CostUnits")
+        },
+        "timer": {"type": "BELL", "Ref": 7},
+        "client left": {"type": "ABORTED", "Req": "r1"},
+        "unknown": {"type": "ODD"},
+    }
+    for word in ends:
+        events[f"end, {word}"] = ended | {"Disposition": word, "Settled": True, "OthersGot": 2.5}
+    events["end without optional fields"] = ended | {"Disposition": "completed"}
+    for mode in ("incr", "total", "warm_copy", "lost"):
+        events[f"nodes, {mode}"] = {"type": "ROSTER_CHANGE", "Slot": 0, "Revision": 1, "Mode": mode}
+    out: dict[str, Plain] = {}
+    for name, fields in steps.items():
+        given = {"step": name, "instance": 3} | fields
+        out[f"simulator step: {name}"] = {"kind": "simulator step", "given": given}
+    for name, event in events.items():
+        out[f"simulator event: {name}"] = {"kind": "simulator event", "bytes": text(json.dumps(event))}
+    facts = {
+        "Areas": ["basement"],
+        "Contracts": [
+            {"Name": "public", "BaseRate": 8.0, "FloorRate": 4.0, "Proportion": 1.0, "WorthFactor": 1.0}
+        ],
+        "Lanes": [{"Name": "tile-read", "AimS": 0.5, "GiveUpS": 1.5, "Repeat": "repeatable", "Worth": 3.0}],
+        "PolicyLimits": {"Cancel": True, "SendCap": 4, "DialTimeoutS": 0.25, "IdleCloseS": 30.0},
+        "Siblings": 1,
+    }
+    node = {"Shelf": 1, "Pack": 0, "Area": 0, "StageState": "live"}
+    news: list[list[Plain]] = [
+        [
+            {"type": "CATALOG", "Slot": 0, "Elements": [node]},
+            {"type": "BORN", "Head": 0, "RngSeed": 1, "Facts": facts},
+            {"type": "ROSTER_CHANGE", "Head": 0, "Slot": 0, "Revision": 1, "Mode": "total"},
+        ],
+        [request | {"Contract": 0, "Profile": 0, "Placement": 0, "NHosts": 1}],
+        [ended | {"Head": 0, "Shot": 0, "Shelf": 1, "Disposition": "completed", "Settled": True}],
+        [{"type": "SHUTDOWN", "Head": 0}],
+    ]
+    lines: list[Plain] = [{"TsS": 5.0 + place, "round": place, "news": one} for place, one in enumerate(news)]
+    for name, value in {"whole": lines, "malformed": [*lines[:1], {"round": 1}]}.items():
+        out[f"simulator session: {name}"] = {"kind": "simulator session", "given": {"lines": value}}
+    return out
--- a/tests/recorded/make_bytes.py
+++ b/tests/recorded/make_bytes.py
@@ -48,6 +48,7 @@
     add(bytes_samples.http_exchanges())
     add(bytes_samples.discovery())
     add(bytes_samples.administration(datagrams))
+    add(bytes_samples.simulator())
     return out
 
 
