--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -23,7 +23,9 @@
 from cleatyoke.core import Core, Failed, Refused, Served
 from cleatyoke.directory import Directory, Instance, Listing
 from cleatyoke.distribution import contents, records
+from cleatyoke.distribution.server import answer as answer_poll
 from cleatyoke.distribution.status import Status as ConfigStatus
+from cleatyoke.distribution.store import Store
 from cleatyoke.distribution.subscriber import SendPoll, Subscriber
 from cleatyoke.faults import Faults
 from cleatyoke.figures import Figures
@@ -466,6 +468,15 @@
     return [pack(action.data) for action in actions if isinstance(action, SendPoll)]
 
 
+def capture_answer_to_poll(value: Plain) -> Plain:
+    """A relay's answer to a poll, from a store with these entries: each lane has its place in both."""
+    store = Store(value["epoch"])
+    for one in value["entries"]:
+        store.lanes[contents.lane_of(one[0])].put(0.0, entry_of(one))
+    poll = records.decode_poll(DEPLOYMENT, unpack(value["poll"]))
+    return pack(records.encode(answer_poll(poll, "source-1", store, 0.25)))
+
+
 # Messages on a stream
 
 
@@ -1386,6 +1397,7 @@
     "answer to a view": lambda given: asyncio.run(capture_view_exchange(given)),
     "distributed contents": capture_contents,
     "first poll": capture_first_poll,
+    "answer to a poll": capture_answer_to_poll,
     "framing": lambda given: asyncio.run(capture_framing(given)),
     "understood request": capture_understood_request,
     "node answer": lambda given: asyncio.run(capture_node_answer(given)),
--- a/tests/recorded/bytes_samples.py
+++ b/tests/recorded/bytes_samples.py
@@ -213,6 +213,26 @@
     return out
 
 
+def answers_to_polls(every: Plain, least: Plain) -> dict[str, Plain]:
+    """What a relay answers to recorded polls."""
+    entries = [
+        ["nodes/s-a", 3, 1, text("{}")],
+        ["settings", 3, 2, text("{}")],
+        ["settings/Limits", 3, 26, None],
+        ["nodes/s-b", 3, 27, text("[]")],
+    ]
+    given = {"epoch": 3, "entries": entries}
+    return {
+        f"answer to a poll: {name}": {"kind": "answer to a poll", "given": given | changes}
+        for name, changes in {
+            "changes": {"poll": every},
+            "pages": {"poll": least},
+            "behind": {"poll": every, "entries": entries[:1]},
+            "older epoch": {"poll": every, "epoch": 2},
+        }.items()
+    }
+
+
 def streams() -> dict[str, Plain]:
     """Messages on a stream, and VRRP."""
     vrrp = {"router": 7, "priority": 200, "interval": 0.25}
--- a/tests/recorded/make_bytes.py
+++ b/tests/recorded/make_bytes.py
@@ -40,6 +40,8 @@
     add(bytes_samples.copies())
     add(bytes_samples.exchanges(datagrams, out["fleet view: every field"]["bytes"]))
     add(bytes_samples.distribution())
+    polls = [out[f"distribution poll: {name}"]["bytes"] for name in ("every field", "least")]
+    add(bytes_samples.answers_to_polls(*polls))
     add(bytes_samples.streams())
     add(bytes_samples.sftp_packets())
     add(bytes_samples.sftp_sessions())
