--- /dev/null
+++ b/tests/recorded/make_bytes.py
@@ -0,0 +1,70 @@
+"""Write the recording of bytes, once: ``python -m tests.recorded.make_bytes``."""
+
+from __future__ import annotations
+
+import json
+import sys
+from pathlib import Path
+
+from tests.recorded import bytes_adapter, bytes_samples
+from tests.recorded.bytes_plain import BLANKED, Plain, pack, unpack
+
+RECORDING = Path(__file__).parent / "data" / "bytes.json"
+
+
+def record(sample: Plain) -> Plain:
+    """A sample with what the present code makes of it."""
+    kind = sample["kind"]
+    if kind in bytes_adapter.CAPTURES:
+        return sample | {"captured": bytes_adapter.capture(kind, sample["given"])}
+    if "given" in sample:
+        sample = sample | {"bytes": pack(bytes_adapter.encode(kind, sample["given"]))}
+    if kind in bytes_adapter.DECODERS:
+        sample = sample | {"decoded": bytes_adapter.decode(kind, unpack(sample["bytes"]))}
+    return sample
+
+
+def recorded_samples() -> dict[str, Plain]:
+    """All samples; those of exchanges among fronts are made of others' bytes."""
+    out: dict[str, Plain] = {}
+
+    def add(samples: dict[str, Plain]) -> None:
+        for name, sample in samples.items():
+            if name in out:
+                raise ValueError(f"{name}: twice")
+            out[name] = record(sample)
+
+    add(bytes_samples.fleet())
+    named = ("ping", "all states, every field", "loan request", "foreign", "corrupt")
+    datagrams = [out[f"fleet datagram: {name}"]["bytes"] for name in named]
+    add(bytes_samples.copies())
+    add(bytes_samples.exchanges(datagrams, out["fleet view: every field"]["bytes"]))
+    add(bytes_samples.distribution())
+    polls = [out[f"distribution poll: {name}"]["bytes"] for name in ("every field", "least")]
+    add(bytes_samples.answers_to_polls(*polls))
+    add(bytes_samples.streams())
+    add(bytes_samples.sftp_packets())
+    add(bytes_samples.sftp_sessions())
+    add(bytes_samples.understood_requests())
+    add(bytes_samples.node_messages())
+    add(bytes_samples.http_exchanges())
+    add(bytes_samples.discovery())
+    add(bytes_samples.administration(datagrams))
+    add(bytes_samples.simulator())
+    return out
+
+
+def main() -> int:
+    """Returns 1 where there is a recording already: an old sample is never made again."""
+    if RECORDING.exists():
+        print(f"{RECORDING.name}: exists, and is never made again", file=sys.stderr)
+        return 1
+    value = {"blanked": BLANKED, "samples": recorded_samples()}
+    RECORDING.parent.mkdir(exist_ok=True)
+    RECORDING.write_text(json.dumps(value, indent=1, ensure_ascii=True) + "\n")
+    print(f"{len(value['samples'])} samples")
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
