--- a/tests/recorded/__init__.py
+++ b/tests/recorded/__init__.py
@@ -1,1 +1,1 @@
-"""What the untouched code did, recorded, and tests that compare today's code with it."""
+"""Recordings of what the program did before it was reorganised, and the tests that compare with them."""
