--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -18,34 +18,64 @@
 import msgspec
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from cleatyoke import api, simhost, vrrp
-from cleatyoke.config import Address, Config, FleetPeers, SftpFront, Shares, VolumePath
-from cleatyoke.core import Core, Failed, Refused, Served
-from cleatyoke.directory import Directory, Instance, Listing
+from cleatyoke.scheduling.actions import (
+    SchedulerAction,
+    CancelAttempt,
+    FailRequest,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointState,
+    EndpointUpdate,
+    SchedulerEvent,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
+)
+from cleatyoke.scheduling.settings import (
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    SafetyLimits,
+    SchedulerSettings,
+    VolumePlan,
+)
+from cleatyoke import simulator as simhost
+from cleatyoke.vrrp import instance as vrrp
+from cleatyoke.config.deployment import Address, Config, FleetSettings, SftpSettings, SocketBudget, VolumePath
+from cleatyoke.core import Core, Failed, Rejected, Served
+from cleatyoke.discovery.directory import Directory, Instance, EndpointList
 from cleatyoke.distribution import contents, records
 from cleatyoke.distribution.server import answer as answer_poll
-from cleatyoke.distribution.status import Status as ConfigStatus
-from cleatyoke.distribution.store import Store
+from cleatyoke.distribution.status import SubscriptionStatus as ConfigStatus
+from cleatyoke.distribution.store import ChangeStore
 from cleatyoke.distribution.subscriber import SendPoll, Subscriber
-from cleatyoke.faults import Faults
-from cleatyoke.figures import Figures
-from cleatyoke.fleet import replicas, wire
-from cleatyoke.fleet.interface import Asked, Heard, Reply
-from cleatyoke.fleet.recovery import Evidence, Recovery, Stage
-from cleatyoke.fleet.sharing import Sharing
-from cleatyoke.maintenance import Drain
-from cleatyoke.net import messages
-from cleatyoke.net.boxes import Boxes
-from cleatyoke.net.discovery import Discovery
-from cleatyoke.net.fleet import FleetView
-from cleatyoke.net.framing import MessageTooLong, read_message, write_message
-from cleatyoke.net.listings import decode_listing, decode_long_listing
-from cleatyoke.net.metrics import MetricsListener
-from cleatyoke.net.ops import Commands, ControlListener
-from cleatyoke.net.server import Front
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.metrics import Metrics
+from cleatyoke.coordination import replicated_holds as replicas
+from cleatyoke.membership import wire
+from cleatyoke.membership.interface import ExchangeRequested, DatagramReceived, ReplyExchange
+from cleatyoke.coordination.staged_start import Evidence, StagedStart, StartStage
+from cleatyoke.coordination.hold_replication import HoldReplication
+from cleatyoke.admin.maintenance import FrontDrain
+from cleatyoke.http import messages
+from cleatyoke.http.backends import BackendPools
+from cleatyoke.discovery.watch import Discovery
+from cleatyoke.fleet.view import FleetView
+from cleatyoke.transport.framing import MessageTooLongError, read_message, write_message
+from cleatyoke.discovery.listings import decode_listing, decode_long_listing
+from cleatyoke.admin.prometheus import MetricsListener
+from cleatyoke.admin.control import ControlCommands, ControlListener
+from cleatyoke.http.server import HttpServer
 from cleatyoke.sftp import packets as sftp
-from cleatyoke.sftp.boxes import FileBoxes
-from cleatyoke.sftp.front import FileFront
+from cleatyoke.sftp.backends import SftpBackends
+from cleatyoke.sftp.server import SftpServer
 from tests.recorded.bytes_plain import Plain, blank, pack, unpack
 
 DEPLOYMENT = "recorded"
@@ -55,31 +85,31 @@
 # Messages among fronts
 
 STATES = {
-    "alive": wire.State.ALIVE,
-    "suspected": wire.State.SUSPECT,
-    "dead": wire.State.DEAD,
-    "left": wire.State.LEFT,
+    "alive": wire.MemberState.ALIVE,
+    "suspected": wire.MemberState.SUSPECT,
+    "dead": wire.MemberState.DEAD,
+    "left": wire.MemberState.LEFT,
 }
 
 
-def life_of(value: Plain) -> wire.Id:
+def life_of(value: Plain) -> wire.MemberId:
     """A life of a front from ``[name, boot number]``."""
-    return wire.Id(name=value[0], boot=value[1])
+    return wire.MemberId(name=value[0], boot=value[1])
 
 
-def plain_life(life: wire.Id) -> Plain:
+def plain_life(life: wire.MemberId) -> Plain:
     """``[name, boot number]``."""
     return [life.name, life.boot]
 
 
-def rumour_of(value: Plain) -> wire.Rumour:
+def rumour_of(value: Plain) -> wire.Update:
     """What is said of a life; absent fields have their defaults."""
     optional = {
         ours: value[plain]
         for plain, ours in (("sole", "alone"), ("accuser", "by"), ("settings sum", "settings"))
         if plain in value
     }
-    return wire.Rumour(
+    return wire.Update(
         id=life_of(value["life"]),
         address=value["address"],
         state=STATES[value["state"]],
@@ -88,7 +118,7 @@
     )
 
 
-def plain_rumour(rumour: wire.Rumour) -> Plain:
+def plain_rumour(rumour: wire.Update) -> Plain:
     """Every field of what is said of a life."""
     return {
         "life": plain_life(rumour.id),
@@ -111,15 +141,17 @@
         case "ack":
             return wire.Ack(number=value["number"])
         case "indirect ping":
-            return wire.Ask(number=value["number"], target=life_of(value["target"]), address=value["address"])
+            return wire.PingRequest(
+                number=value["number"], target=life_of(value["target"]), address=value["address"]
+            )
         case "nack":
             return wire.Nack(number=value["number"])
         case "gossip":
             return wire.Gossip()
         case "loan request":
-            return wire.Want(resource=value["resource"], number=value["number"], parts=value["parts"])
+            return wire.LeaseRequest(resource=value["resource"], number=value["number"], parts=value["parts"])
         case "loan":
-            return wire.Grant(
+            return wire.LeaseGrant(
                 resource=value["resource"],
                 number=value["number"],
                 parts=value["parts"],
@@ -136,21 +168,21 @@
             return {"type": "ping", "number": body.number, "target": target, "members sum": body.there}
         case wire.Ack():
             return {"type": "ack", "number": body.number}
-        case wire.Ask():
+        case wire.PingRequest():
             target = plain_life(body.target)
             return {"type": "indirect ping", "number": body.number, "target": target, "address": body.address}
         case wire.Nack():
             return {"type": "nack", "number": body.number}
         case wire.Gossip():
             return {"type": "gossip"}
-        case wire.Want():
+        case wire.LeaseRequest():
             return {
                 "type": "loan request",
                 "resource": body.resource,
                 "number": body.number,
                 "parts": body.parts,
             }
-        case wire.Grant():
+        case wire.LeaseGrant():
             return {
                 "type": "loan",
                 "resource": body.resource,
@@ -175,7 +207,7 @@
     """The fields of a datagram, or why it is refused."""
     try:
         message = wire.decode_datagram(DEPLOYMENT, data)
-    except wire.Refused as refused:
+    except wire.WireError as refused:
         return {"refused": str(refused)}
     return {
         "deployment": message.deployment,
@@ -199,7 +231,7 @@
     """The fields of a whole view, or why it is refused."""
     try:
         message = wire.decode_view(DEPLOYMENT, data)
-    except wire.Refused as refused:
+    except wire.WireError as refused:
         return {"refused": str(refused)}
     return {
         "deployment": message.deployment,
@@ -210,12 +242,12 @@
     }
 
 
-def holds_of(value: Plain) -> replicas.Holds:
+def holds_of(value: Plain) -> replicas.HoldSet:
     """Nodes held out of service, each with the ``[name, boot, number]`` of its holds."""
-    return replicas.Holds(
-        clock={wire.Id(name=name, boot=boot): number for name, boot, number in value["known"]},
+    return replicas.HoldSet(
+        clock={wire.MemberId(name=name, boot=boot): number for name, boot, number in value["known"]},
         held={
-            node: frozenset((wire.Id(name=name, boot=boot), number) for name, boot, number in dots)
+            node: frozenset((wire.MemberId(name=name, boot=boot), number) for name, boot, number in dots)
             for node, dots in value["held"].items()
         },
     )
@@ -223,7 +255,7 @@
 
 def encode_holds(value: Plain) -> bytes:
     """The shared holds as they go along with a view."""
-    return Sharing(me=lambda: wire.Id(name="n0", boot=1), holds=holds_of(value)).dump()
+    return HoldReplication(me=lambda: wire.MemberId(name="n0", boot=1), holds=holds_of(value)).dump()
 
 
 def decode_holds(data: bytes) -> Plain:
@@ -244,10 +276,10 @@
 def encode_latest_words(value: Plain) -> bytes:
     """The latest word of each origin."""
     words = {
-        wire.Id(name=name, boot=boot): replicas.Word(number=number, value=text, at=at)
+        wire.MemberId(name=name, boot=boot): replicas.TimestampedValue(number=number, value=text, at=at)
         for name, boot, number, text, at in value
     }
-    return msgspec.msgpack.encode(replicas.Latest(words=words))
+    return msgspec.msgpack.encode(replicas.LatestValues(words=words))
 
 
 def decode_latest_words(data: bytes) -> Plain:
@@ -263,7 +295,7 @@
 
 def encode_highest_numbers(value: Plain) -> bytes:
     """The highest number of each key."""
-    return msgspec.msgpack.encode(replicas.Highest(numbers=value))
+    return msgspec.msgpack.encode(replicas.MaximumValues(numbers=value))
 
 
 def decode_highest_numbers(data: bytes) -> Plain:
@@ -274,20 +306,20 @@
         return {"refused": str(error)}
 
 
-def fleet_peers() -> FleetPeers:
+def fleet_peers() -> FleetSettings:
     """A front's part in a fleet, on an address that is never opened."""
     timing = {"period": 0.5, "answer": 0.15, "gossip": 0.1, "sync": 10.0, "departed": 1.0, "join": 1.0}
     address = Address(LOCAL, 7001)
-    return FleetPeers(
+    return FleetSettings(
         deployment=DEPLOYMENT, listen=address, advertise=address, seeds=[], boot=41, timing=timing
     )
 
 
 async def fleet_view(value: Plain) -> FleetView:
     """A front's view of its fleet after some datagrams, without sockets."""
-    view = FleetView(fleet_peers(), "n0", 2, 1, Faults(Figures()))
+    view = FleetView(fleet_peers(), "n0", 2, 1, Faults(Metrics()))
     view.members.step(100.0, [])
-    view.members.step(100.05, [Heard(unpack(one)) for one in value.get("datagrams", [])])
+    view.members.step(100.05, [DatagramReceived(unpack(one)) for one in value.get("datagrams", [])])
     for node in value.get("held", []):
         view.copies.hold(node)
     return view
@@ -308,8 +340,8 @@
 async def capture_view_exchange(value: Plain) -> Plain:
     """The answer to a peer's whole view: this front's own."""
     view = await fleet_view(value)
-    actions = view.members.step(100.1, [Asked(1, unpack(value["view"]))])
-    return [pack(action.data) for action in actions if isinstance(action, Reply)]
+    actions = view.members.step(100.1, [ExchangeRequested(1, unpack(value["view"]))])
+    return [pack(action.data) for action in actions if isinstance(action, ReplyExchange)]
 
 
 # Distribution
@@ -353,7 +385,7 @@
     """The fields of a poll, or why it is refused."""
     try:
         poll = records.decode_poll(DEPLOYMENT, data)
-    except wire.Refused as refused:
+    except wire.WireError as refused:
         return {"refused": str(refused)}
     return {
         "deployment": poll.deployment,
@@ -376,7 +408,7 @@
 }
 
 
-def part_of(value: Plain) -> records.Part:
+def part_of(value: Plain) -> records.LaneChanges:
     """One lane's part of a reply; absent fields have their defaults."""
     optional: dict[str, Any] = {}
     if "changes" in value:
@@ -386,7 +418,7 @@
     if "page" in value:
         optional["page"] = [entry_of(one) for one in value["page"]]
         optional["page_after"], optional["page_to"] = value["page range"]
-    return records.Part(first=value["first"], last=value["last"], floor=value["floor"], **optional)
+    return records.LaneChanges(first=value["first"], last=value["last"], floor=value["floor"], **optional)
 
 
 def encode_reply(value: Plain) -> bytes:
@@ -415,7 +447,7 @@
     """The fields of a reply, or why it is refused."""
     try:
         reply = records.decode_reply(DEPLOYMENT, data)
-    except wire.Refused as refused:
+    except wire.WireError as refused:
         return {"refused": str(refused)}
     return {
         "deployment": reply.deployment,
@@ -444,12 +476,12 @@
 def capture_contents(value: Plain) -> Plain:
     """What a front makes of distributed entries: settings over a base, and nodes."""
     entries = [entry_of(one) for one in value["entries"]]
-    settings = contents.Settings().with_entries(contents.settings_entries(entries))
+    settings = contents.DistributedSettings().with_entries(contents.settings_entries(entries))
     nodes, unreadable = contents.listed_nodes(entries)
     lanes = {records.Lane.NODES: "nodes", records.Lane.SETTINGS: "settings"}
     try:
         merged: Plain = settings.merged(value["base"])
-    except contents.BadValue as error:
+    except contents.InvalidValueError as error:
         merged = {"refused": str(error)}
     return {
         "settings": merged,
@@ -470,7 +502,7 @@
 
 def capture_answer_to_poll(value: Plain) -> Plain:
     """A relay's answer to a poll, from a store with these entries: each lane has its place in both."""
-    store = Store(value["epoch"])
+    store = ChangeStore(value["epoch"])
     for one in value["entries"]:
         store.lanes[contents.lane_of(one[0])].put(0.0, entry_of(one))
     poll = records.decode_poll(DEPLOYMENT, unpack(value["poll"]))
@@ -499,7 +531,7 @@
     again.feed_data(sent)
     try:
         read: Plain = pack(await read_message(again, value["most"]))
-    except MessageTooLong as error:
+    except MessageTooLongError as error:
         read = {"refused": str(error)}
     return {"written": pack(sent), "read": read}
 
@@ -523,7 +555,7 @@
     """The fields of an advertisement, or why it is none."""
     try:
         message = vrrp.decode(data)
-    except vrrp.BadAdvertisement as error:
+    except vrrp.AdvertisementError as error:
         return {"refused": str(error)}
     return {
         "router": message.router,
@@ -700,57 +732,70 @@
     """The fields of a packet that comes with its length, or why it is none."""
     try:
         return plain_sftp_packet(sftp.decode(data[4:]))
-    except sftp.BadPacket as error:
+    except sftp.PacketError as error:
         return {"refused": str(error), "id": error.request}
 
 
 # HTTP
 
 
-def all_settings() -> api.Settings:
+def all_settings() -> SchedulerSettings:
     """Settings with a value in every field."""
-    safety = api.Safety(
-        cold_from=0.2,
-        ramp=10.0,
-        tip_multiple=2.0,
-        tip_after=1.0,
-        ask_every=0.5,
-        key_rest=0.1,
-        extra_free=2.0,
-        extra_ratio=0.1,
-        extra_window=10.0,
+    safety = SafetyLimits(
+        slow_start_initial_fraction=0.2,
+        slow_start_duration=10.0,
+        overload_multiple=2.0,
+        overload_after=1.0,
+        poll_interval=0.5,
+        ordering_pause=0.1,
+        retry_budget_minimum=2.0,
+        retry_budget_ratio=0.1,
+        retry_budget_window=10.0,
     )
     kinds = [
-        (api.Repeat.FREE, api.Scope.ALL, False),
-        (api.Repeat.ONCE, api.Scope.ALL, False),
-        (api.Repeat.KEYED, api.Scope.ALL, True),
+        (Idempotency.IDEMPOTENT, IdempotencyScope.ALL, False),
+        (Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL, False),
+        (Idempotency.KEYED, IdempotencyScope.ALL, True),
     ]
     classes = [
-        api.ClassSpec(
-            aim=0.5, worth=2.0, late_share=0.2, repeat=repeat, scope=scope, memory=5.0, ordered=ordered
+        RequestClass(
+            latency_objective=0.5,
+            priority_weight=2.0,
+            late_value=0.2,
+            idempotency=repeat,
+            idempotency_scope=scope,
+            idempotency_window=5.0,
+            ordered=ordered,
         )
         for repeat, scope, ordered in kinds
     ]
-    plan = api.PlanSpec(worth=1.0, rate=80.0, reserve=80.0, weight=1.0, limit=0.0, limit_burst=0.0)
-    return api.Settings(
+    plan = VolumePlan(
+        priority_weight=1.0,
+        base_rate=80.0,
+        reserved_rate=80.0,
+        fair_share_weight=1.0,
+        rate_limit=0.0,
+        rate_limit_burst=0.0,
+    )
+    return SchedulerSettings(
         classes=classes,
         plans=[plan],
         safety=safety,
         seed=1,
-        hosts=1,
-        must_watch=False,
+        front_count=1,
+        watches_endpoints=False,
         max_attempts=4,
-        cancel=True,
-        cold_units=8.0,
-        largest=6.0,
-        mean=2.0,
-        within_share=0.3,
-        tells_others=True,
-        quiet_since=12.0,
-        limit_share=0.5,
-        taken_over=True,
-        retry_after=5.0,
-        probes=True,
+        can_cancel=True,
+        slow_start_units=8.0,
+        max_request_units=6.0,
+        mean_request_units=2.0,
+        unreserved_value=0.3,
+        reports_usage_by_others=True,
+        idle_since=12.0,
+        initial_quota_share=0.5,
+        replaces_process=True,
+        max_retry_after=5.0,
+        load_by_probes=True,
     )
 
 
@@ -762,7 +807,7 @@
         discovery=Address(LOCAL, 1),
         file_discovery=Address(LOCAL, 1),
         seed=1,
-        shares=Shares.of(1024, False),
+        shares=SocketBudget.of(1024, False),
         known={},
         settings=all_settings(),
         classes={"tile-read": 0, "record-write": 1, "keyed-write": 2},
@@ -784,8 +829,8 @@
     body = [unpack(one) for one in value.get("body", [])]
     try:
         request = messages.decode_ask(front_config(), value["method"], value["target"], headers, body)
-    except messages.BadMessage as error:
-        return {"refused": str(error), "for its key": isinstance(error, messages.BadKey)}
+    except messages.MessageError as error:
+        return {"refused": str(error), "for its key": isinstance(error, messages.IdempotencyKeyError)}
     return {
         "trace": request.trace,
         "method": request.method,
@@ -805,7 +850,7 @@
 
 def encode_node_request(value: Plain) -> bytes:
     """An attempt as it is written to a node."""
-    request = messages.Ask(
+    request = messages.ClientRequest(
         trace=value["trace"],
         method=value["method"],
         target=value["target"],
@@ -830,9 +875,9 @@
 
 
 OUTCOMES = {
-    api.Outcome.SERVED: "served",
-    api.Outcome.ERROR: "failed",
-    api.Outcome.FULL: "never ran",
+    AttemptOutcome.SERVED: "served",
+    AttemptOutcome.ERROR: "failed",
+    AttemptOutcome.QUEUE_FULL: "never ran",
 }
 
 
@@ -848,7 +893,7 @@
                 rest.append(pack(reader.more(unpack(piece))))
         if answer is None and value.get("closed"):
             answer = reader.at_close()
-    except messages.SpoiltAnswer as error:
+    except messages.MalformedAnswerError as error:
         return {"spoilt": str(error)}
     if answer is None:
         return {"more is to come": True}
@@ -873,14 +918,14 @@
 
     fates: list[Plain]
 
-    async def serve(self, arrival: api.Arrival, attempt: Callable[..., Awaitable[Any]]) -> Any:
+    async def serve(self, arrival: RequestArrived, attempt: Callable[..., Awaitable[Any]]) -> Any:
         """``["refuse", seconds]``, ``["fail"]`` or ``["attempt"]``, which serves what the node answers."""
         fate = self.fates.pop(0)
         if fate[0] == "refuse":
-            return Refused(fate[1])
+            return Rejected(fate[1])
         if fate[0] == "attempt":
             ending = await attempt(1, lambda: True)
-            if ending.outcome is api.Outcome.SERVED:
+            if ending.outcome is AttemptOutcome.SERVED:
                 return Served(ending.value)
         return Failed()
 
@@ -892,7 +937,7 @@
         address=Address(LOCAL, port),
         zone="basement",
         cell=0,
-        state=api.NodeState.LIVE,
+        state=EndpointState.LIVE,
         started=0.0,
     )
 
@@ -981,9 +1026,9 @@
         config = front_config()
         core, directory = ScriptedCore(config.settings), Directory({"basement": 0})
         core.fates = list(value.get("fates", []))
-        directory.apply(Listing(version=1, whole=True, instances=[node_instance(port)]))
-        nodes, drain = Boxes(directory, PATIENCE, 30.0, 32), Drain()
-        front = Front(config, core, nodes, lambda: value.get("ready", True), drain)
+        directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
+        nodes, drain = BackendPools(directory, PATIENCE, 30.0, 32), FrontDrain()
+        front = HttpServer(config, core, nodes, lambda: value.get("ready", True), drain)
         if value.get("draining"):
             drain.start()
         front.listen()
@@ -1004,8 +1049,8 @@
     heard: list[bytes] = []
     async with scripted_node([value["node answer"]], heard) as port:
         directory = Directory({"basement": 0})
-        directory.apply(Listing(version=1, whole=True, instances=[node_instance(port)]))
-        nodes = Boxes(directory, PATIENCE, 30.0, 32)
+        directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
+        nodes = BackendPools(directory, PATIENCE, 30.0, 32)
         load = await nodes.probe(1, PATIENCE)
         nodes.close()
     return {"to nodes": [blank(one) for one in heard], "load": load}
@@ -1014,13 +1059,13 @@
 # Discovery
 
 NODE_STATES = {
-    api.NodeState.LIVE: "live",
-    api.NodeState.DRAINING: "draining",
-    api.NodeState.GONE: "gone",
+    EndpointState.LIVE: "live",
+    EndpointState.DRAINING: "draining",
+    EndpointState.REMOVED: "gone",
 }
 
 
-def plain_listing(listing: Listing) -> Plain:
+def plain_listing(listing: EndpointList) -> Plain:
     """Every field of a list."""
     return {
         "version": listing.version,
@@ -1044,20 +1089,20 @@
     both: list[Plain] = []
     try:
         both.append(plain_listing(decode_listing(data)))
-    except messages.BadMessage as error:
+    except messages.MessageError as error:
         both.append({"refused": str(error)})
     try:
         both.append(plain_listing(await decode_long_listing(data)))
-    except messages.BadMessage as error:
+    except messages.MessageError as error:
         both.append({"refused": str(error)})
     return {"in one go": both[0], "in parts": both[1]}
 
 
 LIST_KINDS = {
-    api.ListKind.CHANGES: "changes",
-    api.ListKind.FULL: "whole",
-    api.ListKind.OLD_COPY: "old copy",
-    api.ListKind.LOST: "lost",
+    UpdateKind.DELTA: "changes",
+    UpdateKind.SNAPSHOT: "whole",
+    UpdateKind.CACHED: "old copy",
+    UpdateKind.UNAVAILABLE: "lost",
 }
 
 
@@ -1074,10 +1119,11 @@
                 calls.append(one)
             writer.write(unpack(value["watch" if b"watch=" in call else "list"]))
 
-    def heard(event: api.Event) -> None:
-        assert isinstance(event, api.NodeList)
+    def heard(event: SchedulerEvent) -> None:
+        assert isinstance(event, EndpointUpdate)
         entries = [
-            [one.node, one.cell, one.zone, NODE_STATES[one.state], one.up_since] for one in event.entries
+            [one.node_id, one.shard, one.zone, NODE_STATES[one.state], one.started_at]
+            for one in event.endpoints
         ]
         events.append({"kind": LIST_KINDS[event.kind], "nodes": entries})
         if len(events) == value["events"]:
@@ -1099,9 +1145,9 @@
 # Administration
 
 
-def counted_figures() -> Figures:
+def counted_figures() -> Metrics:
     """Counters of which each has another value."""
-    figures = Figures()
+    figures = Metrics()
     for name, status, times in (
         ("tile-read", 200, 5),
         ("tile-read", 503, 3),
@@ -1133,9 +1179,11 @@
 
 def recovery_lines(value: Plain) -> list[str]:
     """``show-recovery`` of a start: at its begin, amid it, and at its end."""
-    recovery = Recovery(100.0, 105.0)
+    recovery = StagedStart(100.0, 105.0)
     if value["stage"] != "begin":
-        recovery.step(100.25, [Evidence(Stage.DISK, "nothing found"), Evidence(Stage.PEERS, "a peer")])
+        recovery.step(
+            100.25, [Evidence(StartStage.DISK, "nothing found"), Evidence(StartStage.PEERS, "a peer")]
+        )
     if value["stage"] == "end":
         recovery.step(101.5)
         recovery.step(106.0)
@@ -1152,7 +1200,7 @@
         lines = figures.lines(["tile-read", "record-write"], 6, 2)
         return [*lines, *(view.figures() if value["fleet"] else []), *config_status().lines(100.0)]
 
-    commands = Commands(
+    commands = ControlCommands(
         ready=lambda: value.get("ready", True),
         figures=stat,
         disable=lambda name: name == "s-a",
@@ -1234,9 +1282,9 @@
     """What a front for files answers its client, where its node is at this port."""
     core, directory = ScriptedCore(all_settings()), Directory({"basement": 0})
     core.fates = list(value["fates"])
-    directory.apply(Listing(version=1, whole=True, instances=[node_instance(port)]))
-    nodes = FileBoxes(directory, 0, PATIENCE, 2 * PATIENCE, 32)
-    config = SftpFront(
+    directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
+    nodes = SftpBackends(directory, 0, PATIENCE, 2 * PATIENCE, 32)
+    config = SftpSettings(
         listen=Address(LOCAL, 0),
         volumes=[VolumePath("/plats", 7, 0, 0, 1)],
         read_class=0,
@@ -1248,7 +1296,7 @@
         idle=PATIENCE,
         deadline=PATIENCE,
     )
-    front = FileFront(config, core, nodes, 32)
+    front = SftpServer(config, core, nodes, 32)
     await front.open()
     assert front.listener
     reader, writer = await asyncio.open_connection(LOCAL, front.listener.sockets[0].getsockname()[1])
@@ -1270,71 +1318,72 @@
 
 def encode_simulator_step(value: Plain) -> bytes:
     """A step as the simulator is sent it."""
-    action: api.Action
+    action: SchedulerAction
     match value["step"]:
         case "send":
-            action = api.Send(request=value["request"], node=value["node"])
+            action = SendAttempt(request_id=value["request"], node_id=value["node"])
         case "refuse":
-            action = api.Refuse(request=value["request"], wait=value["seconds"])
+            action = Reject(request_id=value["request"], retry_after=value["seconds"])
         case "fail":
-            action = api.Fail(request=value["request"])
+            action = FailRequest(request_id=value["request"])
         case "cancel":
-            action = api.Cancel(request=value["request"], attempt=value["attempt"])
+            action = CancelAttempt(request_id=value["request"], attempt=value["attempt"])
         case "timer":
-            action = api.Wake(after=value["seconds"], token=value["token"])
+            action = SetTimer(delay=value["seconds"], token=value["token"])
         case _:
-            action = api.Watch()
+            action = WatchEndpoints()
     return json.dumps(simhost.write_action(value["instance"], action)).encode()
 
 
-def plain_event(event: api.Event) -> Plain:
+def plain_event(event: SchedulerEvent) -> Plain:
     """Every field of an event of the simulator's."""
     match event:
-        case api.Arrival():
+        case RequestArrived():
             return {
                 "event": "request",
-                "request": event.request,
+                "request": event.request_id,
                 "class": event.class_index,
-                "plan": event.plan,
-                "volume": event.volume,
+                "plan": event.plan_index,
+                "volume": event.volume_id,
                 "item": event.item,
-                "shard": event.cell,
+                "shard": event.shard,
                 "units": event.units,
                 "deadline": event.deadline,
-                "hosts": event.hosts,
+                "hosts": event.front_count,
             }
-        case api.Ended():
+        case AttemptFinished():
             return {
                 "event": "end of an attempt",
-                "request": event.request,
+                "request": event.request_id,
                 "attempt": event.attempt,
-                "node": event.node,
+                "node": event.node_id,
                 "outcome": SIMULATED_OUTCOMES[event.outcome],
-                "seconds": event.spent,
+                "seconds": event.elapsed,
                 "settled": event.settled,
-                "served by other fronts": event.elsewhere,
+                "served by other fronts": event.units_by_others,
             }
-        case api.Woken():
+        case TimerFired():
             return {"event": "timer", "token": event.token}
-        case api.NodeList():
+        case EndpointUpdate():
             nodes = [
-                [one.node, one.cell, one.zone, NODE_STATES[one.state], one.up_since] for one in event.entries
+                [one.node_id, one.shard, one.zone, NODE_STATES[one.state], one.started_at]
+                for one in event.endpoints
             ]
             return {"event": "nodes", "kind": LIST_KINDS[event.kind], "nodes": nodes}
-        case api.Withdrawn():
-            return {"event": "client left", "request": event.request}
+        case ClientDisconnected():
+            return {"event": "client left", "request": event.request_id}
     raise TypeError(type(event))
 
 
 SIMULATED_OUTCOMES = {
-    api.Outcome.SERVED: "served",
-    api.Outcome.ERROR: "failed",
-    api.Outcome.FULL: "never ran",
-    api.Outcome.TIMEOUT: "out of time",
-    api.Outcome.NO_CONNECTION: "no connection",
-    api.Outcome.RESET: "connection broke",
-    api.Outcome.CANCELLED: "cancelled",
-    api.Outcome.NOT_SENT: "not sent",
+    AttemptOutcome.SERVED: "served",
+    AttemptOutcome.ERROR: "failed",
+    AttemptOutcome.QUEUE_FULL: "never ran",
+    AttemptOutcome.TIMEOUT: "out of time",
+    AttemptOutcome.CONNECTION_FAILED: "no connection",
+    AttemptOutcome.CONNECTION_RESET: "connection broke",
+    AttemptOutcome.CANCELLED: "cancelled",
+    AttemptOutcome.NOT_SENT: "not sent",
 }
 
 
@@ -1348,7 +1397,7 @@
     value = json.loads(data)
     try:
         event = simhost.read_event(value["type"], value, {0: [simhost.read_entry(one) for one in nodes]})
-    except simhost.Malformed as error:
+    except simhost.MalformedBatchError as error:
         return {"refused": str(error)}
     return plain_event(event)
 
@@ -1358,7 +1407,7 @@
     sink = io.StringIO()
     try:
         simhost.serve(io.StringIO("".join(f"{json.dumps(line)}\n" for line in value["lines"])), sink)
-    except simhost.Malformed as error:
+    except simhost.MalformedBatchError as error:
         return {"sent": sink.getvalue(), "refused": str(error)}
     return {"sent": sink.getvalue()}
 
