--- /dev/null
+++ b/tests/recorded/control_adapter.py
@@ -0,0 +1,842 @@
+"""The only access of the control recordings to the project's types: plain values in, neutral forms out."""
+
+from __future__ import annotations
+
+import hashlib
+import json
+import random
+from collections.abc import Mapping, Sequence
+from pathlib import Path
+from typing import Any
+
+from cleatyoke import api
+from cleatyoke.bodies import Room, patience
+from cleatyoke.config import Address
+from cleatyoke.directory import Directory, Instance, Listing
+from cleatyoke.distribution import contents, folder
+from cleatyoke.distribution.records import (
+    FORM,
+    Entry,
+    Lane,
+    Part,
+    Poll,
+    Position,
+    Refusal,
+    Reply,
+    Version,
+    decode_poll,
+    decode_reply,
+    encode,
+)
+from cleatyoke.distribution.relay import BadChange, Relay, Server, Source
+from cleatyoke.distribution.status import Status
+from cleatyoke.distribution.store import LaneStore
+from cleatyoke.distribution.subscriber import (
+    Answered,
+    Complete,
+    Deliver,
+    Moved,
+    Restarted,
+    SendPoll,
+    Subscriber,
+    Timing,
+)
+from cleatyoke.fleet.wire import Refused
+from cleatyoke.lifecycle import Lifecycle, Notice, Order, Stage
+from cleatyoke.lifecycle import Status as ExitStatus
+from cleatyoke.maintenance import Drain, Holds
+from cleatyoke.recovery import Pace
+from cleatyoke.retune import Places, follow_settings, follow_writes, missing, shape
+from cleatyoke.vrrp import Advertisement, BadAdvertisement, Router, State
+from cleatyoke.vrrp import decode as decode_advertisement
+from cleatyoke.vrrp import encode as encode_advertisement
+
+Neutral = Any  # None, bool, int, str, or a list of these
+LANES = {"nodes": Lane.NODES, "settings": Lane.SETTINGS}
+LANE_WORDS = {lane: word for word, lane in LANES.items()}
+REFUSALS = {
+    "": Refusal.NONE,
+    "full": Refusal.FULL,
+    "not ready": Refusal.NOT_READY,
+    "older epoch": Refusal.OLDER,
+    "behind": Refusal.BEHIND,
+}
+REFUSAL_WORDS = {refusal: word for word, refusal in REFUSALS.items()}
+
+
+def number(value: float) -> str:
+    """A float at full precision."""
+    return repr(float(value))
+
+
+def digest(data: bytes) -> str:
+    """Bytes as their sha256."""
+    return hashlib.sha256(data).hexdigest()
+
+
+def value_word(value: bytes | None) -> Neutral:
+    """A value as hex where it is short, else as its digest."""
+    if value is None:
+        return None
+    return value.hex() if len(value) <= 48 else f"{len(value)}:{digest(value)}"
+
+
+def entry_word(entry: Entry) -> Neutral:
+    """A key, its version and its value."""
+    return [entry.key, entry.version.epoch, entry.version.number, value_word(entry.value)]
+
+
+def fault_text(text: str) -> str:
+    """An error's text without what Python's JSON reader says, as that differs between its versions."""
+    head, mark, _ = text.partition("no JSON")
+    return head + mark
+
+
+def make_entry(key: str, epoch: int, count: int, value: bytes | None) -> Entry:
+    """An entry of plain values."""
+    return Entry(key=key, version=Version(epoch=epoch, number=count), value=value)
+
+
+# Distribution
+
+
+def reply_word(deployment: str, data: bytes) -> Neutral:
+    """The fields of an encoded reply, or why it is refused."""
+    try:
+        reply = decode_reply(deployment, data)
+    except Refused as refused:
+        return ["refused", str(refused)]
+    parts = [
+        [
+            part.first,
+            part.last,
+            part.floor,
+            [entry_word(entry) for entry in part.changes],
+            part.restart,
+            part.page_after,
+            part.page_to,
+            [entry_word(entry) for entry in part.page],
+        ]
+        for part in reply.parts
+    ]
+    head = [reply.number, reply.source, reply.epoch, number(reply.age), REFUSAL_WORDS[reply.refusal]]
+    return [*head, reply.more, parts]
+
+
+def poll_word(deployment: str, data: bytes) -> Neutral:
+    """The fields of an encoded poll, or why it is refused."""
+    try:
+        poll = decode_poll(deployment, data)
+    except Refused as refused:
+        return ["refused", str(refused)]
+    positions = [[position.number, position.after] for position in poll.positions]
+    return [poll.subscriber, poll.number, poll.epoch, positions, poll.most, poll.removals]
+
+
+def poll_bytes(
+    deployment: str,
+    form: int,
+    subscriber: str,
+    count: int,
+    epoch: int,
+    positions: Sequence[tuple[int, str | None]],
+    most: int,
+    removals: bool,
+) -> bytes:
+    """An encoded poll."""
+    poll = Poll(
+        deployment=deployment,
+        form=FORM + form,
+        subscriber=subscriber,
+        number=count,
+        epoch=epoch,
+        positions=[Position(number=known, after=after) for known, after in positions],
+        most=most,
+        removals=removals,
+    )
+    return encode(poll)
+
+
+def reply_bytes(
+    deployment: str,
+    form: int,
+    count: int,
+    source: str,
+    epoch: int,
+    age: float,
+    refusal: str,
+    parts: Sequence[Mapping[str, Any]],
+    more: bool,
+) -> bytes:
+    """An encoded reply; ``form`` is added to the usual one."""
+    made = [
+        Part(
+            first=part["first"],
+            last=part["last"],
+            floor=part["floor"],
+            changes=[make_entry(*one) for one in part["changes"]],
+            restart=part["restart"],
+            page_after=part["page_after"],
+            page_to=part["page_to"],
+            page=[make_entry(*one) for one in part["page"]],
+        )
+        for part in parts
+    ]
+    reply = Reply(
+        deployment=deployment,
+        form=FORM + form,
+        number=count,
+        source=source,
+        epoch=epoch,
+        age=age,
+        refusal=REFUSALS[refusal],
+        parts=made,
+        more=more,
+    )
+    return encode(reply)
+
+
+def action_word(action: Any) -> Neutral:
+    """An output of a subscriber or relay."""
+    match action:
+        case SendPoll():
+            return ["poll", action.relay, action.number, action.data.hex()]
+        case Restarted():
+            return ["anew", LANE_WORDS[action.lane], action.epoch]
+        case Deliver():
+            return ["entries", LANE_WORDS[action.lane], [entry_word(entry) for entry in action.entries]]
+        case Complete():
+            return ["whole", LANE_WORDS[action.lane], action.number, action.floor]
+        case Moved():
+            return ["other relay", action.relay, action.why]
+    raise TypeError(f"unknown output {action}")
+
+
+def make_timing(values: Mapping[str, float]) -> Timing:
+    """Timing with the defaults for what is not given."""
+    plain = Timing()
+    return Timing(
+        poll=values.get("poll", plain.poll),
+        answer=values.get("answer", plain.answer),
+        jitter=values.get("jitter", plain.jitter),
+        rate=values.get("rate", plain.rate),
+        burst=values.get("burst", plain.burst),
+        home=values.get("home", plain.home),
+        again=plain.again,
+        avoid=plain.avoid,
+        spread=plain.spread,
+        spread_most=plain.spread_most,
+        exchange=plain.exchange,
+    )
+
+
+class Sender:
+    """Sends polls: a subscriber, or a relay by its own subscription."""
+
+    def __init__(self, machine: Subscriber | Relay, subscriber: Subscriber) -> None:
+        self.machine, self.subscriber = machine, subscriber
+
+    def step(self, now: float, answers: Sequence[tuple[int, bytes | None]]) -> list[Neutral]:
+        """One step; its outputs."""
+        events = [Answered(number=count, data=data) for count, data in answers]
+        return [action_word(action) for action in self.machine.step(now, events)]
+
+    def due(self) -> float:
+        """When the next step is due."""
+        return self.machine.due()
+
+    def summary(self, now: float) -> Neutral:
+        """Age, counts and position."""
+        known = self.subscriber
+        lanes = [[lane.position.number, lane.position.after, lane.floor] for lane in known.lanes.values()]
+        turned = [[why, count] for why, count in sorted(known.refused.items())]
+        return [number(known.age(now)), known.source, known.epoch, known.polls, known.bytes, lanes, turned]
+
+
+class PlainSubscriber(Sender):
+    """A subscriber and the status that is shown of it."""
+
+    def __init__(
+        self,
+        deployment: str,
+        name: str,
+        tiers: Sequence[Sequence[str]],
+        seed: int,
+        timing: Mapping[str, float],
+        whole: bool = False,
+    ) -> None:
+        made = Subscriber(
+            deployment=deployment,
+            name=name,
+            tiers=tiers,
+            rng=random.Random(seed),
+            timing=make_timing(timing),
+            whole=whole,
+        )
+        super().__init__(made, made)
+        self.status = Status(subscriber=made)
+
+    def took(self, epoch: int, count: int, keys: Sequence[str]) -> None:
+        """These keys are in force."""
+        self.status.took(version=Version(epoch=epoch, number=count), keys=keys)
+
+    def turned_down(self, key: str, epoch: int, count: int, why: str) -> None:
+        """This change is not valid."""
+        self.status.turned_down(key=key, version=Version(epoch=epoch, number=count), why=why)
+
+    def shown(self, now: float) -> Neutral:
+        """The lines and figures that operators see, and whether the age crossed its bound."""
+        old = self.status.became_old(now)
+        figures = [[name, number(value)] for name, value in sorted(self.status.gauges(now).items())]
+        return [old, self.status.lines(now), figures]
+
+
+class Answering:
+    """Answers polls: a source or a relay."""
+
+    def __init__(self, server: Server) -> None:
+        self.server = server
+
+    def answer(self, now: float, data: bytes) -> bytes | None:
+        """The reply's bytes."""
+        return self.server.answer(now, data)
+
+    def counts(self) -> Neutral:
+        """Bytes sent and messages that were refused."""
+        turned = [[why, count] for why, count in sorted(self.server.refused.items())]
+        return [self.server.bytes_out, turned]
+
+
+class PlainSource(Answering):
+    """A source."""
+
+    def __init__(self, deployment: str, name: str, epoch: int, most: int | None) -> None:
+        if most is None:
+            self.source = Source(deployment=deployment, name=name, epoch=epoch)
+        else:
+            self.source = Source(deployment=deployment, name=name, epoch=epoch, most_subscribers=most)
+        super().__init__(self.source)
+
+    def put(self, now: float, lane: str, key: str, value: bytes | None) -> Neutral:
+        """A change's version, or why it is not taken."""
+        try:
+            version = self.source.put(now, LANES[lane], key, value)
+        except BadChange as error:
+            return ["bad", str(error)]
+        return [version.epoch, version.number]
+
+
+class PlainRelay(Answering, Sender):
+    """A relay."""
+
+    def __init__(
+        self, deployment: str, name: str, upstream: Sequence[Sequence[str]], seed: int, most: int | None
+    ) -> None:
+        rng = random.Random(seed)
+        if most is None:
+            made = Relay(deployment=deployment, name=name, upstream=upstream, rng=rng)
+        else:
+            made = Relay(deployment=deployment, name=name, upstream=upstream, rng=rng, most_subscribers=most)
+        Answering.__init__(self, made)
+        Sender.__init__(self, made, made.subscriber)
+        self.relay = made
+
+    def served(self, now: float) -> Neutral:
+        """Age and content of the copy that is served."""
+        store = self.relay.store
+        if store is None:
+            return [number(self.relay.age(now)), None]
+        lanes = [
+            [lane.last, lane.floor, [entry_word(lane.entries[key]) for key in lane.keys]]
+            for lane in store.lanes.values()
+        ]
+        return [number(self.relay.age(now)), store.epoch, lanes]
+
+
+class PlainStore:
+    """The entries of one lane."""
+
+    def __init__(self) -> None:
+        self.store = LaneStore()
+
+    def put(self, now: float, key: str, epoch: int, count: int, value: bytes | None) -> bool:
+        """Whether the entry was newer."""
+        return self.store.put(now, make_entry(key, epoch, count, value))
+
+    def load(
+        self, now: float, entries: Sequence[tuple[str, int, int, bytes | None]], last: int, floor: int
+    ) -> None:
+        """Take a whole copy."""
+        self.store.load(now, [make_entry(*one) for one in entries], last=last, floor=floor)
+
+    def changes(self, since: int, most: int) -> Neutral:
+        """What is newer, and up to which number."""
+        found, last = self.store.changes(since, most)
+        return [[entry_word(one) for one in found], last]
+
+    def page(self, after: str, most: int, removals: bool) -> Neutral:
+        """A page of keys, and up to which key."""
+        found, end = self.store.page(after, most, removals)
+        return [[entry_word(one) for one in found], end]
+
+    def state(self) -> Neutral:
+        """Bounds and size."""
+        return [self.store.last, self.store.floor, len(self.store.entries), len(self.store.keys)]
+
+
+def settings_word(
+    base: dict[str, Any], batches: Sequence[Sequence[tuple[str, int, int, bytes | None]]]
+) -> list[Neutral]:
+    """For each batch of entries: the merged settings or their fault, the version, and the listed nodes."""
+    held, out = contents.Settings(), []
+    for batch in batches:
+        made = [make_entry(*one) for one in batch]
+        ours = contents.settings_entries(made)
+        held = held.with_entries(ours)
+        try:
+            merged: Neutral = json.dumps(held.merged(base), sort_keys=True)
+        except contents.BadValue as error:
+            merged = ["bad", fault_text(str(error))]
+        nodes, bad = contents.listed_nodes(made)
+        lanes = [LANE_WORDS[contents.lane_of(one.key)] for one in made]
+        version = [held.version.epoch, held.version.number]
+        out.append(
+            [[one.key for one in ours], version, merged, json.dumps(nodes, sort_keys=True), bad, lanes]
+        )
+    return out
+
+
+class PlainFolder:
+    """A source's folder."""
+
+    def __init__(self, path: Path) -> None:
+        self.folder = folder.Folder(path)
+
+    def look(self) -> Neutral:
+        """Changes since the last look, and faults."""
+        found = self.folder.look()
+        changes = [[key, value_word(value)] for key, value in sorted(found.changes.items())]
+        return [changes, [fault_text(text) for text in found.bad]]
+
+
+def next_epoch(path: Path, unix: float) -> Neutral:
+    """The next epoch of a file, or why it can't be used."""
+    try:
+        return folder.next_epoch(path, unix)
+    except folder.BadEpoch as error:
+        return ["bad", str(error).removeprefix(str(path))]
+
+
+# VRRP
+
+VRRP_STATES = {State.INITIALIZE: "initialize", State.BACKUP: "backup", State.MASTER: "master"}
+
+
+def advertisement_bytes(router: int, priority: int, interval: float, addresses: Sequence[str]) -> bytes:
+    """An encoded advertisement."""
+    said = Advertisement(router=router, priority=priority, interval=interval, addresses=tuple(addresses))
+    return encode_advertisement(said)
+
+
+def advertisement_word(data: bytes) -> Neutral:
+    """The fields of an advertisement, or why it is refused."""
+    try:
+        heard = decode_advertisement(data)
+    except BadAdvertisement as error:
+        return ["bad", str(error)]
+    return [heard.router, heard.priority, number(heard.interval), list(heard.addresses)]
+
+
+class PlainRouter:
+    """A virtual router's state machine."""
+
+    def __init__(self, priority: int, interval: float, preempt: bool, address: str) -> None:
+        self.router = Router(priority=priority, interval=interval, preempt=preempt, address=address)
+
+    def startup(self, now: float) -> list[int]:
+        """Priorities to advertise."""
+        return self.router.startup(now)
+
+    def shutdown(self) -> list[int]:
+        """Priorities to advertise."""
+        return self.router.shutdown()
+
+    def timer(self, now: float) -> list[int]:
+        """Priorities to advertise."""
+        return self.router.timer(now)
+
+    def received(self, data: bytes, source: str, now: float) -> list[int]:
+        """Priorities to advertise after a message."""
+        try:
+            heard = decode_advertisement(data)
+        except BadAdvertisement:
+            return []
+        return self.router.received(heard, source, now)
+
+    def due(self) -> float:
+        """When the timer is due."""
+        return self.router.due
+
+    def state(self) -> Neutral:
+        """State, due time, and the intervals that follow from it."""
+        router = self.router
+        times = [router.due, router.master_interval, router.skew, router.master_down]
+        return [VRRP_STATES[router.state], *(number(value) for value in times)]
+
+
+# Lifecycle
+
+STAGES = {
+    Stage.STARTING: "starting",
+    Stage.SERVING: "serving",
+    Stage.ACCEPTING: "leaving, accepts",
+    Stage.DRAINING: "leaving, answers",
+    Stage.CLOSING: "closing",
+    Stage.ENDED: "ended",
+}
+ORDERS = {
+    Order.CLOSE_FILES: "end file front",
+    Order.STOP_ACCEPTING: "end accepting",
+    Order.ABANDON: "give up open ones",
+    Order.RELEASE: "give back",
+}
+EXITS = {ExitStatus.LEFT: 0, ExitStatus.FAULT: 1, ExitStatus.START: 2}
+
+
+def make_notice(seconds: float, aims: Sequence[float]) -> Notice:
+    """The times after SIGTERM."""
+    return Notice.of(seconds, aims)
+
+
+class PlainLife:
+    """The life of the process."""
+
+    def __init__(self, seconds: float, aims: Sequence[float]) -> None:
+        self.life = Lifecycle(notice=make_notice(seconds, aims))
+
+    def serves(self) -> None:
+        """The start is over."""
+        self.life.serves()
+
+    def signal(self, now: float) -> bool:
+        """SIGTERM came."""
+        return self.life.asked(now)
+
+    def retime(self, seconds: float, aims: Sequence[float]) -> None:
+        """Settings changed."""
+        self.life.retime(make_notice(seconds, aims))
+
+    def step(self, now: float, connections: int, files: int) -> Neutral:
+        """What is to be done."""
+        return [ORDERS[order] for order in self.life.step(now, connections, files)]
+
+    def released(self) -> None:
+        """Everything is given back."""
+        self.life.released()
+
+    def next_at(self) -> float:
+        """When a step is due."""
+        return self.life.next_at()
+
+    def state(self) -> Neutral:
+        """Stage, exit status, and times."""
+        life, notice = self.life, self.life.notice
+        assert int(life.status.value) == EXITS[life.status]
+        times = [life.next_at(), life.last_answer(), notice.files, notice.accept, notice.last]
+        return [STAGES[life.stage], EXITS[life.status], *(number(value) for value in times)]
+
+
+# Backoff
+
+
+class PlainBackoff:
+    """Waits before calls to a shared service."""
+
+    def __init__(self, seed: int, hosts: float, each: float, most: int, least: float, period: float) -> None:
+        rng = random.Random(seed)
+        self.pace = Pace(rng=rng, hosts=hosts, each=each, most=most, least=least, period=period)
+
+    def failed(self, spent: float | None) -> str:
+        """The wait after a failure."""
+        return number(self.pace.failed() if spent is None else self.pace.failed(spent=spent))
+
+    def ended(self, within: float | None) -> str:
+        """The wait after an answer that came ended."""
+        return number(self.pace.broke() if within is None else self.pace.broke(within=within))
+
+
+# Settings that change
+
+REPEATS = {"free": api.Repeat.FREE, "keyed": api.Repeat.KEYED, "once": api.Repeat.ONCE}
+REPEAT_WORDS = {repeat: word for word, repeat in REPEATS.items()}
+SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
+SCOPE_WORDS = {scope: word for word, scope in SCOPES.items()}
+
+
+def make_settings(plain: Mapping[str, Any]) -> api.Settings:
+    """Settings of plain values."""
+    classes = [
+        api.ClassSpec(
+            aim=aim,
+            worth=weight,
+            late_share=late,
+            repeat=REPEATS[repeat],
+            scope=SCOPES[scope],
+            memory=memory,
+            ordered=ordered,
+        )
+        for aim, weight, late, repeat, scope, memory, ordered in plain["classes"]
+    ]
+    plans = [
+        api.PlanSpec(
+            worth=weight,
+            rate=rate,
+            reserve=reserve,
+            weight=share,
+            limit=limit,
+            limit_burst=burst,
+            limit_slack=slack,
+        )
+        for weight, rate, reserve, share, limit, burst, slack in plain["plans"]
+    ]
+    safety = api.Safety(
+        cold_from=plain["cold_from"],
+        ramp=plain["ramp"],
+        tip_multiple=2.0,
+        tip_after=0.5,
+        ask_every=None,
+        key_rest=3.0,
+        extra_free=None,
+        extra_ratio=0.1,
+        extra_window=10.0,
+    )
+    return api.Settings(
+        classes=classes,
+        plans=plans,
+        safety=safety,
+        seed=plain["seed"],
+        hosts=plain["hosts"],
+        must_watch=plain["must_watch"],
+        max_attempts=plain["max_attempts"],
+        cancel=plain["cancel"],
+        cold_units=plain["cold_units"],
+        largest=plain["largest"],
+        mean=plain["mean"],
+        within_share=plain["within_share"],
+        tells_others=plain["tells_others"],
+        quiet_since=plain["quiet_since"],
+        limit_share=plain["limit_share"],
+        taken_over=plain["taken_over"],
+        retry_after=plain["retry_after"],
+        probes=plain["probes"],
+    )
+
+
+def settings_form(one: api.Settings) -> Neutral:
+    """Settings as lists."""
+    classes = [
+        [
+            number(kind.aim),
+            number(kind.worth),
+            number(kind.late_share),
+            REPEAT_WORDS[kind.repeat],
+            SCOPE_WORDS[kind.scope],
+            number(kind.memory),
+            kind.ordered,
+        ]
+        for kind in one.classes
+    ]
+    plans = [
+        [
+            number(plan.worth),
+            number(plan.rate),
+            number(plan.reserve),
+            number(plan.weight),
+            number(plan.limit),
+            number(plan.limit_burst),
+            number(plan.limit_slack),
+        ]
+        for plan in one.plans
+    ]
+    quiet = None if one.quiet_since is None else number(one.quiet_since)
+    counts = [one.seed, one.hosts, one.max_attempts]
+    flags = [one.must_watch, one.cancel, one.tells_others, one.taken_over, one.probes]
+    sizes = [one.cold_units, one.largest, one.mean, one.within_share, one.limit_share, one.retry_after]
+    safety = [one.safety.cold_from, one.safety.ramp]
+    floats = [number(value) for value in [*sizes, *safety]]
+    return [classes, plans, counts, flags, floats, quiet]
+
+
+class PlainRetune:
+    """Settings in force and the places of their names."""
+
+    def __init__(
+        self, plain: Mapping[str, Any], class_names: Sequence[str], plan_names: Sequence[str]
+    ) -> None:
+        self.settings = make_settings(plain)
+        self.classes, self.plans = Places.of(class_names), Places.of(plan_names)
+        self.writes: list[bool | None] = []
+
+    def change(
+        self,
+        plain: Mapping[str, Any],
+        class_names: Sequence[str],
+        plan_names: Sequence[str],
+        writes: Sequence[bool | None],
+    ) -> Neutral:
+        """New settings; what holds from now on."""
+        had = self.classes.live
+        self.classes, self.plans = self.classes.follow(class_names), self.plans.follow(plan_names)
+        self.settings = follow_settings(
+            old=self.settings,
+            new=make_settings(plain),
+            classes=self.classes,
+            class_names=class_names,
+            plans=self.plans,
+            plan_names=plan_names,
+        )
+        self.writes = follow_writes(old=self.writes, had=had, classes=self.classes, new=writes)
+        places = [[name, place] for name, place in self.classes.live.items()]
+        plans = [[name, place] for name, place in self.plans.live.items()]
+        gone = [sorted(self.classes.retired()), sorted(self.plans.retired())]
+        return [settings_form(self.settings), list(self.writes), places, plans, gone]
+
+
+def shape_word(value: Any) -> Neutral:
+    """The paths of a file's keys, in order."""
+    return sorted(shape(value))
+
+
+def missing_word(old: Any, new: Any) -> Neutral:
+    """The first key that the new file lacks."""
+    return missing(shape(old), shape(new))
+
+
+# Directory and holds
+
+NODE_STATES = {
+    "live": api.NodeState.LIVE,
+    "draining": api.NodeState.DRAINING,
+    "gone": api.NodeState.GONE,
+}
+NODE_STATE_WORDS = {state: word for word, state in NODE_STATES.items()}
+
+
+class PlainDirectory:
+    """Which nodes there are."""
+
+    def __init__(self, zones: Mapping[str, int]) -> None:
+        self.directory = Directory(zones=dict(zones))
+        self.heard: list[int] = []
+        self.directory.watchers.append(self.heard.append)
+
+    def entries(self, found: Sequence[api.NodeEntry]) -> Neutral:
+        """Node events, and who was reported as changed meanwhile."""
+        made = [
+            [one.node, one.cell, one.zone, NODE_STATE_WORDS[one.state], number(one.up_since)] for one in found
+        ]
+        heard = list(self.heard)
+        self.heard.clear()
+        return [made, heard]
+
+    def apply(
+        self, version: int, whole: bool, rows: Sequence[tuple[str, str, int, str, int, str, float]]
+    ) -> Neutral:
+        """A list, or changes; the node events."""
+        instances = [
+            Instance(
+                name=name,
+                address=Address(host=host, port=port),
+                zone=zone,
+                cell=cell,
+                state=NODE_STATES[state],
+                started=started,
+            )
+            for name, host, port, zone, cell, state, started in rows
+        ]
+        listing = Listing(version=version, whole=whole, instances=instances)
+        return self.entries(self.directory.apply(listing))
+
+    def hold(self, name: str) -> Neutral:
+        """Hold a node by hand."""
+        done = self.directory.holds.disable(name, self.directory.knows(name))
+        return [done, *self.entries(self.directory.changed([name]))]
+
+    def release(self, name: str, now: float) -> Neutral:
+        """Release a node."""
+        done = self.directory.holds.enable(name, self.directory.knows(name), now)
+        return [done, *self.entries(self.directory.changed([name]))]
+
+    def seen(self, names: Sequence[str]) -> Neutral:
+        """What is known of these names."""
+        directory, out = self.directory, []
+        for name in names:
+            box = directory.latest(name)
+            node = directory.numbers.get(name)
+            where = None if box is None else [str(box.address), box.zone, NODE_STATE_WORDS[box.state]]
+            served = node is not None and directory.serves(node)
+            out.append([name, directory.knows(name), node, served, where])
+        return [directory.version, directory.down(), [[*zone] for zone in directory.zones.items()], out]
+
+
+class PlainHolds:
+    """Nodes held by hand, and a front that drains."""
+
+    def __init__(self) -> None:
+        self.holds, self.front = Holds(), Drain()
+
+    def hold(self, name: str, known: bool) -> bool:
+        """Whether the call succeeds."""
+        return self.holds.disable(name, known)
+
+    def release(self, name: str, known: bool, now: float) -> bool:
+        """Whether the call succeeds."""
+        return self.holds.enable(name, known, now)
+
+    def adopt(self, text: str, now: float) -> Neutral:
+        """Take the holds of another process."""
+        taken, freed = self.holds.adopt(text, now)
+        return [taken, freed]
+
+    def encode(self) -> str:
+        """The file's text."""
+        return self.holds.encode()
+
+    def state(self, names: Sequence[str], started: float) -> Neutral:
+        """Of each name: whether it is held, and when it counts as started."""
+        return [[self.holds.holds(name), number(self.holds.started(name, started))] for name in names]
+
+    def drain(self, begins: bool) -> Neutral:
+        """Drain or resume; what is said when ready and when not."""
+        if begins:
+            self.front.start()
+        else:
+            self.front.resume()
+        return [self.front.says_up(True), self.front.says_up(False)]
+
+
+# Bodies
+
+
+class PlainRoom:
+    """The memory that bodies share."""
+
+    def __init__(self, total: int, most: int | None) -> None:
+        self.room = Room(total=total) if most is None else Room(total=total, most=most)
+
+    def take(self, body: str, size: int) -> bool:
+        """Whether the body may hold so many bytes."""
+        return self.room.take(body, size)
+
+    def leave(self, body: str) -> None:
+        """The body is over."""
+        self.room.leave(body)
+
+    def state(self) -> Neutral:
+        """What is held, and who waits."""
+        return [[[body, size] for body, size in self.room.held.items()], list(self.room.waiting)]
+
+
+def body_patience(size: int, grace: float | None) -> str:
+    """Seconds for so many bytes."""
+    return number(patience(size) if grace is None else patience(size, grace=grace))
