--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -771,9 +771,11 @@
         """What is known of these names."""
         directory, out = self.directory, []
         for name in names:
-            box = directory.latest(name)
+            latest = directory.latest(name)
             node = directory.numbers.get(name)
-            where = None if box is None else [str(box.address), box.zone, NODE_STATE_WORDS[box.state]]
+            where = (
+                None if latest is None else [str(latest.address), latest.zone, NODE_STATE_WORDS[latest.state]]
+            )
             served = node is not None and directory.serves(node)
             out.append([name, directory.knows(name), node, served, where])
         return [directory.version, directory.down(), [[*zone] for zone in directory.zones.items()], out]
--- a/tests/recorded/control_cases.py
+++ b/tests/recorded/control_cases.py
@@ -17,6 +17,7 @@
 from tests.recorded.control_adapter import Neutral, number
 
 DEPLOYMENT = "drawn"
+GRAIN = 64 * 1024  # bytes, so that sizes meet bounds exactly
 Log = list[Neutral]
 Case = Callable[[], Log]
 
@@ -67,10 +68,12 @@
             self.wake(0.0, name, [])
 
     def wake(self, when: float, name: str, answers: list[tuple[int, bytes | None]]) -> None:
+        """Let a machine step at a time, with what arrives then."""
         self.count += 1
         heapq.heappush(self.queue, (when, self.count, name, answers))
 
     def note(self, *words: Neutral) -> None:
+        """Add an entry to the log."""
         self.log.append([number(self.now), *words])
 
     def draw_value(self, key: str) -> bytes | None:
@@ -88,6 +91,7 @@
         return json.dumps(rng.choice([None, 1, 0.25, "é", {"x": [1, 2]}])).encode()
 
     def change(self, count: int) -> None:
+        """Make drawn changes at the source."""
         for _ in range(count):
             key = self.rng.choice(self.keys)
             lane = "nodes" if key.startswith("nodes/") else "settings"
@@ -151,6 +155,7 @@
         self.note("reply", relay, name, adapter.reply_word(DEPLOYMENT, reply))
 
     def damage(self, data: bytes) -> bytes:
+        """A message that is cut off or has a bit changed."""
         place = self.rng.randrange(len(data))
         return self.rng.choice([data[:place], data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :]])
 
@@ -196,6 +201,7 @@
                 subscriber.took(epoch, count, [key])
 
     def show(self) -> None:
+        """Note what each relay and subscriber knows and shows."""
         for name, relay in self.relays.items():
             self.note(name, "summary", relay.summary(self.now), relay.served(self.now), relay.counts())
         for name, subscriber in self.subscribers.items():
@@ -372,6 +378,91 @@
     return run
 
 
+def large_case(seed: int, nodes: int = 40, settings: int = 20, busy: bool = False) -> Case:
+    """Copies of many pages, through two relays, while keys in them change and the source starts anew.
+    ``busy``: many change at once, and some of the polls come after what is gone is forgotten."""
+
+    def run() -> Log:
+        rng, log, now, epoch = random.Random(seed), [], 0.0, 30
+        source = adapter.PlainSource(DEPLOYMENT, "source", epoch, None)
+        near = adapter.PlainRelay(DEPLOYMENT, "near", [["source"]], seed, None)
+        far = adapter.PlainRelay(DEPLOYMENT, "far", [["near"]], seed + 1, None)
+        servers: dict[str, adapter.Answering] = {"source": source, "near": near}
+        keys = [f"nodes/{place:02d}" for place in range(nodes)]
+        keys += [f"settings/{place}" for place in range(settings)]
+
+        def change(key: str, gone: float) -> None:
+            value = (
+                None if rng.random() < gone else bytes([rng.randrange(256)]) * rng.randrange(20_000, 60_000)
+            )
+            lane = "nodes" if key.startswith("nodes/") else "settings"
+            log.append([number(now), "change", key, source.put(now, lane, key, value)])
+
+        for key in keys:
+            change(key, 0.0)
+        for step in range(160):
+            if rng.random() < 0.4:
+                change(rng.choice(keys), 0.3)
+            if busy and rng.random() < 0.15:
+                for key in rng.choices(keys, k=20):
+                    change(key, 0.2)
+            if busy and step in (40, 90, 140):
+                for key in rng.choices(keys, k=6):
+                    change(key, 0.8)
+                now += 7300.0
+                for key in (keys[0], keys[-1]):
+                    change(key, 1.0)
+            if step in (60, 110):
+                epoch += 1
+                source = adapter.PlainSource(DEPLOYMENT, "source", epoch, None)
+                servers["source"] = source
+                for key in rng.sample(keys, min(50, len(keys))):
+                    change(key, 0.1)
+            name, relay = min([("near", near), ("far", far)], key=lambda one: one[1].due())
+            now = max(now, relay.due())
+            for action in relay.step(now, []):
+                log.append([number(now), name, action])
+                if action[0] != "poll":
+                    continue
+                data = servers[action[1]].answer(now, bytes.fromhex(action[3]))
+                log.append([number(now), "reply", adapter.reply_word(DEPLOYMENT, data or b"")])
+                now += rng.uniform(0.001, 0.1)
+                log.append([number(now), name, relay.step(now, [(action[2], data)])])
+                log.append([relay.summary(now), relay.served(now)])
+        return log
+
+    return run
+
+
+def late_page_case() -> Log:
+    """The last page of a copy is ahead of the changes that came with it; then a clock that is late."""
+    log: Log = []
+    source = adapter.PlainSource(DEPLOYMENT, "source", 30, None)
+    relay = adapter.PlainRelay(DEPLOYMENT, "relay", [["source"]], 1, None)
+    keys = [f"nodes/{place}" for place in range(9)]
+    for key in keys:
+        source.put(0.0, "nodes", key, bytes(60_000))
+    source.put(0.0, "nodes", "nodes/y", b"small")
+    source.put(0.0, "nodes", "nodes/z", b"small")
+    now = 0.0
+    for step in range(6):
+        now = max(now, relay.due())
+        for action in relay.step(now, []):
+            data = source.answer(now, bytes.fromhex(action[3])) if action[0] == "poll" else None
+            log.append([number(now), action, adapter.reply_word(DEPLOYMENT, data or b"")])
+            log.append([relay.step(now, [(action[2], data)]), relay.summary(now), relay.served(now)])
+        if step == 1:
+            source.put(now, "nodes", keys[-1], b"small")
+            for key in keys[:-1]:
+                source.put(now, "nodes", key, bytes(70_000))
+            source.put(now, "nodes", "nodes/z", b"new")
+    for late in (0.0, 0.5, 5.0):
+        log.append(
+            [number(late), adapter.reply_word(DEPLOYMENT, first_poll(relay, now - late, "front") or b"")]
+        )
+    return log
+
+
 def bounds_case() -> Log:
     """The bounds on messages: lengths, counts of entries, keys that are gone, subscribers of one relay."""
     log: Log = []
@@ -397,7 +488,7 @@
         server = adapter.PlainSource(DEPLOYMENT, name, 9, most)
         log.append(["most subscribers", most, fill_server(server)])
     relay = adapter.PlainRelay(DEPLOYMENT, "relay", [["source"]], 4, None)
-    log.append(["not ready", adapter.reply_word(DEPLOYMENT, ask(relay, 0.0, "front") or b"")])
+    log.append(["not ready", adapter.reply_word(DEPLOYMENT, first_poll(relay, 0.0, "front") or b"")])
     now = 0.0
     for _ in range(8):
         now = max(now, relay.due())
@@ -409,7 +500,7 @@
     return log
 
 
-def ask(server: adapter.Answering, now: float, name: str) -> bytes | None:
+def first_poll(server: adapter.Answering, now: float, name: str) -> bytes | None:
     """One poll of a subscriber that knows nothing."""
     positions: list[tuple[int, str | None]] = [(0, ""), (0, "")]
     return server.answer(now, adapter.poll_bytes(DEPLOYMENT, 0, name, 1, 0, positions, 300, False))
@@ -419,16 +510,16 @@
     """How many subscribers are taken, and after which time one more is."""
     refused = []
     for count in range(260):
-        word = adapter.reply_word(DEPLOYMENT, ask(server, 100.0, f"front{count}") or b"")
+        word = adapter.reply_word(DEPLOYMENT, first_poll(server, 100.0, f"front{count}") or b"")
         if word[4]:
             refused.append([count, word[4]])
     late = []
     for now in (114.5, 115.0, 115.25, 116.0):
-        late.append([number(now), adapter.reply_word(DEPLOYMENT, ask(server, now, "late") or b"")[4]])
+        late.append([number(now), adapter.reply_word(DEPLOYMENT, first_poll(server, now, "late") or b"")[4]])
     return [len(refused), refused[:1], late]
 
 
-def contents_case(seed: int) -> Case:
+def contents_case(seed: int, ordered: bool = True) -> Case:
     """Entries of settings and nodes, some of them no JSON, merged in batches."""
 
     def run() -> Log:
@@ -445,6 +536,8 @@
                 batch.append((key, 2, count, value))
             rng.shuffle(batch)
             batches.append(batch)
+        if not ordered:
+            rng.shuffle(batches)
         return adapter.settings_word({"a": 0, "base": True}, batches)
 
     return run
@@ -570,6 +663,21 @@
     return run
 
 
+def vrrp_reserved_case() -> Log:
+    """Advertisements with reserved bits set, and kinds of other versions, under a checksum that fits."""
+    log: Log = []
+    for kind in (0x21, 0x31, 0x32, 0x41):
+        for interval in (0, 1, 100, 0xFFF, 0x1064, 0xF064):
+            head = bytes([kind, 7, 100, 1]) + interval.to_bytes(2, "big")
+            tail = bytes([10, 0, 0, 1])
+            total = sum(int.from_bytes((head + tail)[at : at + 2], "big") for at in range(0, 10, 2))
+            while total >> 16:
+                total = (total & 0xFFFF) + (total >> 16)
+            data = head + (~total & 0xFFFF).to_bytes(2, "big") + tail
+            log.append([data.hex(), adapter.advertisement_word(data)])
+    return log
+
+
 # Lifecycle
 
 
@@ -621,7 +729,9 @@
 # Backoff
 
 
-def backoff_case(seed: int, hosts: float, each: float, most: int, least: float, period: float) -> Case:
+def backoff_case(
+    seed: int, hosts: float, each: float, most: int, least: float, period: float, ends: float = 0.1
+) -> Case:
     """Waits after drawn failures and ends."""
 
     def run() -> Log:
@@ -629,7 +739,7 @@
         for life in range(6):
             backoff = adapter.PlainBackoff(seed * 10 + life, hosts, each, most, least, period)
             for step in range(50):
-                if rng.random() < 0.85 - 0.1 * life:
+                if rng.random() < 1 - 1.5 * ends - ends * life:
                     spent = rng.choice([None, 0.0, rng.uniform(0.0, 2 * period)])
                     log.append([step, "failed", backoff.failed(spent)])
                 else:
@@ -818,7 +928,7 @@
 # Bodies
 
 
-def bodies_case(seed: int, total: int, most: int | None, largest: int) -> Case:
+def bodies_case(seed: int, total: int, most: int | None, largest: int, grain: int = 1) -> Case:
     """Bodies that grow, wait and leave in a memory that is too small for all."""
 
     def run() -> Log:
@@ -832,12 +942,13 @@
                 sizes.pop(name, None)
                 log.append([step, name, "leaves", room.state()])
                 continue
-            asked = sizes.get(name, 0) + rng.randrange(1, max(2, largest // 6))
+            wanted = sizes.get(name, 0) + rng.randrange(1, max(2, largest // 6))
             if rng.random() < 0.05:
-                asked = rng.choice([64 * 1024, 64 * 1024 + 1, largest, 33_554_432, 33_554_432 + 65_537])
-            if taken := room.take(name, asked):
-                sizes[name] = asked
-            log.append([step, name, asked, taken, room.state()])
+                wanted = rng.choice([64 * 1024, 64 * 1024 + 1, largest, 33_554_432, 33_554_432 + 65_537])
+            wanted = -(-wanted // grain) * grain
+            if taken := room.take(name, wanted):
+                sizes[name] = wanted
+            log.append([step, name, wanted, taken, room.state()])
         for _ in range(20):
             size, grace = rng.randrange(1 << 26), rng.choice([None, 0.0, 1.5])
             log.append([size, adapter.body_patience(size, grace)])
@@ -875,11 +986,23 @@
     for seed in range(1, 3):
         cases[f"distribution-contents-{seed}"] = contents_case(seed)
         cases[f"distribution-folder-{seed}"] = folder_case(seed)
+    cases["distribution-contents-3"] = contents_case(3, ordered=False)
+    cases["distribution-network-9"] = network_case(
+        90.0, 3.0, seed=9, relays=2, subscribers=4, timing={"rate": 300.0, "burst": 500.0}
+    )
+    for seed in range(1, 3):
+        cases[f"distribution-large-{seed}"] = large_case(seed)
+    cases["distribution-large-3"] = large_case(3, nodes=1, settings=60)
+    cases["distribution-large-4"] = large_case(4, nodes=30, settings=30, busy=True)
+    cases["distribution-large-5"] = large_case(5, nodes=50, settings=3, busy=True)
+    cases["distribution-large-6"] = large_case(6, nodes=10, settings=50, busy=True)
+    cases["distribution-late-page"] = late_page_case
     for seed in range(1, 9):
         count = 2 + seed % 4
         cases[f"vrrp-routers-{seed}"] = vrrp_case(seed, count, equal=seed % 4 == 1, owner=seed % 4 == 2)
     for seed in range(1, 3):
         cases[f"vrrp-messages-{seed}"] = vrrp_messages_case(seed)
+    cases["vrrp-reserved"] = vrrp_reserved_case
     for seed in range(1, 9):
         cases[f"lifecycle-{seed}"] = lifecycle_case(seed)
     spans = [
@@ -892,6 +1015,8 @@
     ]
     for seed, (hosts, each, most_times, least, period) in enumerate(spans, start=1):
         cases[f"backoff-{seed}"] = backoff_case(seed, hosts, each, most_times, least, period)
+    cases["backoff-long"] = backoff_case(7, 1.0, 0.001, 1 << 40, 1e-9, 1e12, ends=0.0)
+    cases["backoff-even"] = backoff_case(8, 10.0, 0.25, 8, 0.25, 10.0)
     for seed in range(1, 6):
         cases[f"retune-{seed}"] = retune_case(seed)
     for seed in range(1, 6):
@@ -909,6 +1034,8 @@
     ]
     for seed, (total, most, largest) in enumerate(rooms, start=1):
         cases[f"bodies-{seed}"] = bodies_case(seed, total, most, largest)
+    for seed in range(7, 9):
+        cases[f"bodies-{seed}"] = bodies_case(seed, 12 * GRAIN, 4 * GRAIN, 6 * GRAIN, grain=GRAIN)
     return cases
 
 
@@ -917,7 +1044,9 @@
     "distribution-network-1",
     "distribution-contents-1",
     "distribution-bounds",
+    "distribution-late-page",
     "vrrp-messages-1",
+    "vrrp-reserved",
     "vrrp-routers-1",
     "lifecycle-1",
     "backoff-1",
--- a/tests/recorded/test_recorded_control.py
+++ b/tests/recorded/test_recorded_control.py
@@ -25,12 +25,14 @@
 
 
 def test_all_cases_are_recorded() -> None:
+    """The recording has each case, and whole logs of those that are to be read."""
     assert list(RECORDED) == list(CASES)
     assert {name for name, case in RECORDED.items() if "log" in case} == set(READABLE)
 
 
 @pytest.mark.parametrize("name", list(CASES))
 def test_case_is_as_recorded(name: str) -> None:
+    """A case's outputs are the recorded ones, to the last digit."""
     log, recorded = run_case(name), RECORDED[name]
     if "log" in recorded:
         assert log_digest(recorded["log"]) == recorded["sha256"], "the recording itself has changed"
@@ -40,6 +42,7 @@
 
 
 def test_recording_is_not_overwritten(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """An old recording stays as it was."""
     path = tmp_path / "control.json"
     path.write_text("old")
     monkeypatch.setattr(make_control, "RECORDING", path)
