--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -9,16 +9,17 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke import api
-from cleatyoke.bodies import Room, patience
-from cleatyoke.config import Address
-from cleatyoke.directory import Directory, Instance, Listing
+from cleatyoke.admin.maintenance import FrontDrain, OperatorHolds
+from cleatyoke.config.deployment import Address
+from cleatyoke.config.reload import IndexAllocator, follow_settings, follow_writes, missing, shape
+from cleatyoke.discovery.backoff import Backoff
+from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.distribution import contents, folder
 from cleatyoke.distribution.records import (
     FORM,
     Entry,
     Lane,
-    Part,
+    LaneChanges,
     Poll,
     Position,
     Refusal,
@@ -28,28 +29,35 @@
     decode_reply,
     encode,
 )
-from cleatyoke.distribution.relay import BadChange, Relay, Server, Source
-from cleatyoke.distribution.status import Status
+from cleatyoke.distribution.relay import ChangeServer, InvalidChangeError, Relay, Source
+from cleatyoke.distribution.status import SubscriptionStatus
 from cleatyoke.distribution.store import LaneStore
 from cleatyoke.distribution.subscriber import (
-    Answered,
-    Complete,
-    Deliver,
-    Moved,
-    Restarted,
+    DeliverChanges,
+    EpochRestarted,
+    LaneComplete,
+    PollAnswered,
+    RelayChanged,
     SendPoll,
     Subscriber,
-    Timing,
+    SubscriberTiming,
 )
-from cleatyoke.fleet.wire import Refused
-from cleatyoke.lifecycle import Lifecycle, Notice, Order, Stage
-from cleatyoke.lifecycle import Status as ExitStatus
-from cleatyoke.maintenance import Drain, Holds
-from cleatyoke.recovery import Pace
-from cleatyoke.retune import Places, follow_settings, follow_writes, missing, shape
-from cleatyoke.vrrp import Advertisement, BadAdvertisement, Router, State
-from cleatyoke.vrrp import decode as decode_advertisement
-from cleatyoke.vrrp import encode as encode_advertisement
+from cleatyoke.http.body_limits import BodyMemory, patience
+from cleatyoke.membership.wire import WireError
+from cleatyoke.process.lifecycle import Lifecycle, Notice, Order, Stage
+from cleatyoke.process.lifecycle import Status as ExitStatus
+from cleatyoke.scheduling.events import Endpoint, EndpointState
+from cleatyoke.scheduling.settings import (
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    SafetyLimits,
+    SchedulerSettings,
+    VolumePlan,
+)
+from cleatyoke.vrrp.instance import Advertisement, AdvertisementError, State, VirtualRouter
+from cleatyoke.vrrp.instance import decode as decode_advertisement
+from cleatyoke.vrrp.instance import encode as encode_advertisement
 
 Neutral = Any  # None, bool, int, str, or a list of these
 LANES = {"nodes": Lane.NODES, "settings": Lane.SETTINGS}
@@ -104,7 +112,7 @@
     """The fields of an encoded reply, or why it is refused."""
     try:
         reply = decode_reply(deployment, data)
-    except Refused as refused:
+    except WireError as refused:
         return ["refused", str(refused)]
     parts = [
         [
@@ -127,7 +135,7 @@
     """The fields of an encoded poll, or why it is refused."""
     try:
         poll = decode_poll(deployment, data)
-    except Refused as refused:
+    except WireError as refused:
         return ["refused", str(refused)]
     positions = [[position.number, position.after] for position in poll.positions]
     return [poll.subscriber, poll.number, poll.epoch, positions, poll.most, poll.removals]
@@ -170,7 +178,7 @@
 ) -> bytes:
     """An encoded reply; ``form`` is added to the usual one."""
     made = [
-        Part(
+        LaneChanges(
             first=part["first"],
             last=part["last"],
             floor=part["floor"],
@@ -201,21 +209,21 @@
     match action:
         case SendPoll():
             return ["poll", action.relay, action.number, action.data.hex()]
-        case Restarted():
+        case EpochRestarted():
             return ["anew", LANE_WORDS[action.lane], action.epoch]
-        case Deliver():
+        case DeliverChanges():
             return ["entries", LANE_WORDS[action.lane], [entry_word(entry) for entry in action.entries]]
-        case Complete():
+        case LaneComplete():
             return ["whole", LANE_WORDS[action.lane], action.number, action.floor]
-        case Moved():
+        case RelayChanged():
             return ["other relay", action.relay, action.why]
     raise TypeError(f"unknown output {action}")
 
 
-def make_timing(values: Mapping[str, float]) -> Timing:
+def make_timing(values: Mapping[str, float]) -> SubscriberTiming:
     """Timing with the defaults for what is not given."""
-    plain = Timing()
-    return Timing(
+    plain = SubscriberTiming()
+    return SubscriberTiming(
         poll=values.get("poll", plain.poll),
         answer=values.get("answer", plain.answer),
         jitter=values.get("jitter", plain.jitter),
@@ -238,7 +246,7 @@
 
     def step(self, now: float, answers: Sequence[tuple[int, bytes | None]]) -> list[Neutral]:
         """One step; its outputs."""
-        events = [Answered(number=count, data=data) for count, data in answers]
+        events = [PollAnswered(number=count, data=data) for count, data in answers]
         return [action_word(action) for action in self.machine.step(now, events)]
 
     def due(self) -> float:
@@ -274,7 +282,7 @@
             whole=whole,
         )
         super().__init__(made, made)
-        self.status = Status(subscriber=made)
+        self.status = SubscriptionStatus(subscriber=made)
 
     def took(self, epoch: int, count: int, keys: Sequence[str]) -> None:
         """These keys are in force."""
@@ -294,7 +302,7 @@
 class Answering:
     """Answers polls: a source or a relay."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: ChangeServer) -> None:
         self.server = server
 
     def answer(self, now: float, data: bytes) -> bytes | None:
@@ -321,7 +329,7 @@
         """A change's version, or why it is not taken."""
         try:
             version = self.source.put(now, LANES[lane], key, value)
-        except BadChange as error:
+        except InvalidChangeError as error:
             return ["bad", str(error)]
         return [version.epoch, version.number]
 
@@ -388,14 +396,14 @@
     base: dict[str, Any], batches: Sequence[Sequence[tuple[str, int, int, bytes | None]]]
 ) -> list[Neutral]:
     """For each batch of entries: the merged settings or their fault, the version, and the listed nodes."""
-    held, out = contents.Settings(), []
+    held, out = contents.DistributedSettings(), []
     for batch in batches:
         made = [make_entry(*one) for one in batch]
         ours = contents.settings_entries(made)
         held = held.with_entries(ours)
         try:
             merged: Neutral = json.dumps(held.merged(base), sort_keys=True)
-        except contents.BadValue as error:
+        except contents.InvalidValueError as error:
             merged = ["bad", fault_text(str(error))]
         nodes, bad = contents.listed_nodes(made)
         lanes = [LANE_WORDS[contents.lane_of(one.key)] for one in made]
@@ -410,7 +418,7 @@
     """A source's folder."""
 
     def __init__(self, path: Path) -> None:
-        self.folder = folder.Folder(path)
+        self.folder = folder.ConfigFolder(path)
 
     def look(self) -> Neutral:
         """Changes since the last look, and faults."""
@@ -423,7 +431,7 @@
     """The next epoch of a file, or why it can't be used."""
     try:
         return folder.next_epoch(path, unix)
-    except folder.BadEpoch as error:
+    except folder.EpochError as error:
         return ["bad", str(error).removeprefix(str(path))]
 
 
@@ -442,7 +450,7 @@
     """The fields of an advertisement, or why it is refused."""
     try:
         heard = decode_advertisement(data)
-    except BadAdvertisement as error:
+    except AdvertisementError as error:
         return ["bad", str(error)]
     return [heard.router, heard.priority, number(heard.interval), list(heard.addresses)]
 
@@ -451,7 +459,7 @@
     """A virtual router's state machine."""
 
     def __init__(self, priority: int, interval: float, preempt: bool, address: str) -> None:
-        self.router = Router(priority=priority, interval=interval, preempt=preempt, address=address)
+        self.router = VirtualRouter(priority=priority, interval=interval, preempt=preempt, address=address)
 
     def startup(self, now: float) -> list[int]:
         """Priorities to advertise."""
@@ -469,7 +477,7 @@
         """Priorities to advertise after a message."""
         try:
             heard = decode_advertisement(data)
-        except BadAdvertisement:
+        except AdvertisementError:
             return []
         return self.router.received(heard, source, now)
 
@@ -554,7 +562,7 @@
 
     def __init__(self, seed: int, hosts: float, each: float, most: int, least: float, period: float) -> None:
         rng = random.Random(seed)
-        self.pace = Pace(rng=rng, hosts=hosts, each=each, most=most, least=least, period=period)
+        self.pace = Backoff(rng=rng, hosts=hosts, each=each, most=most, least=least, period=period)
 
     def failed(self, spent: float | None) -> str:
         """The wait after a failure."""
@@ -567,102 +575,115 @@
 
 # Settings that change
 
-REPEATS = {"free": api.Repeat.FREE, "keyed": api.Repeat.KEYED, "once": api.Repeat.ONCE}
+REPEATS = {"free": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "once": Idempotency.NOT_IDEMPOTENT}
 REPEAT_WORDS = {repeat: word for word, repeat in REPEATS.items()}
-SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
+SCOPES = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.SHARD}
 SCOPE_WORDS = {scope: word for word, scope in SCOPES.items()}
 
 
-def make_settings(plain: Mapping[str, Any]) -> api.Settings:
+def make_settings(plain: Mapping[str, Any]) -> SchedulerSettings:
     """Settings of plain values."""
     classes = [
-        api.ClassSpec(
-            aim=aim,
-            worth=weight,
-            late_share=late,
-            repeat=REPEATS[repeat],
-            scope=SCOPES[scope],
-            memory=memory,
+        RequestClass(
+            latency_objective=aim,
+            priority_weight=weight,
+            late_value=late,
+            idempotency=REPEATS[repeat],
+            idempotency_scope=SCOPES[scope],
+            idempotency_window=memory,
             ordered=ordered,
         )
         for aim, weight, late, repeat, scope, memory, ordered in plain["classes"]
     ]
     plans = [
-        api.PlanSpec(
-            worth=weight,
-            rate=rate,
-            reserve=reserve,
-            weight=share,
-            limit=limit,
-            limit_burst=burst,
-            limit_slack=slack,
+        VolumePlan(
+            priority_weight=weight,
+            base_rate=rate,
+            reserved_rate=reserve,
+            fair_share_weight=share,
+            rate_limit=limit,
+            rate_limit_burst=burst,
+            rate_limit_slack=slack,
         )
         for weight, rate, reserve, share, limit, burst, slack in plain["plans"]
     ]
-    safety = api.Safety(
-        cold_from=plain["cold_from"],
-        ramp=plain["ramp"],
-        tip_multiple=2.0,
-        tip_after=0.5,
-        ask_every=None,
-        key_rest=3.0,
-        extra_free=None,
-        extra_ratio=0.1,
-        extra_window=10.0,
+    safety = SafetyLimits(
+        slow_start_initial_fraction=plain["cold_from"],
+        slow_start_duration=plain["ramp"],
+        overload_multiple=2.0,
+        overload_after=0.5,
+        poll_interval=None,
+        ordering_pause=3.0,
+        retry_budget_minimum=None,
+        retry_budget_ratio=0.1,
+        retry_budget_window=10.0,
     )
-    return api.Settings(
+    return SchedulerSettings(
         classes=classes,
         plans=plans,
         safety=safety,
         seed=plain["seed"],
-        hosts=plain["hosts"],
-        must_watch=plain["must_watch"],
+        front_count=plain["hosts"],
+        watches_endpoints=plain["must_watch"],
         max_attempts=plain["max_attempts"],
-        cancel=plain["cancel"],
-        cold_units=plain["cold_units"],
-        largest=plain["largest"],
-        mean=plain["mean"],
-        within_share=plain["within_share"],
-        tells_others=plain["tells_others"],
-        quiet_since=plain["quiet_since"],
-        limit_share=plain["limit_share"],
-        taken_over=plain["taken_over"],
-        retry_after=plain["retry_after"],
-        probes=plain["probes"],
+        can_cancel=plain["cancel"],
+        slow_start_units=plain["cold_units"],
+        max_request_units=plain["largest"],
+        mean_request_units=plain["mean"],
+        unreserved_value=plain["within_share"],
+        reports_usage_by_others=plain["tells_others"],
+        idle_since=plain["quiet_since"],
+        initial_quota_share=plain["limit_share"],
+        replaces_process=plain["taken_over"],
+        max_retry_after=plain["retry_after"],
+        load_by_probes=plain["probes"],
     )
 
 
-def settings_form(one: api.Settings) -> Neutral:
+def settings_form(one: SchedulerSettings) -> Neutral:
     """Settings as lists."""
     classes = [
         [
-            number(kind.aim),
-            number(kind.worth),
-            number(kind.late_share),
-            REPEAT_WORDS[kind.repeat],
-            SCOPE_WORDS[kind.scope],
-            number(kind.memory),
+            number(kind.latency_objective),
+            number(kind.priority_weight),
+            number(kind.late_value),
+            REPEAT_WORDS[kind.idempotency],
+            SCOPE_WORDS[kind.idempotency_scope],
+            number(kind.idempotency_window),
             kind.ordered,
         ]
         for kind in one.classes
     ]
     plans = [
         [
-            number(plan.worth),
-            number(plan.rate),
-            number(plan.reserve),
-            number(plan.weight),
-            number(plan.limit),
-            number(plan.limit_burst),
-            number(plan.limit_slack),
+            number(plan.priority_weight),
+            number(plan.base_rate),
+            number(plan.reserved_rate),
+            number(plan.fair_share_weight),
+            number(plan.rate_limit),
+            number(plan.rate_limit_burst),
+            number(plan.rate_limit_slack),
         ]
         for plan in one.plans
     ]
-    quiet = None if one.quiet_since is None else number(one.quiet_since)
-    counts = [one.seed, one.hosts, one.max_attempts]
-    flags = [one.must_watch, one.cancel, one.tells_others, one.taken_over, one.probes]
-    sizes = [one.cold_units, one.largest, one.mean, one.within_share, one.limit_share, one.retry_after]
-    safety = [one.safety.cold_from, one.safety.ramp]
+    quiet = None if one.idle_since is None else number(one.idle_since)
+    counts = [one.seed, one.front_count, one.max_attempts]
+    flags = [
+        one.watches_endpoints,
+        one.can_cancel,
+        one.reports_usage_by_others,
+        one.replaces_process,
+        one.load_by_probes,
+    ]
+    sizes = [
+        one.slow_start_units,
+        one.max_request_units,
+        one.mean_request_units,
+        one.unreserved_value,
+        one.initial_quota_share,
+        one.max_retry_after,
+    ]
+    safety = [one.safety.slow_start_initial_fraction, one.safety.slow_start_duration]
     floats = [number(value) for value in [*sizes, *safety]]
     return [classes, plans, counts, flags, floats, quiet]
 
@@ -674,7 +695,7 @@
         self, plain: Mapping[str, Any], class_names: Sequence[str], plan_names: Sequence[str]
     ) -> None:
         self.settings = make_settings(plain)
-        self.classes, self.plans = Places.of(class_names), Places.of(plan_names)
+        self.classes, self.plans = IndexAllocator.of(class_names), IndexAllocator.of(plan_names)
         self.writes: list[bool | None] = []
 
     def change(
@@ -715,9 +736,9 @@
 # Directory and holds
 
 NODE_STATES = {
-    "live": api.NodeState.LIVE,
-    "draining": api.NodeState.DRAINING,
-    "gone": api.NodeState.GONE,
+    "live": EndpointState.LIVE,
+    "draining": EndpointState.DRAINING,
+    "gone": EndpointState.REMOVED,
 }
 NODE_STATE_WORDS = {state: word for word, state in NODE_STATES.items()}
 
@@ -730,10 +751,11 @@
         self.heard: list[int] = []
         self.directory.watchers.append(self.heard.append)
 
-    def entries(self, found: Sequence[api.NodeEntry]) -> Neutral:
+    def entries(self, found: Sequence[Endpoint]) -> Neutral:
         """Node events, and who was reported as changed meanwhile."""
         made = [
-            [one.node, one.cell, one.zone, NODE_STATE_WORDS[one.state], number(one.up_since)] for one in found
+            [one.node_id, one.shard, one.zone, NODE_STATE_WORDS[one.state], number(one.started_at)]
+            for one in found
         ]
         heard = list(self.heard)
         self.heard.clear()
@@ -754,7 +776,7 @@
             )
             for name, host, port, zone, cell, state, started in rows
         ]
-        listing = Listing(version=version, whole=whole, instances=instances)
+        listing = EndpointList(version=version, whole=whole, instances=instances)
         return self.entries(self.directory.apply(listing))
 
     def hold(self, name: str) -> Neutral:
@@ -785,7 +807,7 @@
     """Nodes held by hand, and a front that drains."""
 
     def __init__(self) -> None:
-        self.holds, self.front = Holds(), Drain()
+        self.holds, self.front = OperatorHolds(), FrontDrain()
 
     def hold(self, name: str, known: bool) -> bool:
         """Whether the call succeeds."""
@@ -824,7 +846,7 @@
     """The memory that bodies share."""
 
     def __init__(self, total: int, most: int | None) -> None:
-        self.room = Room(total=total) if most is None else Room(total=total, most=most)
+        self.room = BodyMemory(total=total) if most is None else BodyMemory(total=total, most=most)
 
     def take(self, body: str, size: int) -> bool:
         """Whether the body may hold so many bytes."""
--- a/tests/recorded/control_cases.py
+++ b/tests/recorded/control_cases.py
@@ -380,7 +380,8 @@
 
 def large_case(seed: int, nodes: int = 40, settings: int = 20, busy: bool = False) -> Case:
     """Copies of many pages, through two relays, while keys in them change and the source starts anew.
-    ``busy``: many change at once, and some of the polls come after what is gone is forgotten."""
+    ``busy``: many change at once, and some of the polls come after what is gone is forgotten.
+    """
 
     def run() -> Log:
         rng, log, now, epoch = random.Random(seed), [], 0.0, 30
