--- a/tests/recorded/scheduler_adapter.py
+++ b/tests/recorded/scheduler_adapter.py
@@ -10,165 +10,199 @@
 from collections.abc import Sequence
 from typing import Any
 
-from cleatyoke import api, simhost
-from cleatyoke.fits import fit, short_mean
-from cleatyoke.load.probes import Prober
-from cleatyoke.node_table import FadingMeans
-from cleatyoke.rules import Policy, arbitrate
+from cleatyoke import simulator as simhost
+from cleatyoke.scheduling.actions import (
+    CancelAttempt,
+    FailRequest,
+    Reject,
+    SchedulerAction,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from cleatyoke.scheduling.events import (
+    AttemptFinished,
+    AttemptOutcome,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    QuotaLeaseChanged,
+    QuotaShareChanged,
+    RequestArrived,
+    SchedulerEvent,
+    SettingsReloaded,
+    SlowStartLeaseChanged,
+    TimerFired,
+    UpdateKind,
+    UtilizationReported,
+)
+from cleatyoke.scheduling.load_probes import LoadProber
+from cleatyoke.scheduling.node_table import FadingMeans
+from cleatyoke.scheduling.regression import fit, short_mean
+from cleatyoke.scheduling.scheduler import Scheduler, arbitrate
+from cleatyoke.scheduling.settings import (
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    SafetyLimits,
+    SchedulerSettings,
+    VolumePlan,
+)
 
 Row = list[Any]  # one recorded line: a word, then ids and numbers
 Plain = dict[str, Any]
 
-REPEATS = {"free": api.Repeat.FREE, "keyed": api.Repeat.KEYED, "once": api.Repeat.ONCE}
-SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
+REPEATS = {"free": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "once": Idempotency.NOT_IDEMPOTENT}
+SCOPES = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.SHARD}
 OUTCOMES = {
-    "served": api.Outcome.SERVED,
-    "error": api.Outcome.ERROR,
-    "full": api.Outcome.FULL,
-    "timeout": api.Outcome.TIMEOUT,
-    "no connection": api.Outcome.NO_CONNECTION,
-    "reset": api.Outcome.RESET,
-    "cancelled": api.Outcome.CANCELLED,
-    "not sent": api.Outcome.NOT_SENT,
+    "served": AttemptOutcome.SERVED,
+    "error": AttemptOutcome.ERROR,
+    "full": AttemptOutcome.QUEUE_FULL,
+    "timeout": AttemptOutcome.TIMEOUT,
+    "no connection": AttemptOutcome.CONNECTION_FAILED,
+    "reset": AttemptOutcome.CONNECTION_RESET,
+    "cancelled": AttemptOutcome.CANCELLED,
+    "not sent": AttemptOutcome.NOT_SENT,
 }
 NODE_STATES = {
-    "live": api.NodeState.LIVE,
-    "draining": api.NodeState.DRAINING,
-    "gone": api.NodeState.GONE,
+    "live": EndpointState.LIVE,
+    "draining": EndpointState.DRAINING,
+    "gone": EndpointState.REMOVED,
 }
 LIST_KINDS = {
-    "changes": api.ListKind.CHANGES,
-    "whole": api.ListKind.FULL,
-    "old copy": api.ListKind.OLD_COPY,
-    "lost": api.ListKind.LOST,
+    "changes": UpdateKind.DELTA,
+    "whole": UpdateKind.SNAPSHOT,
+    "old copy": UpdateKind.CACHED,
+    "lost": UpdateKind.UNAVAILABLE,
 }
 
 
 def every_member_is_named() -> bool:
     """Whether the words above stand for every member of the project's enumerations."""
     return (
-        set(REPEATS.values()) == set(api.Repeat)
-        and set(SCOPES.values()) == set(api.Scope)
-        and set(OUTCOMES.values()) == set(api.Outcome)
-        and set(NODE_STATES.values()) == set(api.NodeState)
-        and set(LIST_KINDS.values()) == set(api.ListKind)
+        set(REPEATS.values()) == set(Idempotency)
+        and set(SCOPES.values()) == set(IdempotencyScope)
+        and set(OUTCOMES.values()) == set(AttemptOutcome)
+        and set(NODE_STATES.values()) == set(EndpointState)
+        and set(LIST_KINDS.values()) == set(UpdateKind)
     )
 
 
-def build_settings(plain: Plain) -> api.Settings:
+def build_settings(plain: Plain) -> SchedulerSettings:
     """Build the scheduler's settings."""
     guards = plain["guards"]
-    return api.Settings(
+    return SchedulerSettings(
         classes=[
-            api.ClassSpec(
-                aim=one["target"],
-                worth=one["value"],
-                late_share=one["late value"],
-                repeat=REPEATS[one["repeat"]],
-                scope=SCOPES[one["scope"]],
-                memory=one["memory"],
+            RequestClass(
+                latency_objective=one["target"],
+                priority_weight=one["value"],
+                late_value=one["late value"],
+                idempotency=REPEATS[one["repeat"]],
+                idempotency_scope=SCOPES[one["scope"]],
+                idempotency_window=one["memory"],
                 ordered=one["ordered"],
             )
             for one in plain["classes"]
         ],
         plans=[
-            api.PlanSpec(
-                worth=one["value"],
-                rate=one["rate"],
-                reserve=one["reserve"],
-                weight=one["weight"],
-                limit=one["limit"],
-                limit_burst=one["burst"],
-                limit_slack=one["slack"],
+            VolumePlan(
+                priority_weight=one["value"],
+                base_rate=one["rate"],
+                reserved_rate=one["reserve"],
+                fair_share_weight=one["weight"],
+                rate_limit=one["limit"],
+                rate_limit_burst=one["burst"],
+                rate_limit_slack=one["slack"],
             )
             for one in plain["plans"]
         ],
-        safety=api.Safety(
-            cold_from=guards["cold from"],
-            ramp=guards["ramp"],
-            tip_multiple=guards["cold multiple"],
-            tip_after=guards["cold span"],
-            ask_every=guards["list period"],
-            key_rest=guards["key rest"],
-            extra_free=guards["extra free"],
-            extra_ratio=guards["extra ratio"],
-            extra_window=guards["extra window"],
+        safety=SafetyLimits(
+            slow_start_initial_fraction=guards["cold from"],
+            slow_start_duration=guards["ramp"],
+            overload_multiple=guards["cold multiple"],
+            overload_after=guards["cold span"],
+            poll_interval=guards["list period"],
+            ordering_pause=guards["key rest"],
+            retry_budget_minimum=guards["extra free"],
+            retry_budget_ratio=guards["extra ratio"],
+            retry_budget_window=guards["extra window"],
         ),
         seed=plain["seed"],
-        hosts=plain["hosts"],
-        must_watch=plain["watch"],
+        front_count=plain["hosts"],
+        watches_endpoints=plain["watch"],
         max_attempts=plain["attempts"],
-        cancel=plain["cancel"],
-        cold_units=plain["cold units"],
-        largest=plain["largest"],
-        mean=plain["mean"],
-        within_share=plain["value beyond reserve"],
-        tells_others=plain["nodes report others"],
-        quiet_since=plain["quiet since"],
-        limit_share=plain["limit part"],
-        taken_over=plain["taken over"],
-        retry_after=plain["retry after"],
-        probes=plain["probes"],
+        can_cancel=plain["cancel"],
+        slow_start_units=plain["cold units"],
+        max_request_units=plain["largest"],
+        mean_request_units=plain["mean"],
+        unreserved_value=plain["value beyond reserve"],
+        reports_usage_by_others=plain["nodes report others"],
+        idle_since=plain["quiet since"],
+        initial_quota_share=plain["limit part"],
+        replaces_process=plain["taken over"],
+        max_retry_after=plain["retry after"],
+        load_by_probes=plain["probes"],
     )
 
 
-def build_node_list(kind: str, nodes: Sequence[Plain]) -> api.NodeList:
+def build_node_list(kind: str, nodes: Sequence[Plain]) -> EndpointUpdate:
     """Build news of the nodes."""
     entries = [
-        api.NodeEntry(
-            node=one["node"],
-            cell=one["cell"],
+        Endpoint(
+            node_id=one["node"],
+            shard=one["cell"],
             zone=one["zone"],
             state=NODE_STATES[one["state"]],
-            up_since=one["since"],
+            started_at=one["since"],
         )
         for one in nodes
     ]
-    return api.NodeList(kind=LIST_KINDS[kind], entries=entries)
+    return EndpointUpdate(kind=LIST_KINDS[kind], endpoints=entries)
 
 
-def build_event(kind: str, plain: Plain) -> api.Event:
+def build_event(kind: str, plain: Plain) -> SchedulerEvent:
     """Build one event of the scheduler."""
     if kind == "nodes":
         return build_node_list(plain["list"], plain["nodes"])
     if kind == "arrival":
-        return api.Arrival(
-            request=plain["request"],
+        return RequestArrived(
+            request_id=plain["request"],
             class_index=plain["class"],
-            plan=plain["plan"],
-            volume=plain["volume"],
+            plan_index=plain["plan"],
+            volume_id=plain["volume"],
             item=plain["item"],
-            cell=plain["cell"],
+            shard=plain["cell"],
             units=plain["units"],
             deadline=plain["deadline"],
-            hosts=plain["hosts"],
+            front_count=plain["hosts"],
         )
     if kind == "ended":
-        return api.Ended(
-            request=plain["request"],
+        return AttemptFinished(
+            request_id=plain["request"],
             attempt=plain["attempt"],
-            node=plain["node"],
+            node_id=plain["node"],
             outcome=OUTCOMES[plain["outcome"]],
-            spent=plain["spent"],
+            elapsed=plain["spent"],
             settled=plain["settled"],
-            elsewhere=plain["elsewhere"],
-            busy=plain["busy"],
+            units_by_others=plain["elsewhere"],
+            utilization=plain["busy"],
         )
     if kind == "busy":
-        return api.Busy(part=plain["part"])
+        return UtilizationReported(utilization=plain["part"])
     if kind == "withdrawn":
-        return api.Withdrawn(request=plain["request"])
+        return ClientDisconnected(request_id=plain["request"])
     if kind == "timer":
-        return api.Woken(token=plain["token"])
+        return TimerFired(token=plain["token"])
     if kind == "limit part":
-        return api.Shared(part=plain["part"])
+        return QuotaShareChanged(fraction=plain["part"])
     if kind == "volume part":
-        return api.Lent(volume=plain["volume"], part=plain["part"])
+        return QuotaLeaseChanged(volume_id=plain["volume"], multiplier=plain["part"])
     if kind == "node part":
-        return api.LentNode(node=plain["node"], part=plain["part"])
+        return SlowStartLeaseChanged(node_id=plain["node"], multiplier=plain["part"])
     if kind == "settings":
-        return api.Retuned(
-            settings=build_settings(plain["settings"]), retired=frozenset(plain["retired classes"])
+        return SettingsReloaded(
+            settings=build_settings(plain["settings"]), retired_classes=frozenset(plain["retired classes"])
         )
     raise ValueError(f"no such event: {kind}")
 
@@ -178,28 +212,28 @@
     return None if math.isinf(value) else value
 
 
-def describe(now: float, action: api.Action) -> Row:
+def describe(now: float, action: SchedulerAction) -> Row:
     """Translate one action of the scheduler."""
-    if isinstance(action, api.Send):
-        return ["send", now, action.request, action.node, number(action.before)]
-    if isinstance(action, api.Refuse):
-        return ["reject", now, action.request, number(action.wait)]
-    if isinstance(action, api.Fail):
-        return ["fail", now, action.request]
-    if isinstance(action, api.Cancel):
-        return ["cancel", now, action.request, action.attempt]
-    if isinstance(action, api.Wake):
-        return ["timer", now, action.after, action.token]
-    if isinstance(action, api.Watch):
+    if isinstance(action, SendAttempt):
+        return ["send", now, action.request_id, action.node_id, number(action.not_after)]
+    if isinstance(action, Reject):
+        return ["reject", now, action.request_id, number(action.retry_after)]
+    if isinstance(action, FailRequest):
+        return ["fail", now, action.request_id]
+    if isinstance(action, CancelAttempt):
+        return ["cancel", now, action.request_id, action.attempt]
+    if isinstance(action, SetTimer):
+        return ["timer", now, action.delay, action.token]
+    if isinstance(action, WatchEndpoints):
         return ["watch", now]
     raise TypeError("an action that the recording has no word for")
 
 
-class Scheduler:
+class RecordedScheduler:
     """One scheduler of the project, driven with plain values."""
 
     def __init__(self, settings: Plain) -> None:
-        self.policy = Policy(build_settings(settings))
+        self.policy = Scheduler(build_settings(settings))
 
     def step(self, now: float, events: Sequence[tuple[str, Plain]]) -> list[Row]:
         """Pass one batch of events and return the translated actions."""
@@ -211,7 +245,7 @@
     """One state machine of the load probes, driven with plain values."""
 
     def __init__(self, hosts: int, ramp: float, seed: int) -> None:
-        self.prober = Prober(hosts=hosts, ramp=ramp, seed=seed)
+        self.prober = LoadProber(hosts=hosts, ramp=ramp, seed=seed)
 
     def nodes(self, kind: str, nodes: Sequence[Plain]) -> None:
         """Pass news of the nodes."""
@@ -260,13 +294,13 @@
     """The simulator's adapter, driven with lines of its wire."""
 
     def __init__(self) -> None:
-        self.gateway = simhost.Gateway()
+        self.gateway = simhost.SimulatorAdapter()
 
     def reply(self, line: str) -> Plain | None:
         """Return the reply to one batch, or None where the line is rejected as malformed."""
         try:
             reply: Plain = json.loads(json.dumps(self.gateway.reply(line)))
-        except simhost.Malformed:
+        except simhost.MalformedBatchError:
             return None
         return reply
 
--- a/tests/recorded/scheduler_cases.py
+++ b/tests/recorded/scheduler_cases.py
@@ -17,8 +17,8 @@
     Means,
     Plain,
     Probes,
+    RecordedScheduler,
     Row,
-    Scheduler,
     Simulated,
     divided_bounds,
     fitted_slope,
@@ -182,7 +182,7 @@
         self.theme, self.reached = theme, reached
         self.settings = draw_settings(self.rng, theme)
         self.retired: set[int] = set()
-        self.scheduler = Scheduler(self.settings)
+        self.scheduler = RecordedScheduler(self.settings)
         self.now = START
         self.rows: list[Row] = []
         self.queue: list[tuple[float, int, str, Plain]] = []
