--- a/tests/recorded/fleet_adapter.py
+++ b/tests/recorded/fleet_adapter.py
@@ -9,38 +9,59 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from cleatyoke import api
-from cleatyoke.fleet import replicas
-from cleatyoke.fleet.cold import ColdShares
-from cleatyoke.fleet.conclude import Conclusion, Known, conclude
-from cleatyoke.fleet.interface import (
-    Action,
-    Answered,
-    Asked,
+from cleatyoke.coordination import replicated_holds as replicas
+from cleatyoke.coordination.demand import DemandMeters
+from cleatyoke.coordination.hold_replication import HoldReplication
+from cleatyoke.coordination.quota_leases import (
+    DemandChanged,
+    LeaseEvent,
+    LeaseMessageReceived,
+    PeersChanged,
+    QuotaFractionChanged,
+    QuotaLeases,
+)
+from cleatyoke.coordination.rate_limit_leases import RateLimitLeases
+from cleatyoke.coordination.slow_start_leases import SlowStartLeases
+from cleatyoke.coordination.staged_start import Evidence, StagedStart, StagePassed, StartStage
+from cleatyoke.membership.conclusions import Conclusion, Known, conclude
+from cleatyoke.membership.interface import (
     Change,
-    Deliver,
-    Event,
-    Exchange,
-    Heard,
-    Leave,
-    Remembered,
-    Reply,
-    Send,
-    Timing,
-    Told,
+    DatagramReceived,
+    DeliverBody,
+    ExchangeAnswered,
+    ExchangeRequested,
+    IncarnationRemembered,
+    LeaveRequested,
+    MembershipAction,
+    MembershipChanged,
+    MembershipEvent,
+    MembershipTiming,
+    ReplyExchange,
+    SendDatagram,
+    StartExchange,
+)
+from cleatyoke.membership.members import Membership
+from cleatyoke.membership.wire import LeaseGrant, LeaseRequest, MemberId, MemberState, Update
+from cleatyoke.scheduling.events import (
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    QuotaLeaseChanged,
+    RequestArrived,
+    SchedulerEvent,
+    SlowStartLeaseChanged,
+    UpdateKind,
 )
-from cleatyoke.fleet.limits import Limits
-from cleatyoke.fleet.members import Members
-from cleatyoke.fleet.meters import Meters
-from cleatyoke.fleet.recovery import Evidence, Passed, Recovery, Stage
-from cleatyoke.fleet.rights import Came, Need, Part, Peers, Rights
-from cleatyoke.fleet.rights import Event as RightsEvent
-from cleatyoke.fleet.sharing import Sharing
-from cleatyoke.fleet.wire import Grant, Id, Rumour, State, Want
+from cleatyoke.scheduling.settings import SafetyLimits, SchedulerSettings, VolumePlan
 
 Plain = tuple[Any, ...]
 
-STATES = {"alive": State.ALIVE, "suspect": State.SUSPECT, "dead": State.DEAD, "left": State.LEFT}
+STATES = {
+    "alive": MemberState.ALIVE,
+    "suspect": MemberState.SUSPECT,
+    "dead": MemberState.DEAD,
+    "left": MemberState.LEFT,
+}
 CHANGES = {
     Change.JOINED: "joined",
     Change.SUSPECTED: "suspected",
@@ -51,47 +72,47 @@
     Change.RENAMED: "renamed",
 }
 STAGES = {
-    "disk": Stage.DISK,
-    "peers": Stage.PEERS,
-    "list": Stage.LIST,
-    "lent": Stage.LENT,
-    "open": Stage.OPEN,
+    "disk": StartStage.DISK,
+    "peers": StartStage.PEERS,
+    "list": StartStage.LIST,
+    "lent": StartStage.LENT,
+    "open": StartStage.OPEN,
 }
 STAGE_WORDS = {stage: word for word, stage in STAGES.items()}
 LISTS = {
-    "changes": api.ListKind.CHANGES,
-    "full": api.ListKind.FULL,
-    "old copy": api.ListKind.OLD_COPY,
-    "lost": api.ListKind.LOST,
+    "changes": UpdateKind.DELTA,
+    "full": UpdateKind.SNAPSHOT,
+    "old copy": UpdateKind.CACHED,
+    "lost": UpdateKind.UNAVAILABLE,
 }
 NODE_STATES = {
-    "live": api.NodeState.LIVE,
-    "draining": api.NodeState.DRAINING,
-    "gone": api.NodeState.GONE,
+    "live": EndpointState.LIVE,
+    "draining": EndpointState.DRAINING,
+    "gone": EndpointState.REMOVED,
 }
 
 
-def life_id(word: str) -> Id:
+def life_id(word: str) -> MemberId:
     """A life from ``name/boot``."""
     name, _, boot = word.rpartition("/")
-    return Id(name=name, boot=int(boot))
+    return MemberId(name=name, boot=int(boot))
 
 
-def life_word(life: Id) -> str:
+def life_word(life: MemberId) -> str:
     """A life as ``name/boot``."""
     return f"{life.name}/{life.boot}"
 
 
-def lease_message(plain: Plain) -> Want | Grant:
+def lease_message(plain: Plain) -> LeaseRequest | LeaseGrant:
     """A message on leases from its plain form."""
     if plain[0] == "want":
-        return Want(resource=plain[1], number=plain[2], parts=plain[3])
-    return Grant(resource=plain[1], number=plain[2], parts=plain[3], spare=plain[4])
+        return LeaseRequest(resource=plain[1], number=plain[2], parts=plain[3])
+    return LeaseGrant(resource=plain[1], number=plain[2], parts=plain[3], spare=plain[4])
 
 
-def lease_plain(message: Want | Grant) -> Plain:
+def lease_plain(message: LeaseRequest | LeaseGrant) -> Plain:
     """A message on leases in plain form."""
-    if isinstance(message, Want):
+    if isinstance(message, LeaseRequest):
         return "want", message.resource, message.number, message.parts
     return "grant", message.resource, message.number, message.parts, message.spare
 
@@ -99,33 +120,33 @@
 # Membership
 
 
-def member_event(plain: Plain) -> Event:
+def member_event(plain: Plain) -> MembershipEvent:
     """An event of the membership from its plain form."""
     match plain:
         case ("heard", data):
-            return Heard(data=data)
+            return DatagramReceived(data=data)
         case ("asked", token, data):
-            return Asked(token=token, data=data)
+            return ExchangeRequested(token=token, data=data)
         case ("answered", address, data):
-            return Answered(address=address, data=data)
+            return ExchangeAnswered(address=address, data=data)
         case ("leave",):
-            return Leave()
+            return LeaveRequested()
         case ("remembered", boot):
-            return Remembered(boot=boot)
+            return IncarnationRemembered(boot=boot)
     raise ValueError(plain)
 
 
-def member_action(action: Action) -> Plain:
+def member_action(action: MembershipAction) -> Plain:
     """An action of the membership in plain form; messages stay bytes."""
-    if isinstance(action, Send):
+    if isinstance(action, SendDatagram):
         return "send", action.address, action.data
-    if isinstance(action, Exchange):
+    if isinstance(action, StartExchange):
         return "exchange", action.address, action.data
-    if isinstance(action, Reply):
+    if isinstance(action, ReplyExchange):
         return "reply", action.token, action.data
-    if isinstance(action, Told):
+    if isinstance(action, MembershipChanged):
         return "change", CHANGES[action.change], life_word(action.id), action.by
-    assert isinstance(action, Deliver)
+    assert isinstance(action, DeliverBody)
     return "deliver", life_word(action.sender), lease_plain(action.body)
 
 
@@ -143,9 +164,9 @@
 def conclude_from(me: Plain, known: Iterable[tuple[Plain, float]], hosts: int, now: float) -> Plain:
     """A conclusion from plain rumours: life, address, state, count, alone; and when each was heard."""
 
-    def rumour(plain: Plain) -> Rumour:
+    def rumour(plain: Plain) -> Update:
         life, address, state, count, alone = plain
-        return Rumour(id=life_id(life), address=address, state=STATES[state], count=count, alone=alone)
+        return Update(id=life_id(life), address=address, state=STATES[state], count=count, alone=alone)
 
     lives = [Known(rumour=rumour(one), heard=heard) for one, heard in known]
     return conclusion_plain(conclude(rumour(me), lives, hosts, now))
@@ -164,7 +185,7 @@
         alone: bool,
         timing: Mapping[str, float] | None = None,
     ) -> None:
-        self.inner = Members(
+        self.inner = Membership(
             deployment="test",
             name=name,
             boot=boot,
@@ -238,10 +259,10 @@
         )
 
 
-def timing_of(plain: Mapping[str, float]) -> Timing:
+def timing_of(plain: Mapping[str, float]) -> MembershipTiming:
     """Times of the membership that differ from the usual ones."""
-    usual = Timing()
-    return Timing(
+    usual = MembershipTiming()
+    return MembershipTiming(
         period=plain.get("period", usual.period),
         answer=plain.get("answer", usual.answer),
         helpers=int(plain.get("helpers", usual.helpers)),
@@ -254,17 +275,17 @@
 # Leases
 
 
-def lease_event(plain: Plain) -> RightsEvent:
+def lease_event(plain: Plain) -> LeaseEvent:
     """An event of the leases from its plain form."""
     match plain:
         case ("came", sender, message):
-            return Came(sender=life_id(sender), message=lease_message(message))
+            return LeaseMessageReceived(sender=life_id(sender), message=lease_message(message))
         case ("need", parts):
-            return Need(parts=dict(parts))
+            return DemandChanged(parts=dict(parts))
         case ("peers", ids):
-            return Peers(ids=tuple(map(life_id, ids)))
+            return PeersChanged(ids=tuple(map(life_id, ids)))
         case ("part", part):
-            return Part(part=part)
+            return QuotaFractionChanged(part=part)
     raise ValueError(plain)
 
 
@@ -272,7 +293,7 @@
     """One life's quota leases."""
 
     def __init__(self, began: float, seed: str) -> None:
-        self.inner = Rights(began=began, rng=random.Random(seed))
+        self.inner = QuotaLeases(began=began, rng=random.Random(seed))
 
     def step(self, now: float, events: Iterable[Plain]) -> list[Plain]:
         """Run one step: the messages to send, each with its receiver."""
@@ -296,7 +317,7 @@
     """What is asked for, by key."""
 
     def __init__(self) -> None:
-        self.inner: Meters[str] = Meters()
+        self.inner: DemandMeters[str] = DemandMeters()
 
     def note(self, now: float, key: str, units: float, home: float) -> None:
         """Something was asked for."""
@@ -307,32 +328,39 @@
         return self.inner.needs(now)
 
 
-def arrival(cell: int, units: float, plan: int = 0, volume: int = 0, hosts: int = 1) -> api.Arrival:
+def arrival(cell: int, units: float, plan: int = 0, volume: int = 0, hosts: int = 1) -> RequestArrived:
     """A request that came."""
-    return api.Arrival(
-        request="r",
+    return RequestArrived(
+        request_id="r",
         class_index=0,
-        plan=plan,
-        volume=volume,
+        plan_index=plan,
+        volume_id=volume,
         item=None,
-        cell=cell,
+        shard=cell,
         units=units,
         deadline=0.0,
-        hosts=hosts,
+        front_count=hosts,
     )
 
 
-def plan(limit: float) -> api.PlanSpec:
+def plan(limit: float) -> VolumePlan:
     """A plan with this limit."""
-    return api.PlanSpec(worth=1.0, rate=1.0, reserve=0.0, weight=1.0, limit=limit, limit_burst=1.0)
+    return VolumePlan(
+        priority_weight=1.0,
+        base_rate=1.0,
+        reserved_rate=0.0,
+        fair_share_weight=1.0,
+        rate_limit=limit,
+        rate_limit_burst=1.0,
+    )
 
 
-def lent(event: api.Event) -> Plain:
+def lent(event: SchedulerEvent) -> Plain:
     """What the policy hears of lent parts."""
-    if isinstance(event, api.Lent):
-        return "volume", event.volume, event.part
-    assert isinstance(event, api.LentNode)
-    return "node", event.node, event.part
+    if isinstance(event, QuotaLeaseChanged):
+        return "volume", event.volume_id, event.multiplier
+    assert isinstance(event, SlowStartLeaseChanged)
+    return "node", event.node_id, event.multiplier
 
 
 class VolumeLimits:
@@ -340,11 +368,13 @@
 
     def __init__(self, leases: Leases, limits: list[float]) -> None:
         self.limits = limits
-        self.inner = Limits(rights=leases.inner, plans=lambda: [plan(limit) for limit in self.limits])
+        self.inner = RateLimitLeases(
+            rights=leases.inner, plans=lambda: [plan(limit) for limit in self.limits]
+        )
 
     def heard(self, now: float, arrivals: Iterable[tuple[int, int, float, int]]) -> None:
         """Requests that came: plan, volume, units, hosts."""
-        events: list[api.Event] = [
+        events: list[SchedulerEvent] = [
             arrival(0, units, plan=index, volume=volume, hosts=hosts)
             for index, volume, units, hosts in arrivals
         ]
@@ -365,42 +395,42 @@
     def __init__(
         self, leases: Leases, names: dict[int, str], hosts: int, cold_units: float, ramp: float, after: float
     ) -> None:
-        safety = api.Safety(
-            cold_from=0.0,
-            ramp=ramp,
-            tip_multiple=1.0,
-            tip_after=after,
-            ask_every=None,
-            key_rest=0.0,
-            extra_free=None,
-            extra_ratio=None,
-            extra_window=None,
+        safety = SafetyLimits(
+            slow_start_initial_fraction=0.0,
+            slow_start_duration=ramp,
+            overload_multiple=1.0,
+            overload_after=after,
+            poll_interval=None,
+            ordering_pause=0.0,
+            retry_budget_minimum=None,
+            retry_budget_ratio=None,
+            retry_budget_window=None,
         )
-        settings = api.Settings(
+        settings = SchedulerSettings(
             classes=[],
             plans=[],
             safety=safety,
             seed=0,
-            hosts=hosts,
-            must_watch=False,
+            front_count=hosts,
+            watches_endpoints=False,
             max_attempts=1,
-            cancel=False,
-            cold_units=cold_units,
-            largest=1.0,
-            mean=1.0,
-            within_share=1.0,
+            can_cancel=False,
+            slow_start_units=cold_units,
+            max_request_units=1.0,
+            mean_request_units=1.0,
+            unreserved_value=1.0,
         )
-        self.inner = ColdShares(rights=leases.inner, settings=lambda: settings, name=names.get)
+        self.inner = SlowStartLeases(rights=leases.inner, settings=lambda: settings, name=names.get)
 
     def listed(
         self, now: float, unix: float, kind: str, nodes: Iterable[tuple[int, int, str, float]]
     ) -> None:
         """News of nodes: each with its cell, state and start."""
         entries = [
-            api.NodeEntry(node=node, cell=cell, zone=0, state=NODE_STATES[state], up_since=since)
+            Endpoint(node_id=node, shard=cell, zone=0, state=NODE_STATES[state], started_at=since)
             for node, cell, state, since in nodes
         ]
-        self.inner.heard(now, unix, [api.NodeList(kind=LISTS[kind], entries=entries)])
+        self.inner.heard(now, unix, [EndpointUpdate(kind=LISTS[kind], endpoints=entries)])
 
     def heard(self, now: float, unix: float, arrivals: Iterable[tuple[int, float]]) -> None:
         """Requests that came: cell, units."""
@@ -421,8 +451,8 @@
 class HoldSet:
     """A copy of the holds alone."""
 
-    def __init__(self, inner: replicas.Holds | None = None) -> None:
-        self.inner = inner if inner is not None else replicas.Holds()
+    def __init__(self, inner: replicas.HoldSet | None = None) -> None:
+        self.inner = inner if inner is not None else replicas.HoldSet()
 
     def hold(self, life: str, box: str) -> HoldSet:
         """With this one held."""
@@ -459,8 +489,8 @@
 class Sayings:
     """A copy of the newest words by origin."""
 
-    def __init__(self, inner: replicas.Latest | None = None) -> None:
-        self.inner = inner if inner is not None else replicas.Latest()
+    def __init__(self, inner: replicas.LatestValues | None = None) -> None:
+        self.inner = inner if inner is not None else replicas.LatestValues()
 
     def say(self, life: str, value: str, at: float) -> Sayings:
         """With a new word of this origin."""
@@ -482,8 +512,8 @@
 class Heights:
     """A copy of the greatest number by key."""
 
-    def __init__(self, inner: replicas.Highest | None = None) -> None:
-        self.inner = inner if inner is not None else replicas.Highest()
+    def __init__(self, inner: replicas.MaximumValues | None = None) -> None:
+        self.inner = inner if inner is not None else replicas.MaximumValues()
 
     def raised(self, key: str, number: int) -> Heights:
         """With this number told."""
@@ -513,7 +543,7 @@
     """The holds that one front keeps and shares. ``heard`` gets what others hold and release."""
 
     def __init__(self, life: Callable[[], str], heard: Callable[[list[str], list[str]], None]) -> None:
-        self.inner = Sharing(
+        self.inner = HoldReplication(
             me=lambda: life_id(life()),
             changed=lambda held, released: heard(sorted(held), sorted(released)),
         )
@@ -565,7 +595,7 @@
     """One start, by its stages."""
 
     def __init__(self, began: float, lent_until: float) -> None:
-        self.inner = Recovery(began=began, lent_until=lent_until)
+        self.inner = StagedStart(began=began, lent_until=lent_until)
 
     def step(self, now: float, evidence: Iterable[tuple[str, str]]) -> list[Plain]:
         """Run one step: the stages passed, by what, after how long."""
@@ -573,7 +603,7 @@
         return [self.passed(one) for one in self.inner.step(now, events)]
 
     @staticmethod
-    def passed(one: Passed) -> Plain:
+    def passed(one: StagePassed) -> Plain:
         """A stage that was passed."""
         return STAGE_WORDS[one.stage], one.what, one.waited
 
--- a/tests/recorded/fleet_cases.py
+++ b/tests/recorded/fleet_cases.py
@@ -55,7 +55,8 @@
 
 def readable(data: bytes) -> Any:
     """A datagram or a view of the fleet's protocol, with its checksum. Copies of holds in a view come in no
-    fixed order; they are sorted here, and their view's checksum is left out."""
+    fixed order; they are sorted here, and their view's checksum is left out.
+    """
     body = msgspec.msgpack.decode(data[:-4])
     sound = zlib.crc32(data[:-4]) == int.from_bytes(data[-4:], "big")
     if isinstance(body[4], bytes):
