--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -12,6 +12,7 @@
 
 from cleatyoke.config.reload import IndexAllocator, follow_settings, follow_writes, missing, shape
 from cleatyoke.http.body_limits import MOST_UPLOAD
+from cleatyoke.scheduling.events import decode_shard
 from cleatyoke.scheduling.settings import (
     Idempotency,
     IdempotencyScope,
@@ -59,7 +60,7 @@
     prefix: str
     volume: int
     plan: int
-    cell: int
+    cell: int | None
     hosts: int
 
 
@@ -612,7 +613,7 @@
         except ValueError as error:
             msg = "volume"
             raise entry.fail(msg, f"want hex digits, found {digits!r}") from error
-        plan, cell = entry.one_of("plan", plans), entry.whole("shard", -1, 1 << 31)
+        plan, cell = entry.one_of("plan", plans), decode_shard(entry.whole("shard", -1, 1 << 31))
         volumes.append(VolumePath(prefix, volume, plan, cell, entry.whole("hosts", 1, 1 << 16, 1)))
         entry.nothing_else()
     front = SftpSettings(
--- a/cleatyoke/coordination/slow_start_leases.py
+++ b/cleatyoke/coordination/slow_start_leases.py
@@ -29,7 +29,7 @@
 @dataclass(slots=True, frozen=True)
 class WarmingNode:
     resource: str
-    cell: int
+    cell: int | None
     warm_at: float  # Unix time
 
 
--- a/cleatyoke/discovery/directory.py
+++ b/cleatyoke/discovery/directory.py
@@ -20,7 +20,7 @@
     name: str
     address: Address
     zone: str
-    cell: int
+    cell: int | None
     state: EndpointState
     started: float  # Unix time; 0 for long ago
 
--- a/cleatyoke/discovery/listings.py
+++ b/cleatyoke/discovery/listings.py
@@ -18,7 +18,7 @@
 from cleatyoke.config.deployment import ConfigError, read_address
 from cleatyoke.discovery.directory import EndpointList, Instance
 from cleatyoke.http.messages import MessageError
-from cleatyoke.scheduling.events import EndpointState
+from cleatyoke.scheduling.events import EndpointState, decode_shard
 
 MOST_LIST = 16 * 1024 * 1024  # bytes of a list: 25,000 nodes at four times what one takes on the wire
 AT_ONCE = 500  # nodes of a list that are decoded or applied in one turn of the event loop
@@ -147,6 +147,5 @@
         address = read_address(str(entry.get("hostPort")), "hostPort")
     except ConfigError as error:
         raise MessageError(str(error)) from error
-    return Instance(
-        name, address, str(entry.get("zone")), -1 if cell is None else cell, STATES[state], started / 1000
-    )
+    shard = None if cell is None else decode_shard(cell)
+    return Instance(name, address, str(entry.get("zone")), shard, STATES[state], started / 1000)
--- a/cleatyoke/emulation/capacity/duties.py
+++ b/cleatyoke/emulation/capacity/duties.py
@@ -115,7 +115,7 @@
     prober = LoadProber(hosts, 1e9, seed)
     entries = [Endpoint(node, node, 0, EndpointState.LIVE, 0.0) for node in range(nodes)]
     entries[0].started_at = NOW
-    prober.listed(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
+    prober.on_endpoints(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
     asked, now = 0, NOW
     for _ in range(20 * 60):
         now += 0.05
@@ -130,9 +130,9 @@
     front = ListedFront(8, hosts)
     front.replace_node(seed)
     node = front.policy.nodes[max(front.policy.nodes)]
-    node.cold.level, node.cold.filled = -front.policy.settings.mean_request_units, front.now
+    node.slow_start.level, node.slow_start.filled_at = -front.policy.settings.mean_request_units, front.now
     front.policy.step(front.now, [])
-    return max(0.0, front.policy.bears_at(node) - front.now)
+    return max(0.0, front.policy.rules.slow_start.check(node).allowed_at - front.now)
 
 
 def limit_wait(hosts: int) -> float:
--- a/cleatyoke/emulation/capacity/nodes.py
+++ b/cleatyoke/emulation/capacity/nodes.py
@@ -77,7 +77,7 @@
     def take(self, listing: EndpointList, kind: UpdateKind = UpdateKind.DELTA) -> None:
         news = EndpointUpdate(kind, self.directory.apply(listing))
         self.policy.step(self.now, [news])
-        self.prober.listed(news)
+        self.prober.on_endpoints(news)
 
     def change(self, number: int, state: EndpointState) -> None:
         """One node has another state, a moment later."""
@@ -101,7 +101,7 @@
     def serve(self, number: int, new: bool = False) -> None:
         """One request from its arrival to its end; a new object may go to any node."""
         self.now += 0.001
-        cell = -1 if new else number % len(self.listing.instances)
+        cell = None if new else number % len(self.listing.instances)
         arrival = RequestArrived(f"r{number}", 0, 0, number % 50, None, cell, 2.0, self.now + 1.5, 10)
         for action in self.policy.step(self.now, [arrival]):
             if isinstance(action, SendAttempt):
--- a/cleatyoke/http/load_probes.py
+++ b/cleatyoke/http/load_probes.py
@@ -29,7 +29,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        self.core.listeners.append(self.prober.listed)
+        self.core.listeners.append(self.prober.on_endpoints)
         self.task = asyncio.create_task(keep_up(self.faults, "probes", self.run, lambda: AGAIN))
 
     def stop(self) -> None:
@@ -43,8 +43,8 @@
             if node is None:
                 await asyncio.sleep(min(SLEEP, max(0.0, self.prober.next_at(now) - now) or SLEEP))
                 continue
-            self.prober.told(node, now, await self.boxes.probe(node, self.within))
-            busy = self.prober.busy(self.core.now())
+            self.prober.on_report(node, now, await self.boxes.probe(node, self.within))
+            busy = self.prober.utilization(self.core.now())
             if not math.isclose(busy, self.told):
                 self.told = busy
                 self.core.tell(UtilizationReported(busy))
--- a/cleatyoke/http/messages.py
+++ b/cleatyoke/http/messages.py
@@ -15,7 +15,7 @@
 from multidict import CIMultiDictProxy
 
 from cleatyoke.config.deployment import Address, Config
-from cleatyoke.scheduling.events import AttemptOutcome
+from cleatyoke.scheduling.events import AttemptOutcome, decode_shard
 from cleatyoke.scheduling.settings import Idempotency
 
 MOST_WHOLE = 64 * 1024  # bytes of an answer's body that is read whole; a longer one passes on as it comes
@@ -52,7 +52,7 @@
     plan: int
     volume: int
     item: int
-    cell: int
+    cell: int | None
     units: float
     hosts: int
     wait: float  # seconds that the client waits, from the last byte of its request
@@ -133,7 +133,7 @@
         plan=config.plans[plan],
         volume=hex16(fields.get("volume"), "X-IO volume"),
         item=hex16(blocks[0], "block"),
-        cell=whole(fields.get("shard"), "X-IO shard", -1, (config.shards or 1 << 31) - 1),
+        cell=decode_shard(whole(fields.get("shard"), "X-IO shard", -1, (config.shards or 1 << 31) - 1)),
         units=float(whole(fields.get("units"), "X-IO units", 1, largest)),
         hosts=whole(fields.get("hosts"), "X-IO hosts", 1, 1 << 20),
         wait=min(wait, config.give_up[index]),  # a longer word would hold a box's slot for as long
--- a/cleatyoke/scheduling/actions.py
+++ b/cleatyoke/scheduling/actions.py
@@ -5,6 +5,8 @@
 import math
 from dataclasses import dataclass, field
 
+from cleatyoke.scheduling.verdict import Rule
+
 
 @dataclass(slots=True)
 class SendAttempt:
@@ -21,17 +23,22 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected, a retry by the client is harmless, best after ``retry_after`` seconds."""
+    """Final answer: rejected, a retry by the client is harmless, best after ``retry_after`` seconds.
+
+    ``rule``: what held the request until it was hopeless, or forbids another attempt.
+    """
 
     request_id: str
     retry_after: float = 0.0
+    rule: Rule | None = field(default=None, compare=False, repr=False)
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, and the request may have taken effect."""
+    """Final answer: failed, and the request may have taken effect. ``rule``: see ``Reject``."""
 
     request_id: str
+    rule: Rule | None = field(default=None, compare=False, repr=False)
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/cleatyoke/scheduling/admission.py
@@ -0,0 +1,203 @@
+"""Admission by volume: rate limits, reserved rates, and what a volume may send beyond its reserve."""
+
+from __future__ import annotations
+
+import math
+
+from cleatyoke.scheduling.concurrency import MAX_BOUND_STEP, ConcurrencyController
+from cleatyoke.scheduling.events import QuotaLeaseChanged, RequestArrived
+from cleatyoke.scheduling.quotas import QuotaLeaseMultipliers, TokenBucket
+from cleatyoke.scheduling.records import Node, RateByOthers, Request, Volume, reserved_units_left
+from cleatyoke.scheduling.service_estimates import ServiceEstimates
+from cleatyoke.scheduling.settings import VolumePlan
+from cleatyoke.scheduling.state import RETENTION, SchedulerState
+from cleatyoke.scheduling.verdict import ALLOWED, NEVER, Rule, Verdict
+
+OTHERS_AVERAGED_OVER = 1.0  # seconds over which a volume's use through other fronts is averaged
+SLACK_FRACTION = 0.5  # of the settings' slack of a limit, which fronts that start may use at once
+MIN_MULTIPLIER = 1e-9  # of a leased quota: a rate is divided by
+
+
+class RateLimits:
+    """Keep each volume within its rate limit, over all fronts together.
+
+    Symptom without it: one volume's surge takes the nodes' capacity, and its owner is served more than was
+    booked. It holds because each front has an even part of the limit, or what fronts lease of it to each
+    other. Another process of this front may have used all of it just before, so a bucket starts with a part
+    of the slack only, and fills from when this process, and so no other of this front, can send.
+
+    Inputs: ``rate_limit`` (units a second), ``rate_limit_burst`` and ``rate_limit_slack`` (units) of the plan.
+    """
+
+    def __init__(self, state: SchedulerState) -> None:
+        self._state = state
+        self._multipliers = QuotaLeaseMultipliers()
+
+    def on_lease_changed(self, event: QuotaLeaseChanged) -> None:
+        """Count this front's even share of a volume's limit so many times from now on."""
+        state = self._state
+        now = state.quota_clock.time(state.now)
+        self._multipliers.change(event.volume_id, event.multiplier, state.volumes, now)
+
+    def add_volume(self, volume_id: int, plan: VolumePlan, front_count: int, reserve: TokenBucket) -> Volume:
+        """Add a volume that is used for the first time, with the bucket of its limit."""
+        state = self._state
+        filled_at = max(0.0, state.quota_clock.time(state.now) - RETENTION / 2)  # since when none is used
+        slack = 0.0 if state.settings.replaces_process else plan.rate_limit_slack * SLACK_FRACTION
+        bucket = TokenBucket(slack / front_count, filled_at)
+        volume = Volume(reserve, bucket, self._multipliers.before_first_use(volume_id))
+        state.volumes[volume_id] = volume
+        return volume
+
+    def draw(self, request: Request) -> None:
+        """Take the units of a request that is sent for the first time."""
+        if not request.attempts:
+            request.volume.rate_limit.level -= request.units
+
+    def check(self, request: Request) -> Verdict:
+        """When the limit allows the request's first attempt; retries are not counted against it."""
+        state = self._state
+        plan = state.settings.plans[request.arrival.plan_index]
+        if not plan.rate_limit or request.attempts:
+            return ALLOWED
+        fraction = state.quota_clock.fraction
+        bucket, clock = request.volume.rate_limit, request.volume.lease_clock
+        rate = plan.rate_limit / request.front_count
+        ceiling = plan.rate_limit_burst * fraction / request.front_count
+        bucket.fill(rate, ceiling, clock.time(state.quota_clock.time(state.now)))
+        missing = request.units - bucket.level
+        if missing <= 0:
+            return ALLOWED
+        wait = missing / (rate * fraction * max(clock.fraction, MIN_MULTIPLIER))
+        return Verdict(state.now + wait, Rule.RATE_LIMIT)
+
+
+class ReservedRates:
+    """Serve each volume at full value up to its reserved rate, over all fronts together.
+
+    This front's part of a reserve is an even one, or more by what the other fronts leave of theirs, as the
+    nodes report. Symptom without the reports: the reserve of a volume that uses its fronts unevenly is not
+    met. For a moment, where the lead changes, two fronts spend the same part.
+    """
+
+    def __init__(self, state: SchedulerState) -> None:
+        self._state = state
+
+    def part_here(self, volume_id: int, reserved_rate: float, front_count: int) -> float:
+        """Units a second of a volume's reserve that this front may spend."""
+        even = reserved_rate / front_count
+        if volume_id not in self._state.volumes or not self._state.settings.reports_usage_by_others:
+            return even
+        reported = self._state.volumes[volume_id].used_by_others
+        if not reported:
+            return even
+        return max(even, reserved_rate - sum(others.rate for others in reported.values()))
+
+    def fill(self, event: RequestArrived, front_count: int, limits: RateLimits) -> Volume:
+        """Fill the reserve of the arriving request's volume until now; returns the volume."""
+        state = self._state
+        plan = state.settings.plans[event.plan_index]
+        rate = self.part_here(event.volume_id, plan.reserved_rate, front_count)
+        ceiling = rate + state.settings.max_request_units if rate else 0.0
+        volume = state.volumes.get(event.volume_id)
+        if volume is None:
+            reserve = TokenBucket(ceiling, state.now)
+            volume = limits.add_volume(event.volume_id, plan, front_count, reserve)
+        volume.reserve.fill(rate, ceiling, state.now)
+        return volume
+
+    def draw(self, request: Request) -> None:
+        """Take what is left of the reserve for a request that arrives."""
+        state, volume = self._state, request.volume
+        units = min(volume.reserve.level, request.units)
+        volume.reserve.level -= units
+        volume.reserved_left[int(state.now)] += units
+        counted = state.table.reserved_units
+        counted[request.shard] = counted.get(request.shard, 0.0) + units
+
+    def on_sent(self, request: Request) -> None:
+        """Count what the attempt takes of the reserve."""
+        request.reserved_units = reserved_units_left(request)
+        request.volume.reserved_left[int(request.arrived_at)] -= request.reserved_units
+
+    def on_not_served(self, request: Request) -> None:
+        """Give back what the attempt took of the reserve."""
+        request.volume.reserved_left[int(request.arrived_at)] += request.reserved_units
+
+    def on_usage_by_others(self, request: Request, node: Node, units: float) -> None:
+        """Take in what the node served the volume through other fronts since its last answer to this one.
+
+        Until more is known, the others are taken to use all of their parts.
+        """
+        now, reported = self._state.now, request.volume.used_by_others
+        plan = self._state.settings.plans[request.arrival.plan_index]
+        assumed = RateByOthers(plan.reserved_rate * (1 - 1 / request.front_count), now)
+        rate, reported_at = reported.get(node.shard, assumed)
+        span = now - reported_at
+        if span > 0:
+            weight = 1 - math.exp(-span / OTHERS_AVERAGED_OVER)
+            reported[node.shard] = RateByOthers(rate + weight * (units / span - rate), now)
+        elif node.shard not in reported:
+            reported[node.shard] = RateByOthers(rate + 0.0, now)
+
+
+class SurplusRates:
+    """Share a node's surplus among the volumes by weight: what they send beyond their reserves, or late.
+
+    Symptom without it: fronts that each see a free slot overfill a node together, and a volume with many
+    requests crowds out the others. It holds because all fronts see the node's queue, and so come to similar
+    rates by weight. A new object, open to every node, has its rate at all of them together and is never sent
+    late. It does harm to a volume that uses its fronts very unevenly.
+    """
+
+    def __init__(
+        self, state: SchedulerState, estimates: ServiceEstimates, concurrency: ConcurrencyController
+    ) -> None:
+        self._state = state
+        self._estimates = estimates
+        self._concurrency = concurrency
+
+    def value(self, request: Request, node: Node) -> float:
+        """Value of a unit of the request when it is sent to this node now."""
+        settings, spec = self._state.settings, request.request_class
+        reserved = reserved_units_left(request) / request.units
+        fraction = reserved + (1 - reserved) * settings.unreserved_value
+        weight = fraction * settings.plans[request.arrival.plan_index].priority_weight
+        in_time = 1.0 if self._estimates.meets_objective(request, node) else spec.late_value
+        return spec.priority_weight * weight * in_time
+
+    def is_within_reserve(self, request: Request, node: Node) -> bool:
+        """Whether all of the request is within the reserve and expected to be answered in time."""
+        return reserved_units_left(request) >= request.units and self._estimates.meets_objective(
+            request, node
+        )
+
+    def check(self, request: Request, node: Node) -> Verdict:
+        """When the volume's share of the node's surplus rate allows the request."""
+        if self.is_within_reserve(request, node):
+            return ALLOWED
+        now = self._state.now
+        is_new_object = request.shard is None
+        places = request.front_count * (len(self._state.table.holders) if is_new_object else 1)
+        is_wanted = self.value(request, node) > 0 and (
+            not is_new_object or self._estimates.meets_objective(request, node)
+        )
+        weight = self._state.settings.plans[request.arrival.plan_index].fair_share_weight
+        rate = node.surplus_rate * weight / places * is_wanted
+        bucket = request.volume.surplus.get(node.id)
+        if bucket is None:
+            bucket = request.volume.surplus[node.id] = TokenBucket(rate, now)
+        bucket.fill(rate, rate, now)
+        if not rate:
+            return Verdict(NEVER, Rule.SURPLUS_RATE)
+        if bucket.level >= 0:
+            return ALLOWED
+        return Verdict(now - bucket.level / rate, Rule.SURPLUS_RATE)
+
+    def charge(self, request: Request, node: Node) -> None:
+        """Take what an attempt costs: the less valuable the dearer, and dearer where its class has few slots."""
+        if self.is_within_reserve(request, node):
+            return
+        bound = max(MAX_BOUND_STEP, self._concurrency.bounds[request.class_index])
+        price = self._state.max_value / self.value(request, node) / bound
+        request.volume.surplus[node.id].level -= request.units * price
--- a/cleatyoke/scheduling/events.py
+++ b/cleatyoke/scheduling/events.py
@@ -38,12 +38,17 @@
     UNAVAILABLE = "lost"  # discovery does not answer
 
 
+def decode_shard(number: int) -> int | None:
+    """Shard as the platform writes it (HTTP header, settings): ``-1`` is no shard."""
+    return None if number == -1 else number
+
+
 @dataclass(slots=True)
 class Endpoint:
-    """A node as discovery lists it. ``shard``: ``-1`` where it holds none and takes new objects only."""
+    """A node as discovery lists it. ``shard``: ``None`` where it holds none and takes new objects only."""
 
     node_id: int
-    shard: int
+    shard: int | None
     zone: int
     state: EndpointState
     started_at: float
@@ -61,7 +66,7 @@
 class RequestArrived:
     """A request to which exactly one final answer is now owed.
 
-    ``shard``: where its data lies, ``-1`` for a new object that any node can take. ``units``: its size.
+    ``shard``: where its data lies, ``None`` for a new object that any node can take. ``units``: its size.
     ``item``: the piece of data that it concerns. ``front_count``: fronts through which its volume is used.
     """
 
@@ -70,7 +75,7 @@
     plan_index: int
     volume_id: int
     item: int | None
-    shard: int
+    shard: int | None
     units: float
     deadline: float
     front_count: int
@@ -118,8 +123,9 @@
 
 @dataclass(slots=True)
 class QuotaShareChanged:
-    """This process may use ``fraction`` (1 at most) of its front's quotas from now on; other processes of the
-    front, which run beside it, use the rest.
+    """The process may use ``fraction`` (1 at most) of its front's quotas from now on.
+
+    Other processes of the front, which run beside it, use the rest.
     """
 
     fraction: float
@@ -127,8 +133,9 @@
 
 @dataclass(slots=True)
 class QuotaLeaseChanged:
-    """This front's even share of a volume's rate limit counts ``multiplier`` times from now on, as fronts
-    lease quota to each other; the sum over all fronts stays the whole limit.
+    """The front's even share of a volume's rate limit counts ``multiplier`` times from now on.
+
+    Fronts lease quota to each other; the sum over all fronts stays the whole limit.
     """
 
     volume_id: int
@@ -137,8 +144,9 @@
 
 @dataclass(slots=True)
 class SlowStartLeaseChanged:
-    """This front's even share of what a warming node bears counts ``multiplier`` times from now on, as fronts
-    lease it to each other; the sum over all fronts stays the whole.
+    """The front's even share of what a warming node bears counts ``multiplier`` times from now on.
+
+    Fronts lease it to each other; the sum over all fronts stays the whole.
     """
 
     node_id: int
@@ -147,8 +155,10 @@
 
 @dataclass(slots=True)
 class SettingsReloaded:
-    """New settings for requests that arrive from now on. Classes and plans keep their indexes; new ones are
-    appended. ``retired_classes``: indexes of removed classes, which requests in flight keep.
+    """New settings for requests that arrive from now on.
+
+    Classes and plans keep their indexes; new ones are appended. ``retired_classes``: indexes of removed
+    classes, which requests in flight keep.
     """
 
     settings: SchedulerSettings
--- a/cleatyoke/scheduling/load_probes.py
+++ b/cleatyoke/scheduling/load_probes.py
@@ -1,9 +1,9 @@
-"""Whom a host probes, and when: a state machine that is told of nodes and reports, and returns whom to ask.
+"""Load probes: which node a front asks for its load, and when. A state machine with no input or output.
 
-A report is of use for one thing here: how much of the nodes' power all hosts together use, by which a cold
-node may be sent more (``rules.bears_at``). So a host probes only while a listed node is cold, one warm node
-after the other in an order of its own, so slowly that all hosts together ask each node once in ``PERIOD``
-seconds at the most (protocol page, Fronts to chunk servers: each probe costs the node work).
+A report is of use for one thing here: the fraction of the nodes' capacity that all fronts together use, by
+which a warming node may be sent more (``slow_start``). So a front probes only while a listed node is warming
+up, one warm node after the other in an order of its own, so slowly that all fronts together ask each node once
+in ``PROBE_PERIOD`` at the most (protocol page, Fronts to chunk servers: each probe costs the node work).
 """
 
 from __future__ import annotations
@@ -11,82 +11,95 @@
 import math
 import random
 
-from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, UpdateKind
+from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.random_rounds import RandomRounds
 
-PERIOD = 1.0  # seconds between two probes of a node, of all hosts together
-LEAST = 0.15  # seconds between two probes of a host
-FRESH = 6.0  # seconds for which a report counts
-ENOUGH = 3  # reports by which a mean counts, or one of each node where there are fewer
+PROBE_PERIOD = 1.0  # seconds between two probes of a node, by all fronts together
+MIN_PROBE_GAP = 0.15  # seconds between two probes by a front
+REPORT_LIFETIME = 6.0  # seconds for which a report counts
+MIN_REPORTS = 3  # reports by which a mean counts, or one of each node where there are fewer
+UNKNOWN_UTILIZATION = 1.0  # all of the capacity: it would be wrong to take an unknown node for idle
 
 
 class LoadProber:
-    """One host's probes. Times are seconds on the caller's clock."""
-
-    def __init__(self, hosts: int, ramp: float, seed: int) -> None:
-        """``ramp``: seconds within which a node that has started is warm."""
-        self.hosts, self.ramp, self.rng = max(1, hosts), ramp, random.Random(seed)
-        self.ramp_ends: dict[int, float] = {}  # cold nodes: when they are warm
-        self.warm = RandomRounds(self.rng)
-        self.reports: dict[int, tuple[float, float]] = {}  # node: when it was asked, part of its power in use
-        self.at = -math.inf  # of the latest probe
-
-    def listed(self, news: EndpointUpdate) -> None:
-        if news.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
-            listed = {entry.node_id for entry in news.endpoints}
-            for node in [node for node in (*self.warm, *self.ramp_ends) if node not in listed]:
-                self.forget(node)
-        for entry in news.endpoints:
-            if entry.state is not EndpointState.LIVE:
-                self.forget(entry.node_id)
-            elif entry.started_at > 0:
-                self.warm.discard(entry.node_id)
-                self.ramp_ends[entry.node_id] = entry.started_at + self.ramp
-            else:
-                self.ramp_ends.pop(entry.node_id, None)
-                self.warm.add(entry.node_id)
-
-    def forget(self, node: int) -> None:
-        self.warm.discard(node)
-        self.ramp_ends.pop(node, None)
-        self.reports.pop(node, None)
-
-    def look(self, now: float) -> None:
-        """Nodes whose time has come are warm from here on."""
-        for node in [node for node, end in self.ramp_ends.items() if end <= now]:
-            del self.ramp_ends[node]
-            self.warm.add(node)
+    """One front's probes. Times are seconds on the caller's clock.
+
+    ``front_count``: fronts that share the nodes. ``slow_start_duration``: seconds until a node that has
+    started is warm.
+    """
+
+    def __init__(self, front_count: int, slow_start_duration: float, seed: int) -> None:
+        self._front_count = max(1, front_count)
+        self._slow_start_duration = slow_start_duration
+        self._rng = random.Random(seed)
+        self.warm_at: dict[int, float] = {}  # of each node that is warming up
+        self.warm: RandomRounds[int] = RandomRounds(self._rng)
+        self._reports: dict[int, tuple[float, float]] = {}  # by node: when it was asked, its utilization
+        self._probed_at = -math.inf
+
+    def on_endpoints(self, event: EndpointUpdate) -> None:
+        """Take in an update of the endpoint list."""
+        if event.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
+            listed = {endpoint.node_id for endpoint in event.endpoints}
+            for node_id in [node_id for node_id in (*self.warm, *self.warm_at) if node_id not in listed]:
+                self._forget(node_id)
+        for endpoint in event.endpoints:
+            self._on_endpoint(endpoint)
+
+    def _on_endpoint(self, endpoint: Endpoint) -> None:
+        if endpoint.state is not EndpointState.LIVE:
+            self._forget(endpoint.node_id)
+        elif endpoint.started_at > 0:
+            self.warm.discard(endpoint.node_id)
+            self.warm_at[endpoint.node_id] = endpoint.started_at + self._slow_start_duration
+        else:
+            self.warm_at.pop(endpoint.node_id, None)
+            self.warm.add(endpoint.node_id)
+
+    def _forget(self, node_id: int) -> None:
+        self.warm.discard(node_id)
+        self.warm_at.pop(node_id, None)
+        self._reports.pop(node_id, None)
+
+    def _end_slow_starts(self, now: float) -> None:
+        for node_id in [node_id for node_id, warm_at in self.warm_at.items() if warm_at <= now]:
+            del self.warm_at[node_id]
+            self.warm.add(node_id)
 
     def gap(self) -> float:
-        return max(LEAST, PERIOD * self.hosts / max(1, len(self.warm)))
+        """Seconds between two probes by this front."""
+        return max(MIN_PROBE_GAP, PROBE_PERIOD * self._front_count / max(1, len(self.warm)))
 
     def next_at(self, now: float) -> float:
-        """When ``step`` has something to do; infinite while no node is cold, or none is warm."""
-        self.look(now)
-        if not self.ramp_ends or not self.warm:
+        """When ``step`` has something to do; infinite while no node is warming up, or none is warm."""
+        self._end_slow_starts(now)
+        if not self.warm_at or not self.warm:
             return math.inf
-        return max(now, self.at + self.gap())
+        return max(now, self._probed_at + self.gap())
 
     def step(self, now: float) -> int | None:
-        """The node to probe now, if it is time to."""
+        """Return the node to probe now, ``None`` where it is not time to."""
         if self.next_at(now) > now:
             return None
-        if self.at + FRESH < now:
-            self.at = now - self.rng.random() * self.gap()  # hosts that hear of a start as one
+        if self._probed_at + REPORT_LIFETIME < now:
+            # Fronts hear of a start together, so each begins at a random point of its gap.
+            self._probed_at = now - self._rng.random() * self.gap()
             if self.next_at(now) > now:
                 return None
-        self.at = now
+        self._probed_at = now
         return self.warm.take()
 
-    def told(self, node: int, now: float, busy: float | None) -> None:
-        """What a probe brought. None: no answer, or none that can be read. A node that does not answer may be
-        as busy as can be, and it would be wrong to take it for idle.
+    def on_report(self, node_id: int, now: float, utilization: float | None) -> None:
+        """Take in the answer to a probe; ``None``: no answer, or none that can be read.
+
+        A node that does not answer may be as busy as can be, and counts as that.
         """
-        self.reports[node] = now, 1.0 if busy is None else min(1.0, max(0.0, busy))
-
-    def busy(self, now: float) -> float:
-        """Mean part of the nodes' power in use; all of it while too little is known."""
-        fresh = [part for at, part in self.reports.values() if at + FRESH >= now]
-        if len(fresh) < min(ENOUGH, max(1, len(self.warm))):
-            return 1.0
-        return sum(fresh) / len(fresh)
+        reported = UNKNOWN_UTILIZATION if utilization is None else min(1.0, max(0.0, utilization))
+        self._reports[node_id] = now, reported
+
+    def utilization(self, now: float) -> float:
+        """Mean fraction of the nodes' capacity in use; all of it while too little is known."""
+        current = [used for at, used in self._reports.values() if at + REPORT_LIFETIME >= now]
+        if len(current) < min(MIN_REPORTS, max(1, len(self.warm))):
+            return UNKNOWN_UTILIZATION
+        return sum(current) / len(current)
--- a/cleatyoke/scheduling/node_table.py
+++ b/cleatyoke/scheduling/node_table.py
@@ -1,6 +1,6 @@
-"""The nodes as one host's policy keeps them: who holds which cell, who is in use, and rates by cell.
+"""The nodes as one front's scheduler keeps them: who holds which shard, who is in use, and rates by shard.
 
-Records and their upkeep, with no decision about a request; ``rules.py`` owns the one table. A change costs by
+Records and their upkeep, with no decision about a request; the scheduler owns the one table. A change costs by
 the nodes that it names, and a control round by the nodes in use, never by all that are listed.
 """
 
@@ -12,198 +12,225 @@
 from cleatyoke.scheduling.random_rounds import RandomRounds
 from cleatyoke.scheduling.records import Node
 
-IsCold = Callable[[Node], bool]
+Shard = int | None  # None: of nodes that hold no shard, and of new objects
+IsWarming = Callable[[Node], bool]
 
 
-class FadingMeans:
-    """Mean rates by cell that all fade by the same part, at a cost that does not grow with the cells. A cell
-    that is kept does not fade until it is resumed.
+class DecayingRates:
+    """Mean rates by shard that all decay by the same factor, at a cost that does not grow with the shards.
+
+    A shard that is frozen does not decay until it is resumed.
     """
 
-    LEAST_SCALE = 1e-100  # below it the figures are written anew, far from where floats end
+    MIN_SCALE = 1e-100  # below it the rates are scaled anew, far from where floats end
 
     def __init__(self) -> None:
-        self.scaled: dict[int, float] = {}  # cell: its rate in parts of ``scale``; not there: 0
-        self.scale = 1.0
-        self.sum = 0.0  # of what is scaled
-        self.kept: dict[int, float] = {}  # cell: its rate
-        self.known: set[int] = set()  # cells that were counted at least once
-
-    def fade(self, part: float) -> None:
-        """All but the kept ones become so much of what they are, between 0 and 1."""
-        self.scale *= part
-        if self.scale < self.LEAST_SCALE:
-            written = {cell: rate * self.scale for cell, rate in self.scaled.items()}
-            self.scaled = written if self.scale else {}
-            self.scale, self.sum = 1.0, sum(self.scaled.values())
-
-    def add(self, cell: int, rate: float) -> None:
-        self.known.add(cell)
-        if cell in self.kept:
-            self.kept[cell] += rate
+        self._scaled: dict[Shard, float] = {}  # rate in parts of ``_scale``; not there: 0
+        self._scale = 1.0
+        self._scaled_sum = 0.0
+        self._frozen: dict[Shard, float] = {}
+        self.known: set[Shard] = set()  # shards that were counted at least once
+
+    def decay(self, factor: float) -> None:
+        """Multiply all rates but the frozen ones by ``factor``, between 0 and 1."""
+        self._scale *= factor
+        if self._scale < self.MIN_SCALE:
+            rates = {shard: rate * self._scale for shard, rate in self._scaled.items()}
+            self._scaled = rates if self._scale else {}
+            self._scale = 1.0
+            self._scaled_sum = sum(self._scaled.values())
+
+    def add(self, shard: Shard, rate: float) -> None:
+        """Add to the rate of a shard, which is known from here on."""
+        self.known.add(shard)
+        if shard in self._frozen:
+            self._frozen[shard] += rate
         elif rate:
-            self.scaled[cell] = self.scaled.get(cell, 0.0) + rate / self.scale
-            self.sum += rate / self.scale
-
-    def keep(self, cell: int) -> None:
-        """It stands still, if it is known."""
-        if cell in self.known and cell not in self.kept:
-            scaled = self.scaled.pop(cell, 0.0)
-            self.sum -= scaled
-            self.kept[cell] = scaled * self.scale
-
-    def resume(self, cell: int) -> None:
-        """It fades again, or becomes known."""
-        self.add(cell, self.kept.pop(cell, 0.0))
-
-    def get(self, cell: int) -> float:
-        """0 where the cell is not known."""
-        return self.kept[cell] if cell in self.kept else self.scaled.get(cell, 0.0) * self.scale
-
-    def get_or_mean(self, cell: int) -> float:
-        return self.get(cell) if cell in self.known else self.mean()
+            self._scaled[shard] = self._scaled.get(shard, 0.0) + rate / self._scale
+            self._scaled_sum += rate / self._scale
+
+    def freeze(self, shard: Shard) -> None:
+        """Let the rate of a known shard stand still."""
+        if shard in self.known and shard not in self._frozen:
+            scaled = self._scaled.pop(shard, 0.0)
+            self._scaled_sum -= scaled
+            self._frozen[shard] = scaled * self._scale
+
+    def resume(self, shard: Shard) -> None:
+        """Let the rate decay again; an unknown shard becomes known."""
+        self.add(shard, self._frozen.pop(shard, 0.0))
+
+    def get(self, shard: Shard) -> float:
+        """Rate of a shard, 0 where it is not known."""
+        if shard in self._frozen:
+            return self._frozen[shard]
+        return self._scaled.get(shard, 0.0) * self._scale
+
+    def get_or_mean(self, shard: Shard) -> float:
+        """Rate of a shard, the mean of all known ones where it is not known."""
+        return self.get(shard) if shard in self.known else self.mean()
 
     def mean(self) -> float:
-        """Of all known cells; 0 where there are none."""
-        total = max(0.0, self.sum) * self.scale + sum(self.kept.values())
+        """Mean over all known shards, 0 where there are none."""
+        total = max(0.0, self._scaled_sum) * self._scale + sum(self._frozen.values())
         return total / max(1, len(self.known))
 
 
 class NodeTable:
-    """All nodes, the holder of each cell, and which nodes have something to count in the next round."""
+    """All nodes, the holder of each shard, and which nodes have something to count in the next round.
 
-    MOST_TRIED = 256  # holders that a new object is offered to at one time, drawn where there are more
+    ``nodes``: by id. ``holders``: by shard, the live node that is sent its requests.
+    ``total_concurrency_limit``: of all holders. ``active``: nodes with something to count in the next control
+    round. ``even_slots``: slots by class of all nodes that are not in use. ``usual_rate``: by shard, units a
+    second that warm nodes served for this front. ``reserved_rate``: by shard, units a second that came within
+    reserves; ``reserved_units``: such units since the last control round.
+    """
+
+    MAX_OFFERED = 256  # holders that a new object is offered to at one time, drawn where there are more
 
     def __init__(self, classes: int, seed: int) -> None:
-        self.rounds = RandomRounds(random.Random(seed))  # cells that have a holder
         self.nodes: dict[int, Node] = {}
-        self.unlisted: dict[int, Node] = {}  # of these, those that are not live
-        self.cells: dict[int, list[Node]] = {}  # cell: all its nodes, in the order in which they were listed
-        self.holder: dict[int, Node] = {}  # cell: the live node that holds it
-        self.depth = 0.0  # of all holders together
-        self.active: dict[int, Node] = {}  # nodes with something to count in the next round
-        self.divided: dict[int, Node] = {}  # nodes whose ``split`` is their own
-        self.even_split = [1] * classes  # the ``split`` of all others
-        self.usual = FadingMeans()  # by cell: units a second that warm nodes had served this host
-        self.due_rate = FadingMeans()  # by cell: units a second that are due in full
-        self.due_units: dict[int, float] = {}  # by cell: such units since the last round
-        self.changed: dict[int, None] = {}  # cells whose holder has to be chosen anew
-
-    # Lists
+        self.holders: dict[Shard, Node] = {}
+        self.total_concurrency_limit = 0.0
+        self.active: dict[int, Node] = {}
+        self.even_slots = [1] * classes
+        self.usual_rate = DecayingRates()
+        self.reserved_rate = DecayingRates()
+        self.reserved_units: dict[Shard, float] = {}
+        self._rounds: RandomRounds[Shard] = RandomRounds(random.Random(seed))  # shards that have a holder
+        self._unlisted: dict[int, Node] = {}  # nodes that are not live
+        self._nodes_by_shard: dict[Shard, list[Node]] = {}  # in the order in which they were listed
+        self._with_own_slots: dict[int, Node] = {}
+        self._changed_shards: dict[Shard, None] = {}  # whose holder has to be chosen anew
+
+    # Endpoint list
 
     def add(self, node: Node) -> None:
+        """Add a node that was listed for the first time."""
         self.nodes[node.id] = node
-        self.cells.setdefault(node.cell, []).append(node)
-        self.divided[node.id] = node  # until the next round
+        self._nodes_by_shard.setdefault(node.shard, []).append(node)
+        self._with_own_slots[node.id] = node  # until the next control round
 
-    def set_live(self, node: Node, live: bool) -> None:
-        node.live = live
-        self.changed[node.cell] = None
+    def set_live(self, node: Node, *, live: bool) -> None:
+        """Note whether a node may be sent requests; ``choose_holders`` then acts on it."""
+        node.is_live = live
+        self._changed_shards[node.shard] = None
         if live:
-            self.unlisted.pop(node.id, None)
+            self._unlisted.pop(node.id, None)
         else:
-            self.unlisted[node.id] = node
+            self._unlisted[node.id] = node
 
     def unlist_all_but(self, listed: set[int]) -> None:
+        """Take all other nodes for not live: a complete list does not name them."""
         for node in self.nodes.values():
-            if node.live and node.id not in listed:
-                self.set_live(node, False)
+            if node.is_live and node.id not in listed:
+                self.set_live(node, live=False)
+
+    def choose_holders(self, is_warming: IsWarming) -> list[Node]:
+        """Choose the holder of each changed shard, and return those that held them before.
 
-    def choose_holders(self, is_cold: IsCold) -> list[Node]:
-        """Choose the holder of each changed cell: of its live nodes the one that started last, and of those
-        that started together the one that was listed last. Returns who held them before.
+        The holder is the live node that started last, of those that started together the one listed last.
         """
         replaced = []
-        cells, self.changed = self.changed, {}
-        for cell in cells:
-            before = self.holder.pop(cell, None)
-            live = [node for node in self.cells[cell] if node.live]
-            after = max(reversed(live), key=lambda node: node.up_since) if live else None
-            self.depth -= before.depth if before else 0.0
+        changed = self._changed_shards
+        self._changed_shards = {}
+        for shard in changed:
+            before = self.holders.pop(shard, None)
+            live = [node for node in self._nodes_by_shard[shard] if node.is_live]
+            after = max(reversed(live), key=lambda node: node.started_at) if live else None
+            self.total_concurrency_limit -= before.concurrency_limit if before else 0.0
             if not after:
-                self.rounds.discard(cell)
+                self._rounds.discard(shard)
             else:
-                self.rounds.add(cell)
-                self.holder[cell] = after
-                self.depth += after.depth
-                if is_cold(after):
+                self._rounds.add(shard)
+                self.holders[shard] = after
+                self.total_concurrency_limit += after.concurrency_limit
+                if is_warming(after):
                     self.active[after.id] = after
-            self.resume_or_keep(cell, after, is_cold)
+            self._resume_or_freeze_rates(shard, after, is_warming)
             replaced += [before] if before else []
         return replaced
 
-    def holders_to_try(self, cell: int) -> Iterable[Node]:
-        """The holder of the cell. For a new object all holders, or where there are very many some that are
-        drawn, others each time: of a few hundred the best is hardly worse than of all (the power of choices),
-        and a look at all would cost by them.
+    def holders_to_offer(self, shard: Shard) -> Iterable[Node]:
+        """Return the nodes that a request may go to: the holder of its shard, or holders for a new object.
+
+        Where there are very many, some are drawn for a new object, others each time: of a few hundred the
+        best is hardly worse than of all (the power of choices), and a look at all would cost by their number.
         """
-        if cell != -1:
-            return [self.holder[cell]] if cell in self.holder else []
-        if len(self.holder) <= self.MOST_TRIED:
-            return self.holder.values()
-        return [self.holder[self.rounds.take()] for _ in range(self.MOST_TRIED)]
-
-    def resume_or_keep(self, cell: int, holder: Node | None, is_cold: IsCold) -> None:
-        """Rates stand still where nobody holds the cell, the usual one also while its holder is cold."""
+        if shard is not None:
+            return [self.holders[shard]] if shard in self.holders else []
+        if len(self.holders) <= self.MAX_OFFERED:
+            return self.holders.values()
+        return [self.holders[self._rounds.take()] for _ in range(self.MAX_OFFERED)]
+
+    def _resume_or_freeze_rates(self, shard: Shard, holder: Node | None, is_warming: IsWarming) -> None:
+        """Rates stand still where nobody holds the shard, the usual one also while its holder warms up."""
         if holder:
-            self.due_rate.resume(cell)
+            self.reserved_rate.resume(shard)
         else:
-            self.due_rate.keep(cell)
-        if holder and not is_cold(holder):
-            self.usual.resume(cell)
+            self.reserved_rate.freeze(shard)
+        if holder and not is_warming(holder):
+            self.usual_rate.resume(shard)
         else:
-            self.usual.keep(cell)
+            self.usual_rate.freeze(shard)
 
     def forget_idle(self, since: float) -> list[Node]:
-        """Nodes that are not live and have not answered since then are forgotten."""
-        idle = [node for node in self.unlisted.values() if node.answered <= since]
+        """Forget and return the nodes that are not live and have not answered since then."""
+        idle = [node for node in self._unlisted.values() if node.last_answer_at <= since]
         for node in idle:
-            del self.nodes[node.id], self.unlisted[node.id]
-            self.divided.pop(node.id, None)
-            self.cells[node.cell].remove(node)
-            if not self.cells[node.cell]:
-                del self.cells[node.cell]
+            del self.nodes[node.id], self._unlisted[node.id]
+            self._with_own_slots.pop(node.id, None)
+            self._nodes_by_shard[node.shard].remove(node)
+            if not self._nodes_by_shard[node.shard]:
+                del self._nodes_by_shard[node.shard]
         return idle
 
     # Control rounds
 
-    def deepen(self, node: Node, depth: float) -> None:
+    def set_concurrency_limit(self, node: Node, limit: float) -> None:
         """Give the node so many slots."""
-        if self.holder.get(node.cell) is node:
-            self.depth += depth - node.depth
-        node.depth = depth
-
-    def in_use(self) -> list[Node]:
-        """The holders with something to count, each with a ``split`` of its own; idle nodes share one."""
-        for node in self.divided.values():
-            node.split = self.even_split
-        self.divided = {node.id: node for node in self.active.values() if self.holder.get(node.cell) is node}
-        for node in self.divided.values():
-            node.split = list(self.even_split)
-        return list(self.divided.values())
+        if self.holders.get(node.shard) is node:
+            self.total_concurrency_limit += limit - node.concurrency_limit
+        node.concurrency_limit = limit
+
+    def nodes_in_use(self) -> list[Node]:
+        """Return the holders with something to count, each with slots of its own; idle nodes share one list."""
+        for node in self._with_own_slots.values():
+            node.class_slots = self.even_slots
+        self._with_own_slots = {
+            node.id: node for node in self.active.values() if self.holders.get(node.shard) is node
+        }
+        for node in self._with_own_slots.values():
+            node.class_slots = list(self.even_slots)
+        return list(self._with_own_slots.values())
 
     def add_classes(self, count: int) -> None:
-        self.even_split = self.even_split + [1] * count
+        """Make room for so many new request classes."""
+        self.even_slots = self.even_slots + [1] * count
         for node in self.nodes.values() if count else ():
             node.add_classes(count)
-            self.divided[node.id] = self.active[node.id] = node
+            self._with_own_slots[node.id] = self.active[node.id] = node
+
+    def update_rates(self, passed: float, span: float, reserved_span: float, is_warming: IsWarming) -> None:
+        """Decay both rates by the time that passed, and add what came meanwhile.
 
-    def count_rates(self, passed: float, span: float, due_span: float, is_cold: IsCold) -> None:
-        """Fade both rates by the time that passed, and add what came meanwhile. ``span`` and ``due_span``:
-        seconds of their means. Cold nodes stay in use until they are warm.
+        ``span`` and ``reserved_span``: seconds of their means. Nodes that warm up stay in use until they are
+        warm.
         """
-        self.usual.fade(1 - passed / span)
-        self.due_rate.fade(1 - passed / due_span)
-        for cell, units in self.due_units.items():
-            if cell in self.holder:
-                self.due_rate.add(cell, units / due_span)
-        self.due_units, counted, self.active = {}, self.active, {}
+        self.usual_rate.decay(1 - passed / span)
+        self.reserved_rate.decay(1 - passed / reserved_span)
+        for shard, units in self.reserved_units.items():
+            if shard in self.holders:
+                self.reserved_rate.add(shard, units / reserved_span)
+        self.reserved_units = {}
+        counted = self.active
+        self.active = {}
         for node in counted.values():
-            if self.holder.get(node.cell) is not node:
+            if self.holders.get(node.shard) is not node:
                 continue
-            if is_cold(node):
+            if is_warming(node):
                 self.active[node.id] = node
             else:
-                self.usual.resume(node.cell)
-                self.usual.add(node.cell, node.done_units / span)
-            node.done_units = 0.0
+                self.usual_rate.resume(node.shard)
+                self.usual_rate.add(node.shard, node.served_units / span)
+            node.served_units = 0.0
--- /dev/null
+++ b/cleatyoke/scheduling/outlier_detection.py
@@ -0,0 +1,88 @@
+"""Outlier detection: how many attempts a node may have in flight, and the pause after failures."""
+
+from __future__ import annotations
+
+from cleatyoke.scheduling.events import AttemptFinished, AttemptOutcome
+from cleatyoke.scheduling.records import Node, Request
+from cleatyoke.scheduling.regression import GAIN, clamp
+from cleatyoke.scheduling.retries import NEVER_EXECUTED
+from cleatyoke.scheduling.service_estimates import ServiceEstimates
+from cleatyoke.scheduling.state import QUEUE_FRACTION, SchedulerState
+from cleatyoke.scheduling.verdict import ALLOWED, Rule, Verdict
+
+MAX_CONCURRENCY = 8.0  # attempts in flight at a node, over all fronts at first and for each one at most
+MAX_SURPLUS_MULTIPLE = 64.0  # times its start that a node's surplus rate may reach: all that a volume asks
+
+
+class OutlierDetector:
+    """Bound the attempts in flight at each node by its own answers.
+
+    The concurrency limit grows by less than one for each answer while the node's queue is short, shrinks while
+    it is long, and is halved by a failure. Symptom without it: a slow or silent node holds as many requests as
+    a healthy one, and they are late. Where an attempt that was sent later is answered already, an answer was
+    lost, and the node has not failed.
+    """
+
+    def __init__(self, state: SchedulerState, estimates: ServiceEstimates) -> None:
+        self._state = state
+        self._estimates = estimates
+
+    def initial_concurrency_limit(self) -> float:
+        """Attempts that a node which is listed for the first time may have in flight."""
+        return max(1.0, MAX_CONCURRENCY / self._state.front_count)
+
+    def has_free_slot(self, node: Node) -> bool:
+        """Whether the node may have one more attempt in flight."""
+        return sum(node.in_flight) < int(node.concurrency_limit)
+
+    def check(self, node: Node) -> Verdict:
+        """When the pause after the node's failures is over."""
+        paused_until = node.paused_until
+        return ALLOWED if paused_until <= self._state.now else Verdict(paused_until, Rule.NODE_PAUSED)
+
+    def on_attempt_finished(
+        self, node: Node, event: AttemptFinished, request: Request, sent_at: float
+    ) -> None:
+        """Take in how an attempt at the node ended; it was sent at ``sent_at`` (seconds)."""
+        if event.outcome is AttemptOutcome.SERVED:
+            self._on_served(node, event, request, sent_at)
+            return
+        is_slow = event.elapsed >= request.request_class.latency_objective
+        is_lost_answer = node.newest_answered_sent_at > sent_at
+        if event.outcome in (AttemptOutcome.QUEUE_FULL, AttemptOutcome.CONNECTION_FAILED) or (
+            is_slow and not is_lost_answer
+        ):
+            self._on_failed(node, event, request)
+
+    def _on_served(self, node: Node, event: AttemptFinished, request: Request, sent_at: float) -> None:
+        state, target = self._state, self._state.queue_delay_target
+        node.newest_answered_sent_at = max(node.newest_answered_sent_at, sent_at)
+        gap = min(1.0, state.now - node.last_answer_at)  # seconds since the answer before, 1 at most
+        node.last_answer_at = state.now
+        node.consecutive_failures = 0
+        self._estimates.learn(node, event.elapsed, request, max(GAIN, gap / 2))
+        node.served_units += request.units
+        state.table.active[node.id] = node
+        if node.queue_delay < target or node.concurrency_limit <= 1:
+            rate = node.surplus_rate * clamp(target / max(node.queue_delay, 1e-9), 0.1, 10.0) ** gap
+            base = state.base_surplus_rate
+            node.surplus_rate = clamp(rate, base, base * MAX_SURPLUS_MULTIPLE)
+        limit = node.concurrency_limit
+        if node.queue_delay > target:
+            state.table.set_concurrency_limit(node, max(1.0, limit - 0.5 / limit))
+        elif sum(node.in_flight) + 1 >= int(limit):
+            state.table.set_concurrency_limit(node, min(MAX_CONCURRENCY, limit + 1 / limit))
+
+    def _on_failed(self, node: Node, event: AttemptFinished, request: Request) -> None:
+        state = self._state
+        state.table.set_concurrency_limit(node, max(1.0, node.concurrency_limit / 2))
+        node.consecutive_failures += 1
+        if node.consecutive_failures > 1:  # not a lost answer but a slow or silent node
+            service = self._estimates.service_time(request, node)
+            waited = max(node.queue_delay, event.elapsed - service)
+            gain = min(1.0, GAIN * node.consecutive_failures)
+            node.queue_delay += gain * (waited - node.queue_delay)
+        if event.outcome in NEVER_EXECUTED:
+            # Saves the few attempts of a request where dead nodes are still listed, or queues are full.
+            backoff = min(2**node.consecutive_failures, 1 / QUEUE_FRACTION)
+            node.paused_until = state.now + state.queue_delay_target * backoff
--- /dev/null
+++ b/cleatyoke/scheduling/placement.py
@@ -0,0 +1,92 @@
+"""Placement: which queued request a node takes next, and which node a new object goes to."""
+
+from __future__ import annotations
+
+from heapq import heapify, heappop, heapreplace
+
+from cleatyoke.scheduling.actions import SendAttempt
+from cleatyoke.scheduling.records import Attempt, Node, Request
+from cleatyoke.scheduling.rules import Rules
+from cleatyoke.scheduling.verdict import NEVER, Rule, Verdict
+
+
+class Placement:
+    """Let nodes with free slots choose among the requests that are queued for them.
+
+    Nodes choose in order of their expected answer times, so a new object, which any node can take, goes where
+    it is answered soonest. A node takes the request that is worth most there; classes within their slots go
+    before others, which only use slots that would stay idle.
+    """
+
+    def __init__(self, rules: Rules) -> None:
+        self._state = rules.state
+        self._rules = rules
+
+    def dispatch(self) -> None:
+        """Send what the nodes that were offered something in this step choose."""
+        offered = self._state.nodes_to_offer
+        self._state.nodes_to_offer = {}
+        heap = [(self._new_object_time(node), place, node) for place, node in enumerate(offered.values())]
+        heapify(heap)
+        while heap:
+            _, place, node = heap[0]
+            if request := self.choose(node):
+                self._send(request, node)
+                heapreplace(heap, (self._new_object_time(node), place, node))
+            else:
+                heappop(heap)
+
+    def choose(self, node: Node) -> Request | None:
+        """Return the queued request that the node takes next; where all are held, set a timer for the node."""
+        state, now = self._state, self._state.now
+        queued = state.queues.get(node.shard, []) + state.queues.get(None, [])
+        if not queued or not self._rules.outliers.has_free_slot(node):
+            return None
+        best, best_rank, earliest = None, (False, 0.0, 0.0), NEVER
+        for request in queued:
+            index = request.class_index
+            is_within_slots = node.in_flight[index] < node.class_slots[index]
+            rank = is_within_slots, self._rules.surplus.value(request, node), -request.objective_at
+            if best is not None and rank <= best_rank:
+                continue
+            verdict = request.verdict = self._rules.check(request, node)
+            if verdict.allowed_at <= now:
+                best, best_rank = request, rank
+            earliest = min(earliest, verdict.allowed_at)
+        if best is None and earliest < NEVER and not now < node.next_check_at <= earliest:
+            node.next_check_at = earliest
+            state.timers.add(earliest, node)
+        return best
+
+    def explain(self, request: Request) -> Verdict:
+        """Why a queued request waits: the verdict that holds it, as of its latest check."""
+        nodes = list(self._state.table.holders_to_offer(request.shard))
+        if not nodes:
+            return Verdict(NEVER, Rule.NO_NODE)
+        if not any(self._rules.outliers.has_free_slot(node) for node in nodes):
+            return Verdict(NEVER, Rule.CONCURRENCY_LIMIT)
+        return request.verdict
+
+    def _new_object_time(self, node: Node) -> float:
+        """Seconds until the node would answer a new object of mean size, by this front's own backlog there."""
+        state = self._state
+        service_time = node.service_time_per_unit or 0.0
+        answer = node.queue_delay + service_time * state.settings.mean_request_units
+        backlog = sum(node.in_flight) + len(state.queues.get(node.shard, [])) + 1
+        return answer * backlog / node.concurrency_limit
+
+    def _send(self, request: Request, node: Node) -> None:
+        """Send an attempt, and count it with every rule."""
+        state, rules = self._state, self._rules
+        rules.surplus.charge(request, node)
+        rules.reserves.on_sent(request)
+        rules.rate_limits.draw(request)
+        rules.attempt_budget.count_sent(request)
+        state.dequeue(request)
+        request.in_flight[request.attempts] = Attempt(node, state.now)
+        rules.attempt_timeouts.start(request, node)
+        request.attempts += 1
+        node.in_flight[request.class_index] += 1
+        node.slow_start.level -= request.units
+        not_after = rules.idempotency.remembered_until(request)
+        state.actions.append(SendAttempt(request.id, node.id, not_after))
--- a/cleatyoke/scheduling/random_rounds.py
+++ b/cleatyoke/scheduling/random_rounds.py
@@ -3,56 +3,65 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Iterator
+from collections.abc import Hashable, Iterator
+from typing import Generic, TypeVar
 
+Item = TypeVar("Item", bound=Hashable)
 
-class RandomRounds:
+
+class RandomRounds(Generic[Item]):
     """Each item comes once in a round; one that is added takes part in the round that is under way."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.rng = rng
-        self.items: list[int] = []  # those taken in this round, then the others
-        self.places: dict[int, int] = {}  # item: its index
-        self.taken = 0
+        self._rng = rng
+        self._items: list[Item] = []  # those taken in this round, then the others
+        self._places: dict[Item, int] = {}  # index of each item
+        self._taken = 0
 
     def __len__(self) -> int:
-        return len(self.items)
+        return len(self._items)
 
-    def __contains__(self, item: int) -> bool:
-        return item in self.places
+    def __contains__(self, item: Item) -> bool:
+        return item in self._places
 
-    def __iter__(self) -> Iterator[int]:
-        return iter(self.items)
+    def __iter__(self) -> Iterator[Item]:
+        return iter(self._items)
 
-    def add(self, item: int) -> None:
-        if item not in self.places:
-            self.places[item] = len(self.items)
-            self.items.append(item)
+    def add(self, item: Item) -> None:
+        """Add an item; nothing changes where it is there."""
+        if item not in self._places:
+            self._places[item] = len(self._items)
+            self._items.append(item)
 
-    def discard(self, item: int) -> None:
-        place = self.places.get(item)
+    def discard(self, item: Item) -> None:
+        """Remove an item if it is there."""
+        place = self._places.get(item)
         if place is None:
             return
-        if place < self.taken:  # the last one taken fills its place, so that the taken ones stay in front
-            self.taken -= 1
-            self.swap(place, self.taken)
-            place = self.taken
-        self.swap(place, len(self.items) - 1)
-        self.items.pop()
-        del self.places[item]
-
-    def take(self) -> int:
-        """The next one. Raises ``IndexError`` where there is none."""
-        if self.taken >= len(self.items):
-            self.taken = 0
-        if not self.items:
+        if place < self._taken:  # the last one taken fills its place, so that the taken ones stay in front
+            self._taken -= 1
+            self._exchange(place, self._taken)
+            place = self._taken
+        self._exchange(place, len(self._items) - 1)
+        self._items.pop()
+        del self._places[item]
+
+    def take(self) -> Item:
+        """Return the next one.
+
+        Raises ``IndexError`` where there is none.
+        """
+        if self._taken >= len(self._items):
+            self._taken = 0
+        if not self._items:
             msg = "no items"
             raise IndexError(msg)
-        self.swap(self.taken, self.rng.randrange(self.taken, len(self.items)))
-        self.taken += 1
-        return self.items[self.taken - 1]
+        self._exchange(self._taken, self._rng.randrange(self._taken, len(self._items)))
+        self._taken += 1
+        return self._items[self._taken - 1]
 
-    def swap(self, one: int, other: int) -> None:
-        items, places = self.items, self.places
+    def _exchange(self, one: int, other: int) -> None:
+        items, places = self._items, self._places
         items[one], items[other] = items[other], items[one]
-        places[items[one]], places[items[other]] = one, other
+        places[items[one]] = one
+        places[items[other]] = other
--- /dev/null
+++ b/cleatyoke/scheduling/request_lifecycle.py
@@ -0,0 +1,95 @@
+"""The life of a request: its arrival, its one final answer, and when it is forgotten."""
+
+from __future__ import annotations
+
+from cleatyoke.scheduling.actions import CancelAttempt, FailRequest, Reject
+from cleatyoke.scheduling.events import RequestArrived
+from cleatyoke.scheduling.records import Request
+from cleatyoke.scheduling.regression import clamp
+from cleatyoke.scheduling.rules import Rules
+from cleatyoke.scheduling.state import SchedulerState
+
+
+class RecentFailures:
+    """Recognize a client's repeat of a request that was not served.
+
+    A repeat belongs to its first request: that one's objective still runs, and its reserve is drawn. Symptom
+    without it: clients that repeat hard draw a volume's reserve once more with each repeat, and crowd out
+    others. It does harm to a new request for a piece of data just after a failed one.
+    """
+
+    def __init__(self, state: SchedulerState) -> None:
+        self._state = state
+        self.by_identity: dict[tuple[int, int, int | None], tuple[float, float]] = {}  # arrived, failed
+
+    def note(self, request: Request) -> None:
+        """Note a request that ends now without having been served."""
+        if request.arrival.item is not None:
+            self.by_identity[request.identity] = request.arrived_at, self._state.now
+
+    def link(self, request: Request) -> bool:
+        """Give the request the arrival of the one that it repeats; returns whether there is one."""
+        failure = self.by_identity.pop(request.identity, None)
+        if failure is None:
+            return False
+        arrived_at, failed_at = failure
+        if self._state.now - failed_at > request.request_class.latency_objective:
+            return False
+        request.arrived_at = arrived_at
+        return True
+
+    def forget(self, oldest: float) -> None:
+        """Drop failures up to this time."""
+        self.by_identity = {
+            identity: failure for identity, failure in self.by_identity.items() if failure[1] > oldest
+        }
+
+
+class RequestLifecycle:
+    """Open and close requests. Each one has exactly one final answer, or its client has disconnected."""
+
+    def __init__(self, rules: Rules) -> None:
+        self._state = rules.state
+        self._rules = rules
+        self.recent_failures = RecentFailures(rules.state)
+
+    def open(self, event: RequestArrived) -> None:
+        """Take in and queue a request that has arrived."""
+        state, rules = self._state, self._rules
+        rules.attempt_budget.count_accepted()
+        front_count = int(clamp(event.front_count, 1, state.front_count))
+        state.max_front_count = max(state.max_front_count, event.front_count)
+        volume = rules.reserves.fill(event, front_count, rules.rate_limits)
+        request_class = state.settings.classes[event.class_index]
+        request = Request(event, request_class, front_count, volume, state.now)
+        state.requests[request.id] = request
+        if not self.recent_failures.link(request):
+            rules.reserves.draw(request)
+        full_value_until = request.arrived_at + request_class.latency_objective
+        request.objective_at = min(full_value_until, request.deadline)
+        rules.ordering.add(request)
+        state.enqueue(request)
+        state.to_review.append(request)
+
+    def close(self, request: Request, answer: Reject | FailRequest | None, *, served: bool = False) -> None:
+        """Close a request with its final answer (``None``: it needs none); cancel what is in flight for it."""
+        if request.is_closed:
+            return
+        state = self._state
+        self._rules.concurrency.count_closed(request)
+        request.is_closed = True
+        if request in state.queues.get(request.shard, ()):
+            state.dequeue(request)
+        if answer is not None:
+            state.actions.append(answer)
+        if not served:
+            self.recent_failures.note(request)
+        if state.settings.can_cancel:
+            state.actions.extend(CancelAttempt(request.id, attempt) for attempt in request.in_flight)
+        self.forget_if_done(request)
+
+    def forget_if_done(self, request: Request) -> None:
+        """Forget a request that is closed and has nothing in flight."""
+        if request.is_closed and not request.in_flight and request.id in self._state.requests:
+            del self._state.requests[request.id]
+            self._rules.ordering.remove(request)
--- /dev/null
+++ b/cleatyoke/scheduling/slow_start.py
@@ -0,0 +1,78 @@
+"""Slow start: how much a node that has just started is sent while it warms up."""
+
+from __future__ import annotations
+
+from cleatyoke.scheduling.quotas import TokenBucket
+from cleatyoke.scheduling.records import Node
+from cleatyoke.scheduling.state import SchedulerState
+from cleatyoke.scheduling.verdict import ALLOWED, Rule, Verdict
+
+MAX_IDLE_MULTIPLE = (
+    2.0  # times its usual rate that a front may send a warming node, however idle the nodes are
+)
+MIN_RATE = 1e-9  # units a second: a rate is divided by
+
+
+class SlowStart:
+    """Keep the load of a warming node below that at which it fails.
+
+    Symptom without it: a node that comes back gets its usual load at once, is overloaded while its caches are
+    empty, and goes down again. Each send puts this front in debt by its units, and nothing is sent until this
+    front's share of what the node bears has paid the debt off. The share is the largest of three: an even part
+    of the stated units by the number of fronts, growing as the node warms up; this front's usual rate there,
+    or its mean rate anywhere where it knows none; and what comes to it within reserves, as a front that has
+    just started knows no usual rate. It holds because all fronts' shares add up to what a warm node serves, of
+    which load reports tell the fraction in use. Some of it is saved up, as a front's few requests come in
+    bunches.
+
+    Inputs: ``slow_start_initial_fraction``, ``slow_start_duration`` (seconds), ``overload_multiple`` and
+    ``overload_after`` (seconds) of the safety limits; ``slow_start_units`` (units within ``overload_after``).
+    """
+
+    def __init__(self, state: SchedulerState) -> None:
+        self._state = state
+
+    def is_warming(self, node: Node) -> bool:
+        """Whether the node has started so lately that it may not be sent its usual load."""
+        age = self._state.now - node.started_at
+        return node.started_at > 0 and age < self._state.safety.slow_start_duration
+
+    def begin(self, node: Node, debt: float) -> None:
+        """Note the start of a node. ``debt``: units that this front starts with as already sent."""
+        node.slow_start = TokenBucket(-debt, self._state.now)
+
+    def check(self, node: Node) -> Verdict:
+        """When the node may be sent something by this front."""
+        if not self.is_warming(node):
+            return ALLOWED
+        rate = self._fill(node)
+        level = node.slow_start.level
+        if level >= 0:
+            return ALLOWED
+        return Verdict(self._state.now - level / rate, Rule.SLOW_START)
+
+    def _fill(self, node: Node) -> float:
+        """Pay off the debt until now; returns the rate, in units a second."""
+        state, safety = self._state, self._state.safety
+        initial = safety.slow_start_initial_fraction
+        age = state.now - node.started_at
+        fraction = (
+            initial + (1 - initial) * max(0.0, age - safety.overload_after) / safety.slow_start_duration
+        )
+        idle_multiple = 1 / max(state.utilization, 1 / MAX_IDLE_MULTIPLE)
+        fronts = max(state.front_count, state.max_front_count)
+        multiple = safety.overload_multiple
+        usual = state.table.usual_rate.get_or_mean(node.shard) * fraction * multiple * idle_multiple
+        stated = (
+            state.settings.slow_start_units
+            / safety.overload_after
+            / fronts
+            * state.quota_clock.fraction
+            * node.slow_start_multiplier
+        )
+        growth = fraction / initial if initial else 1.0
+        reserved = state.table.reserved_rate.get(node.shard) * fraction * multiple
+        rate = max(usual, stated * growth, reserved, MIN_RATE)
+        saved_up = usual * safety.overload_after * (1 - 1 / idle_multiple)
+        node.slow_start.fill(rate, saved_up, state.now)
+        return rate
--- /dev/null
+++ b/cleatyoke/scheduling/timers.py
@@ -0,0 +1,45 @@
+"""What the scheduler has to look at again, and when."""
+
+from __future__ import annotations
+
+import math
+from enum import Enum
+from heapq import heappop, heappush
+
+from cleatyoke.scheduling.records import Node, Request
+
+
+class Poll(Enum):
+    """Subject of a timer that is neither a request nor a node."""
+
+    ENDPOINTS = "endpoints"  # the endpoint list has to be asked for
+
+
+TimerSubject = Request | Node | Poll
+
+
+class TimerQueue:
+    """Timers by time; those of one time fire in the order in which they were set."""
+
+    def __init__(self) -> None:
+        self._heap: list[tuple[float, int, TimerSubject]] = []
+        self._count = 0
+
+    def __len__(self) -> int:
+        return len(self._heap)
+
+    def add(self, at: float, subject: TimerSubject) -> None:
+        """Set a timer; earlier ones of the same subject stay."""
+        self._count += 1
+        heappush(self._heap, (at, self._count, subject))
+
+    def next_at(self) -> float:
+        """When the earliest timer fires, infinite where there is none; those of closed requests are dropped."""
+        heap = self._heap
+        while heap and isinstance(heap[0][2], Request) and heap[0][2].is_closed:
+            heappop(heap)
+        return heap[0][0] if heap else math.inf
+
+    def take(self) -> TimerSubject:
+        """Remove the earliest timer and return its subject."""
+        return heappop(self._heap)[2]
--- /dev/null
+++ b/cleatyoke/scheduling/verdict.py
@@ -0,0 +1,36 @@
+"""The answer of every rule that can hold a request back: from when it may go, and which rule says so."""
+
+from __future__ import annotations
+
+import math
+from enum import Enum
+from typing import Final, NamedTuple
+
+NEVER: Final = math.inf  # no time allows it: only an event can, such as an answer or a new endpoint list
+
+
+class Rule(Enum):
+    """The rules that hold or reject a request, by the module that explains each."""
+
+    NO_NODE = "no_node"  # placement: no live node holds the shard
+    CONCURRENCY_LIMIT = "concurrency_limit"  # outlier_detection: all slots of the node are in use
+    NODE_PAUSED = "node_paused"  # outlier_detection: the node rests after failures
+    SURPLUS_RATE = "surplus_rate"  # admission: beyond the reserve, at the node's surplus rate only
+    DEADLINE = "deadline"  # placement: the answer would come after the client's deadline
+    LATENCY_OBJECTIVE = "latency_objective"  # shedding: the answer would be late, so it goes at once or not
+    IDEMPOTENCY = "idempotency"  # retries: it may have executed where a repeat would not be discarded
+    KEY_ORDER = "key_order"  # ordering: an older request with its key is open, or the key rests
+    RETRY_BUDGET = "retry_budget"  # retries: too many retries within the window
+    MAX_ATTEMPTS = "max_attempts"  # retries: it has had all its attempts
+    RATE_LIMIT = "rate_limit"  # admission: the volume's rate limit
+    SLOW_START = "slow_start"  # slow_start: the node is warming up
+
+
+class Verdict(NamedTuple):
+    """From when a rule allows a request, in seconds on the caller's clock, and the rule (``None``: no rule)."""
+
+    allowed_at: float
+    rule: Rule | None
+
+
+ALLOWED: Final = Verdict(-math.inf, None)
--- a/cleatyoke/simulator.py
+++ b/cleatyoke/simulator.py
@@ -29,6 +29,7 @@
     TimerFired,
     UpdateKind,
     UtilizationReported,
+    decode_shard,
 )
 from cleatyoke.scheduling.load_probes import LoadProber
 from cleatyoke.scheduling.scheduler import Scheduler
@@ -62,7 +63,7 @@
     cell = entry.get("Pack")
     return Endpoint(
         node_id=entry["Shelf"],
-        shard=-1 if cell is None else cell,
+        shard=None if cell is None else decode_shard(cell),
         zone=entry.get("Area") or 0,
         state=STATES[entry["StageState"]],
         started_at=entry.get("UpSinceS") or 0.0,
@@ -78,7 +79,7 @@
             plan_index=event["Contract"],
             volume_id=event["StoreUser"],
             item=event.get("Item"),
-            shard=int(event["Placement"]),
+            shard=decode_shard(int(event["Placement"])),
             units=event.get("CostUnits") or 0.0,
             deadline=event["DeadlineS"],
             front_count=int(event.get("NHosts") or 0),
@@ -174,8 +175,10 @@
         elif kind == "HEALTH":
             if head in self.probers:
                 told = self.load(head, event) if event["Disposition"] == "completed" else None
-                self.probers[head].told(event["Shelf"], self.now, told)
-                pending.setdefault(head, []).append(UtilizationReported(self.probers[head].busy(self.now)))
+                self.probers[head].on_report(event["Shelf"], self.now, told)
+                pending.setdefault(head, []).append(
+                    UtilizationReported(self.probers[head].utilization(self.now))
+                )
         elif kind == "BELL" and event["Ref"] == PROBE:
             pending.setdefault(head, [])
         elif kind not in UNUSED:
@@ -183,7 +186,7 @@
             if isinstance(translated, AttemptFinished):
                 translated.utilization = self.load(head, event)
             if isinstance(translated, EndpointUpdate) and head in self.probers:
-                self.probers[head].listed(translated)
+                self.probers[head].on_endpoints(translated)
             if head in self.policies:
                 pending.setdefault(head, []).append(translated)
 
--- a/tests/host.py
+++ b/tests/host.py
@@ -87,8 +87,12 @@
     return replace(base, **changes)
 
 
-def entry(node: int, cell: int, state: EndpointState = EndpointState.LIVE, up_since: float = 0.0) -> Endpoint:
-    return Endpoint(node_id=node, shard=cell, zone=cell % 2, state=state, started_at=up_since)
+def entry(
+    node: int, cell: int | None, state: EndpointState = EndpointState.LIVE, up_since: float = 0.0
+) -> Endpoint:
+    return Endpoint(
+        node_id=node, shard=cell, zone=(-1 if cell is None else cell) % 2, state=state, started_at=up_since
+    )
 
 
 class Host:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -4,7 +4,9 @@
 
 from cleatyoke.scheduling.actions import Reject, SchedulerAction, SetTimer
 from cleatyoke.scheduling.events import AttemptOutcome, EndpointState, EndpointUpdate, TimerFired, UpdateKind
-from cleatyoke.scheduling.scheduler import LOST, MARGIN, Scheduler
+from cleatyoke.scheduling.retries import LOST_ANSWER_FRACTION
+from cleatyoke.scheduling.scheduler import Scheduler
+from cleatyoke.scheduling.state import SEND_MARGIN
 from tests.host import Host, entry, settings
 
 
@@ -28,16 +30,16 @@
 def test_a_held_request_wakes_its_host_once_when_it_turns_late() -> None:
     host = busy_host(10.0)
     assert wakes(host.policy.step(10.0, [host.arrival("a", front_count=8)])) == [], "a look comes before"
-    looked = 10.0 + LOST * 0.5
+    looked = 10.0 + LOST_ANSWER_FRACTION * 0.5
     (wake,) = wakes(host.policy.step(looked, [TimerFired(0)]))
-    assert looked + wake.delay == pytest.approx(10.5 - host.policy.nodes[1].queued)
+    assert looked + wake.delay == pytest.approx(10.5 - host.policy.nodes[1].queue_delay)
     assert host.policy.step(looked + wake.delay, [TimerFired(0)])[0] == Reject("a")
 
 
 def test_a_bell_a_trifle_early_is_set_again() -> None:
     host = busy_host(100.0)
     host.ask("a", front_count=8)
-    late = 100.5 - host.policy.nodes[1].queued
+    late = 100.5 - host.policy.nodes[1].queue_delay
     assert wakes(host.policy.step(late - 1e-7, [TimerFired(0)])), "nothing else would answer it in time"
 
 
@@ -51,13 +53,13 @@
 def test_only_nodes_where_something_changed_choose() -> None:
     host = Host(settings(), [entry(node, node) for node in range(45)])
     looked: list[int] = []
-    choose = host.policy.choose
+    choose = host.policy.placement.choose
 
     def count(node):  # type: ignore[no-untyped-def]  # noqa: ANN001, ANN202
         looked.append(node.id)
         return choose(node)
 
-    host.policy.choose = count  # type: ignore[method-assign]
+    host.policy.placement.choose = count  # type: ignore[method-assign]
     host.ask("a", shard=7)
     host.end("a", AttemptOutcome.SERVED, node_id=7)
     assert set(looked) == {7}
@@ -75,13 +77,18 @@
     policy = host.policy
     assert len(policy.volumes) < 100
     assert len(policy.nodes) < 100
-    assert len(policy.keys) + len(policy.key_rest) + len(policy.requests) < 10
-    assert len(policy.agenda.heap) < 10
+    assert (
+        len(policy.rules.ordering.open_requests)
+        + len(policy.rules.ordering.rests_until)
+        + len(policy.requests)
+        < 10
+    )
+    assert len(policy.state.timers) < 10
 
 
 def test_rounding_does_not_lose_an_answer() -> None:
     for power in range(12):
         host = busy_host(2.0**power)
         host.ask("a", front_count=8, deadline=host.now + 0.3)
-        host.policy.nodes[1].queued = MARGIN
-        assert host.policy.step(2.0**power + 0.3 - MARGIN, [TimerFired(0)])
+        host.policy.nodes[1].queue_delay = SEND_MARGIN
+        assert host.policy.step(2.0**power + 0.3 - SEND_MARGIN, [TimerFired(0)])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -376,7 +376,7 @@
             await self.until(lambda: not self.core.calls)
         await asyncio.sleep(0.05)
         assert dict(self.box.counts) == {}
-        assert not any(sum(node.out) for node in self.core.policy.nodes.values())
+        assert not any(sum(node.in_flight) for node in self.core.policy.nodes.values())
 
 
 class LeaseStories(FrontCase):
@@ -431,7 +431,7 @@
     host.end("a", AttemptOutcome.QUEUE_FULL)  # never ran: nothing is remembered yet
     host.run_until(host.now + 0.6)
     host.end("a", AttemptOutcome.CONNECTION_RESET)
-    first = host.policy.requests["a"].ran[0][0]
+    first = host.policy.requests["a"].may_have_executed[0].sent_at
     host.run_until(host.now + 0.2)
     sends = [action.not_after for action in host.log if isinstance(action, SendAttempt)]
     assert sends[:2] == [float("inf")] * 2
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -179,7 +179,7 @@
         await self.until(lambda: self.box.counts["t"])
         asking.cancel()
         await self.until(lambda: self.box.open == 0 and not self.core.calls)
-        assert sum(sum(node.out) for node in self.core.policy.nodes.values()) == 0
+        assert sum(sum(node.in_flight) for node in self.core.policy.nodes.values()) == 0
 
     async def test_without_a_box_a_request_is_refused_at_once(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
@@ -375,7 +375,7 @@
         with mock.patch.object(self.core, "step", step):
             await self.until(lambda: late and not self.core.calls and not self.core.policy.requests)
         assert late == [True]
-        assert sum(sum(node.out) for node in self.core.policy.nodes.values()) == 0
+        assert sum(sum(node.in_flight) for node in self.core.policy.nodes.values()) == 0
 
 
 class BoxStories(FrontCase):
@@ -543,7 +543,12 @@
             policy.step(100.0, [RequestArrived(f"r{cell}", 0, 0, cell, cell, cell, 1.0, 101.5, 1)])
         for now in (150.0, 200.0):
             policy.step(now, [])
-        assert (policy.held, policy.volumes, policy.requests, policy.tries) == ({}, {}, {}, {})
+        assert (
+            policy.state.queues,
+            policy.volumes,
+            policy.requests,
+            policy.lifecycle.recent_failures.by_identity,
+        ) == ({}, {}, {}, {})
 
 
 class LoadReports(unittest.TestCase):
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -24,6 +24,7 @@
 from cleatyoke.discovery.watch import Discovery, Watch
 from cleatyoke.emulation.capacity import cost, nodes
 from cleatyoke.http.messages import MessageError
+from cleatyoke.scheduling.endpoint_updates import EndpointUpdates
 from cleatyoke.scheduling.events import (
     Endpoint,
     EndpointState,
@@ -76,8 +77,18 @@
     [
         (Directory, "apply", lambda self: [box for box in self.boxes.values() if box.name == ""], change),
         (Directory, "apply", lambda self: dict(self.boxes), change),
-        (Scheduler, "on_list", lambda self: [node for node in self.nodes.values() if node.live], change),
-        (Scheduler, "clean_up", lambda self: [node for node in self.nodes.values() if not node.live], rest),
+        (
+            EndpointUpdates,
+            "apply",
+            lambda self: [node for node in self._state.table.nodes.values() if node.is_live],
+            change,
+        ),
+        (
+            Scheduler,
+            "forget_idle",
+            lambda self: [node for node in self.nodes.values() if not node.is_live],
+            rest,
+        ),
         (LoadProber, "step", lambda self, now=0: [node for node in self.warm if node < 0], rest),
     ],
 )
@@ -97,8 +108,8 @@
     entries = [Endpoint(node, node, 0, EndpointState.LIVE, 0.0) for node in range(50)]
     policy.step(100.0, [EndpointUpdate(UpdateKind.SNAPSHOT, entries)])
     looked: list[int] = []
-    real = policy.choose
-    policy.choose = lambda node: (looked.append(node.id), real(node))[1]  # type: ignore[method-assign]
+    real = policy.placement.choose
+    policy.placement.choose = lambda node: (looked.append(node.id), real(node))[1]  # type: ignore[method-assign]
     for number in range(40):  # more than node 7 takes at once, so that some are held there
         policy.step(100.0, [RequestArrived(f"a{number}", 0, 0, 1, None, 7, 1.0, 101.5, 1)])
     looked.clear()
@@ -144,7 +155,7 @@
         assert shown(self.directory) == shown(expected)
         assert (self.directory.version, watch.version) == (9, 9)
         assert self.directory.down() == 40
-        assert len(self.core.policy.holder) == 3960
+        assert len(self.core.policy.table.holders) == 3960
         assert len(self.news[0].endpoints) == 40, "who drains comes first"
         assert max(len(news.endpoints) for news in self.news) <= AT_ONCE
         assert len(self.news) >= 3960 / AT_ONCE
@@ -179,7 +190,7 @@
         await asyncio.sleep(0.01)
         assert {entry.state for entry in self.news[0].endpoints} == {EndpointState.REMOVED}
         assert len(self.news[0].endpoints) == 100
-        assert len(self.core.policy.holder) == 3900
+        assert len(self.core.policy.table.holders) == 3900
 
     async def test_one_spoilt_entry_refuses_a_long_list_as_a_whole(self) -> None:
         watch = self.begin()
@@ -282,16 +293,16 @@
 
 
 def test_probes_know_warm_nodes_without_looking_at_all() -> None:
-    prober = LoadProber(3, ramp=10.0, seed=1)
+    prober = LoadProber(3, slow_start_duration=10.0, seed=1)
     entries = [Endpoint(node, node, 0, EndpointState.LIVE, 0.0) for node in range(6)]
     cold = replace(entries[5], started_at=100.0)
-    prober.listed(EndpointUpdate(UpdateKind.SNAPSHOT, [*entries[:5], cold]))
+    prober.on_endpoints(EndpointUpdate(UpdateKind.SNAPSHOT, [*entries[:5], cold]))
     asked = [prober.step(100.0 + 0.7 * number) for number in range(30)]
     assert {node for node in asked[:15] if node is not None} == set(range(5))
     assert asked[16:] == [None] * 14, "none is cold any more"
-    prober.listed(EndpointUpdate(UpdateKind.SNAPSHOT, entries[:2]))
+    prober.on_endpoints(EndpointUpdate(UpdateKind.SNAPSHOT, entries[:2]))
     assert set(prober.warm) == {0, 1}
-    assert not prober.ramp_ends
+    assert not prober.warm_at
 
 
 def test_random_rounds_take_each_item_once_a_round() -> None:
@@ -325,9 +336,9 @@
     front = nodes.ListedFront(600)
     tried: set[int] = set()
     for _ in range(6):
-        chosen = list(front.policy.table.holders_to_try(-1))
+        chosen = list(front.policy.table.holders_to_offer(None))
         assert len({node.id for node in chosen}) >= 200
         tried |= {node.id for node in chosen}
     assert len(tried) == 600
     few = nodes.ListedFront(200)
-    assert len(list(few.policy.table.holders_to_try(-1))) == 200, "all, where there are not so many"
+    assert len(list(few.policy.table.holders_to_offer(None))) == 200, "all, where there are not so many"
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -29,7 +29,7 @@
     for number in range(100):
         host.ask(f"r{number}", shard=2, units=1.0)
         host.run_until(host.now + 0.1)
-        for name in [name for name, held in host.policy.requests.items() if held.out]:
+        for name in [name for name, held in host.policy.requests.items() if held.in_flight]:
             host.end(name, AttemptOutcome.SERVED, node_id=2)
     assert 10 <= len(host.sent()) < 100
 
@@ -38,7 +38,7 @@
 def test_a_volume_has_between_one_and_all_hosts(hosts: int) -> None:
     host = Host(settings(front_count=4), [entry(1, 1)])
     host.ask("a", front_count=hosts)
-    assert host.policy.requests["a"].hosts == (4 if hosts == 99 else 1)
+    assert host.policy.requests["a"].front_count == (4 if hosts == 99 else 1)
 
 
 def test_a_request_of_no_units_is_served() -> None:
@@ -50,11 +50,11 @@
 
 
 def test_a_node_without_a_cell_takes_new_objects_only() -> None:
-    host = Host(settings(), [entry(1, -1)])
-    host.step(host.arrival("new", shard=-1), host.arrival("old", shard=5))
+    host = Host(settings(), [entry(1, None)])
+    host.step(host.arrival("new", shard=None), host.arrival("old", shard=5))
     assert host.sent() == ["new"]
     host.end("new", AttemptOutcome.SERVED)
-    assert read_entry({"Shelf": 3, "StageState": "live"}).shard == -1
+    assert read_entry({"Shelf": 3, "StageState": "live"}).shard is None
 
 
 def test_a_node_listed_twice_stands_as_named_last() -> None:
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -21,7 +21,13 @@
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
-from cleatyoke.scheduling.load_probes import ENOUGH, FRESH, LEAST, PERIOD, LoadProber
+from cleatyoke.scheduling.load_probes import (
+    MIN_PROBE_GAP,
+    MIN_REPORTS,
+    PROBE_PERIOD,
+    REPORT_LIFETIME,
+    LoadProber,
+)
 from tests.test_simhost import FACTS, ROOT, SHELF
 from tests.wire import Directory, HttpBox, answer, config, instance, listed
 
@@ -49,15 +55,15 @@
 class ProberCase(unittest.TestCase):
     def test_nothing_is_asked_while_no_node_is_cold_and_cold_ones_never(self) -> None:
         prober = LoadProber(2, RAMP, 1)
-        prober.listed(node_list(n1=0.0, n2=0.0, n3=0.0))
+        prober.on_endpoints(node_list(n1=0.0, n2=0.0, n3=0.0))
         assert run(prober, 60.0) == []
-        prober.listed(EndpointUpdate(UpdateKind.DELTA, node_list(n4=100.0).endpoints))
+        prober.on_endpoints(EndpointUpdate(UpdateKind.DELTA, node_list(n4=100.0).endpoints))
         asked = run(prober, 130.0, 100.0)
         assert {node for _, node in asked} == {1, 2, 3}
         assert 100.0 <= asked[0][0] <= 101.0
         assert 109.0 < asked[-1][0] < 100.0 + RAMP
         gone = Endpoint(4, 4, 0, EndpointState.REMOVED, 100.0)
-        prober.listed(EndpointUpdate(UpdateKind.DELTA, [gone]))
+        prober.on_endpoints(EndpointUpdate(UpdateKind.DELTA, [gone]))
         assert run(prober, 130.0, 105.0) == []
 
     @settings(max_examples=40, deadline=None)
@@ -66,27 +72,27 @@
         asked: list[tuple[float, int]] = []
         for host in range(hosts):
             prober = LoadProber(hosts, 100.0, seed + host)
-            prober.listed(node_list(**{f"n{number}": 0.0 for number in range(nodes)}, n99=10.0))
+            prober.on_endpoints(node_list(**{f"n{number}": 0.0 for number in range(nodes)}, n99=10.0))
             mine = run(prober, 40.0, 10.0)
-            assert all(b[0] - a[0] >= LEAST - 1e-09 for a, b in zip(mine, mine[1:]))
+            assert all(b[0] - a[0] >= MIN_PROBE_GAP - 1e-09 for a, b in zip(mine, mine[1:]))
             asked += mine
-        assert len(asked) <= nodes * (30.0 / PERIOD + 1) + hosts
+        assert len(asked) <= nodes * (30.0 / PROBE_PERIOD + 1) + hosts
         counts = [sum(node == number for _, node in asked) for number in range(nodes)]
         assert max(counts) - min(counts) <= hosts
 
     def test_what_is_not_known_counts_as_busy(self) -> None:
         prober = LoadProber(1, RAMP, 1)
-        prober.listed(node_list(n1=0.0, n2=0.0, n3=0.0, n4=0.0))
-        for node in range(1, ENOUGH):
-            prober.told(node, 5.0, 0.4)
-        assert prober.busy(5.0) == 1.0
-        prober.told(3, 5.0, None)  # it did not answer
-        self.assertAlmostEqual(prober.busy(5.0), 0.6)
-        prober.told(3, 6.0, 0.1)
-        self.assertAlmostEqual(prober.busy(6.0), 0.3)
-        assert prober.busy(6.0 + FRESH) == 1.0  # the others' are old by then
-        prober.listed(node_list(n3=0.0))
-        self.assertAlmostEqual(prober.busy(6.0), 0.1)  # there is no other
+        prober.on_endpoints(node_list(n1=0.0, n2=0.0, n3=0.0, n4=0.0))
+        for node in range(1, MIN_REPORTS):
+            prober.on_report(node, 5.0, 0.4)
+        assert prober.utilization(5.0) == 1.0
+        prober.on_report(3, 5.0, None)  # it did not answer
+        self.assertAlmostEqual(prober.utilization(5.0), 0.6)
+        prober.on_report(3, 6.0, 0.1)
+        self.assertAlmostEqual(prober.utilization(6.0), 0.3)
+        assert prober.utilization(6.0 + REPORT_LIFETIME) == 1.0  # the others' are old by then
+        prober.on_endpoints(node_list(n3=0.0))
+        self.assertAlmostEqual(prober.utilization(6.0), 0.1)  # there is no other
 
     def test_a_report_that_cannot_be_read_counts_as_none(self) -> None:
         for body, told in (
@@ -147,12 +153,12 @@
             steps = batch(5.1 + bell["AfterS"] + 0.001, {"type": "BELL", "Ref": simhost.PROBE})
             asked = [one for one in steps if one["type"] == "TOUCH"]
         assert asked == [{"type": "TOUCH", "Head": 0, "Shelf": 11}]
-        assert gateway.policies[0].busy == 1.0
+        assert gateway.policies[0].state.utilization == 1.0
         batch(
             7.5,
             {"type": "HEALTH", "Shelf": 11, "Disposition": "completed", "SpentS": 0.01, "HealthInfo": [0.4]},
         )
-        self.assertAlmostEqual(gateway.policies[0].busy, 0.4)
+        self.assertAlmostEqual(gateway.policies[0].state.utilization, 0.4)
 
 
 class WireCase(unittest.IsolatedAsyncioTestCase):
@@ -183,10 +189,10 @@
         fresh = Endpoint(2, 1, 0, EndpointState.LIVE, core.now())
         core.tell(EndpointUpdate(UpdateKind.DELTA, [fresh]))
         async with asyncio.timeout(5):
-            while core.policy.busy != 0.25:
+            while core.policy.state.utilization != 0.25:
                 await asyncio.sleep(0.01)
             box.silent = True
-            while core.policy.busy != 1.0:
+            while core.policy.state.utilization != 1.0:
                 await asyncio.sleep(0.01)
         assert box.heads[0].startswith("GET /metrics/load HTTP/1.1\r\n")
         assert box.accepted == 1  # it rests between probes
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -203,7 +203,7 @@
             window = safety.overload_after
             sent = sum(units for time, units in self.to_node[node] if time > now - window)
             policy = self.host.policy
-            rates = {cell: policy.table.usual.get(cell) for cell in policy.table.usual.known}
+            rates = {cell: policy.table.usual_rate.get(cell) for cell in policy.table.usual_rate.known}
             mean = sum(rates.values()) / max(1, len(rates))
             usual = rates.get(node, mean) * safety.overload_multiple * 3  # twice, and half of that saved up
             warmer = (
@@ -213,7 +213,7 @@
                 / safety.slow_start_duration
             )
             stated = self.config.slow_start_units / self.config.front_count * (1 + warmer)
-            due = policy.table.due_rate.get(node)
+            due = policy.table.reserved_rate.get(node)
             own = max(stated, usual * window, due * window) + self.config.max_request_units
             assert sent <= own + 1e-6, "cold node"
         self.out[name] = (self.sends[name], node, now, now + self.rng.choice([0.01, 0.05, 0.2, 1.0, 9.0]))
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -80,22 +80,23 @@
         wrong = {
             "mangled": ("http/messages.py", "if ask.key is not None", "if not ask.key", "settings", 1),
             "key": (
-                "scheduling/scheduler.py",
-                "if not request.ran or request.kind.idempotency is Idempotency.IDEMPOTENT:",
+                "scheduling/retries.py",
+                "if not request.may_have_executed or "
+                "request.request_class.idempotency is Idempotency.IDEMPOTENT:",
                 "if True:",
                 "settings",
                 12,
             ),
             "limit": (
-                "scheduling/scheduler.py",
-                "if not plan.rate_limit or request.sends:",
+                "scheduling/admission.py",
+                "if not plan.rate_limit or request.attempts:",
                 "if True:",
                 "trouble",
                 4,
             ),
             "attempts": (
                 "scheduling/scheduler.py",
-                "request.sends >= self.settings.max_attempts",
+                "request.attempts >= self.settings.max_attempts",
                 "False",
                 "settings",
                 3,
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -166,7 +166,7 @@
         )  # a host that starts has none of it to spare
         client = await self.begin(box := FileBox(), plan=plan, deadline=0.4)
         self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "refused")
-        self.core.policy.volumes[7].limit.level = 2.0
+        self.core.policy.volumes[7].rate_limit.level = 2.0
         codes = [(await client.put(f"/plats/u{n}", b"scan")).code for n in range(4)]
         assert (codes.count(p.Code.SSH_FX_OK), sum(box.stored.values())) == (2, 2)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -27,7 +27,7 @@
     RequestArrived,
     UpdateKind,
 )
-from cleatyoke.scheduling.records import QuotaClock
+from cleatyoke.scheduling.quotas import QuotaClock
 from cleatyoke.scheduling.scheduler import Scheduler
 from cleatyoke.transport.sockets import NotListeningError, take_listening
 from tests.host import class_spec, entry, plan_spec, settings
