--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -92,6 +92,11 @@
 }
 
 
+def shard_number(shard: int | None) -> int:
+    """Return the recording's number of a shard, where -1 is none."""
+    return -1 if shard is None else shard
+
+
 def life_of(value: Plain) -> wire.MemberId:
     """A life of a front from ``[name, boot number]``."""
     return wire.MemberId(name=value[0], boot=value[1])
@@ -839,7 +844,7 @@
         "plan": request.plan,
         "volume": request.volume,
         "item": request.item,
-        "shard": request.cell,
+        "shard": shard_number(request.cell),
         "units": request.units,
         "hosts": request.hosts,
         "seconds": request.wait,
@@ -1075,7 +1080,7 @@
                 "name": one.name,
                 "address": [one.address.host, one.address.port],
                 "zone": one.zone,
-                "shard": one.cell,
+                "shard": shard_number(one.cell),
                 "state": NODE_STATES[one.state],
                 "started": one.started,
             }
@@ -1122,7 +1127,7 @@
     def heard(event: SchedulerEvent) -> None:
         assert isinstance(event, EndpointUpdate)
         entries = [
-            [one.node_id, one.shard, one.zone, NODE_STATES[one.state], one.started_at]
+            [one.node_id, shard_number(one.shard), one.zone, NODE_STATES[one.state], one.started_at]
             for one in event.endpoints
         ]
         events.append({"kind": LIST_KINDS[event.kind], "nodes": entries})
@@ -1346,7 +1351,7 @@
                 "plan": event.plan_index,
                 "volume": event.volume_id,
                 "item": event.item,
-                "shard": event.shard,
+                "shard": shard_number(event.shard),
                 "units": event.units,
                 "deadline": event.deadline,
                 "hosts": event.front_count,
@@ -1366,7 +1371,7 @@
             return {"event": "timer", "token": event.token}
         case EndpointUpdate():
             nodes = [
-                [one.node_id, one.shard, one.zone, NODE_STATES[one.state], one.started_at]
+                [one.node_id, shard_number(one.shard), one.zone, NODE_STATES[one.state], one.started_at]
                 for one in event.endpoints
             ]
             return {"event": "nodes", "kind": LIST_KINDS[event.kind], "nodes": nodes}
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -72,6 +72,11 @@
 REFUSAL_WORDS = {refusal: word for word, refusal in REFUSALS.items()}
 
 
+def shard_number(shard: int | None) -> int:
+    """Return the recording's number of a shard, where -1 is none."""
+    return -1 if shard is None else shard
+
+
 def number(value: float) -> str:
     """A float at full precision."""
     return repr(float(value))
@@ -754,7 +759,13 @@
     def entries(self, found: Sequence[Endpoint]) -> Neutral:
         """Node events, and who was reported as changed meanwhile."""
         made = [
-            [one.node_id, one.shard, one.zone, NODE_STATE_WORDS[one.state], number(one.started_at)]
+            [
+                one.node_id,
+                shard_number(one.shard),
+                one.zone,
+                NODE_STATE_WORDS[one.state],
+                number(one.started_at),
+            ]
             for one in found
         ]
         heard = list(self.heard)
--- a/tests/recorded/scheduler_adapter.py
+++ b/tests/recorded/scheduler_adapter.py
@@ -20,6 +20,7 @@
     SetTimer,
     WatchEndpoints,
 )
+from cleatyoke.scheduling.concurrency import arbitrate
 from cleatyoke.scheduling.events import (
     AttemptFinished,
     AttemptOutcome,
@@ -36,11 +37,12 @@
     TimerFired,
     UpdateKind,
     UtilizationReported,
+    decode_shard,
 )
 from cleatyoke.scheduling.load_probes import LoadProber
-from cleatyoke.scheduling.node_table import FadingMeans
-from cleatyoke.scheduling.regression import fit, short_mean
-from cleatyoke.scheduling.scheduler import Scheduler, arbitrate
+from cleatyoke.scheduling.node_table import DecayingRates
+from cleatyoke.scheduling.regression import fit_slope, mean_of_short_values
+from cleatyoke.scheduling.scheduler import Scheduler
 from cleatyoke.scheduling.settings import (
     Idempotency,
     IdempotencyScope,
@@ -151,7 +153,7 @@
     entries = [
         Endpoint(
             node_id=one["node"],
-            shard=one["cell"],
+            shard=decode_shard(one["cell"]),
             zone=one["zone"],
             state=NODE_STATES[one["state"]],
             started_at=one["since"],
@@ -172,7 +174,7 @@
             plan_index=plain["plan"],
             volume_id=plain["volume"],
             item=plain["item"],
-            shard=plain["cell"],
+            shard=decode_shard(plain["cell"]),
             units=plain["units"],
             deadline=plain["deadline"],
             front_count=plain["hosts"],
@@ -245,15 +247,15 @@
     """One state machine of the load probes, driven with plain values."""
 
     def __init__(self, hosts: int, ramp: float, seed: int) -> None:
-        self.prober = LoadProber(hosts=hosts, ramp=ramp, seed=seed)
+        self.prober = LoadProber(front_count=hosts, slow_start_duration=ramp, seed=seed)
 
     def nodes(self, kind: str, nodes: Sequence[Plain]) -> None:
         """Pass news of the nodes."""
-        self.prober.listed(build_node_list(kind, nodes))
+        self.prober.on_endpoints(build_node_list(kind, nodes))
 
     def report(self, node: int, now: float, part: float | None) -> None:
         """Pass what a probe brought."""
-        self.prober.told(node, now, part)
+        self.prober.on_report(node, now, part)
 
     def next_node(self, now: float) -> int | None:
         """Return the node to probe now, if any."""
@@ -265,23 +267,23 @@
 
     def load(self, now: float) -> float:
         """Return the mean load by the reports."""
-        return self.prober.busy(now)
+        return self.prober.utilization(now)
 
 
 class Means:
     """The fading means by cell, driven with plain values."""
 
     def __init__(self) -> None:
-        self.means = FadingMeans()
+        self.means = DecayingRates()
 
     def change(self, what: str, cell: int, value: float) -> None:
         """Apply one change: all fade, or one cell is added to, kept or resumed."""
         if what == "fade":
-            self.means.fade(value)
+            self.means.decay(value)
         elif what == "add":
             self.means.add(cell, value)
         elif what == "keep":
-            self.means.keep(cell)
+            self.means.freeze(cell)
         else:
             self.means.resume(cell)
 
@@ -307,12 +309,12 @@
 
 def fitted_slope(history: list[tuple[float, float]]) -> float | None:
     """Return the slope of performance over bounds."""
-    return fit(history)
+    return fit_slope(history)
 
 
 def running_mean(mean: float, value: float) -> float:
     """Return the mean that follows short answers faster."""
-    return short_mean(mean, value)
+    return mean_of_short_values(mean, value)
 
 
 def divided_bounds(
--- a/tests/recorded/settings_adapter.py
+++ b/tests/recorded/settings_adapter.py
@@ -42,6 +42,11 @@
 }
 
 
+def shard_number(shard: int | None) -> int:
+    """Return the recording's number of a shard, where -1 is none."""
+    return -1 if shard is None else shard
+
+
 class Refused(Exception):
     """The settings cannot be used; the text is the project's own."""
 
@@ -207,7 +212,7 @@
                 "path": one.prefix,
                 "id": one.volume,
                 "plan place": one.plan,
-                "shard": one.cell,
+                "shard": shard_number(one.cell),
                 "fronts": one.hosts,
             }
             for one in front.volumes
