--- a/cleatyoke/scheduling/admission.py
+++ b/cleatyoke/scheduling/admission.py
@@ -26,7 +26,8 @@
     other. Another process of this front may have used all of it just before, so a bucket starts with a part
     of the slack only, and fills from when this process, and so no other of this front, can send.
 
-    Inputs: ``rate_limit`` (units a second), ``rate_limit_burst`` and ``rate_limit_slack`` (units) of the plan.
+    Inputs: ``rate_limit`` (units a second), ``rate_limit_burst`` and ``rate_limit_slack`` (units) of the
+    plan.
     """
 
     def __init__(self, state: SchedulerState) -> None:
@@ -195,7 +196,7 @@
         return Verdict(now - bucket.level / rate, Rule.SURPLUS_RATE)
 
     def charge(self, request: Request, node: Node) -> None:
-        """Take what an attempt costs: the less valuable the dearer, and dearer where its class has few slots."""
+        """Take what an attempt costs: more, the less it is worth and the fewer slots its class may use."""
         if self.is_within_reserve(request, node):
             return
         bound = max(MAX_BOUND_STEP, self._concurrency.bounds[request.class_index])
--- a/cleatyoke/scheduling/concurrency.py
+++ b/cleatyoke/scheduling/concurrency.py
@@ -1,10 +1,11 @@
 """The control loop: which part of the nodes' slots each request class may use.
 
-After Padala et al., "Automated Control of Multiple Virtualized Resources" (EuroSys 2009), once for each front:
-an application is a request class, its bound is the fraction of all slots that it may use, and its performance
-is its latency objective over the mean time that its answers took. Every ``CONTROL_INTERVAL`` each class asks
-for the bound at which it would meet its objective, arbitration grants the bounds that fit, and each class's
-bound is split over the nodes by where its requests are. ``docs/design.md`` says what was kept of the paper.
+After Padala et al., "Automated Control of Multiple Virtualized Resources" (EuroSys 2009), once for each
+front: an application is a request class, its bound is the fraction of all slots that it may use, and its
+performance is its latency objective over the mean time that its answers took. Every ``CONTROL_INTERVAL``
+each class asks for the bound at which it would meet its objective, arbitration grants the bounds that fit,
+and each class's bound is split over the nodes by where its requests are. ``docs/design.md`` says what was
+kept of the paper.
 """
 
 from __future__ import annotations
@@ -29,9 +30,10 @@
 class ConcurrencyController:
     """Bounds of the request classes, adjusted once in each control interval.
 
-    Symptom without it: classes share slots by arrival, so a surge of a class of little value takes the slots of
-    the valuable ones. It holds because bounds that do not fit are reduced until the classes' shortfalls,
-    weighted by priority, are equal. ``bounds`` and ``asks`` are fractions of all slots, by class.
+    Symptom without it: classes share slots by arrival, so a surge of a class of little value takes the
+    slots of the valuable ones. It holds because bounds that do not fit are reduced until the classes'
+    shortfalls, weighted by priority, are equal. ``bounds`` and ``asks`` are fractions of all slots, by
+    class.
     """
 
     def __init__(self, state: SchedulerState, slow_start: SlowStart) -> None:
--- a/cleatyoke/scheduling/load_probes.py
+++ b/cleatyoke/scheduling/load_probes.py
@@ -1,9 +1,10 @@
 """Load probes: which node a front asks for its load, and when. A state machine with no input or output.
 
 A report is of use for one thing here: the fraction of the nodes' capacity that all fronts together use, by
-which a warming node may be sent more (``slow_start``). So a front probes only while a listed node is warming
-up, one warm node after the other in an order of its own, so slowly that all fronts together ask each node once
-in ``PROBE_PERIOD`` at the most (protocol page, Fronts to chunk servers: each probe costs the node work).
+which a warming node may be sent more (``slow_start``). So a front probes only while a listed node is
+warming up, one warm node after the other in an order of its own, so slowly that all fronts together ask
+each node once in ``PROBE_PERIOD`` at the most (protocol page, Fronts to chunk servers: each probe costs the
+node work).
 """
 
 from __future__ import annotations
--- a/cleatyoke/scheduling/node_table.py
+++ b/cleatyoke/scheduling/node_table.py
@@ -1,7 +1,7 @@
 """The nodes as one front's scheduler keeps them: who holds which shard, who is in use, and rates by shard.
 
-Records and their upkeep, with no decision about a request; the scheduler owns the one table. A change costs by
-the nodes that it names, and a control round by the nodes in use, never by all that are listed.
+Records and their upkeep, with no decision about a request; the scheduler owns the one table. A change costs
+by the nodes that it names, and a control round by the nodes in use, never by all that are listed.
 """
 
 from __future__ import annotations
@@ -194,7 +194,7 @@
         node.concurrency_limit = limit
 
     def nodes_in_use(self) -> list[Node]:
-        """Return the holders with something to count, each with slots of its own; idle nodes share one list."""
+        """Return the holders with something to count, each with its own slots; idle nodes share a list."""
         for node in self._with_own_slots.values():
             node.class_slots = self.even_slots
         self._with_own_slots = {
--- a/cleatyoke/scheduling/outlier_detection.py
+++ b/cleatyoke/scheduling/outlier_detection.py
@@ -17,10 +17,10 @@
 class OutlierDetector:
     """Bound the attempts in flight at each node by its own answers.
 
-    The concurrency limit grows by less than one for each answer while the node's queue is short, shrinks while
-    it is long, and is halved by a failure. Symptom without it: a slow or silent node holds as many requests as
-    a healthy one, and they are late. Where an attempt that was sent later is answered already, an answer was
-    lost, and the node has not failed.
+    The concurrency limit grows by less than one for each answer while the node's queue is short, shrinks
+    while it is long, and is halved by a failure. Symptom without it: a slow or silent node holds as many
+    requests as a healthy one, and they are late. Where an attempt that was sent later is answered already,
+    an answer was lost, and the node has not failed.
     """
 
     def __init__(self, state: SchedulerState, estimates: ServiceEstimates) -> None:
--- a/cleatyoke/scheduling/placement.py
+++ b/cleatyoke/scheduling/placement.py
@@ -37,7 +37,7 @@
                 heappop(heap)
 
     def choose(self, node: Node) -> Request | None:
-        """Return the queued request that the node takes next; where all are held, set a timer for the node."""
+        """Return the queued request that the node takes next, or set a timer where all are held."""
         state, now = self._state, self._state.now
         queued = state.queues.get(node.shard, []) + state.queues.get(None, [])
         if not queued or not self._rules.outliers.has_free_slot(node):
@@ -68,7 +68,7 @@
         return request.verdict
 
     def _new_object_time(self, node: Node) -> float:
-        """Seconds until the node would answer a new object of mean size, by this front's own backlog there."""
+        """Seconds until the node would answer a new object of mean size, by this front's backlog there."""
         state = self._state
         service_time = node.service_time_per_unit or 0.0
         answer = node.queue_delay + service_time * state.settings.mean_request_units
--- a/cleatyoke/scheduling/records.py
+++ b/cleatyoke/scheduling/records.py
@@ -146,7 +146,7 @@
 
 
 class Volume:
-    """This front's share of a volume's reserved rate and rate limit."""
+    """The front's share of a volume's reserved rate and rate limit."""
 
     __slots__ = ("lease_clock", "rate_limit", "reserve", "reserved_left", "surplus", "used_by_others")
 
--- a/cleatyoke/scheduling/request_lifecycle.py
+++ b/cleatyoke/scheduling/request_lifecycle.py
@@ -72,7 +72,7 @@
         state.to_review.append(request)
 
     def close(self, request: Request, answer: Reject | FailRequest | None, *, served: bool = False) -> None:
-        """Close a request with its final answer (``None``: it needs none); cancel what is in flight for it."""
+        """Close a request with its final answer (``None``: it needs none); cancel its attempts."""
         if request.is_closed:
             return
         state = self._state
--- a/cleatyoke/scheduling/retries.py
+++ b/cleatyoke/scheduling/retries.py
@@ -76,8 +76,8 @@
     """Keep a request that may have executed where a second execution has no effect.
 
     Symptom without it: a write is applied twice, after an attempt whose answer was lost. It holds because
-    nodes discard the duplicate of a request with an idempotency key within its class's scope and window, and a
-    request without a key that may have executed is not sent again.
+    nodes discard the duplicate of a request with an idempotency key within its class's scope and window,
+    and a request without a key that may have executed is not sent again.
     """
 
     def __init__(self, state: SchedulerState) -> None:
@@ -100,9 +100,10 @@
         return True
 
     def remembered_until(self, request: Request) -> float:
-        """Until when nodes discard duplicates of a request that may have executed; infinite where they needn't.
+        """Until when nodes discard duplicates of a request that may have executed.
 
-        Nodes count from the first attempt; a margin is kept clear, as a send takes time.
+        Infinite where none need to. Nodes count from the first attempt; a margin is kept clear, as a send
+        takes time.
         """
         if not request.may_have_executed or request.request_class.idempotency is not Idempotency.KEYED:
             return NEVER
--- a/cleatyoke/scheduling/scheduler.py
+++ b/cleatyoke/scheduling/scheduler.py
@@ -1,14 +1,16 @@
 """The scheduler of one front: which request goes to which node, when, and which is rejected.
 
-It has no input or output and no clock of its own: ``Scheduler.step`` takes the time and the events, and returns
-the actions. ``events`` and ``actions`` say what these are, ``settings`` what is configured, ``rules`` lists the
-rules, and the module of each rule says what it prevents. ``docs/design.md`` tells where the design is from.
+It has no input or output and no clock of its own: ``Scheduler.step`` takes the time and the events, and
+returns the actions. ``events`` and ``actions`` say what these are, ``settings`` what is configured,
+``rules`` lists the rules, and the module of each rule says what it prevents. ``docs/design.md`` tells where
+the design is from.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
+from typing import Any
 
 from cleatyoke.scheduling.actions import SchedulerAction, SetTimer, WatchEndpoints
 from cleatyoke.scheduling.endpoint_updates import EndpointUpdates
@@ -53,6 +55,18 @@
         self.placement = Placement(self.rules)
         self._endpoints = EndpointUpdates(self.rules)
         self._timer_at = math.inf  # when the timer that is set fires
+        self._handlers: dict[type[Any], Callable[[Any], None]] = {
+            RequestArrived: self.lifecycle.open,
+            AttemptFinished: self._on_attempt_finished,
+            ClientDisconnected: self._on_disconnected,
+            TimerFired: self._on_timer,
+            EndpointUpdate: self._endpoints.apply,
+            UtilizationReported: self._on_utilization,
+            QuotaShareChanged: self._on_quota_share,
+            QuotaLeaseChanged: self.rules.rate_limits.on_lease_changed,
+            SlowStartLeaseChanged: self.rules.slow_start.on_lease_changed,
+            SettingsReloaded: self._on_settings_reloaded,
+        }
         if settings.watches_endpoints:
             self.state.timers.add(-math.inf, Poll.ENDPOINTS)
 
@@ -93,7 +107,7 @@
             self.rules.concurrency.run_round()
             self.forget_idle()
         for event in events:
-            self._handle(event)
+            self._handlers[type(event)](event)
         while state.timers.next_at() <= now:
             self._check(state.timers.take())
         self.placement.dispatch()
@@ -111,32 +125,18 @@
             return None
         return self.placement.explain(request)
 
-    def _handle(self, event: SchedulerEvent) -> None:
-        state, rules = self.state, self.rules
-        match event:
-            case TimerFired():
-                self._timer_at = math.inf
-            case EndpointUpdate():
-                self._endpoints.apply(event)
-            case RequestArrived():
-                self.lifecycle.open(event)
-            case AttemptFinished():
-                self._on_attempt_finished(event)
-            case ClientDisconnected(request_id):
-                if request_id in state.requests:
-                    self.lifecycle.close(state.requests[request_id], None)
-            case UtilizationReported(utilization):
-                state.utilization = utilization
-            case QuotaShareChanged(fraction):
-                state.quota_clock.change(fraction, state.now)
-            case QuotaLeaseChanged():
-                rules.rate_limits.on_lease_changed(event)
-            case SlowStartLeaseChanged(node_id, multiplier):
-                if node := state.table.nodes.get(node_id):
-                    rules.slow_start.check(node)  # what is paid off until now, by the multiplier before
-                    node.slow_start_multiplier = multiplier
-            case SettingsReloaded():
-                self._on_settings_reloaded(event)
+    def _on_disconnected(self, event: ClientDisconnected) -> None:
+        if request := self.state.requests.get(event.request_id):
+            self.lifecycle.close(request, None)
+
+    def _on_timer(self, _: TimerFired) -> None:
+        self._timer_at = math.inf
+
+    def _on_utilization(self, event: UtilizationReported) -> None:
+        self.state.utilization = event.utilization
+
+    def _on_quota_share(self, event: QuotaShareChanged) -> None:
+        self.state.quota_clock.change(event.fraction, self.state.now)
 
     def _on_attempt_finished(self, event: AttemptFinished) -> None:
         state, rules = self.state, self.rules
--- a/cleatyoke/scheduling/shedding.py
+++ b/cleatyoke/scheduling/shedding.py
@@ -14,10 +14,10 @@
 class LoadShedding:
     """Keep a queued request while it can be answered in time; later it goes at once, or is rejected.
 
-    Symptom without it: after a surge, or behind a silent, warming or unlisted node, a backlog of requests that
-    are late already is served first, and makes those behind it late as well. It holds because each queued
-    request is reviewed when it arrives, after each attempt, and when its answer would become late. It does
-    harm where answers become fast again just after.
+    Symptom without it: after a surge, or behind a silent, warming or unlisted node, a backlog of requests
+    that are late already is served first, and makes those behind it late as well. It holds because each
+    queued request is reviewed when it arrives, after each attempt, and when its answer would become late.
+    It does harm where answers become fast again just after.
     """
 
     def __init__(self, rules: Rules, lifecycle: RequestLifecycle) -> None:
@@ -52,7 +52,8 @@
     def reject(self, request: Request, rule: Rule, wait: float = 0.0) -> None:
         """Give the final answer at once: where a repeat by the client is harmless, one that says so.
 
-        ``wait``: seconds after which a repeat may be sent to a node. ``rule``: what the request is rejected by.
+        ``wait``: seconds after which a repeat may be sent to a node. ``rule``: what the request is rejected
+        by.
         """
         if is_repeat_by_client_harmless(request):
             retry_after = min(self._state.settings.max_retry_after, wait)
--- a/cleatyoke/scheduling/slow_start.py
+++ b/cleatyoke/scheduling/slow_start.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from cleatyoke.scheduling.events import SlowStartLeaseChanged
 from cleatyoke.scheduling.quotas import TokenBucket
 from cleatyoke.scheduling.records import Node
 from cleatyoke.scheduling.state import SchedulerState
@@ -16,14 +17,14 @@
 class SlowStart:
     """Keep the load of a warming node below that at which it fails.
 
-    Symptom without it: a node that comes back gets its usual load at once, is overloaded while its caches are
-    empty, and goes down again. Each send puts this front in debt by its units, and nothing is sent until this
-    front's share of what the node bears has paid the debt off. The share is the largest of three: an even part
-    of the stated units by the number of fronts, growing as the node warms up; this front's usual rate there,
-    or its mean rate anywhere where it knows none; and what comes to it within reserves, as a front that has
-    just started knows no usual rate. It holds because all fronts' shares add up to what a warm node serves, of
-    which load reports tell the fraction in use. Some of it is saved up, as a front's few requests come in
-    bunches.
+    Symptom without it: a node that comes back gets its usual load at once, is overloaded while its caches
+    are empty, and goes down again. Each send puts this front in debt by its units, and nothing is sent
+    until this front's share of what the node bears has paid the debt off. The share is the largest of
+    three: an even part of the stated units by the number of fronts, growing as the node warms up; this
+    front's usual rate there, or its mean rate anywhere where it knows none; and what comes to it within
+    reserves, as a front that has just started knows no usual rate. It holds because all fronts' shares add
+    up to what a warm node serves, of which load reports tell the fraction in use. Some of it is saved up,
+    as a front's few requests come in bunches.
 
     Inputs: ``slow_start_initial_fraction``, ``slow_start_duration`` (seconds), ``overload_multiple`` and
     ``overload_after`` (seconds) of the safety limits; ``slow_start_units`` (units within ``overload_after``).
@@ -37,6 +38,12 @@
         age = self._state.now - node.started_at
         return node.started_at > 0 and age < self._state.safety.slow_start_duration
 
+    def on_lease_changed(self, event: SlowStartLeaseChanged) -> None:
+        """Count this front's even share of what the node bears so many times from now on."""
+        if node := self._state.table.nodes.get(event.node_id):
+            self.check(node)  # pays off the debt until now by the multiplier before
+            node.slow_start_multiplier = event.multiplier
+
     def begin(self, node: Node, debt: float) -> None:
         """Note the start of a node. ``debt``: units that this front starts with as already sent."""
         node.slow_start = TokenBucket(-debt, self._state.now)
--- a/cleatyoke/scheduling/timers.py
+++ b/cleatyoke/scheduling/timers.py
@@ -34,7 +34,7 @@
         heappush(self._heap, (at, self._count, subject))
 
     def next_at(self) -> float:
-        """When the earliest timer fires, infinite where there is none; those of closed requests are dropped."""
+        """When the earliest timer fires, infinite where there is none; drops those of closed requests."""
         heap = self._heap
         while heap and isinstance(heap[0][2], Request) and heap[0][2].is_closed:
             heappop(heap)
--- a/cleatyoke/scheduling/verdict.py
+++ b/cleatyoke/scheduling/verdict.py
@@ -27,7 +27,7 @@
 
 
 class Verdict(NamedTuple):
-    """From when a rule allows a request, in seconds on the caller's clock, and the rule (``None``: no rule)."""
+    """When a rule allows a request, in seconds on the caller's clock, and the rule that holds it until then."""
 
     allowed_at: float
     rule: Rule | None
