--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -121,7 +121,7 @@
         self.discovery = Discovery(
             config.discovery,
             self.directory,
-            self.core.tell,
+            self.core.notify,
             settings.front_count,
             config.seed,
             self.faults,
@@ -183,7 +183,7 @@
         if config.metrics:
             self.metrics = self.open_metrics(config.metrics)
         self.handed.start()
-        self.lives.start(self.core.tell)
+        self.lives.start(self.core.notify)
 
     def open_control(self) -> None:
         if self.config.ops:
@@ -322,7 +322,7 @@
             classes=list(self.config.classes),
         )
         if taken.retired is not None:
-            self.core.tell(SettingsReloaded(settings, taken.retired))
+            self.core.notify(SettingsReloaded(settings, taken.retired))
             self.life.retime(self.notice())
             if self.fleet:
                 self.fleet.say(settings)
@@ -345,7 +345,7 @@
         gc.freeze()  # what the start made stays; later collections pass over it
         log.info("ready", name=self.config.name, listen=self.front.address, nodes=len(self.directory.boxes))
         await self.signalled.wait()
-        log.info("leaving", open=len(self.core.calls))
+        log.info("leaving", open=len(self.core.pending))
         self.front.leave(self.life.last_answer() - self.loop.time())
         closing: asyncio.Task[None] | None = None
         while True:
@@ -358,8 +358,8 @@
                             closing = asyncio.create_task(self.files.close(patience))
                         case Order.STOP_ACCEPTING:
                             self.front.stop_accepting()
-                        case Order.ABANDON if self.core.calls:  # else only peers that have not closed yet
-                            log.warning("left_unanswered", open=len(self.core.calls))
+                        case Order.ABANDON if self.core.pending:  # else only peers that have not closed yet
+                            log.warning("left_unanswered", open=len(self.core.pending))
                         case Order.RELEASE:
                             self.release()
             if self.life.stage is Stage.CLOSING:
--- a/cleatyoke/core.py
+++ b/cleatyoke/core.py
@@ -1,7 +1,7 @@
-"""The core of a front: one policy, its clock and wake-up, and the life of a request. It knows no wire.
+"""The core of a front: one scheduler, its clock and timer, and the life of a request. It knows no protocol.
 
-A front brings an ``api.Arrival`` and a function that makes one attempt at a node; ``Core.serve`` asks the
-policy where and when, and returns how the request ended.
+A server brings a ``RequestArrived`` and a function that makes one attempt at a node; ``Core.serve`` asks the
+scheduler where and when, and returns how the request ended.
 """
 
 from __future__ import annotations
@@ -19,6 +19,7 @@
     CancelAttempt,
     FailRequest,
     Reject,
+    SchedulerAction,
     SendAttempt,
     SetTimer,
     WatchEndpoints,
@@ -36,234 +37,266 @@
 from cleatyoke.scheduling.settings import SchedulerSettings
 
 T = TypeVar("T")
-# The first two are in no setting: they are what this process's own loop may run late by.
+# Margins in seconds. The first two are in no setting: they are what this process's own loop may run late by.
 ATTEMPT_MARGIN = 0.04  # an attempt ends this long before the client's deadline, so that the answer beats it
-ANSWER_MARGIN = 0.015  # and the core answers by itself where the policy still has not
-SOONEST = 0.005  # the policy's word comes in the next turn of the loop, however short the deadline
+ANSWER_MARGIN = 0.015  # the core answers by itself where the scheduler has not until so long before it
+MIN_ANSWER_TIME = 0.005  # the scheduler decides in the next turn of the loop, however short the deadline
 log = structlog.get_logger()
 
 
 @dataclass(slots=True)
 class AttemptResult(Generic[T]):
-    """How an attempt ended, its answer, and the units of its volume that the node served by other hosts
-    and the part of its power that it reports in use.
+    """How an attempt ended, and its answer.
+
+    ``units_by_others``: units of its volume that the node served through other fronts. ``utilization``:
+    fraction of its capacity in use that the node reports.
     """
 
     outcome: AttemptOutcome
     value: T | None = None
-    elsewhere: float = 0.0
-    busy: float | None = None
+    units_by_others: float = 0.0
+    utilization: float | None = None
 
 
 MayBegin = Callable[[], bool]  # whether an attempt may begin: asked directly before its first byte
-Attempt = Callable[[int, MayBegin], Awaitable[AttemptResult[T]]]  # of the node
+Attempt = Callable[[int, MayBegin], Awaitable[AttemptResult[T]]]  # takes the node's id
+BeforeStep = Callable[[float, list[SchedulerEvent]], list[SchedulerEvent]]
 
 
 @dataclass(slots=True)
 class Served(Generic[T]):
+    """Final answer: a node has served the request, ``value`` is what its attempt returned."""
+
     value: T | None
 
 
 @dataclass(slots=True)
 class Rejected:
-    """Turned away, and trying again is harmless, best after ``wait`` seconds."""
+    """Final answer: rejected, a retry by the client is harmless, best after ``retry_after`` seconds."""
 
-    wait: float
+    retry_after: float
 
 
 @dataclass(slots=True)
 class Failed:
-    """No promise about its effect."""
+    """Final answer: failed, and the request may have taken effect."""
 
 
 class PendingRequest:
-    """A request being served: what the policy says of it, and the timer of the attempt that is out."""
+    """A request being served: the scheduler's decisions on it, and the timeouts that run.
 
-    __slots__ = ("attempts", "limit", "out", "words")
+    ``answer_timeout``: of its final answer. ``attempt_timeout``: of the attempt in flight, if any.
+    ``attempts``: made so far.
+    """
+
+    __slots__ = ("answer_timeout", "attempt_timeout", "attempts", "decisions")
 
     def __init__(self) -> None:
-        self.words: asyncio.Queue[SendAttempt | Reject | FailRequest] = asyncio.Queue()
-        self.limit: asyncio.Timeout | None = None  # of its answer
-        self.out: asyncio.Timeout | None = None
+        self.decisions: asyncio.Queue[SendAttempt | Reject | FailRequest] = asyncio.Queue()
+        self.answer_timeout: asyncio.Timeout | None = None
+        self.attempt_timeout: asyncio.Timeout | None = None
         self.attempts = 0
 
 
+def _keep_events(_now: float, events: list[SchedulerEvent]) -> list[SchedulerEvent]:
+    return events
+
+
 class Core:
-    """Owner of the one policy. Every event of one turn of the loop goes into one step."""
+    """Owner of the one scheduler. Every event of one turn of the loop goes into one step.
+
+    ``unix``: Unix time at the loop's 0, where it is not the system's, as in virtual time. ``pending``:
+    requests being served, by id. ``endpoint_listeners``: are passed every endpoint update. ``before_step``:
+    takes the time and the events of a step, and returns them with those that the scheduler must know of
+    before it decides anything at that time, such as leases that have ended.
+    """
 
     def __init__(self, settings: SchedulerSettings, unix: float | None = None) -> None:
-        """``unix``: Unix time at the loop's 0, where it is not the system's, as in virtual time."""
         self.loop = asyncio.get_running_loop()
-        # Once: the clock goes on evenly if the system's jumps.
-        self.offset = time.time() - self.loop.time() if unix is None else unix
-        self.policy = Scheduler(settings)
-        self.calls: dict[str, PendingRequest] = {}
-        self.events: list[SchedulerEvent] = []
-        self.wake_timer: asyncio.TimerHandle | None = None
-        self.numbered = 0
-        self.last = math.inf  # by when every answer is due, whatever the request's own deadline
-        self.listeners: list[Callable[[EndpointUpdate], None]] = []  # who else hears of the nodes
-        # What the policy has to know before it decides anything now, as leases that have ended meanwhile.
-        self.before: Callable[[float, list[SchedulerEvent]], list[SchedulerEvent]] = lambda now, events: (
-            events
-        )
+        # Read once: this clock goes on evenly if the system's jumps.
+        self.unix_offset = time.time() - self.loop.time() if unix is None else unix
+        self.scheduler = Scheduler(settings)
+        self.pending: dict[str, PendingRequest] = {}
+        self.endpoint_listeners: list[Callable[[EndpointUpdate], None]] = []
+        self.before_step: BeforeStep = _keep_events
+        self.answers_due_at = math.inf  # Unix time; earlier than requests' own deadlines in a shutdown
+        self._events: list[SchedulerEvent] = []
+        self.timer: asyncio.TimerHandle | None = None
+        self._ids_issued = 0
 
     def now(self) -> float:
-        """Unix time, by the monotonic clock."""
-        return self.loop.time() + self.offset
+        """Unix time in seconds, by the monotonic clock."""
+        return self.loop.time() + self.unix_offset
 
     def new_id(self) -> str:
-        """Ids of the core's own: a client that repeats one of its ids mixes nothing up."""
-        self.numbered += 1
-        return str(self.numbered)
+        """Return an id for a request; ids are the core's own, as clients may repeat theirs."""
+        self._ids_issued += 1
+        return str(self._ids_issued)
 
-    def tell(self, event: SchedulerEvent) -> None:
-        if not self.events:
+    def notify(self, event: SchedulerEvent) -> None:
+        """Pass an event to the scheduler, in the next turn of the loop."""
+        if not self._events:
             self.loop.call_soon(self.step)
-        self.events.append(event)
+        self._events.append(event)
         if isinstance(event, EndpointUpdate):
-            for listener in self.listeners:
+            for listener in self.endpoint_listeners:
                 listener(event)
 
     def step(self) -> None:
-        events, self.events = self.events, []
+        """Let the scheduler decide on the events that came, and act on it."""
+        events = self._events
+        self._events = []
         try:
             now = self.now()
-            actions = self.policy.step(now, self.before(now, events))
-        except Exception:  # guards the other requests: each is still answered at its own deadline
-            log.exception("policy_fault", events=len(events))
+            actions = self.scheduler.step(now, self.before_step(now, events))
+        except Exception:  # saves the other requests: each is still answered at its own deadline
+            log.exception("scheduler_fault", events=len(events))
             return
         for action in actions:
-            match action:
-                case SendAttempt(request) | Reject(request) | FailRequest(request):
-                    if call := self.calls.get(request):
-                        call.words.put_nowait(action)
-                case CancelAttempt(request, attempt):
-                    call = self.calls.get(request)
-                    out = call.out if call and attempt == call.attempts - 1 else None
-                    if out and not out.expired():  # a process that stood still finds both due at once
-                        out.reschedule(self.loop.time())
-                case SetTimer(after, token):
-                    if self.wake_timer:
-                        self.wake_timer.cancel()
-                    self.wake_timer = self.loop.call_at(
-                        self.loop.time() + after, self.tell, TimerFired(token)
-                    )
-                case WatchEndpoints():
-                    pass  # the platform's discovery is watched from the start
-
-    def hurry(self, last: float) -> None:
-        """The process is to end: everything that is open now is answered by ``last`` (Unix time), as is what
-        comes after. Guards requests whose clients wait longer than the process may take to leave.
+            self._act(action)
+
+    def _act(self, action: SchedulerAction) -> None:
+        match action:
+            case SendAttempt(request_id) | Reject(request_id) | FailRequest(request_id):
+                if pending := self.pending.get(request_id):
+                    pending.decisions.put_nowait(action)
+            case CancelAttempt(request_id, attempt):
+                self._cancel_attempt(request_id, attempt)
+            case SetTimer(delay, token):
+                if self.timer:
+                    self.timer.cancel()
+                self.timer = self.loop.call_at(self.loop.time() + delay, self.notify, TimerFired(token))
+            case WatchEndpoints():
+                pass  # the platform's discovery is watched from the start
+
+    def _cancel_attempt(self, request_id: str, attempt: int) -> None:
+        pending = self.pending.get(request_id)
+        if pending is None or attempt != pending.attempts - 1:
+            return
+        timeout = pending.attempt_timeout
+        if timeout and not timeout.expired():  # after a pause of the process both are due at once
+            timeout.reschedule(self.loop.time())
+
+    def begin_shutdown(self, answers_due_at: float) -> None:
+        """Answer every request, open ones and those that still come, by ``answers_due_at`` (Unix time).
+
+        Saves requests whose clients wait longer than the process has left.
         """
-        self.last = last
-        for call in self.calls.values():
-            for timer, margin in ((call.limit, ANSWER_MARGIN), (call.out, ATTEMPT_MARGIN)):
-                at = last - margin - self.offset
-                if timer and not timer.expired() and (timer.when() or 0.0) > at:
-                    timer.reschedule(at)
-
-    async def serve(self, ask: RequestArrived, attempt: Attempt[T]) -> Served[T] | Rejected | Failed:
-        """The life of a request, from its arrival to its one answer. Cancelled: the client has left."""
-        call = self.calls[ask.request_id] = PendingRequest()
-        self.tell(ask)
+        self.answers_due_at = answers_due_at
+        for pending in self.pending.values():
+            self._shorten(pending.answer_timeout, answers_due_at - ANSWER_MARGIN)
+            self._shorten(pending.attempt_timeout, answers_due_at - ATTEMPT_MARGIN)
+
+    def _shorten(self, timeout: asyncio.Timeout | None, unix: float) -> None:
+        at = unix - self.unix_offset
+        if timeout and not timeout.expired() and (timeout.when() or 0.0) > at:
+            timeout.reschedule(at)
+
+    async def serve(self, arrival: RequestArrived, attempt: Attempt[T]) -> Served[T] | Rejected | Failed:
+        """Serve a request, from its arrival to its one answer. Cancelled: its client has disconnected."""
+        pending = self.pending[arrival.request_id] = PendingRequest()
+        self.notify(arrival)
         try:
-            # A client that waits for less than the margin still hears the policy's word, which comes at once.
-            due = min(ask.deadline, self.last) - ANSWER_MARGIN - self.offset
-            async with asyncio.timeout_at(max(due, self.loop.time() + SOONEST)) as call.limit:
-                while True:
-                    match await call.words.get():
-                        case SendAttempt(_, node) if self.now() >= self.last - ATTEMPT_MARGIN:
-                            self.end(
-                                ask,
-                                call.attempts,
-                                node,
-                                AttemptResult(AttemptOutcome.NOT_SENT),
-                                0.0,
-                                settled=True,
-                            )
-                        case SendAttempt(_, node, before):
-                            ending = await self.attempt(ask, call, node, before, attempt)
-                            if ending.outcome is AttemptOutcome.SERVED:
-                                return Served(ending.value)
-                        case Reject(_, wait):
-                            return Rejected(wait)
-                        case FailRequest():
-                            return Failed()
+            due = min(arrival.deadline, self.answers_due_at) - ANSWER_MARGIN - self.unix_offset
+            # A client that waits for less than the margin still gets the scheduler's decision.
+            due = max(due, self.loop.time() + MIN_ANSWER_TIME)
+            async with asyncio.timeout_at(due) as pending.answer_timeout:
+                return await self._follow_decisions(arrival, pending, attempt)
         except asyncio.CancelledError:
-            self.tell(ClientDisconnected(ask.request_id))
+            self.notify(ClientDisconnected(arrival.request_id))
             raise
         except TimeoutError:
-            self.tell(ClientDisconnected(ask.request_id))
-            if self.last < ask.deadline:  # the process ends: what was never sent may be tried elsewhere
-                return Failed() if call.attempts else Rejected(0.0)
-            # Guards against a silent policy and a loop that ran late: the client is owed an answer in time.
-            log.warning("answer_forced", request=ask.request_id, attempts=call.attempts)
-            return Failed()
+            self.notify(ClientDisconnected(arrival.request_id))
+            return self._forced_answer(arrival, pending)
         finally:
-            del self.calls[ask.request_id]
-            while not call.words.empty():
-                # Guards the policy's count of slots: a word to send that came too late is an attempt to it.
-                if isinstance(word := call.words.get_nowait(), SendAttempt):
-                    self.end(
-                        ask,
-                        call.attempts,
-                        word.node_id,
-                        AttemptResult(AttemptOutcome.NOT_SENT),
-                        0.0,
-                        settled=True,
-                    )
-
-    async def attempt(
-        self, ask: RequestArrived, call: PendingRequest, node: int, before: float, attempt: Attempt[T]
+            del self.pending[arrival.request_id]
+            self._report_unused_decisions(arrival, pending)
+
+    async def _follow_decisions(
+        self, arrival: RequestArrived, pending: PendingRequest, attempt: Attempt[T]
+    ) -> Served[T] | Rejected | Failed:
+        while True:
+            match await pending.decisions.get():
+                case SendAttempt(_, node_id) if self.now() >= self.answers_due_at - ATTEMPT_MARGIN:
+                    self._report_not_sent(arrival, pending, node_id)
+                case SendAttempt() as decision:
+                    result = await self._attempt(arrival, pending, decision, attempt)
+                    if result.outcome is AttemptOutcome.SERVED:
+                        return Served(result.value)
+                case Reject(_, retry_after):
+                    return Rejected(retry_after)
+                case FailRequest():
+                    return Failed()
+
+    def _forced_answer(self, arrival: RequestArrived, pending: PendingRequest) -> Rejected | Failed:
+        """Answer in time a request for which the scheduler has not decided, or the loop ran late."""
+        if self.answers_due_at < arrival.deadline:  # a shutdown: what was never sent may go to another front
+            return Failed() if pending.attempts else Rejected(0.0)
+        log.warning("answer_forced", request=arrival.request_id, attempts=pending.attempts)
+        return Failed()
+
+    def _report_unused_decisions(self, arrival: RequestArrived, pending: PendingRequest) -> None:
+        """Report attempts that were decided on too late: the scheduler counts each in a slot of its node."""
+        while not pending.decisions.empty():
+            decision = pending.decisions.get_nowait()
+            if isinstance(decision, SendAttempt):
+                self._report_not_sent(arrival, pending, decision.node_id)
+
+    def _report_not_sent(self, arrival: RequestArrived, pending: PendingRequest, node_id: int) -> None:
+        self.notify(
+            AttemptFinished(
+                arrival.request_id, pending.attempts, node_id, AttemptOutcome.NOT_SENT, 0.0, settled=True
+            )
+        )
+
+    async def _attempt(
+        self, arrival: RequestArrived, pending: PendingRequest, decision: SendAttempt, attempt: Attempt[T]
     ) -> AttemptResult[T]:
-        """One attempt, until its timer ends it or the policy calls it off by the same timer. Its end is told
-        once its connection is free or closed, so that there are never two out. What it is allowed by, the
-        time ``before`` which nodes know its request and its own time, is looked at again directly before its
-        first byte: a connection may take long to come up.
+        """Make one attempt, until its timeout ends it, or the scheduler cancels it by the same timeout.
+
+        Its end is reported once its connection is free or closed, so that there are never two in flight. What
+        it is allowed by (until when nodes remember its idempotency key, and its own deadline) is looked at
+        again directly before its first byte, as a connection may take long to be made.
         """
-        number, sent = call.attempts, self.now()
+        number = pending.attempts
+        node_id = decision.node_id
+        sent_at = self.now()
 
-        def may() -> bool:
-            return self.now() < min(before, self.until(ask))
+        def may_begin() -> bool:
+            return self.now() < min(decision.not_after, self.attempt_deadline(arrival))
 
-        call.attempts += 1
-        ending, settled = (
-            AttemptResult[T](AttemptOutcome.CANCELLED),
-            True,
-        )  # a client that leaves takes it along
+        pending.attempts += 1
+        result = AttemptResult[T](AttemptOutcome.CANCELLED)
+        settled = True  # unless one of the below: a client that disconnects settles its request
         try:
-            async with asyncio.timeout_at(self.until(ask) - self.offset) as call.out:
-                ending = await attempt(node, may)
-            settled = ending.outcome is AttemptOutcome.SERVED
+            timeout = asyncio.timeout_at(self.attempt_deadline(arrival) - self.unix_offset)
+            async with timeout as pending.attempt_timeout:
+                result = await attempt(node_id, may_begin)
+            settled = result.outcome is AttemptOutcome.SERVED
         except TimeoutError:
             settled = False
-            ending = AttemptResult(
-                AttemptOutcome.TIMEOUT if self.now() >= self.until(ask) else AttemptOutcome.CANCELLED
-            )
+            is_overdue = self.now() >= self.attempt_deadline(arrival)
+            result = AttemptResult(AttemptOutcome.TIMEOUT if is_overdue else AttemptOutcome.CANCELLED)
         except Exception:
-            log.exception("attempt_fault", node=node)
-            ending, settled = (
-                AttemptResult(AttemptOutcome.CONNECTION_RESET),
-                False,
-            )  # in doubt, it may have run
+            log.exception("attempt_fault", node=node_id)
+            settled = False
+            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)  # in doubt: it may have executed
         finally:
-            call.out = None
-            self.end(ask, number, node, ending, self.now() - sent, settled)
-        return ending
-
-    def until(self, ask: RequestArrived) -> float:
-        """When its attempt ends at the latest."""
-        return min(ask.deadline, self.last) - ATTEMPT_MARGIN
-
-    def end(
-        self,
-        ask: RequestArrived,
-        number: int,
-        node: int,
-        ending: AttemptResult[T],
-        spent: float,
-        settled: bool,
-    ) -> None:
-        told = ending.elsewhere, ending.busy
-        self.tell(AttemptFinished(ask.request_id, number, node, ending.outcome, spent, settled, *told))
+            pending.attempt_timeout = None
+            self.notify(
+                AttemptFinished(
+                    arrival.request_id,
+                    number,
+                    node_id,
+                    result.outcome,
+                    self.now() - sent_at,
+                    settled,
+                    result.units_by_others,
+                    result.utilization,
+                )
+            )
+        return result
+
+    def attempt_deadline(self, arrival: RequestArrived) -> float:
+        """Unix time at which an attempt for this request ends at the latest."""
+        return min(arrival.deadline, self.answers_due_at) - ATTEMPT_MARGIN
--- a/cleatyoke/emulation/capacity/nodes.py
+++ b/cleatyoke/emulation/capacity/nodes.py
@@ -194,7 +194,7 @@
     core, directory = Core(settings(3100)), Directory({})
     with mock.patch.object(Watch, "run", asyncio.Event().wait):  # it calls nobody
         address = Address("127.0.0.1", 1)
-        watch = Watch(Discovery(address, directory, core.tell, 3100), address, None)
+        watch = Watch(Discovery(address, directory, core.notify, 3100), address, None)
         turns: list[float] = []
         beat = asyncio.create_task(measure_turns(turns))
         out: list[float] = []
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -125,7 +125,7 @@
         serves = box.state is EndpointState.LIVE
         self.judge.drains(front.number, box.name, None if serves else self.loop.time())
         entries = front.directory.apply(EndpointList(self.version, False, [box.listed()]))
-        front.core.tell(EndpointUpdate(UpdateKind.DELTA, entries))
+        front.core.notify(EndpointUpdate(UpdateKind.DELTA, entries))
 
     def publish(self, box: VirtualBackend, state: EndpointState = EndpointState.LIVE) -> None:
         box.state = state
@@ -165,14 +165,14 @@
         for box in self.boxes:
             serves = box.state is EndpointState.LIVE
             self.judge.drains(front.number, box.name, None if serves else self.loop.time())
-        front.core.tell(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
+        front.core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
 
     def kill(self, front: VirtualFront) -> None:
         self.judge.killed(front.number, self.loop.time())
         if front.view:
             front.view.kill()
-        if front.core and front.core.wake_timer:
-            front.core.wake_timer.cancel()
+        if front.core and front.core.timer:
+            front.core.timer.cancel()
         front.core = front.directory = front.view = None
         for task in front.open:
             task.cancel()
@@ -216,7 +216,7 @@
                 case RequestFate.SPOILT:
                     return AttemptResult(AttemptOutcome.ERROR)
             busy = box.model.busy(self.loop.time()) if self.scenario.terms.report == "answers" else None
-            return AttemptResult(AttemptOutcome.SERVED, box.name, busy=busy)
+            return AttemptResult(AttemptOutcome.SERVED, box.name, utilization=busy)
         except asyncio.CancelledError:
             if not made.ran:
                 made.ran = not box.model.withdraw(self.loop.time(), ticket)
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -309,11 +309,11 @@
         """
         self.core = core
         if self.peers.limits:
-            self.limits = RateLimitLeases(self.rights, lambda: core.policy.settings.plans)
+            self.limits = RateLimitLeases(self.rights, lambda: core.scheduler.settings.plans)
         if self.peers.cold:
-            self.cold = SlowStartLeases(self.rights, lambda: core.policy.settings, name)
-        self.rights.part = core.policy.settings.initial_quota_share
-        core.before = self.before_step
+            self.cold = SlowStartLeases(self.rights, lambda: core.scheduler.settings, name)
+        self.rights.part = core.scheduler.settings.initial_quota_share
+        core.before_step = self.before_step
         self.lending.start()
 
     def before_step(self, now: float, events: list[SchedulerEvent]) -> list[SchedulerEvent]:
@@ -341,7 +341,7 @@
                 self.act(action)
         if self.core:
             for event in self.changes(now):
-                self.core.tell(event)
+                self.core.notify(event)
 
     def look_at_needs(self) -> None:
         now = self.loop.time()
--- a/cleatyoke/http/load_probes.py
+++ b/cleatyoke/http/load_probes.py
@@ -29,7 +29,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        self.core.listeners.append(self.prober.on_endpoints)
+        self.core.endpoint_listeners.append(self.prober.on_endpoints)
         self.task = asyncio.create_task(keep_up(self.faults, "probes", self.run, lambda: AGAIN))
 
     def stop(self) -> None:
@@ -47,4 +47,4 @@
             busy = self.prober.utilization(self.core.now())
             if not math.isclose(busy, self.told):
                 self.told = busy
-                self.core.tell(UtilizationReported(busy))
+                self.core.notify(UtilizationReported(busy))
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -390,7 +390,7 @@
         """One request through the core: an attempt is one exchange with a box."""
 
         async def attempt(node: int, may: MayBegin) -> AttemptResult[bytes | StreamedBody]:
-            until = deadline - ATTEMPT_MARGIN - self.core.offset
+            until = deadline - ATTEMPT_MARGIN - self.core.unix_offset
             return await self.boxes.attempt(node, ask, until, lambda: may() and not client.gone())
 
         arrival = RequestArrived(
@@ -478,7 +478,7 @@
         seconds. Connections are kept while it still serves, as their clients could come back by no other.
         """
         self.last_answer = self.core.now() + last
-        self.core.hurry(self.last_answer)
+        self.core.begin_shutdown(self.last_answer)
 
     def stop_accepting(self) -> None:
         """No new connections, no idle ones; what was taken is answered, each answer with its close. A message
--- a/cleatyoke/process/handover.py
+++ b/cleatyoke/process/handover.py
@@ -72,7 +72,7 @@
     def tell(self, names: list[str]) -> None:
         """On the loop: the policy and the box pools hear of holds taken or given back."""
         if entries := self.directory.changed(names):
-            self.core.tell(EndpointUpdate(UpdateKind.DELTA, entries))
+            self.core.notify(EndpointUpdate(UpdateKind.DELTA, entries))
 
     def change(self, name: str, disable: bool) -> bool:
         """From the control thread: the hold holds for the box client at once, and for the policy soon."""
--- a/cleatyoke/scheduling/verdict.py
+++ b/cleatyoke/scheduling/verdict.py
@@ -27,7 +27,7 @@
 
 
 class Verdict(NamedTuple):
-    """When a rule allows a request, in seconds on the caller's clock, and the rule that holds it until then."""
+    """When a request is allowed, in seconds on the caller's clock, and the rule that holds it until then."""
 
     allowed_at: float
     rule: Rule | None
--- a/cleatyoke/sftp/server.py
+++ b/cleatyoke/sftp/server.py
@@ -153,7 +153,7 @@
 
     async def schedule(self, path: str, item: str, size: int, command: Command) -> Packet:
         """One request through the core: as a read or a write of its volume, by its size in units."""
-        volume, settings = self.volume(path), self.core.policy.settings
+        volume, settings = self.volume(path), self.core.scheduler.settings
         units = max(1, -(-size // self.config.unit_bytes))
         deadline = self.core.now() + self.config.deadline
         arrival = RequestArrived(
--- a/cleatyoke/simulator.py
+++ b/cleatyoke/simulator.py
@@ -126,11 +126,11 @@
 
     def __init__(self) -> None:
         self.now = 0.0  # the batch's clock
-        self.policies: dict[int, Scheduler] = {}
+        self.schedulers: dict[int, Scheduler] = {}
         self.lists: dict[int, list[Endpoint]] = {}
-        self.fields: dict[int, list[str]] = {}  # of the load reports that an instance hears
+        self.load_fields: dict[int, list[str]] = {}  # of the load reports that an instance hears
         self.probers: dict[int, LoadProber] = {}  # where load is told by probes only
-        self.bells: dict[int, float] = {}  # when the latest timer for a probe is due
+        self.probe_timers: dict[int, float] = {}  # when the latest timer for a probe is due
 
     def reply(self, line: str) -> dict[str, Any]:
         """Answer one batch."""
@@ -159,18 +159,18 @@
         if kind == "BORN":
             pending.pop(head, None)
             settings = read_settings(event["Facts"], event["RngSeed"])
-            self.policies[head] = Scheduler(settings)
-            self.bells.pop(head, None)
+            self.schedulers[head] = Scheduler(settings)
+            self.probe_timers.pop(head, None)
             self.probers.pop(head, None)
             if settings.load_by_probes:
                 self.probers[head] = LoadProber(
                     settings.front_count, settings.safety.slow_start_duration, settings.seed
                 )
-            self.fields[head] = (event["Facts"].get("Report") or {}).get("Fields") or []
+            self.load_fields[head] = (event["Facts"].get("Report") or {}).get("Fields") or []
             pending[head] = []
         elif kind == "SHUTDOWN":
             pending.pop(head, None)
-            self.policies.pop(head, None)
+            self.schedulers.pop(head, None)
             self.probers.pop(head, None)
         elif kind == "HEALTH":
             if head in self.probers:
@@ -187,12 +187,12 @@
                 translated.utilization = self.load(head, event)
             if isinstance(translated, EndpointUpdate) and head in self.probers:
                 self.probers[head].on_endpoints(translated)
-            if head in self.policies:
+            if head in self.schedulers:
                 pending.setdefault(head, []).append(translated)
 
     def load(self, head: int, event: dict[str, Any]) -> float | None:
         """The part of its power that a node reports in use, by whatever name this site has for it."""
-        told = dict(zip(self.fields.get(head, []), event.get("HealthInfo") or []))
+        told = dict(zip(self.load_fields.get(head, []), event.get("HealthInfo") or []))
         return next((told[name] for name in LOADS if name in told), None)
 
     def probe(self, head: int, now: float, steps: list[dict[str, Any]]) -> None:
@@ -200,14 +200,14 @@
         while (node := prober.step(now)) is not None:
             steps.append({"type": "TOUCH", "Head": head, "Shelf": node})
         due = prober.next_at(now)
-        if due < math.inf and not now < self.bells.get(head, -math.inf) <= due:
-            self.bells[head] = due
+        if due < math.inf and not now < self.probe_timers.get(head, -math.inf) <= due:
+            self.probe_timers[head] = due
             steps.append({"type": "TIMER", "Head": head, "AfterS": max(0.0, due - now), "Ref": PROBE})
 
     def run(self, head: int, now: float, events: list[SchedulerEvent], steps: list[dict[str, Any]]) -> None:
         """Let one instance decide on its events of the batch."""
         try:
-            actions = self.policies[head].step(now, events)
+            actions = self.schedulers[head].step(now, events)
         except Exception as error:  # a fault of the policy is reported on the wire, whatever it is
             steps.append({"type": "INTERNAL_ERROR", "Head": head, "Msg": f"{type(error).__name__}: {error}"})
             return
--- a/tests/host.py
+++ b/tests/host.py
@@ -99,21 +99,21 @@
     """One policy, its clock, and what it has out."""
 
     def __init__(self, config: SchedulerSettings, nodes: list[Endpoint], now: float = 100.0) -> None:
-        self.policy = Scheduler(config)
+        self.scheduler = Scheduler(config)
         self.now = now
         self.log: list[SchedulerAction] = []
-        self.shots: dict[str, int] = {}
+        self.attempts: dict[str, int] = {}
         self.step(EndpointUpdate(UpdateKind.CACHED, nodes))
 
     def step(self, *events: SchedulerEvent, at: float | None = None) -> list[SchedulerAction]:
         """Feed a batch; returns its actions without the policy's own wake-ups."""
         if at is not None:
             self.now = at
-        actions = self.policy.step(self.now, list(events))
+        actions = self.scheduler.step(self.now, list(events))
         actions = [action for action in actions if not isinstance(action, SetTimer)]
         for action in actions:
             if isinstance(action, SendAttempt):
-                self.shots[action.request_id] = self.shots.get(action.request_id, -1) + 1
+                self.attempts[action.request_id] = self.attempts.get(action.request_id, -1) + 1
         self.log += actions
         return actions
 
@@ -146,7 +146,7 @@
     ) -> list[SchedulerAction]:
         base = AttemptFinished(
             request_id=request,
-            attempt=self.shots[request],
+            attempt=self.attempts[request],
             node_id=node,
             outcome=outcome,
             elapsed=spent,
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -29,37 +29,37 @@
 
 def test_a_held_request_wakes_its_host_once_when_it_turns_late() -> None:
     host = busy_host(10.0)
-    assert wakes(host.policy.step(10.0, [host.arrival("a", front_count=8)])) == [], "a look comes before"
+    assert wakes(host.scheduler.step(10.0, [host.arrival("a", front_count=8)])) == [], "a look comes before"
     looked = 10.0 + LOST_ANSWER_FRACTION * 0.5
-    (wake,) = wakes(host.policy.step(looked, [TimerFired(0)]))
-    assert looked + wake.delay == pytest.approx(10.5 - host.policy.nodes[1].queue_delay)
-    assert host.policy.step(looked + wake.delay, [TimerFired(0)])[0] == Reject("a")
+    (wake,) = wakes(host.scheduler.step(looked, [TimerFired(0)]))
+    assert looked + wake.delay == pytest.approx(10.5 - host.scheduler.nodes[1].queue_delay)
+    assert host.scheduler.step(looked + wake.delay, [TimerFired(0)])[0] == Reject("a")
 
 
 def test_a_bell_a_trifle_early_is_set_again() -> None:
     host = busy_host(100.0)
     host.ask("a", front_count=8)
-    late = 100.5 - host.policy.nodes[1].queue_delay
-    assert wakes(host.policy.step(late - 1e-7, [TimerFired(0)])), "nothing else would answer it in time"
+    late = 100.5 - host.scheduler.nodes[1].queue_delay
+    assert wakes(host.scheduler.step(late - 1e-7, [TimerFired(0)])), "nothing else would answer it in time"
 
 
 def test_a_served_request_leaves_no_wake_up_behind() -> None:
     host = Host(settings(), [entry(1, 1)])
     host.ask("a")
     host.end("a", AttemptOutcome.SERVED)
-    assert host.policy.step(101.96, [TimerFired(0)]) == []
+    assert host.scheduler.step(101.96, [TimerFired(0)]) == []
 
 
 def test_only_nodes_where_something_changed_choose() -> None:
     host = Host(settings(), [entry(node, node) for node in range(45)])
     looked: list[int] = []
-    choose = host.policy.placement.choose
+    choose = host.scheduler.placement.choose
 
     def count(node):  # type: ignore[no-untyped-def]  # noqa: ANN001, ANN202
         looked.append(node.id)
         return choose(node)
 
-    host.policy.placement.choose = count  # type: ignore[method-assign]
+    host.scheduler.placement.choose = count  # type: ignore[method-assign]
     host.ask("a", shard=7)
     host.end("a", AttemptOutcome.SERVED, node_id=7)
     assert set(looked) == {7}
@@ -74,7 +74,7 @@
         host.step(EndpointUpdate(UpdateKind.DELTA, [gone]))
         host.ask(f"r{number}", volume_id=number, item=number)
         host.end(f"r{number}", AttemptOutcome.SERVED)
-    policy = host.policy
+    policy = host.scheduler
     assert len(policy.volumes) < 100
     assert len(policy.nodes) < 100
     assert (
@@ -90,5 +90,5 @@
     for power in range(12):
         host = busy_host(2.0**power)
         host.ask("a", front_count=8, deadline=host.now + 0.3)
-        host.policy.nodes[1].queue_delay = SEND_MARGIN
-        assert host.policy.step(2.0**power + 0.3 - SEND_MARGIN, [TimerFired(0)])
+        host.scheduler.nodes[1].queue_delay = SEND_MARGIN
+        assert host.scheduler.step(2.0**power + 0.3 - SEND_MARGIN, [TimerFired(0)])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -328,7 +328,7 @@
             leave(streams[1])
             await self.until(lambda: ended(transport))
             up.set()
-            await self.until(lambda: not self.core.calls)
+            await self.until(lambda: not self.core.pending)
         await asyncio.sleep(0.05)
         assert dict(self.box.counts) == {}
 
@@ -355,7 +355,7 @@
         client, streams = await self.meet(script)
         streams[1].write(self.head("t"))
         await turned_away.wait()
-        await self.until(lambda: not self.core.calls)
+        await self.until(lambda: not self.core.pending)
         assert self.box.counts["t"] == 1
 
     async def test_a_word_to_send_that_waits_as_the_client_goes_sends_nothing(self) -> None:
@@ -365,7 +365,7 @@
 
         def hold() -> None:  # the policy's word and the client's end come in one turn, the word first
             step()
-            if self.core.calls:
+            if self.core.pending:
                 streams[1].transport.abort()
                 word.set()
                 client.connection_lost(None)
@@ -373,10 +373,10 @@
         with mock.patch.object(self.core, "step", hold):
             streams[1].write(self.head("t"))
             await word.wait()
-            await self.until(lambda: not self.core.calls)
+            await self.until(lambda: not self.core.pending)
         await asyncio.sleep(0.05)
         assert dict(self.box.counts) == {}
-        assert not any(sum(node.in_flight) for node in self.core.policy.nodes.values())
+        assert not any(sum(node.in_flight) for node in self.core.scheduler.nodes.values())
 
 
 class LeaseStories(FrontCase):
@@ -397,13 +397,13 @@
     async def test_a_repeat_whose_connection_comes_up_when_nodes_may_have_forgotten_is_not_sent(self) -> None:
         keyed = class_spec(idempotency=Idempotency.KEYED, idempotency_window=1.0, latency_objective=5.0)
         core, looks = Core(settings([keyed])), list[bool]()
-        core.tell(EndpointUpdate(UpdateKind.SNAPSHOT, [entry(1, 1)]))
+        core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, [entry(1, 1)]))
 
         async def attempt(node: int, may: MayBegin) -> AttemptResult[str]:
             looks.append(may())
             if len(looks) == 1:
                 return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-            core.offset += 1.0  # it takes long to come up
+            core.unix_offset += 1.0  # it takes long to come up
             looks.append(may())
             return AttemptResult(AttemptOutcome.NOT_SENT)
 
@@ -413,10 +413,10 @@
 
     async def test_an_attempt_whose_own_time_is_up_does_not_begin(self) -> None:
         core, looks = Core(config().settings), list[bool]()
-        core.tell(listed(Directory({}), instance("s-a", 1), whole=True))
+        core.notify(listed(Directory({}), instance("s-a", 1), whole=True))
 
         async def attempt(node: int, may: MayBegin) -> AttemptResult[str]:
-            core.offset += 60.0
+            core.unix_offset += 60.0
             looks.append(may())
             return AttemptResult(AttemptOutcome.NOT_SENT)
 
@@ -431,7 +431,7 @@
     host.end("a", AttemptOutcome.QUEUE_FULL)  # never ran: nothing is remembered yet
     host.run_until(host.now + 0.6)
     host.end("a", AttemptOutcome.CONNECTION_RESET)
-    first = host.policy.requests["a"].may_have_executed[0].sent_at
+    first = host.scheduler.requests["a"].may_have_executed[0].sent_at
     host.run_until(host.now + 0.2)
     sends = [action.not_after for action in host.log if isinstance(action, SendAttempt)]
     assert sends[:2] == [float("inf")] * 2
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -116,7 +116,7 @@
         """However long its client would wait: 8 s here, where the process has 0.3 s left."""
         core = Core(host_settings([class_spec(), class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)]))
         boxes = [entry(1, 1), entry(2, 2, state=EndpointState.DRAINING)]
-        core.tell(EndpointUpdate(UpdateKind.SNAPSHOT, boxes))
+        core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, boxes))
         sent: list[str] = []
 
         def ask(name: str, kind: int, cell: int) -> asyncio.Task[object]:
@@ -131,7 +131,7 @@
         calls = {"read": ask("read", 0, 1), "write": ask("write", 1, 1), "held": ask("held", 1, 2)}
         await asyncio.sleep(0.1)
         assert sent == ["read", "write"]
-        core.hurry(core.now() + 0.3)
+        core.begin_shutdown(core.now() + 0.3)
         async with asyncio.timeout(1.0):
             told = {name: type(await call) for name, call in calls.items()}
         assert told == {"read": Failed, "write": Failed, "held": Rejected}
@@ -140,16 +140,16 @@
     async def test_an_attempt_called_off_as_its_time_is_up_costs_no_other_call_its_word(self) -> None:
         """Both are due at once where the process stood still for a while."""
         core = Core(host_settings())
-        core.calls |= {name: PendingRequest() for name in ("late", "other")}
+        core.pending |= {name: PendingRequest() for name in ("late", "other")}
         said = [CancelAttempt("late", 0), FailRequest("other")]
-        with mock.patch.object(core.policy, "step", return_value=said), contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(0) as core.calls["late"].out:
+        with mock.patch.object(core.scheduler, "step", return_value=said), contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(0) as core.pending["late"].attempt_timeout:
                 try:
                     await asyncio.sleep(1)
                 finally:  # its time is up, and it has not ended yet
-                    core.calls["late"].attempts = 1
+                    core.pending["late"].attempts = 1
                     core.step()
-        assert core.calls["other"].words.get_nowait() == FailRequest("other")
+        assert core.pending["other"].decisions.get_nowait() == FailRequest("other")
 
 
 class Faulty(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -43,7 +43,7 @@
     assert host.ask("no node", shard=9) == [Reject("no node", 0.5)]
     assert answers(host.ask("no time", deadline=host.now + 0.001), "no time") == [Reject]
     host.step(*[host.arrival(f"r{number}") for number in range(8)])
-    host.policy.nodes[1].queue_delay = 0.1
+    host.scheduler.nodes[1].queue_delay = 0.1
     assert answers(host.ask("no slot", deadline=host.now + 0.06), "no slot") == [Reject]
     assert "no time" not in host.sent()
 
@@ -51,7 +51,7 @@
 def test_hopeless_later_is_answered_then() -> None:
     host = Host(settings(front_count=8), [entry(1, 1)])
     host.step(host.arrival("a", front_count=8), host.arrival("b", front_count=8))
-    late = host.now + 0.5 - host.policy.nodes[1].queue_delay
+    late = host.now + 0.5 - host.scheduler.nodes[1].queue_delay
     assert not host.run_until(late - 0.001)
     assert host.run_until(late + 0.02) == [Reject("b")]
     assert not answers(host.run_until(104.0), "b")
@@ -70,8 +70,8 @@
         host.ask("a")
         host.end("a", AttemptOutcome.SERVED)
         host.now += 0.001
-        store = host.policy.volumes[1].surplus[1]
-        store.level, store.filled_at, host.policy.nodes[1].surplus_rate = debt, host.now, 2.0
+        store = host.scheduler.volumes[1].surplus[1]
+        store.level, store.filled_at, host.scheduler.nodes[1].surplus_rate = debt, host.now, 2.0
         assert host.ask("b", deadline=host.now + 0.03) == [Reject("b", pytest.approx(wait))]
 
 
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize(("late", "pace", "until"), [(0.1, 0.5, 1.5), (0.2, 0.5, 3.0), (0.0, 0.2, 0.5)])
 def test_a_slow_answer_is_waited_for_by_what_it_earns(late: float, pace: float, until: float) -> None:
     host = Host(settings([class_spec(late_value=late)], front_count=8), [entry(1, 1)])
-    host.policy.nodes[1].service_time_per_unit = pace
+    host.scheduler.nodes[1].service_time_per_unit = pace
     began = host.now
     host.ask("slow", deadline=began + 9.0)
     assert host.run_until(began + until - 0.1) == []
@@ -133,20 +133,20 @@
         host.ask(f"r{number}", class_index=heavy, deadline=host.now + 2.0)
         host.now += 0.5
         host.end(f"r{number}", AttemptOutcome.SERVED, elapsed=0.12 if heavy else 0.04)
-    node = host.policy.nodes[1]
+    node = host.scheduler.nodes[1]
     assert node.queue_delay < 0.01
     light, heavy_one = (
         Request(
             host.arrival("x", class_index=index),
-            host.policy.settings.classes[index],
+            host.scheduler.settings.classes[index],
             1,
-            host.policy.volumes[1],
+            host.scheduler.volumes[1],
             host.now,
         )
         for index in (0, 1)
     )
-    assert host.policy.rules.estimates.answer_time(light, node) == pytest.approx(0.04, abs=0.01)
-    assert host.policy.rules.estimates.answer_time(heavy_one, node) == pytest.approx(0.12, abs=0.02)
+    assert host.scheduler.rules.estimates.answer_time(light, node) == pytest.approx(0.04, abs=0.01)
+    assert host.scheduler.rules.estimates.answer_time(heavy_one, node) == pytest.approx(0.12, abs=0.02)
 
 
 # No doubled effect
@@ -175,7 +175,7 @@
     host = Host(settings(), [entry(1, 1)])
     host.ask("a", deadline=130.0)
     for _ in range(3):
-        assert host.policy.requests["a"].in_flight
+        assert host.scheduler.requests["a"].in_flight
         last = host.end("a", AttemptOutcome.ERROR)
     assert answers(last, "a") == [Reject]
     assert host.sent() == ["a"] * 3
@@ -195,12 +195,12 @@
     for scope, fresh in ((IdempotencyScope.ZONE, 3), (IdempotencyScope.SHARD, 1)):
         keyed = class_spec(latency_objective=2.0, idempotency=Idempotency.KEYED, idempotency_scope=scope)
         host = Host(settings([keyed]), [entry(1, 1), entry(2, 2), entry(3, 3)])
-        host.policy.nodes[1].queue_delay = 0.001
+        host.scheduler.nodes[1].queue_delay = 0.001
         for node in (2, 3):
-            host.policy.nodes[node].paused_until = 101.0
+            host.scheduler.nodes[node].paused_until = 101.0
         host.ask("a", shard=None)
         assert host.log[-1] == SendAttempt("a", 1)
-        host.policy.nodes[1].paused_until = 110.0 if scope is IdempotencyScope.ZONE else 101.0
+        host.scheduler.nodes[1].paused_until = 110.0 if scope is IdempotencyScope.ZONE else 101.0
         host.end("a", AttemptOutcome.CONNECTION_RESET)
         host.run_until(101.2)
         assert host.log[-1] == SendAttempt("a", fresh)
@@ -263,7 +263,7 @@
     start, end = len(host.sent()), host.now + seconds
     while host.now < end:
         host.step(host.arrival(f"at{host.now:.2f}", units=units), at=host.now + 0.02)
-        for name in [name for name, held in host.policy.requests.items() if held.in_flight]:
+        for name in [name for name, held in host.scheduler.requests.items() if held.in_flight]:
             host.end(name, AttemptOutcome.SERVED, elapsed=0.02)
     return units * (len(host.sent()) - start)
 
@@ -297,10 +297,10 @@
         name = f"warm{host.now:.2f}"
         node = 1 if known else 2
         host.ask(name, shard=node, units=2.0)
-        if name in host.policy.requests:
+        if name in host.scheduler.requests:
             host.end(name, AttemptOutcome.SERVED, node_id=node, elapsed=0.02, utilization=busy)
     if not known:
-        host.policy.table.usual_rate.known.discard(1)
+        host.scheduler.table.usual_rate.known.discard(1)
     host.step(EndpointUpdate(UpdateKind.DELTA, [entry(1, 1, up_since=host.now)]))
     return cold_sends(host, 3.0)
 
@@ -320,11 +320,11 @@
 def test_a_cold_time_is_no_usual_one() -> None:
     host = Host(settings(safety={"slow_start_duration": 10.0}), [entry(1, 1)])
     cold_sends(host, 10.0)
-    usual = host.policy.table.usual_rate.get(1)
+    usual = host.scheduler.table.usual_rate.get(1)
     host.step(EndpointUpdate(UpdateKind.DELTA, [entry(1, 1, up_since=host.now)]))
     host.run_until(host.now + 8.0)
     host.ask("a")
-    assert host.policy.table.usual_rate.get(1) >= usual * 0.9
+    assert host.scheduler.table.usual_rate.get(1) >= usual * 0.9
 
 
 def test_a_restart_in_the_list_makes_a_node_cold_again() -> None:
@@ -434,14 +434,14 @@
 
 def test_failures_in_a_row_count_as_time_waited_and_a_lost_answer_does_not() -> None:
     host = Host(settings(), [entry(1, 1)])
-    node = host.policy.nodes[1]
+    node = host.scheduler.nodes[1]
     queued = []
     for number in range(3):
         host.ask(f"r{number}")
         host.now += 0.6
         host.end(f"r{number}", AttemptOutcome.CANCELLED, elapsed=0.6)
         queued.append(node.queue_delay)
-    assert queued[0] == host.policy.state.queue_delay_target / 2
+    assert queued[0] == host.scheduler.state.queue_delay_target / 2
     assert queued[1] > 2 * queued[0]
     assert queued[2] > queued[1]
 
@@ -462,10 +462,10 @@
 
 def test_a_read_whose_answer_is_lost_is_called_off_in_time_for_another_attempt() -> None:
     host = lost_answer_host(Idempotency.IDEMPOTENT)
-    depth = host.policy.nodes[1].concurrency_limit
+    depth = host.scheduler.nodes[1].concurrency_limit
     assert CancelAttempt("a", 0) in host.step(at=host.now + LOST_ANSWER_FRACTION * 0.5)
     host.end("a", AttemptOutcome.CANCELLED, elapsed=0.5)
-    assert host.policy.nodes[1].concurrency_limit == depth, "a lost answer is no failure of its node"
+    assert host.scheduler.nodes[1].concurrency_limit == depth, "a lost answer is no failure of its node"
     assert host.log[-1] == SendAttempt("a", 1)
 
 
@@ -487,7 +487,7 @@
             host.ask(f"r{number}", front_count=2)
             host.step(at=host.now + 0.1)
             host.end(f"r{number}", AttemptOutcome.SERVED, elapsed=0.1, units_by_others=elsewhere)
-        return host.policy.rules.reserves.part_here(1, 8.0, 2)
+        return host.scheduler.rules.reserves.part_here(1, 8.0, 2)
 
     assert sure(False, 0.0) == 4.0
     assert 7.5 < sure(True, 0.0) <= 8.0  # the other one is idle
@@ -497,7 +497,7 @@
 
 def test_what_could_not_be_answered_in_its_client_s_time_is_refused_unsent() -> None:
     host = Host(settings(), [entry(1, 1)])
-    host.policy.nodes[1].queue_delay = 0.1
+    host.scheduler.nodes[1].queue_delay = 0.1
     assert host.ask("short", deadline=host.now + 0.1) == [Reject("short")]
     assert host.ask("long", deadline=host.now + 0.2) == [SendAttempt("long", 1)]
 
@@ -531,13 +531,13 @@
         for host in hosts:
             host.step(TimerFired(0), at=host.now + 0.02)
             if forget:
-                host.policy.table.reserved_rate = DecayingRates()
+                host.scheduler.table.reserved_rate = DecayingRates()
         now = hosts[0].now
         while asks and asks[0][0] <= now:
             _, volume, number = asks.pop(0)
             hosts[volume % 10].ask(f"r{number}", volume_id=volume, units=2.0, deadline=now + 1.0)
         for host in hosts:
-            for name in [name for name, held in host.policy.requests.items() if held.in_flight]:
+            for name in [name for name, held in host.scheduler.requests.items() if held.in_flight]:
                 sends.append((now, 2.0))
                 host.end(name, AttemptOutcome.SERVED, elapsed=0.04)
     return sends
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -73,7 +73,7 @@
         self.front = HttpServer(config(), self.core, self.boxes, lambda: self.ready)
         self.front.listen()
         self.url = f"http://127.0.0.1:{self.front.address.port}"
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
+        self.core.notify(listed(self.directory, instance("s-a", self.box.port), whole=True))
         self.client = aiohttp.ClientSession()
         self.addAsyncCleanup(self.end)
 
@@ -178,12 +178,12 @@
         asking = asyncio.create_task(self.ask("t", X_Expires_In_Ms="60000"))
         await self.until(lambda: self.box.counts["t"])
         asking.cancel()
-        await self.until(lambda: self.box.open == 0 and not self.core.calls)
-        assert sum(sum(node.in_flight) for node in self.core.policy.nodes.values()) == 0
+        await self.until(lambda: self.box.open == 0 and not self.core.pending)
+        assert sum(sum(node.in_flight) for node in self.core.scheduler.nodes.values()) == 0
 
     async def test_without_a_box_a_request_is_refused_at_once(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING)))
+        self.core.notify(listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING)))
         began = self.core.now()
         assert (await self.ask("t"))[0] == 503
         assert self.core.now() - began < 1.4  # not held back until the deadline
@@ -331,7 +331,7 @@
         heard = await reader.read()
         assert (heard[8:13], heard.count(b"HTTP/")) == (b" 400 ", 1), heard
         assert b"Connection: close" in heard
-        await self.until(lambda: not self.core.calls and not self.box.open)  # its attempt is called off
+        await self.until(lambda: not self.core.pending and not self.box.open)  # its attempt is called off
         assert (self.box.counts["late"], self.box.counts["x"]) == (1, 0)
         writer.close()
 
@@ -350,7 +350,7 @@
         assert (await first)[0] == 200
         assert (await self.ask("t"))[0] == 400, "nor just after it"
         assert self.box.counts["t"] == 1
-        with mock.patch.object(self.core, "offset", self.core.offset + 60):
+        with mock.patch.object(self.core, "unix_offset", self.core.unix_offset + 60):
             await self.ask("u")
         assert self.front.taken == {"u"}, "ids are forgotten in the end"
 
@@ -369,13 +369,13 @@
 
         def step() -> None:
             real()
-            if "t" in self.core.calls and not self.core.calls["t"].words.empty():
+            if "t" in self.core.pending and not self.core.pending["t"].decisions.empty():
                 late.append(serving.cancel())
 
         with mock.patch.object(self.core, "step", step):
-            await self.until(lambda: late and not self.core.calls and not self.core.policy.requests)
+            await self.until(lambda: late and not self.core.pending and not self.core.scheduler.requests)
         assert late == [True]
-        assert sum(sum(node.in_flight) for node in self.core.policy.nodes.values()) == 0
+        assert sum(sum(node.in_flight) for node in self.core.scheduler.nodes.values()) == 0
 
 
 class BoxStories(FrontCase):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -25,7 +25,7 @@
             idempotency_window=2.5,
             priority_weight=2.0,
         )
-        for settings in (self.front.config.settings, self.core.policy.settings):
+        for settings in (self.front.config.settings, self.core.scheduler.settings):
             settings.classes[1] = keyed
 
     async def test_the_key_passes_on_unchanged_with_every_attempt(self) -> None:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -24,7 +24,6 @@
 from cleatyoke.discovery.watch import Discovery, Watch
 from cleatyoke.emulation.capacity import cost, nodes
 from cleatyoke.http.messages import MessageError
-from cleatyoke.scheduling.endpoint_updates import EndpointUpdates
 from cleatyoke.scheduling.events import (
     Endpoint,
     EndpointState,
@@ -34,6 +33,7 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.load_probes import LoadProber
+from cleatyoke.scheduling.node_table import NodeTable
 from cleatyoke.scheduling.random_rounds import RandomRounds
 from cleatyoke.scheduling.scheduler import Scheduler
 from tests.wire import DiscoveryAgent
@@ -78,9 +78,9 @@
         (Directory, "apply", lambda self: [box for box in self.boxes.values() if box.name == ""], change),
         (Directory, "apply", lambda self: dict(self.boxes), change),
         (
-            EndpointUpdates,
-            "apply",
-            lambda self: [node for node in self._state.table.nodes.values() if node.is_live],
+            NodeTable,
+            "choose_holders",
+            lambda self: [node for node in self.nodes.values() if node.is_live],
             change,
         ),
         (
@@ -133,7 +133,7 @@
         def tell(event: SchedulerEvent) -> None:
             assert isinstance(event, EndpointUpdate)
             self.news.append(event)
-            self.core.tell(event)
+            self.core.notify(event)
 
         self.directory = Directory({})
         with mock.patch.object(Watch, "run", asyncio.Event().wait):  # it calls nobody
@@ -155,7 +155,7 @@
         assert shown(self.directory) == shown(expected)
         assert (self.directory.version, watch.version) == (9, 9)
         assert self.directory.down() == 40
-        assert len(self.core.policy.table.holders) == 3960
+        assert len(self.core.scheduler.table.holders) == 3960
         assert len(self.news[0].endpoints) == 40, "who drains comes first"
         assert max(len(news.endpoints) for news in self.news) <= AT_ONCE
         assert len(self.news) >= 3960 / AT_ONCE
@@ -190,7 +190,7 @@
         await asyncio.sleep(0.01)
         assert {entry.state for entry in self.news[0].endpoints} == {EndpointState.REMOVED}
         assert len(self.news[0].endpoints) == 100
-        assert len(self.core.policy.table.holders) == 3900
+        assert len(self.core.scheduler.table.holders) == 3900
 
     async def test_one_spoilt_entry_refuses_a_long_list_as_a_whole(self) -> None:
         watch = self.begin()
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -20,7 +20,7 @@
         """The status, and the node of each run of the handler, which does as scripted."""
         core = Core(two_classes(plans=[plan_spec(base_rate=80.0, reserved_rate=80.0)]))
         if node:
-            core.tell(listed(Directory({}), instance("s-0", 1), whole=True))
+            core.notify(listed(Directory({}), instance("s-0", 1), whole=True))
         runs: list[int | None] = []
 
         async def handler(request: web.Request) -> web.Response:
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -29,7 +29,7 @@
     for number in range(100):
         host.ask(f"r{number}", shard=2, units=1.0)
         host.run_until(host.now + 0.1)
-        for name in [name for name, held in host.policy.requests.items() if held.in_flight]:
+        for name in [name for name, held in host.scheduler.requests.items() if held.in_flight]:
             host.end(name, AttemptOutcome.SERVED, node_id=2)
     assert 10 <= len(host.sent()) < 100
 
@@ -38,7 +38,7 @@
 def test_a_volume_has_between_one_and_all_hosts(hosts: int) -> None:
     host = Host(settings(front_count=4), [entry(1, 1)])
     host.ask("a", front_count=hosts)
-    assert host.policy.requests["a"].front_count == (4 if hosts == 99 else 1)
+    assert host.scheduler.requests["a"].front_count == (4 if hosts == 99 else 1)
 
 
 def test_a_request_of_no_units_is_served() -> None:
@@ -46,7 +46,7 @@
     host.ask("a", units=0.0)
     host.end("a", AttemptOutcome.SERVED)
     assert host.sent() == ["a"]
-    assert not host.policy.requests
+    assert not host.scheduler.requests
 
 
 def test_a_node_without_a_cell_takes_new_objects_only() -> None:
@@ -69,7 +69,7 @@
     odd = AttemptFinished("a", 7, 1, AttemptOutcome.ERROR, 0.1, False)
     assert host.step(odd, replace(odd, request_id="never")) == []
     host.end("a", AttemptOutcome.SERVED)
-    assert not host.policy.requests
+    assert not host.scheduler.requests
 
 
 def test_what_can_earn_nothing_is_not_sent_but_answered() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -163,7 +163,7 @@
         self.front = HttpServer(config(), self.core, self.boxes, lambda: True)
         self.front.listen()
         self.url = f"http://127.0.0.1:{self.front.address.port}"
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
+        self.core.notify(listed(self.directory, instance("s-a", self.box.port), whole=True))
         self.folder = tempfile.TemporaryDirectory()
         self.handed = HoldFile(Path(self.folder.name), self.directory, self.core, Faults(self.boxes.figures))
         self.handed.start()
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -153,12 +153,12 @@
             steps = batch(5.1 + bell["AfterS"] + 0.001, {"type": "BELL", "Ref": simhost.PROBE})
             asked = [one for one in steps if one["type"] == "TOUCH"]
         assert asked == [{"type": "TOUCH", "Head": 0, "Shelf": 11}]
-        assert gateway.policies[0].state.utilization == 1.0
+        assert gateway.schedulers[0].state.utilization == 1.0
         batch(
             7.5,
             {"type": "HEALTH", "Shelf": 11, "Disposition": "completed", "SpentS": 0.01, "HealthInfo": [0.4]},
         )
-        self.assertAlmostEqual(gateway.policies[0].state.utilization, 0.4)
+        self.assertAlmostEqual(gateway.schedulers[0].state.utilization, 0.4)
 
 
 class WireCase(unittest.IsolatedAsyncioTestCase):
@@ -185,14 +185,14 @@
         probes = LoadProbeRunner(core, boxes, LoadProber(1, 3600.0, 1), 0.1, Faults(Metrics()))
         probes.start()
         self.addCleanup(probes.stop)
-        core.tell(listed(directory, instance("s-a", box.port), whole=True))
+        core.notify(listed(directory, instance("s-a", box.port), whole=True))
         fresh = Endpoint(2, 1, 0, EndpointState.LIVE, core.now())
-        core.tell(EndpointUpdate(UpdateKind.DELTA, [fresh]))
+        core.notify(EndpointUpdate(UpdateKind.DELTA, [fresh]))
         async with asyncio.timeout(5):
-            while core.policy.state.utilization != 0.25:
+            while core.scheduler.state.utilization != 0.25:
                 await asyncio.sleep(0.01)
             box.silent = True
-            while core.policy.state.utilization != 1.0:
+            while core.scheduler.state.utilization != 1.0:
                 await asyncio.sleep(0.01)
         assert box.heads[0].startswith("GET /metrics/load HTTP/1.1\r\n")
         assert box.accepted == 1  # it rests between probes
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -202,7 +202,7 @@
         if self.up_since[node] and now - self.up_since[node] < safety.slow_start_duration:
             window = safety.overload_after
             sent = sum(units for time, units in self.to_node[node] if time > now - window)
-            policy = self.host.policy
+            policy = self.host.scheduler
             rates = {cell: policy.table.usual_rate.get(cell) for cell in policy.table.usual_rate.known}
             mean = sum(rates.values()) / max(1, len(rates))
             usual = rates.get(node, mean) * safety.overload_multiple * 3  # twice, and half of that saved up
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -51,7 +51,7 @@
             class_spec(idempotency=Idempotency.NOT_IDEMPOTENT, priority_weight=3.0),
         ]
         host.step(SettingsReloaded(settings(kinds, front_count=1)))
-        self.assertAlmostEqual(sum(host.policy.rules.concurrency.bounds), 1.0)
+        self.assertAlmostEqual(sum(host.scheduler.rules.concurrency.bounds), 1.0)
         assert SendAttempt("n", 1) in host.ask("n", class_index=2)
         host.now += 0.05
         assert FailRequest("n") in host.end("n", AttemptOutcome.CONNECTION_RESET)  # it may have run
@@ -63,16 +63,18 @@
         host.ask("old", class_index=1)
         gone = [class_spec(), class_spec(latency_objective=0.001, priority_weight=1e-9)]
         host.step(SettingsReloaded(settings(gone, front_count=1), frozenset({1})))
-        assert host.policy.rules.concurrency.bounds == [1.0, 0.0]
-        assert host.policy.requests["old"].request_class.latency_objective == class_spec().latency_objective
+        assert host.scheduler.rules.concurrency.bounds == [1.0, 0.0]
+        assert (
+            host.scheduler.requests["old"].request_class.latency_objective == class_spec().latency_objective
+        )
         host.end("old", AttemptOutcome.QUEUE_FULL)
         host.run_until(host.now + 0.2)
         assert host.sent().count("old") == 2  # turned away unrun, it is sent again
         host.end("old", AttemptOutcome.SERVED)
         host.run_until(host.now + 4)
-        assert host.policy.rules.concurrency.bounds[1] < 0.06
+        assert host.scheduler.rules.concurrency.bounds[1] < 0.06
         host.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1)))  # it comes back
-        assert host.policy.rules.concurrency.bounds[1] > 0.3
+        assert host.scheduler.rules.concurrency.bounds[1] > 0.3
 
     def test_fewer_attempts_bind_what_is_under_way(self) -> None:
         host = self.host()
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -67,7 +67,7 @@
         await self.front.open()
         self.boxes = [await box.start() for box in boxes]
         if boxes:
-            self.core.tell(listed(self.directory, instance("s-0", boxes[0].port), whole=True))
+            self.core.notify(listed(self.directory, instance("s-0", boxes[0].port), whole=True))
         self.clients: list[Client] = []
         self.addAsyncCleanup(self.end)
         client = await self.connect()
@@ -124,7 +124,7 @@
         old.files["/plats/t1"] = new.files["/plats/t1"] = b"scan"
         assert await client.list("/plats") == ["/plats/t1"]
         before = list(old.commands)
-        self.core.tell(
+        self.core.notify(
             listed(
                 self.directory,
                 instance("s-0", old.port, EndpointState.DRAINING),
@@ -141,7 +141,7 @@
         def reply(packet: p.Packet, handles: Any) -> p.Packet | None:
             if isinstance(packet, p.Init):
                 event = listed(self.directory, instance("s-0", box.port, EndpointState.DRAINING))
-                self.core.tell(event)
+                self.core.notify(event)
             return real(packet, handles)
 
         box.reply = reply  # type: ignore[method-assign]
@@ -166,7 +166,7 @@
         )  # a host that starts has none of it to spare
         client = await self.begin(box := FileBox(), plan=plan, deadline=0.4)
         self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "refused")
-        self.core.policy.volumes[7].rate_limit.level = 2.0
+        self.core.scheduler.volumes[7].rate_limit.level = 2.0
         codes = [(await client.put(f"/plats/u{n}", b"scan")).code for n in range(4)]
         assert (codes.count(p.Code.SSH_FX_OK), sum(box.stored.values())) == (2, 2)
 
@@ -206,7 +206,7 @@
             while not box.commands:
                 await asyncio.sleep(0.005)
             client.writer.close()
-            while box.open or self.core.calls or self.front.sessions:
+            while box.open or self.core.pending or self.front.sessions:
                 await asyncio.sleep(0.005)
 
 
