--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -10,7 +10,13 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke.config.reload import IndexAllocator, follow_settings, follow_writes, missing, shape
+from cleatyoke.config.reload import (
+    IndexAllocator,
+    first_missing_key,
+    key_paths,
+    merge_changes_data,
+    merge_settings,
+)
 from cleatyoke.http.body_limits import MOST_UPLOAD
 from cleatyoke.scheduling.events import decode_shard
 from cleatyoke.scheduling.settings import (
@@ -186,7 +192,7 @@
         be given another. ``known`` and ``seed`` count at a start only. A file that lacks a key that the last
         one had is a ``BadConfig``, and nothing is taken from it.
         """
-        if lost := missing(self.keys, new.keys):
+        if lost := first_missing_key(self.keys, new.keys):
             msg = f"{lost}: missing, and the file had it before"
             raise ConfigError(msg)
         kept = (
@@ -216,17 +222,20 @@
     def follow(self, new: Config) -> frozenset[int] | None:
         """Take the new settings; the places of classes that are gone, or None where nothing changed."""
         names, plan_names = list(new.classes), list(new.plans)
-        old = self.places or (IndexAllocator.of(list(self.classes)), IndexAllocator.of(list(self.plans)))
-        classes, plans = old[0].follow(names), old[1].follow(plan_names)
-        settings = follow_settings(self.settings, new.settings, classes, names, plans, plan_names)
-        give_up = classes.arrange(self.give_up, names, new.give_up)
-        writes = follow_writes(self.writes, self.classes, classes, new.writes)
-        facts = (settings, classes.live, plans.live, new.shards, give_up, writes)
+        old = self.places or (
+            IndexAllocator.for_names(list(self.classes)),
+            IndexAllocator.for_names(list(self.plans)),
+        )
+        classes, plans = old[0].with_names(names), old[1].with_names(plan_names)
+        settings = merge_settings(self.settings, new.settings, classes, plans)
+        give_up = classes.arrange(self.give_up, new.give_up)
+        writes = merge_changes_data(self.writes, self.classes, classes, new.writes)
+        facts = (settings, classes.indexes, plans.indexes, new.shards, give_up, writes)
         if facts == (self.settings, self.classes, self.plans, self.shards, self.give_up, self.writes):
             return None
         self.places = classes, plans
         self.settings, self.classes, self.plans, self.shards, self.give_up, self.writes = facts
-        return classes.retired()
+        return classes.retired_indexes()
 
 
 @dataclass(slots=True)
@@ -438,7 +447,7 @@
         return root.address(key)
 
     return Config(
-        keys=shape({key: value for key, value in values.items() if key not in ("known", "seed")}),
+        keys=key_paths({key: value for key, value in values.items() if key not in ("known", "seed")}),
         name=environment.get("RELAY_NAME") or root.text("name"),
         listen=address("RELAY_LISTEN", "listen"),
         discovery=address("RELAY_DISCOVERY", "discovery"),
--- a/cleatyoke/simulator.py
+++ b/cleatyoke/simulator.py
@@ -1,4 +1,7 @@
-"""Adapter: the simulator's wire on standard input and output, one policy an instance. Decides nothing."""
+"""The simulator's wire on standard input and output, with one scheduler for each instance. Decides nothing.
+
+The names of the wire's events, actions and fields are the simulator's; they are mapped here and nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -45,14 +48,14 @@
     "superseded": AttemptOutcome.NOT_SENT,
 }
 STATES = {"live": EndpointState.LIVE, "quiescing": EndpointState.DRAINING, "dead": EndpointState.REMOVED}
-KINDS = {
+UPDATE_KINDS = {
     "incr": UpdateKind.DELTA,
     "total": UpdateKind.SNAPSHOT,
     "warm_copy": UpdateKind.CACHED,
     "lost": UpdateKind.UNAVAILABLE,
 }
-UNUSED = {"FIRST", "MAIL"}  # a begun stream is the client's; peers are never told anything
-PROBE = 1  # token of the timers for probes; the policy's have 0
+IGNORED_EVENTS = {"FIRST", "MAIL"}  # begun streams and messages of peers; of neither is there any
+PROBE_TIMER_TOKEN = 1  # of the timers for load probes; the scheduler's have 0
 
 
 class MalformedBatchError(Exception):
@@ -60,10 +63,11 @@
 
 
 def read_entry(entry: dict[str, Any]) -> Endpoint:
-    cell = entry.get("Pack")
+    """Translate a node of an endpoint list; one without a ``Pack`` holds no shard."""
+    shard = entry.get("Pack")
     return Endpoint(
         node_id=entry["Shelf"],
-        shard=None if cell is None else decode_shard(cell),
+        shard=None if shard is None else decode_shard(shard),
         zone=entry.get("Area") or 0,
         state=STATES[entry["StageState"]],
         started_at=entry.get("UpSinceS") or 0.0,
@@ -97,7 +101,7 @@
     if kind == "BELL":
         return TimerFired(event["Ref"])
     if kind == "ROSTER_CHANGE":
-        mode = KINDS[event["Mode"]]
+        mode = UPDATE_KINDS[event["Mode"]]
         return EndpointUpdate(mode, [] if mode is UpdateKind.UNAVAILABLE else lists[event["Slot"]])
     if kind == "ABORTED":
         return ClientDisconnected(event["Req"])
@@ -106,50 +110,54 @@
 
 
 def write_action(head: int, action: SchedulerAction) -> dict[str, Any]:
+    """Translate an action of the instance ``head``."""
     match action:
-        case SendAttempt(request, node):
-            return {"type": "ROUTE", "Head": head, "Req": request, "Shelf": node}
-        case Reject(request, wait):
-            return {"type": "SAY_NO", "Head": head, "Req": request, "WaitS": wait}
-        case FailRequest(request):
-            return {"type": "SURRENDER", "Head": head, "Req": request}
-        case CancelAttempt(request, attempt):
-            return {"type": "DROP_ATTEMPT", "Head": head, "Req": request, "Shot": attempt}
-        case SetTimer(after, token):
-            return {"type": "TIMER", "Head": head, "AfterS": after, "Ref": token}
+        case SendAttempt(request_id, node_id):
+            return {"type": "ROUTE", "Head": head, "Req": request_id, "Shelf": node_id}
+        case Reject(request_id, retry_after):
+            return {"type": "SAY_NO", "Head": head, "Req": request_id, "WaitS": retry_after}
+        case FailRequest(request_id):
+            return {"type": "SURRENDER", "Head": head, "Req": request_id}
+        case CancelAttempt(request_id, attempt):
+            return {"type": "DROP_ATTEMPT", "Head": head, "Req": request_id, "Shot": attempt}
+        case SetTimer(delay, token):
+            return {"type": "TIMER", "Head": head, "AfterS": delay, "Ref": token}
         case WatchEndpoints():
             return {"type": "WATCH", "Head": head, "On": True}
 
 
+Pending = dict[int, list[SchedulerEvent]]  # by instance, its events of a batch
+
+
 class SimulatorAdapter:
-    """All instances of one adapter process; they share nothing but the lists as they were read."""
+    """All instances of one adapter process; they share nothing but the endpoint lists as they were read."""
 
     def __init__(self) -> None:
-        self.now = 0.0  # the batch's clock
+        self.now = 0.0  # the batch's clock, in seconds
         self.schedulers: dict[int, Scheduler] = {}
         self.lists: dict[int, list[Endpoint]] = {}
-        self.load_fields: dict[int, list[str]] = {}  # of the load reports that an instance hears
-        self.probers: dict[int, LoadProber] = {}  # where load is told by probes only
-        self.probe_timers: dict[int, float] = {}  # when the latest timer for a probe is due
+        self.load_fields: dict[int, list[str]] = {}  # by instance, names of the fields of its load reports
+        self.probers: dict[int, LoadProber] = {}  # where nodes report their load to probes only
+        self.probe_timers: dict[int, float] = {}  # by instance, when the latest timer for a probe fires
 
     def reply(self, line: str) -> dict[str, Any]:
-        """Answer one batch."""
+        """Answer one batch. Raises ``MalformedBatchError``."""
         try:
             batch = json.loads(line)
             now, number, news = float(batch["TsS"]), batch["round"], batch["news"]
             self.now = now
-            pending: dict[int, list[SchedulerEvent]] = {}
+            pending: Pending = {}
             steps: list[dict[str, Any]] = []
             for event in news:
-                self.read(event, pending)
+                self._read(event, pending)
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
             msg = f"malformed batch: {type(error).__name__}: {error}"
             raise MalformedBatchError(msg) from error
         for head, events in pending.items():
-            self.run(head, now, events, steps)
+            self._step(head, events, steps)
         return {"round": number, "steps": steps}
 
-    def read(self, event: dict[str, Any], pending: dict[int, list[SchedulerEvent]]) -> None:
+    def _read(self, event: dict[str, Any], pending: Pending) -> None:
         """Take in one event: translate it for its instance, or start or stop that instance."""
         kind = event["type"]
         if kind == "CATALOG":
@@ -157,75 +165,87 @@
             return
         head = event["Head"]
         if kind == "BORN":
-            pending.pop(head, None)
-            settings = read_settings(event["Facts"], event["RngSeed"])
-            self.schedulers[head] = Scheduler(settings)
-            self.probe_timers.pop(head, None)
-            self.probers.pop(head, None)
-            if settings.load_by_probes:
-                self.probers[head] = LoadProber(
-                    settings.front_count, settings.safety.slow_start_duration, settings.seed
-                )
-            self.load_fields[head] = (event["Facts"].get("Report") or {}).get("Fields") or []
+            self._start(head, event)
             pending[head] = []
         elif kind == "SHUTDOWN":
             pending.pop(head, None)
             self.schedulers.pop(head, None)
             self.probers.pop(head, None)
         elif kind == "HEALTH":
-            if head in self.probers:
-                told = self.load(head, event) if event["Disposition"] == "completed" else None
-                self.probers[head].on_report(event["Shelf"], self.now, told)
-                pending.setdefault(head, []).append(
-                    UtilizationReported(self.probers[head].utilization(self.now))
-                )
-        elif kind == "BELL" and event["Ref"] == PROBE:
+            self._read_probe(head, event, pending)
+        elif kind == "BELL" and event["Ref"] == PROBE_TIMER_TOKEN:
             pending.setdefault(head, [])
-        elif kind not in UNUSED:
-            translated = read_event(kind, event, self.lists)
-            if isinstance(translated, AttemptFinished):
-                translated.utilization = self.load(head, event)
-            if isinstance(translated, EndpointUpdate) and head in self.probers:
-                self.probers[head].on_endpoints(translated)
-            if head in self.schedulers:
-                pending.setdefault(head, []).append(translated)
-
-    def load(self, head: int, event: dict[str, Any]) -> float | None:
-        """The part of its power that a node reports in use, by whatever name this site has for it."""
-        told = dict(zip(self.load_fields.get(head, []), event.get("HealthInfo") or []))
-        return next((told[name] for name in LOADS if name in told), None)
-
-    def probe(self, head: int, now: float, steps: list[dict[str, Any]]) -> None:
-        prober = self.probers[head]
-        while (node := prober.step(now)) is not None:
-            steps.append({"type": "TOUCH", "Head": head, "Shelf": node})
-        due = prober.next_at(now)
-        if due < math.inf and not now < self.probe_timers.get(head, -math.inf) <= due:
-            self.probe_timers[head] = due
-            steps.append({"type": "TIMER", "Head": head, "AfterS": max(0.0, due - now), "Ref": PROBE})
+        elif kind not in IGNORED_EVENTS:
+            self._read_for_scheduler(head, event, pending)
+
+    def _start(self, head: int, event: dict[str, Any]) -> None:
+        settings = read_settings(event["Facts"], event["RngSeed"])
+        self.schedulers[head] = Scheduler(settings)
+        self.probe_timers.pop(head, None)
+        self.probers.pop(head, None)
+        if settings.load_by_probes:
+            self.probers[head] = LoadProber(
+                settings.front_count, settings.safety.slow_start_duration, settings.seed
+            )
+        self.load_fields[head] = (event["Facts"].get("Report") or {}).get("Fields") or []
 
-    def run(self, head: int, now: float, events: list[SchedulerEvent], steps: list[dict[str, Any]]) -> None:
+    def _read_probe(self, head: int, event: dict[str, Any], pending: Pending) -> None:
+        """Take in the answer to a load probe."""
+        prober = self.probers.get(head)
+        if prober is None:
+            return
+        reported = self._utilization(head, event) if event["Disposition"] == "completed" else None
+        prober.on_report(event["Shelf"], self.now, reported)
+        pending.setdefault(head, []).append(UtilizationReported(prober.utilization(self.now)))
+
+    def _read_for_scheduler(self, head: int, event: dict[str, Any], pending: Pending) -> None:
+        translated = read_event(event["type"], event, self.lists)
+        if isinstance(translated, AttemptFinished):
+            translated.utilization = self._utilization(head, event)
+        if isinstance(translated, EndpointUpdate) and head in self.probers:
+            self.probers[head].on_endpoints(translated)
+        if head in self.schedulers:
+            pending.setdefault(head, []).append(translated)
+
+    def _utilization(self, head: int, event: dict[str, Any]) -> float | None:
+        """Fraction of its capacity in use that a node reports, by whatever name this site has for it."""
+        report = dict(zip(self.load_fields.get(head, []), event.get("HealthInfo") or []))
+        return next((report[name] for name in LOADS if name in report), None)
+
+    def _step(self, head: int, events: list[SchedulerEvent], steps: list[dict[str, Any]]) -> None:
         """Let one instance decide on its events of the batch."""
         try:
-            actions = self.schedulers[head].step(now, events)
-        except Exception as error:  # a fault of the policy is reported on the wire, whatever it is
+            actions = self.schedulers[head].step(self.now, events)
+        except Exception as error:  # noqa: BLE001 - any fault of the scheduler is reported on the wire
             steps.append({"type": "INTERNAL_ERROR", "Head": head, "Msg": f"{type(error).__name__}: {error}"})
             return
         steps.extend(write_action(head, action) for action in actions)
         if head in self.probers:
-            self.probe(head, now, steps)
+            self._probe(head, steps)
+
+    def _probe(self, head: int, steps: list[dict[str, Any]]) -> None:
+        """Send the probes that are due, and set the timer for the next one."""
+        prober, now = self.probers[head], self.now
+        while (node_id := prober.step(now)) is not None:
+            steps.append({"type": "TOUCH", "Head": head, "Shelf": node_id})
+        due = prober.next_at(now)
+        if due < math.inf and not now < self.probe_timers.get(head, -math.inf) <= due:
+            self.probe_timers[head] = due
+            delay = max(0.0, due - now)
+            steps.append({"type": "TIMER", "Head": head, "AfterS": delay, "Ref": PROBE_TIMER_TOKEN})
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends."""
-    gateway = SimulatorAdapter()
+    """Answer batch after batch until the input ends. Raises ``MalformedBatchError``."""
+    adapter = SimulatorAdapter()
     for line in source:
-        json.dump(gateway.reply(line), sink, separators=(",", ":"))
+        json.dump(adapter.reply(line), sink, separators=(",", ":"))
         sink.write("\n")
         sink.flush()
 
 
 def main() -> int:
+    """Serve standard input; returns the exit code, 2 after a malformed batch."""
     try:
         serve(sys.stdin, sys.stdout)
     except MalformedBatchError as error:
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -11,7 +11,13 @@
 
 from cleatyoke.admin.maintenance import FrontDrain, OperatorHolds
 from cleatyoke.config.deployment import Address
-from cleatyoke.config.reload import IndexAllocator, follow_settings, follow_writes, missing, shape
+from cleatyoke.config.reload import (
+    IndexAllocator,
+    first_missing_key,
+    key_paths,
+    merge_changes_data,
+    merge_settings,
+)
 from cleatyoke.discovery.backoff import Backoff
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.distribution import contents, folder
@@ -700,7 +706,7 @@
         self, plain: Mapping[str, Any], class_names: Sequence[str], plan_names: Sequence[str]
     ) -> None:
         self.settings = make_settings(plain)
-        self.classes, self.plans = IndexAllocator.of(class_names), IndexAllocator.of(plan_names)
+        self.classes, self.plans = IndexAllocator.for_names(class_names), IndexAllocator.for_names(plan_names)
         self.writes: list[bool | None] = []
 
     def change(
@@ -711,31 +717,29 @@
         writes: Sequence[bool | None],
     ) -> Neutral:
         """New settings; what holds from now on."""
-        had = self.classes.live
-        self.classes, self.plans = self.classes.follow(class_names), self.plans.follow(plan_names)
-        self.settings = follow_settings(
+        had = self.classes.indexes
+        self.classes, self.plans = self.classes.with_names(class_names), self.plans.with_names(plan_names)
+        self.settings = merge_settings(
             old=self.settings,
             new=make_settings(plain),
             classes=self.classes,
-            class_names=class_names,
             plans=self.plans,
-            plan_names=plan_names,
         )
-        self.writes = follow_writes(old=self.writes, had=had, classes=self.classes, new=writes)
-        places = [[name, place] for name, place in self.classes.live.items()]
-        plans = [[name, place] for name, place in self.plans.live.items()]
-        gone = [sorted(self.classes.retired()), sorted(self.plans.retired())]
+        self.writes = merge_changes_data(old=self.writes, had=had, classes=self.classes, new=writes)
+        places = [[name, place] for name, place in self.classes.indexes.items()]
+        plans = [[name, place] for name, place in self.plans.indexes.items()]
+        gone = [sorted(self.classes.retired_indexes()), sorted(self.plans.retired_indexes())]
         return [settings_form(self.settings), list(self.writes), places, plans, gone]
 
 
 def shape_word(value: Any) -> Neutral:
     """The paths of a file's keys, in order."""
-    return sorted(shape(value))
+    return sorted(key_paths(value))
 
 
 def missing_word(old: Any, new: Any) -> Neutral:
     """The first key that the new file lacks."""
-    return missing(shape(old), shape(new))
+    return first_missing_key(key_paths(old), key_paths(new))
 
 
 # Directory and holds
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -147,10 +147,12 @@
         steps = batch(5.1, {"type": "ROSTER_CHANGE", "Slot": 0, "Revision": 1, "Mode": "warm_copy"})
         asked = [one for one in steps if one["type"] == "TOUCH"]
         for _ in range(3):
-            bell = next(one for one in steps if one["type"] == "TIMER" and one["Ref"] == simhost.PROBE)
+            bell = next(
+                one for one in steps if one["type"] == "TIMER" and one["Ref"] == simhost.PROBE_TIMER_TOKEN
+            )
             if asked:
                 break
-            steps = batch(5.1 + bell["AfterS"] + 0.001, {"type": "BELL", "Ref": simhost.PROBE})
+            steps = batch(5.1 + bell["AfterS"] + 0.001, {"type": "BELL", "Ref": simhost.PROBE_TIMER_TOKEN})
             asked = [one for one in steps if one["type"] == "TOUCH"]
         assert asked == [{"type": "TOUCH", "Head": 0, "Shelf": 11}]
         assert gateway.schedulers[0].state.utilization == 1.0
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from cleatyoke.config.deployment import ConfigError, read_config
-from cleatyoke.config.reload import IndexAllocator, missing, shape
+from cleatyoke.config.reload import IndexAllocator, first_missing_key, key_paths
 from cleatyoke.scheduling.actions import FailRequest, Reject, SendAttempt
 from cleatyoke.scheduling.events import AttemptOutcome, SettingsReloaded
 from cleatyoke.scheduling.settings import Idempotency
@@ -25,18 +25,24 @@
 
 class PlacesCase(unittest.TestCase):
     def test_a_name_keeps_its_place_and_one_that_is_gone_leaves_it_retired(self) -> None:
-        places = IndexAllocator.of(["read", "write"]).follow(["scan", "write"])
-        assert (places.live, places.retired()) == ({"scan": 2, "write": 1}, {0})
-        assert places.arrange(["r", "w"], ["scan", "write"], ["s", "W"]) == ["r", "W", "s"]
-        back = places.follow(["read"])
-        assert (back.live, back.retired()) == ({"read": 0}, {1, 2})
-        assert back.arrange(["r", "W", "s"], ["read"], ["R"]) == ["R", "W", "s"]
+        places = IndexAllocator.for_names(["read", "write"]).with_names(["scan", "write"])
+        assert (places.indexes, places.retired_indexes()) == ({"scan": 2, "write": 1}, {0})
+        assert places.arrange(["r", "w"], ["s", "W"]) == ["r", "W", "s"]
+        back = places.with_names(["read"])
+        assert (back.indexes, back.retired_indexes()) == ({"read": 0}, {1, 2})
+        assert back.arrange(["r", "W", "s"], ["R"]) == ["R", "W", "s"]
 
     def test_a_key_that_the_file_had_is_missed_in_every_depth(self) -> None:
         old = {"a": {"b": [{"x": 1, "y": 2}, {"x": 1}]}, "c": None}
-        assert shape(old) == {"a", "a.b", "a.b[].x", "c"}
-        assert missing(shape(old), shape({"a": {"b": [{"x": 1}, {"y": 1}]}, "c": 2})) == "a.b[].x"
-        assert missing(shape(old), shape({"a": {"b": [{"x": 5, "z": 1}]}, "c": 1, "d": 1})) is None
+        assert key_paths(old) == {"a", "a.b", "a.b[].x", "c"}
+        assert (
+            first_missing_key(key_paths(old), key_paths({"a": {"b": [{"x": 1}, {"y": 1}]}, "c": 2}))
+            == "a.b[].x"
+        )
+        assert (
+            first_missing_key(key_paths(old), key_paths({"a": {"b": [{"x": 5, "z": 1}]}, "c": 1, "d": 1}))
+            is None
+        )
 
 
 class PolicyCase(unittest.TestCase):
