--- a/tests/host.py
+++ b/tests/host.py
@@ -87,15 +87,19 @@
     return replace(base, **changes)
 
 
-def entry(
-    node: int, cell: int | None, state: EndpointState = EndpointState.LIVE, up_since: float = 0.0
+def endpoint(
+    node_id: int, shard: int | None, state: EndpointState = EndpointState.LIVE, started_at: float = 0.0
 ) -> Endpoint:
     return Endpoint(
-        node_id=node, shard=cell, zone=(-1 if cell is None else cell) % 2, state=state, started_at=up_since
+        node_id=node_id,
+        shard=shard,
+        zone=(-1 if shard is None else shard) % 2,
+        state=state,
+        started_at=started_at,
     )
 
 
-class Host:
+class DrivenFront:
     """One policy, its clock, and what it has out."""
 
     def __init__(self, config: SchedulerSettings, nodes: list[Endpoint], now: float = 100.0) -> None:
@@ -124,7 +128,7 @@
             actions += self.step(TimerFired(0), at=min(end, self.now + 0.02))
         return actions
 
-    def ask(self, request: str, **changes: Any) -> list[SchedulerAction]:
+    def request(self, request: str, **changes: Any) -> list[SchedulerAction]:
         return self.step(self.arrival(request, **changes))
 
     def arrival(self, request: str, **changes: Any) -> RequestArrived:
@@ -141,7 +145,7 @@
         )
         return replace(base, **changes)
 
-    def end(
+    def finish(
         self, request: str, outcome: AttemptOutcome, node: int = 1, spent: float = 0.05, **changes: Any
     ) -> list[SchedulerAction]:
         base = AttemptFinished(
--- a/tests/test_cold_shares.py
+++ b/tests/test_cold_shares.py
@@ -24,7 +24,7 @@
     TimerFired,
     UpdateKind,
 )
-from tests.host import Host, entry, settings
+from tests.host import DrivenFront, endpoint, settings
 
 BOX, LIVE, DRAINING = 7, EndpointState.LIVE, EndpointState.DRAINING
 
@@ -47,7 +47,7 @@
     shares = SlowStartLeases(
         rights, lambda: settings(front_count=4, slow_start_units=8.0), lambda node: f"s-{node}"
     )
-    shares.heard(0.0, 101.0, [EndpointUpdate(UpdateKind.SNAPSHOT, [entry(BOX, 3, up_since=start)])])
+    shares.heard(0.0, 101.0, [EndpointUpdate(UpdateKind.SNAPSHOT, [endpoint(BOX, 3, started_at=start)])])
     return shares
 
 
@@ -84,7 +84,11 @@
 
 def test_only_boxes_in_the_same_life_that_are_cold_and_serve_are_lent() -> None:
     rights = QuotaLeases(-100.0, random.Random(1))
-    for news in (entry(BOX, 3, DRAINING, 100.0), entry(BOX, 3, up_since=0.0), entry(BOX, 3, up_since=80.0)):
+    for news in (
+        endpoint(BOX, 3, DRAINING, 100.0),
+        endpoint(BOX, 3, started_at=0.0),
+        endpoint(BOX, 3, started_at=80.0),
+    ):
         shares = cold(rights)
         shares.heard(0.5, 101.0, [EndpointUpdate(UpdateKind.DELTA, [news])])
         assert shares.needs(1.0) == {}
@@ -92,7 +96,7 @@
     shares.heard(9.0, 110.5, [])  # warm by now
     assert shares.needs(9.0) == {}
     shares = cold(rights)
-    shares.heard(1.0, 101.0, [EndpointUpdate(UpdateKind.DELTA, [entry(BOX, 3, up_since=100.9)])])
+    shares.heard(1.0, 101.0, [EndpointUpdate(UpdateKind.DELTA, [endpoint(BOX, 3, started_at=100.9)])])
     assert list(shares.needs(1.0)) == [resource("s-7", 100.9)] != [resource("s-7", 100.0)]
     fresh = cold(
         QuotaLeases(0.0, random.Random(1))
@@ -100,7 +104,7 @@
     assert fresh.changes(0.1) == [SlowStartLeaseChanged(BOX, KEPT / HOME)]
 
 
-def sent_in(host: Host, seconds: float, part: float | None = None) -> float:
+def sent_in(host: DrivenFront, seconds: float, part: float | None = None) -> float:
     """Units sent to the one cold box, asked for all it could ever take; the part changes half way."""
     units, began, halfway = 0.0, host.now, part
     while host.now < began + seconds:
@@ -127,8 +131,8 @@
         "safety": {"slow_start_duration": 100.0, "slow_start_initial_fraction": 0.2},
     }
 
-    def host() -> Host:
-        return Host(settings(**figures), [entry(BOX, 0, up_since=100.0)], now=100.0)  # type: ignore[arg-type]
+    def host() -> DrivenFront:
+        return DrivenFront(settings(**figures), [endpoint(BOX, 0, started_at=100.0)], now=100.0)  # type: ignore[arg-type]
 
     whole, more, none = sent_in(host(), 4.0), sent_in(host(), 4.0, 3.0), sent_in(host(), 4.0, 0.0)
     assert 38 <= whole <= 46  # 10 a second, as it warms a little
@@ -138,7 +142,7 @@
 
 def test_what_is_paid_off_before_a_change_counts_by_the_part_before() -> None:
     config = settings(front_count=4, slow_start_units=40.0, safety={"slow_start_duration": 100.0})
-    host = Host(config, [entry(BOX, 0, up_since=100.0)], now=100.0)
+    host = DrivenFront(config, [endpoint(BOX, 0, started_at=100.0)], now=100.0)
     host.step(
         SlowStartLeaseChanged(BOX, 0.0), asks("first", 6.0)
     )  # goes, and leaves a debt that nothing pays off
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -7,7 +7,7 @@
 from cleatyoke.scheduling.retries import LOST_ANSWER_FRACTION
 from cleatyoke.scheduling.scheduler import Scheduler
 from cleatyoke.scheduling.state import SEND_MARGIN
-from tests.host import Host, entry, settings
+from tests.host import DrivenFront, endpoint, settings
 
 
 def wakes(actions: list[SchedulerAction]) -> list[SetTimer]:
@@ -16,65 +16,65 @@
 
 def test_an_idle_host_sleeps() -> None:
     policy = Scheduler(settings())
-    nodes = [entry(node, node) for node in range(45)]
+    nodes = [endpoint(node, node) for node in range(45)]
     assert policy.step(10.0, [EndpointUpdate(UpdateKind.CACHED, nodes)]) == []
 
 
-def busy_host(now: float) -> Host:
+def busy_host(now: float) -> DrivenFront:
     """A node of one slot that is taken, so that the next request is held."""
-    host = Host(settings(front_count=8), [entry(node, node) for node in range(45)], now)
-    host.ask("first", front_count=8)
-    return host
+    front = DrivenFront(settings(front_count=8), [endpoint(node, node) for node in range(45)], now)
+    front.request("first", front_count=8)
+    return front
 
 
 def test_a_held_request_wakes_its_host_once_when_it_turns_late() -> None:
-    host = busy_host(10.0)
-    assert wakes(host.scheduler.step(10.0, [host.arrival("a", front_count=8)])) == [], "a look comes before"
+    front = busy_host(10.0)
+    assert wakes(front.scheduler.step(10.0, [front.arrival("a", front_count=8)])) == [], "a look comes before"
     looked = 10.0 + LOST_ANSWER_FRACTION * 0.5
-    (wake,) = wakes(host.scheduler.step(looked, [TimerFired(0)]))
-    assert looked + wake.delay == pytest.approx(10.5 - host.scheduler.nodes[1].queue_delay)
-    assert host.scheduler.step(looked + wake.delay, [TimerFired(0)])[0] == Reject("a")
+    (wake,) = wakes(front.scheduler.step(looked, [TimerFired(0)]))
+    assert looked + wake.delay == pytest.approx(10.5 - front.scheduler.nodes[1].queue_delay)
+    assert front.scheduler.step(looked + wake.delay, [TimerFired(0)])[0] == Reject("a")
 
 
 def test_a_bell_a_trifle_early_is_set_again() -> None:
-    host = busy_host(100.0)
-    host.ask("a", front_count=8)
-    late = 100.5 - host.scheduler.nodes[1].queue_delay
-    assert wakes(host.scheduler.step(late - 1e-7, [TimerFired(0)])), "nothing else would answer it in time"
+    front = busy_host(100.0)
+    front.request("a", front_count=8)
+    late = 100.5 - front.scheduler.nodes[1].queue_delay
+    assert wakes(front.scheduler.step(late - 1e-7, [TimerFired(0)])), "nothing else would answer it in time"
 
 
 def test_a_served_request_leaves_no_wake_up_behind() -> None:
-    host = Host(settings(), [entry(1, 1)])
-    host.ask("a")
-    host.end("a", AttemptOutcome.SERVED)
-    assert host.scheduler.step(101.96, [TimerFired(0)]) == []
+    front = DrivenFront(settings(), [endpoint(1, 1)])
+    front.request("a")
+    front.finish("a", AttemptOutcome.SERVED)
+    assert front.scheduler.step(101.96, [TimerFired(0)]) == []
 
 
 def test_only_nodes_where_something_changed_choose() -> None:
-    host = Host(settings(), [entry(node, node) for node in range(45)])
+    front = DrivenFront(settings(), [endpoint(node, node) for node in range(45)])
     looked: list[int] = []
-    choose = host.scheduler.placement.choose
+    choose = front.scheduler.placement.choose
 
     def count(node):  # type: ignore[no-untyped-def]  # noqa: ANN001, ANN202
         looked.append(node.id)
         return choose(node)
 
-    host.scheduler.placement.choose = count  # type: ignore[method-assign]
-    host.ask("a", shard=7)
-    host.end("a", AttemptOutcome.SERVED, node_id=7)
+    front.scheduler.placement.choose = count  # type: ignore[method-assign]
+    front.request("a", shard=7)
+    front.finish("a", AttemptOutcome.SERVED, node_id=7)
     assert set(looked) == {7}
     assert len(looked) <= 4
 
 
 def test_a_long_life_forgets_volumes_keys_and_nodes() -> None:
-    host = Host(settings(), [entry(1, 1)])
+    front = DrivenFront(settings(), [endpoint(1, 1)])
     for number in range(300):
-        host.now += 1.0
-        gone = entry(number + 10, 1, EndpointState.REMOVED)
-        host.step(EndpointUpdate(UpdateKind.DELTA, [gone]))
-        host.ask(f"r{number}", volume_id=number, item=number)
-        host.end(f"r{number}", AttemptOutcome.SERVED)
-    policy = host.scheduler
+        front.now += 1.0
+        gone = endpoint(number + 10, 1, EndpointState.REMOVED)
+        front.step(EndpointUpdate(UpdateKind.DELTA, [gone]))
+        front.request(f"r{number}", volume_id=number, item=number)
+        front.finish(f"r{number}", AttemptOutcome.SERVED)
+    policy = front.scheduler
     assert len(policy.volumes) < 100
     assert len(policy.nodes) < 100
     assert (
@@ -88,7 +88,7 @@
 
 def test_rounding_does_not_lose_an_answer() -> None:
     for power in range(12):
-        host = busy_host(2.0**power)
-        host.ask("a", front_count=8, deadline=host.now + 0.3)
-        host.scheduler.nodes[1].queue_delay = SEND_MARGIN
-        assert host.scheduler.step(2.0**power + 0.3 - SEND_MARGIN, [TimerFired(0)])
+        front = busy_host(2.0**power)
+        front.request("a", front_count=8, deadline=front.now + 0.3)
+        front.scheduler.nodes[1].queue_delay = SEND_MARGIN
+        assert front.scheduler.step(2.0**power + 0.3 - SEND_MARGIN, [TimerFired(0)])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,7 +19,7 @@
 from cleatyoke.scheduling.settings import Idempotency
 from cleatyoke.transport import sockets
 from cleatyoke.transport.sockets import ClosingTransport, ended, unread
-from tests.host import Host, class_spec, entry, settings
+from tests.host import DrivenFront, class_spec, endpoint, settings
 from tests.test_http_front import FrontCase, ask
 from tests.wire import answer, config, instance, listed
 
@@ -397,7 +397,7 @@
     async def test_a_repeat_whose_connection_comes_up_when_nodes_may_have_forgotten_is_not_sent(self) -> None:
         keyed = class_spec(idempotency=Idempotency.KEYED, idempotency_window=1.0, latency_objective=5.0)
         core, looks = Core(settings([keyed])), list[bool]()
-        core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, [entry(1, 1)]))
+        core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, [endpoint(1, 1)]))
 
         async def attempt(node: int, may: MayBegin) -> AttemptResult[str]:
             looks.append(may())
@@ -407,7 +407,7 @@
             looks.append(may())
             return AttemptResult(AttemptOutcome.NOT_SENT)
 
-        asked = Host(settings(), []).arrival("a", deadline=core.now() + 4.0)
+        asked = DrivenFront(settings(), []).arrival("a", deadline=core.now() + 4.0)
         assert not isinstance(await core.serve(asked, attempt), Served)
         assert looks == [True, True, False]
 
@@ -420,17 +420,19 @@
             looks.append(may())
             return AttemptResult(AttemptOutcome.NOT_SENT)
 
-        asked = Host(settings(), []).arrival("a", shard=0, deadline=core.now() + 1.0)
+        asked = DrivenFront(settings(), []).arrival("a", shard=0, deadline=core.now() + 1.0)
         await core.serve(asked, attempt)
         assert looks == [False]
 
 
 def test_a_repeat_says_when_nodes_may_forget_it_counted_from_the_first_that_may_have_run() -> None:
-    host = Host(settings([class_spec(idempotency=Idempotency.KEYED, idempotency_window=1.0)]), [entry(1, 1)])
-    host.ask("a")
-    host.end("a", AttemptOutcome.QUEUE_FULL)  # never ran: nothing is remembered yet
+    host = DrivenFront(
+        settings([class_spec(idempotency=Idempotency.KEYED, idempotency_window=1.0)]), [endpoint(1, 1)]
+    )
+    host.request("a")
+    host.finish("a", AttemptOutcome.QUEUE_FULL)  # never ran: nothing is remembered yet
     host.run_until(host.now + 0.6)
-    host.end("a", AttemptOutcome.CONNECTION_RESET)
+    host.finish("a", AttemptOutcome.CONNECTION_RESET)
     first = host.scheduler.requests["a"].may_have_executed[0].sent_at
     host.run_until(host.now + 0.2)
     sends = [action.not_after for action in host.log if isinstance(action, SendAttempt)]
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -33,7 +33,7 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.settings import Idempotency
-from tests.host import class_spec, entry
+from tests.host import class_spec, endpoint
 from tests.host import settings as host_settings
 from tests.test_upgrade import start
 from tests.wire import FACTS, DiscoveryAgent
@@ -115,7 +115,7 @@
     async def test_what_is_open_as_the_process_leaves_is_settled_before_it_has_left(self) -> None:
         """However long its client would wait: 8 s here, where the process has 0.3 s left."""
         core = Core(host_settings([class_spec(), class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)]))
-        boxes = [entry(1, 1), entry(2, 2, state=EndpointState.DRAINING)]
+        boxes = [endpoint(1, 1), endpoint(2, 2, state=EndpointState.DRAINING)]
         core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, boxes))
         sent: list[str] = []
 
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -7,75 +7,75 @@
 from cleatyoke.scheduling.actions import Reject, SendAttempt
 from cleatyoke.scheduling.events import AttemptFinished, AttemptOutcome, EndpointState
 from cleatyoke.simulator import read_entry, read_settings
-from tests.host import Host, class_spec, entry, plan_spec, settings
+from tests.host import DrivenFront, class_spec, endpoint, plan_spec, settings
 
 
 def test_one_host_has_all_that_a_cold_node_bears() -> None:
-    host = Host(settings(front_count=1), [entry(1, 1, up_since=99.9)])
-    host.ask("a")
-    host.run_until(101.9)
-    assert host.sent() == ["a"]
-
-
-@pytest.mark.parametrize("hosts", [0, -1])
-def test_an_unknown_number_of_hosts_is_not_one(hosts: int) -> None:
-    """A warm node is sent to at once; of what a cold one bears no part is known to be this host's, so that it
-    goes by what comes within reserves, which all hosts' add up to what the node serves."""
-    host = Host(settings(front_count=hosts), [entry(1, 1), entry(2, 2, up_since=99.9)])
-    assert host.ask("warm") == [SendAttempt("warm", 1)]
-    host.ask("cold", shard=2)
-    host.run_until(100.4)
-    assert host.sent() == ["warm"]
+    front = DrivenFront(settings(front_count=1), [endpoint(1, 1, started_at=99.9)])
+    front.request("a")
+    front.run_until(101.9)
+    assert front.sent() == ["a"]
+
+
+@pytest.mark.parametrize("fronts", [0, -1])
+def test_an_unknown_number_of_hosts_is_not_one(fronts: int) -> None:
+    """A warm node is sent to at once; of what a cold one bears no part is known to be this front's, so that it
+    goes by what comes within reserves, which all fronts' add up to what the node serves."""
+    front = DrivenFront(settings(front_count=fronts), [endpoint(1, 1), endpoint(2, 2, started_at=99.9)])
+    assert front.request("warm") == [SendAttempt("warm", 1)]
+    front.request("cold", shard=2)
+    front.run_until(100.4)
+    assert front.sent() == ["warm"]
     for number in range(100):
-        host.ask(f"r{number}", shard=2, units=1.0)
-        host.run_until(host.now + 0.1)
-        for name in [name for name, held in host.scheduler.requests.items() if held.in_flight]:
-            host.end(name, AttemptOutcome.SERVED, node_id=2)
-    assert 10 <= len(host.sent()) < 100
+        front.request(f"r{number}", shard=2, units=1.0)
+        front.run_until(front.now + 0.1)
+        for name in [name for name, held in front.scheduler.requests.items() if held.in_flight]:
+            front.finish(name, AttemptOutcome.SERVED, node_id=2)
+    assert 10 <= len(front.sent()) < 100
 
 
-@pytest.mark.parametrize("hosts", [0, -1, 99])
-def test_a_volume_has_between_one_and_all_hosts(hosts: int) -> None:
-    host = Host(settings(front_count=4), [entry(1, 1)])
-    host.ask("a", front_count=hosts)
-    assert host.scheduler.requests["a"].front_count == (4 if hosts == 99 else 1)
+@pytest.mark.parametrize("fronts", [0, -1, 99])
+def test_a_volume_has_between_one_and_all_hosts(fronts: int) -> None:
+    front = DrivenFront(settings(front_count=4), [endpoint(1, 1)])
+    front.request("a", front_count=fronts)
+    assert front.scheduler.requests["a"].front_count == (4 if fronts == 99 else 1)
 
 
 def test_a_request_of_no_units_is_served() -> None:
-    host = Host(settings(), [entry(1, 1)])
-    host.ask("a", units=0.0)
-    host.end("a", AttemptOutcome.SERVED)
-    assert host.sent() == ["a"]
-    assert not host.scheduler.requests
+    front = DrivenFront(settings(), [endpoint(1, 1)])
+    front.request("a", units=0.0)
+    front.finish("a", AttemptOutcome.SERVED)
+    assert front.sent() == ["a"]
+    assert not front.scheduler.requests
 
 
 def test_a_node_without_a_cell_takes_new_objects_only() -> None:
-    host = Host(settings(), [entry(1, None)])
-    host.step(host.arrival("new", shard=None), host.arrival("old", shard=5))
-    assert host.sent() == ["new"]
-    host.end("new", AttemptOutcome.SERVED)
+    front = DrivenFront(settings(), [endpoint(1, None)])
+    front.step(front.arrival("new", shard=None), front.arrival("old", shard=5))
+    assert front.sent() == ["new"]
+    front.finish("new", AttemptOutcome.SERVED)
     assert read_entry({"Shelf": 3, "StageState": "live"}).shard is None
 
 
 def test_a_node_listed_twice_stands_as_named_last() -> None:
-    host = Host(settings(), [entry(1, 1), entry(1, 1, EndpointState.DRAINING)])
-    host.ask("a")
-    assert host.sent() == []
+    front = DrivenFront(settings(), [endpoint(1, 1), endpoint(1, 1, EndpointState.DRAINING)])
+    front.request("a")
+    assert front.sent() == []
 
 
 def test_an_outcome_for_an_unknown_attempt_changes_nothing() -> None:
-    host = Host(settings(), [entry(1, 1)])
-    host.ask("a")
+    front = DrivenFront(settings(), [endpoint(1, 1)])
+    front.request("a")
     odd = AttemptFinished("a", 7, 1, AttemptOutcome.ERROR, 0.1, False)
-    assert host.step(odd, replace(odd, request_id="never")) == []
-    host.end("a", AttemptOutcome.SERVED)
-    assert not host.scheduler.requests
+    assert front.step(odd, replace(odd, request_id="never")) == []
+    front.finish("a", AttemptOutcome.SERVED)
+    assert not front.scheduler.requests
 
 
 def test_what_can_earn_nothing_is_not_sent_but_answered() -> None:
     config = settings([class_spec(late_value=0.0)], [plan_spec(reserved_rate=0.0)], unreserved_value=0.0)
-    host = Host(config, [entry(1, 1)])
-    assert host.ask("a") == [Reject("a")]
+    front = DrivenFront(config, [endpoint(1, 1)])
+    assert front.request("a") == [Reject("a")]
 
 
 def test_absent_and_null_settings_mean_no_such_figure() -> None:
@@ -87,7 +87,7 @@
         "PolicyLimits": {"SendCap": 3, "Cancel": None},
         "New": {},
     }
-    host = Host(read_settings(facts, 1), [entry(1, 1, up_since=99.0)])
-    host.ask("a")
-    host.run_until(102.0)
-    assert [action for action in host.log if isinstance(action, Reject)] == [Reject("a")]
+    front = DrivenFront(read_settings(facts, 1), [endpoint(1, 1, started_at=99.0)])
+    front.request("a")
+    front.run_until(102.0)
+    assert [action for action in front.log if isinstance(action, Reject)] == [Reject("a")]
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -21,7 +21,7 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope, RequestClass
-from tests.host import Host, class_spec, entry, plan_spec
+from tests.host import DrivenFront, class_spec, endpoint, plan_spec
 from tests.host import settings as host_settings
 
 CLASSES = [
@@ -53,7 +53,7 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         config = host_settings(CLASSES, PLANS, SAFETY, watches_endpoints=True, front_count=2)
-        self.host = Host(config, [entry(cell, cell) for cell in range(CELLS)], now=50.0)
+        self.front = DrivenFront(config, [endpoint(cell, cell) for cell in range(CELLS)], now=50.0)
         self.safety = config.safety
         self.config = config
         self.node_of = {cell: cell for cell in range(CELLS)}
@@ -76,15 +76,15 @@
         return CLASSES[self.asked[name].class_index]
 
     def arrive(self) -> SchedulerEvent:
-        now, rng = self.host.now, self.rng
+        now, rng = self.front.now, self.rng
         volume = rng.randrange(6)
-        event = self.host.arrival(
+        event = self.front.arrival(
             f"q{len(self.asked)}",
             class_index=rng.randrange(len(CLASSES)),
             plan_index=volume % 2,
             volume_id=volume,
             item=rng.randrange(4) if rng.random() < 0.8 else None,
-            shard=rng.choice([-1, 0, 1, 2]),
+            shard=rng.choice([None, 0, 1, 2]),
             units=float(rng.randint(1, 6)),
             deadline=now + rng.choice([0.0, 0.01, 0.5, 2.0]),
             front_count=2,
@@ -109,9 +109,9 @@
             AttemptOutcome.CANCELLED,
         )
         if unsure and self.kind(name).ordered and item is not None:
-            self.rest[item] = self.host.now + self.safety.ordering_pause
+            self.rest[item] = self.front.now + self.safety.ordering_pause
         self.leave_line(name)
-        return AttemptFinished(name, attempt, node, outcome, self.host.now - sent, name not in self.owed)
+        return AttemptFinished(name, attempt, node, outcome, self.front.now - sent, name not in self.owed)
 
     def leave_line(self, name: str) -> None:
         item = self.asked[name].item
@@ -127,21 +127,21 @@
             self.state[cell] = self.rng.choice([EndpointState.DRAINING, EndpointState.REMOVED])
         else:
             self.state[cell] = EndpointState.LIVE
-            self.up_since[cell] = self.host.now - self.rng.choice([0.0, 5.0, 50.0])
+            self.up_since[cell] = self.front.now - self.rng.choice([0.0, 5.0, 50.0])
             self.to_node[cell].clear()
-        changed = entry(cell, cell, self.state[cell], self.up_since[cell])
+        changed = endpoint(cell, cell, self.state[cell], self.up_since[cell])
         return EndpointUpdate(UpdateKind.DELTA, [changed])
 
     def step(self) -> None:
-        host, rng = self.host, self.rng
-        host.now += rng.choice([0.0, 0.005, 0.02, 0.02])
+        front, rng = self.front, self.rng
+        front.now += rng.choice([0.0, 0.005, 0.02, 0.02])
         events: list[SchedulerEvent] = [TimerFired(0)]
         if rng.random() < 0.05:
             events.append(self.news())
         for name, (_, _, _, ends) in list(self.out.items()):
-            if host.now >= self.asked[name].deadline:
+            if front.now >= self.asked[name].deadline:
                 events.append(self.finish(name, AttemptOutcome.TIMEOUT))
-            elif host.now >= ends:
+            elif front.now >= ends:
                 bad = rng.random() < 0.4
                 events.append(
                     self.finish(name, rng.choice(list(AttemptOutcome)) if bad else AttemptOutcome.SERVED)
@@ -153,13 +153,13 @@
             self.leave_line(name)
             events.append(ClientDisconnected(name))
         events += [self.arrive() for _ in range(rng.choice([0, 0, 1, 3]))]
-        for action in host.step(*events):
+        for action in front.step(*events):
             self.check(action)
-        late = [name for name in self.owed if self.asked[name].deadline < host.now and name not in self.out]
+        late = [name for name in self.owed if self.asked[name].deadline < front.now and name not in self.out]
         assert not late, f"no final answer in time: {late}"
 
     def check(self, action: SchedulerAction) -> None:
-        now = self.host.now
+        now = self.front.now
         if isinstance(action, SendAttempt):
             self.check_send(action.request_id, action.node_id, now)
         elif isinstance(action, Reject | FailRequest):
@@ -177,7 +177,7 @@
         ask, kind, safety = self.asked[name], self.kind(name), self.safety
         assert name in self.owed and name not in self.out, "over, or two attempts at once"
         assert self.sends[name] < self.config.max_attempts
-        assert ask.shard in (-1, node), "another cell"
+        assert ask.shard in (None, node), "another cell"
         assert self.state[node] is EndpointState.LIVE, "drains"
         if name in self.ran:
             sent, home = self.ran[name]
@@ -202,7 +202,7 @@
         if self.up_since[node] and now - self.up_since[node] < safety.slow_start_duration:
             window = safety.overload_after
             sent = sum(units for time, units in self.to_node[node] if time > now - window)
-            policy = self.host.scheduler
+            policy = self.front.scheduler
             rates = {cell: policy.table.usual_rate.get(cell) for cell in policy.table.usual_rate.known}
             mean = sum(rates.values()) / max(1, len(rates))
             usual = rates.get(node, mean) * safety.overload_multiple * 3  # twice, and half of that saved up
@@ -235,5 +235,5 @@
         world = World(3)
         for _ in range(300):
             world.step()
-        logs.append(world.host.log)
+        logs.append(world.front.log)
     assert logs[0] == logs[1]
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -17,7 +17,7 @@
 from cleatyoke.scheduling.actions import FailRequest, Reject, SendAttempt
 from cleatyoke.scheduling.events import AttemptOutcome, SettingsReloaded
 from cleatyoke.scheduling.settings import Idempotency
-from tests.host import Host, class_spec, entry, settings
+from tests.host import DrivenFront, class_spec, endpoint, settings
 from tests.test_http_front import HEADERS, TARGET, DaemonCase
 from tests.test_http_front import entry as listed
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer
@@ -46,48 +46,50 @@
 
 
 class PolicyCase(unittest.TestCase):
-    def host(self) -> Host:
-        return Host(settings([class_spec(), class_spec()], front_count=1), [entry(1, 1), entry(2, 2)])
+    def front(self) -> DrivenFront:
+        return DrivenFront(
+            settings([class_spec(), class_spec()], front_count=1), [endpoint(1, 1), endpoint(2, 2)]
+        )
 
     def test_a_new_class_is_served_at_once_by_its_own_effect_and_the_bounds_still_add_up(self) -> None:
-        host = self.host()
+        front = self.front()
         kinds = [
             class_spec(),
             class_spec(),
             class_spec(idempotency=Idempotency.NOT_IDEMPOTENT, priority_weight=3.0),
         ]
-        host.step(SettingsReloaded(settings(kinds, front_count=1)))
-        self.assertAlmostEqual(sum(host.scheduler.rules.concurrency.bounds), 1.0)
-        assert SendAttempt("n", 1) in host.ask("n", class_index=2)
-        host.now += 0.05
-        assert FailRequest("n") in host.end("n", AttemptOutcome.CONNECTION_RESET)  # it may have run
-        host.run_until(host.now + 5)  # control rounds with the new class
-        assert SendAttempt("m", 1) in host.ask("m", class_index=2)
+        front.step(SettingsReloaded(settings(kinds, front_count=1)))
+        self.assertAlmostEqual(sum(front.scheduler.rules.concurrency.bounds), 1.0)
+        assert SendAttempt("n", 1) in front.request("n", class_index=2)
+        front.now += 0.05
+        assert FailRequest("n") in front.finish("n", AttemptOutcome.CONNECTION_RESET)  # it may have run
+        front.run_until(front.now + 5)  # control rounds with the new class
+        assert SendAttempt("m", 1) in front.request("m", class_index=2)
 
     def test_what_is_under_way_keeps_its_class_and_a_class_that_is_gone_gives_its_bound_back(self) -> None:
-        host = self.host()
-        host.ask("old", class_index=1)
+        front = self.front()
+        front.request("old", class_index=1)
         gone = [class_spec(), class_spec(latency_objective=0.001, priority_weight=1e-9)]
-        host.step(SettingsReloaded(settings(gone, front_count=1), frozenset({1})))
-        assert host.scheduler.rules.concurrency.bounds == [1.0, 0.0]
+        front.step(SettingsReloaded(settings(gone, front_count=1), frozenset({1})))
+        assert front.scheduler.rules.concurrency.bounds == [1.0, 0.0]
         assert (
-            host.scheduler.requests["old"].request_class.latency_objective == class_spec().latency_objective
+            front.scheduler.requests["old"].request_class.latency_objective == class_spec().latency_objective
         )
-        host.end("old", AttemptOutcome.QUEUE_FULL)
-        host.run_until(host.now + 0.2)
-        assert host.sent().count("old") == 2  # turned away unrun, it is sent again
-        host.end("old", AttemptOutcome.SERVED)
-        host.run_until(host.now + 4)
-        assert host.scheduler.rules.concurrency.bounds[1] < 0.06
-        host.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1)))  # it comes back
-        assert host.scheduler.rules.concurrency.bounds[1] > 0.3
+        front.finish("old", AttemptOutcome.QUEUE_FULL)
+        front.run_until(front.now + 0.2)
+        assert front.sent().count("old") == 2  # turned away unrun, it is sent again
+        front.finish("old", AttemptOutcome.SERVED)
+        front.run_until(front.now + 4)
+        assert front.scheduler.rules.concurrency.bounds[1] < 0.06
+        front.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1)))  # it comes back
+        assert front.scheduler.rules.concurrency.bounds[1] > 0.3
 
     def test_fewer_attempts_bind_what_is_under_way(self) -> None:
-        host = self.host()
-        host.ask("a")
-        host.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1, max_attempts=1)))
-        assert any(isinstance(one, Reject) for one in host.end("a", AttemptOutcome.QUEUE_FULL))
-        assert host.sent().count("a") == 1
+        front = self.front()
+        front.request("a")
+        front.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1, max_attempts=1)))
+        assert any(isinstance(one, Reject) for one in front.finish("a", AttemptOutcome.QUEUE_FULL))
+        assert front.sent().count("a") == 1
 
 
 class FileCase(unittest.TestCase):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,7 +30,7 @@
 from cleatyoke.scheduling.quotas import QuotaClock
 from cleatyoke.scheduling.scheduler import Scheduler
 from cleatyoke.transport.sockets import NotListeningError, take_listening
-from tests.host import class_spec, entry, plan_spec, settings
+from tests.host import class_spec, endpoint, plan_spec, settings
 from tests.wire import FACTS, config
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -151,7 +151,7 @@
             max_attempts=4,
         )
         policy = Scheduler(made)
-        policy.step(since + 0.3, [EndpointUpdate(UpdateKind.SNAPSHOT, [entry(11, 0)])])
+        policy.step(since + 0.3, [EndpointUpdate(UpdateKind.SNAPSHOT, [endpoint(11, 0)])])
         return policy
 
     def ask(self, policy: Scheduler, now: float, units: float) -> float:
