--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Keyed classes on the wire: the key passes on unchanged, and nothing goes on without a good one."""
+"""Idempotency keys on the wire: a key is forwarded unchanged, and nothing is forwarded without a good one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.wire import answer
 
 
-class KeyStories(FrontCase):
+class IdempotencyKeyTest(FrontCase):
     async def begin_keyed(self, fails: int = 0) -> None:
         self.tried = 0
 
@@ -28,7 +28,7 @@
         for settings in (self.front.config.settings, self.core.scheduler.settings):
             settings.classes[1] = keyed
 
-    async def test_the_key_passes_on_unchanged_with_every_attempt(self) -> None:
+    async def test_the_key_is_forwarded_unchanged_with_every_attempt(self) -> None:
         await self.begin_keyed(fails=1)
         status, _ = await self.ask("t1", "PUT", b"scan", Idempotency_Key='visit/7,"a";=~')
         assert status == 200
@@ -36,14 +36,15 @@
         for head in self.box.heads:
             assert head.count('\r\nIdempotency-Key: visit/7,"a";=~\r\n') == 1, head
 
-    async def test_a_key_of_a_class_that_needs_none_passes_on_too(self) -> None:
+    async def test_a_key_is_forwarded_for_a_class_that_needs_none(self) -> None:
         await self.begin_keyed()
         assert (await self.ask("t1", Idempotency_Key="k" * 256))[0] == 200
         assert (await self.ask("t2"))[0] == 200
         assert f"\r\nIdempotency-Key: {'k' * 256}\r\n" in self.box.heads[0]
         assert "Idempotency-Key" not in self.box.heads[1]
 
-    async def test_a_keyed_request_without_a_good_key_is_an_error_before_any_attempt(self) -> None:
+    async def test_a_request_without_a_good_key_is_an_error_before_any_attempt(self) -> None:
+        """Two keys, or one with a blank, could be read differently by a node: no attempt is made."""
         await self.begin_keyed()
         bad = {
             "missing": [],
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -1,4 +1,4 @@
-"""The middleware on a common aiohttp.web application, with handlers in the place of boxes."""
+"""The middleware in an aiohttp.web application, with handlers in the place of backends."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.wire import instance, listed, two_classes
 
 
-class MiddlewareCase(unittest.IsolatedAsyncioTestCase):
+class MiddlewareTest(unittest.IsolatedAsyncioTestCase):
     async def ask(self, method: str, script: list[object], node: bool = True) -> tuple[int, list[int | None]]:
         """The status, and the node of each run of the handler, which does as scripted."""
         core = Core(two_classes(plans=[plan_spec(base_rate=80.0, reserved_rate=80.0)]))
@@ -47,13 +47,13 @@
         assert await self.ask("GET /tile", [200]) == (200, [1])
         assert await self.ask("GET /free", [200]) == (200, [None])
 
-    async def test_a_write_runs_again_only_if_it_never_ran(self) -> None:
+    async def test_a_write_runs_again_only_if_it_was_never_executed(self) -> None:
         assert await self.ask("PUT /tile", [NeverExecutedError(), 201]) == (201, [1, 1])
         assert await self.ask("PUT /tile", [500, 201]) == (500, [1])
         assert await self.ask("PUT /tile", [RuntimeError("half done"), 201]) == (502, [1])
 
-    async def test_an_http_exception_is_the_handler_s_answer(self) -> None:
+    async def test_an_http_exception_is_the_answer_of_the_handler(self) -> None:
         assert await self.ask("GET /tile", [web.HTTPNotFound()]) == (404, [1])
 
-    async def test_without_a_node_a_request_is_refused(self) -> None:
+    async def test_without_a_node_a_request_is_rejected(self) -> None:
         assert await self.ask("GET /tile", [200], node=False) == (503, [])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 import aiohttp
+import pytest
 
 from cleatyoke.config.deployment import ConfigError, read_config
 from cleatyoke.config.reload import IndexAllocator, first_missing_key, key_paths
@@ -23,16 +24,16 @@
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer
 
 
-class PlacesCase(unittest.TestCase):
-    def test_a_name_keeps_its_place_and_one_that_is_gone_leaves_it_retired(self) -> None:
-        places = IndexAllocator.for_names(["read", "write"]).with_names(["scan", "write"])
-        assert (places.indexes, places.retired_indexes()) == ({"scan": 2, "write": 1}, {0})
-        assert places.arrange(["r", "w"], ["s", "W"]) == ["r", "W", "s"]
-        back = places.with_names(["read"])
+class IndexAllocatorTest(unittest.TestCase):
+    def test_a_name_keeps_its_index_and_a_removed_one_leaves_it_retired(self) -> None:
+        names = IndexAllocator.for_names(["read", "write"]).with_names(["scan", "write"])
+        assert (names.indexes, names.retired_indexes()) == ({"scan": 2, "write": 1}, {0})
+        assert names.arrange(["r", "w"], ["s", "W"]) == ["r", "W", "s"]
+        back = names.with_names(["read"])
         assert (back.indexes, back.retired_indexes()) == ({"read": 0}, {1, 2})
         assert back.arrange(["r", "W", "s"], ["R"]) == ["R", "W", "s"]
 
-    def test_a_key_that_the_file_had_is_missed_in_every_depth(self) -> None:
+    def test_a_key_that_the_file_had_is_missed_at_every_depth(self) -> None:
         old = {"a": {"b": [{"x": 1, "y": 2}, {"x": 1}]}, "c": None}
         assert key_paths(old) == {"a", "a.b", "a.b[].x", "c"}
         assert (
@@ -45,13 +46,13 @@
         )
 
 
-class PolicyCase(unittest.TestCase):
+class ReloadedSchedulerTest(unittest.TestCase):
     def front(self) -> DrivenFront:
         return DrivenFront(
             settings([class_spec(), class_spec()], front_count=1), [endpoint(1, 1), endpoint(2, 2)]
         )
 
-    def test_a_new_class_is_served_at_once_by_its_own_effect_and_the_bounds_still_add_up(self) -> None:
+    def test_a_new_class_is_served_at_once_by_its_own_idempotency_and_bounds_add_up(self) -> None:
         front = self.front()
         kinds = [
             class_spec(),
@@ -59,14 +60,15 @@
             class_spec(idempotency=Idempotency.NOT_IDEMPOTENT, priority_weight=3.0),
         ]
         front.step(SettingsReloaded(settings(kinds, front_count=1)))
-        self.assertAlmostEqual(sum(front.scheduler.rules.concurrency.bounds), 1.0)
+        assert sum(front.scheduler.rules.concurrency.bounds) == pytest.approx(1.0, rel=0, abs=5e-8)
         assert SendAttempt("n", 1) in front.request("n", class_index=2)
         front.now += 0.05
         assert FailRequest("n") in front.finish("n", AttemptOutcome.CONNECTION_RESET)  # it may have run
         front.run_until(front.now + 5)  # control rounds with the new class
         assert SendAttempt("m", 1) in front.request("m", class_index=2)
 
-    def test_what_is_under_way_keeps_its_class_and_a_class_that_is_gone_gives_its_bound_back(self) -> None:
+    def test_a_request_in_flight_keeps_its_class_and_a_removed_class_gives_its_bound_back(self) -> None:
+        """A class is removed while one of its requests is in flight, which keeps the rules it came with."""
         front = self.front()
         front.request("old", class_index=1)
         gone = [class_spec(), class_spec(latency_objective=0.001, priority_weight=1e-9)]
@@ -77,14 +79,14 @@
         )
         front.finish("old", AttemptOutcome.QUEUE_FULL)
         front.run_until(front.now + 0.2)
-        assert front.sent().count("old") == 2  # turned away unrun, it is sent again
+        assert front.sent().count("old") == 2  # rejected by the node, it is sent again
         front.finish("old", AttemptOutcome.SERVED)
         front.run_until(front.now + 4)
         assert front.scheduler.rules.concurrency.bounds[1] < 0.06
         front.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1)))  # it comes back
         assert front.scheduler.rules.concurrency.bounds[1] > 0.3
 
-    def test_fewer_attempts_bind_what_is_under_way(self) -> None:
+    def test_fewer_attempts_apply_to_requests_in_flight(self) -> None:
         front = self.front()
         front.request("a")
         front.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1, max_attempts=1)))
@@ -92,7 +94,7 @@
         assert front.sent().count("a") == 1
 
 
-class FileCase(unittest.TestCase):
+class ReloadedFileTest(unittest.TestCase):
     def setUp(self) -> None:
         self.values: dict[str, Any] = {
             "name": "n",
@@ -107,7 +109,8 @@
             path.write_text(values if isinstance(values, str) else json.dumps(values))
             return read_config({"RELAY_CONFIG": str(path)})
 
-    def test_a_file_that_lacks_any_key_or_has_a_figure_that_cannot_be_changes_nothing(self) -> None:
+    def test_a_file_without_a_key_or_with_an_impossible_number_changes_nothing(self) -> None:
+        """A file is reloaded while it is half written, or was edited wrongly: all of it is rejected."""
         config = self.read(self.values)
         before = copy.deepcopy(config)
         text = json.dumps(self.values)
@@ -137,12 +140,12 @@
                     del subject[one[1]]
                 else:
                     subject[one[1]] = one[2]
-            with self.assertRaises(ConfigError, msg=str(one)):
+            with pytest.raises(ConfigError):
                 config.reload(self.read(values))
             assert config == before, one
         assert len(broken) > 30
 
-    def test_classes_come_and_go_by_name_with_all_that_hangs_on_their_place(self) -> None:
+    def test_classes_come_and_go_by_name_with_all_that_goes_by_their_index(self) -> None:
         config = self.read(self.values)
         new = copy.deepcopy(self.values)
         scan = {"Name": "scan", "AimS": 0.7, "GiveUpS": 2.5, "Repeat": "once", "Worth": 9.0}
@@ -161,8 +164,8 @@
         assert config.writes == [False, None, True, None]
 
 
-class Story(DaemonCase):
-    async def test_a_class_that_comes_at_sighup_is_served_and_one_that_goes_is_not(self) -> None:
+class ReloadedDaemonTest(DaemonCase):
+    async def test_a_class_added_at_sighup_is_served_and_a_removed_one_is_not(self) -> None:
         async def script(trace: str) -> bytes:
             return answer()
 
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter: framing, bad input, faults, and lives of instances."""
+"""The simulator's adapter: framing, bad input, faults, and instances that start and stop."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cleatyoke import simulator as simhost
+from cleatyoke import simulator
 
 ROOT = Path(__file__).resolve().parent.parent
 FACTS: dict[str, Any] = {
@@ -82,20 +82,20 @@
     return json.dumps({"TsS": now, "round": number, "news": news})
 
 
-def steps(gateway: simhost.SimulatorAdapter, news: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    reply = gateway.reply(batch(1, news))
+def steps(adapter: simulator.SimulatorAdapter, news: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    reply = adapter.reply(batch(1, news))
     return [step for step in reply["steps"] if step["type"] != "TIMER"]
 
 
-def test_request_is_routed_with_unknown_keys_passed_over() -> None:
-    gateway = simhost.SimulatorAdapter()
-    got = steps(gateway, [*born(), request("a")])
+def test_a_request_is_sent_and_unknown_keys_are_ignored() -> None:
+    adapter = simulator.SimulatorAdapter()
+    got = steps(adapter, [*born(), request("a")])
     assert got == [{"type": "ROUTE", "Head": 0, "Req": "a", "Shelf": 11}]
 
 
 def test_empty_batches_and_end_of_input() -> None:
     sink = io.StringIO()
-    simhost.serve(io.StringIO(batch(1, []) + "\n" + batch(2, []) + "\n"), sink)
+    simulator.serve(io.StringIO(batch(1, []) + "\n" + batch(2, []) + "\n"), sink)
     assert [json.loads(line) for line in sink.getvalue().splitlines()] == [
         {"round": 1, "steps": []},
         {"round": 2, "steps": []},
@@ -103,33 +103,34 @@
 
 
 def test_a_batch_of_megabytes_is_answered() -> None:
-    gateway = simhost.SimulatorAdapter()
-    got = steps(gateway, [*born(), *(request(f"r{number}") for number in range(8000))])
+    adapter = simulator.SimulatorAdapter()
+    got = steps(adapter, [*born(), *(request(f"r{number}") for number in range(8000))])
     assert 1 <= len(got) <= 8
 
 
-def test_a_killed_instance_acts_no_more_and_a_new_one_starts_with_nothing() -> None:
-    gateway = simhost.SimulatorAdapter()
-    steps(gateway, [*born(), request("a")])
-    got = steps(gateway, [request("b"), {"type": "SHUTDOWN", "Head": 0}, *born(), request("c")])
+def test_a_stopped_instance_acts_no_more_and_a_new_one_starts_with_nothing() -> None:
+    adapter = simulator.SimulatorAdapter()
+    steps(adapter, [*born(), request("a")])
+    got = steps(adapter, [request("b"), {"type": "SHUTDOWN", "Head": 0}, *born(), request("c")])
     assert [step["Req"] for step in got] == ["c"]
-    assert steps(gateway, [{"type": "SHUTDOWN", "Head": 0}, request("d")]) == []
+    assert steps(adapter, [{"type": "SHUTDOWN", "Head": 0}, request("d")]) == []
 
 
 def test_instances_share_nothing() -> None:
-    gateway = simhost.SimulatorAdapter()
-    together = steps(gateway, [*born(0), *born(1), request("a", 0), request("b", 1)])
+    adapter = simulator.SimulatorAdapter()
+    together = steps(adapter, [*born(0), *born(1), request("a", 0), request("b", 1)])
     assert together == [
         {"type": "ROUTE", "Head": head, "Req": name, "Shelf": 11} for head, name in ((0, "a"), (1, "b"))
     ]
 
 
-def test_a_fault_of_the_policy_is_reported_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_scheduler_is_reported_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
-        raise RuntimeError("out of slots")
+        msg = "out of slots"
+        raise RuntimeError(msg)
 
-    monkeypatch.setattr(simhost.Scheduler, "step", broken)
-    got = steps(simhost.SimulatorAdapter(), born())
+    monkeypatch.setattr(simulator.Scheduler, "step", broken)
+    got = steps(simulator.SimulatorAdapter(), born())
     assert got == [{"type": "INTERNAL_ERROR", "Head": 0, "Msg": "RuntimeError: out of slots"}]
 
 
