--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -24,7 +24,7 @@
 from cleatyoke.membership.wire import MemberId
 from cleatyoke.fleet.view import COPIES
 from cleatyoke.process.handover import HoldFile, SiblingProcesses
-from tests import host
+from tests import driven_front
 
 CHECK_MODULE = "cleatyoke.durability"
 DURABLE_FILES = NAMES
@@ -97,7 +97,7 @@
 
     async def run() -> Neutral:
         directory = Directory({})
-        file = HoldFile(folder, directory, Core(host.settings()), Faults(Metrics()))
+        file = HoldFile(folder, directory, Core(driven_front.settings()), Faults(Metrics()))
         act(file, directory)
         await asyncio.sleep(0)
         return {
@@ -141,7 +141,7 @@
     """What a new process leaves in the folder, and what it may use of limits beside others."""
 
     async def run() -> Neutral:
-        settings = host.settings()
+        settings = driven_front.settings()
         lives = SiblingProcesses(folder, settings, Faults(Metrics()), 50.0)
         files = [path.name for path in folder.iterdir()]
         lives.stop()
--- a/tests/wire.py
+++ b/tests/scripted_peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback: boxes and discovery for the platform's front, boxes for file commands."""
+"""Scripted peers on loopback: backends and discovery for the HTTP front, backends for file commands."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from cleatyoke.scheduling.settings import Idempotency, SchedulerSettings
 from cleatyoke.sftp import packets as p
 from cleatyoke.testbed.peer import Peer
-from tests.host import class_spec, plan_spec, settings
+from tests.driven_front import class_spec, plan_spec, settings
 
 FACTS: dict[str, Any] = {
     "Areas": ["basement"],
@@ -69,12 +69,12 @@
     return EndpointUpdate(kind, directory.apply(EndpointList(1, whole, list(instances))))
 
 
-# trace id -> a whole answer, its pieces as they come, or None to break off
+# trace id -> a complete answer, its pieces as they come, or None to close the connection
 Script = Callable[[str], Awaitable[bytes | AsyncIterator[bytes] | None]]
 
 
-class HttpBox(Peer):
-    """Counts each request that came whole, by its id, and answers as scripted."""
+class ScriptedHttpBackend(Peer):
+    """Counts each complete request by its id, and answers as scripted."""
 
     def __init__(self, script: Script) -> None:
         super().__init__()
@@ -117,7 +117,7 @@
     return "\r\n".join(lines).encode() + body
 
 
-class DiscoveryAgent(Peer):
+class ScriptedDiscovery(Peer):
     """Serves ``whole`` as the list; each watch gets the next of the scripted rounds of lines."""
 
     def __init__(self, whole: dict[str, Any], rounds: list[list[bytes]]) -> None:
@@ -138,8 +138,8 @@
             return
 
 
-class FileBox(Peer):
-    """A box for file commands; ``stored`` counts executions of a write, at its CLOSE, by path."""
+class ScriptedFileBackend(Peer):
+    """A backend for file commands; ``stored`` counts executions of a write, at its CLOSE, by path."""
 
     def __init__(self, breaks: bool = False, silent: bool = False) -> None:
         super().__init__()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 from cleatyoke.scheduling.events import (
     AttemptOutcome,
 )
-from tests.host import DrivenFront, class_spec, endpoint, plan_spec, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, plan_spec, settings
 
 
 def test_what_is_beyond_the_reserve_waits_for_its_share_of_the_surplus_rate() -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -10,8 +10,8 @@
 import pytest
 
 from cleatyoke.http.body_limits import MOST_UPLOAD, WHOLE, BodyMemory, patience
+from tests.scripted_peers import answer
 from tests.test_http_front import TARGET, FrontCase
-from tests.wire import answer
 
 MEGABYTE = 1 << 20
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -28,8 +28,8 @@
 from cleatyoke.http.server import HttpServer
 from cleatyoke.process.lifecycle import Status
 from cleatyoke.scheduling.events import AttemptOutcome
+from tests.scripted_peers import FACTS, ScriptedDiscovery, ScriptedHttpBackend, answer, instance, listed
 from tests.test_http_front import HEADERS, ROOT, TARGET, DaemonCase, FrontCase, ask, entry
-from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer, instance, listed
 
 SOCKETS = 160  # descriptors of the process: a third of what the smallest days have
 
@@ -53,10 +53,10 @@
             await release.wait()
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         boxes = [{**entry("SERVING", box.port), "instanceId": f"s-{one}", "cell": one} for one in range(12)]
         listing = {"generation": 1, "reset": True, "instances": boxes}
-        agent = DiscoveryAgent(listing, [])
+        agent = ScriptedDiscovery(listing, [])
         silent = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
         lanes = [{**lane, "AimS": 8.0, "GiveUpS": 9.0} for lane in FACTS["Lanes"]]
         plans = [{**plan, "BaseRate": 999.0, "FloorRate": 999.0} for plan in FACTS["Contracts"]]
@@ -129,7 +129,7 @@
             await release.wait()
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
         bad = [
             b"\x16\x03\x01\x02\x00" * 50,
@@ -209,7 +209,7 @@
     """SIGTERM amid the start, a reload and a leaving, as the loop's handler takes it."""
 
     async def asyncSetUp(self) -> None:
-        self.box: HttpBox = await HttpBox(at_once).start()
+        self.box: ScriptedHttpBackend = await ScriptedHttpBackend(at_once).start()
         self.addCleanup(self.box.stop)
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         path = Path(self.folder) / "config.json"
--- a/tests/test_cold_shares.py
+++ b/tests/test_cold_shares.py
@@ -24,7 +24,7 @@
     TimerFired,
     UpdateKind,
 )
-from tests.host import DrivenFront, endpoint, settings
+from tests.driven_front import DrivenFront, endpoint, settings
 
 BOX, LIVE, DRAINING = 7, EndpointState.LIVE, EndpointState.DRAINING
 
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -10,7 +10,7 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.regression import fit_slope
-from tests.host import DrivenFront, class_spec, endpoint, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, settings
 
 
 def total_slots(front: DrivenFront) -> float:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,9 +19,9 @@
 from cleatyoke.scheduling.settings import Idempotency
 from cleatyoke.transport import sockets
 from cleatyoke.transport.sockets import ClosingTransport, ended, unread
-from tests.host import DrivenFront, class_spec, endpoint, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, settings
+from tests.scripted_peers import answer, config, instance, listed
 from tests.test_http_front import FrontCase, ask
-from tests.wire import answer, config, instance, listed
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -10,7 +10,7 @@
     EndpointUpdate,
     UpdateKind,
 )
-from tests.host import DrivenFront, endpoint, settings
+from tests.driven_front import DrivenFront, endpoint, settings
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -33,10 +33,10 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.settings import Idempotency
-from tests.host import class_spec, endpoint
-from tests.host import settings as host_settings
+from tests.driven_front import class_spec, endpoint
+from tests.driven_front import settings as host_settings
+from tests.scripted_peers import FACTS, ScriptedDiscovery
 from tests.test_upgrade import start
-from tests.wire import FACTS, DiscoveryAgent
 
 
 def leaving(now: float = 100.0, notice: float = 2.2) -> Lifecycle:
@@ -183,7 +183,7 @@
 
     async def test_a_watch_that_dies_of_a_fault_of_ours_is_taken_up_again_with_the_whole_list(self) -> None:
         whole = {"generation": 4, "reset": True, "instances": []}
-        agent = await DiscoveryAgent(whole, []).start()
+        agent = await ScriptedDiscovery(whole, []).start()
         figures, directory, took = Metrics(), Directory({}), []
         discovery = Discovery(
             Address("127.0.0.1", agent.port), directory, took.append, faults=Faults(figures)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,7 +8,7 @@
 from cleatyoke.scheduling.events import AttemptOutcome
 from cleatyoke.scheduling.settings import Idempotency
 from cleatyoke.scheduling.verdict import NEVER, Rule
-from tests.host import DrivenFront, class_spec, endpoint, plan_spec, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, plan_spec, settings
 
 
 def why(front: DrivenFront, request_id: str) -> tuple[Rule | None, float]:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -33,7 +33,7 @@
 from cleatyoke.testbed.scenario import make_scenario
 from cleatyoke.testbed.search import play_values, pool, rules
 from cleatyoke.testbed.view_checks import MembershipChecker, MembershipView, read_view
-from tests.host import settings
+from tests.driven_front import settings
 
 ROOT = Path(__file__).resolve().parent.parent
 SCENARIOS = ROOT / "tests" / "scenarios"
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -40,7 +40,15 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.scheduler import Scheduler
-from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer, config, instance, listed
+from tests.scripted_peers import (
+    FACTS,
+    ScriptedDiscovery,
+    ScriptedHttpBackend,
+    answer,
+    config,
+    instance,
+    listed,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 HEADERS = {
@@ -66,7 +74,7 @@
 
 class FrontCase(unittest.IsolatedAsyncioTestCase):
     async def begin(self, script: Any, most: int = 32) -> None:
-        self.box: HttpBox = await HttpBox(script).start()
+        self.box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
         self.boxes = BackendPools(self.directory, 0.25, 30.0, most)
         self.ready = False
@@ -570,7 +578,7 @@
     async def test_a_bad_line_is_skipped_and_the_whole_list_taken(self) -> None:
         whole = {"generation": 7, "reset": True, "instances": [entry("SERVING")]}
         change = {"generation": 8, "reset": False, "instances": [entry("DRAINING")]}
-        agent = await DiscoveryAgent(whole, [[b"", b"{tea"], [b"", json.dumps(change).encode()]]).start()
+        agent = await ScriptedDiscovery(whole, [[b"", b"{tea"], [b"", json.dumps(change).encode()]]).start()
         directory, told = Directory({}), asyncio.Queue[SchedulerEvent]()
         discovery = Discovery(Address("127.0.0.1", agent.port), directory, told.put_nowait)
         discovery.start()
@@ -588,7 +596,10 @@
         old_list = {"generation": 70, "reset": True, "instances": [entry("SERVING")]}
         new_list = {"generation": 7, "reset": True, "instances": [entry("SERVING", 10)]}
         later = {"generation": 71, "reset": False, "instances": [entry("DRAINING")]}
-        old, new = await DiscoveryAgent(old_list, [[b""]]).start(), await DiscoveryAgent(new_list, []).start()
+        old, new = (
+            await ScriptedDiscovery(old_list, [[b""]]).start(),
+            await ScriptedDiscovery(new_list, []).start(),
+        )
         directory, told = Directory({}), asyncio.Queue[SchedulerEvent]()
         discovery = Discovery(Address("127.0.0.1", old.port), directory, told.put_nowait)
         silent = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
@@ -721,7 +732,7 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
         silent = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
         with tempfile.TemporaryDirectory() as folder:
@@ -749,9 +760,9 @@
                 await asyncio.sleep(60)
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
-        agent = await DiscoveryAgent(known, []).start()
+        agent = await ScriptedDiscovery(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
             address = f"127.0.0.1:{agent.port}"
             daemon = await self.start(folder, known=known, discovery=address)
@@ -791,10 +802,10 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
-        first = await DiscoveryAgent({"generation": 9, "reset": True, "instances": []}, []).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
+        first = await ScriptedDiscovery({"generation": 9, "reset": True, "instances": []}, []).start()
         whole = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
-        second = await DiscoveryAgent(whole, []).start()
+        second = await ScriptedDiscovery(whole, []).start()
         at = [f"127.0.0.1:{agent.port}" for agent in (first, second)]
         with tempfile.TemporaryDirectory() as folder:
             daemon = await self.start(folder, {"RELAY_DISCOVERY": at[0]}, discovery=at[0])
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -12,7 +12,7 @@
     AttemptOutcome,
 )
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
-from tests.host import DrivenFront, class_spec, endpoint, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, settings
 
 ONCE = class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)
 
--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -5,9 +5,9 @@
 from structlog.testing import capture_logs
 
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
-from tests.host import class_spec
+from tests.driven_front import class_spec
+from tests.scripted_peers import answer
 from tests.test_http_front import FrontCase
-from tests.wire import answer
 
 
 class IdempotencyKeyTest(FrontCase):
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -36,7 +36,7 @@
 from cleatyoke.scheduling.node_table import NodeTable
 from cleatyoke.scheduling.random_rounds import RandomRounds
 from cleatyoke.scheduling.scheduler import Scheduler
-from tests.wire import DiscoveryAgent
+from tests.scripted_peers import ScriptedDiscovery
 
 FEW, MANY = 1000, 8000
 ALIKE = 1.2  # times as much, at eight times the nodes
@@ -225,7 +225,7 @@
 
     async def test_a_long_line_is_no_silence(self) -> None:
         """The time that taking a list takes is none in which nothing came."""
-        agent = DiscoveryAgent(json.loads(nodes.list_text(2)), [[nodes.list_text(3000, version=3)]])
+        agent = ScriptedDiscovery(json.loads(nodes.list_text(2)), [[nodes.list_text(3000, version=3)]])
         async with asyncio.timeout(10):
             await agent.start()
             directory, heard = Directory({}), asyncio.Event()
@@ -255,7 +255,7 @@
             heard.set()
             agent.stop()
 
-    async def refused(self, agent: DiscoveryAgent, until: Callable[[], bool]) -> list[Any]:
+    async def refused(self, agent: ScriptedDiscovery, until: Callable[[], bool]) -> list[Any]:
         """The log's events of a front that knows node s-known, until something holds."""
         await agent.start()
         self.directory = Directory({})
@@ -279,14 +279,14 @@
     async def test_a_list_over_the_bound_is_refused_once_and_loses_nothing(self) -> None:
         long = nodes.list_text(100, version=5)
         small = json.dumps({"generation": 6, "instances": []}).encode()
-        agent = DiscoveryAgent({}, [[long], [long], [long], [small]])
+        agent = ScriptedDiscovery({}, [[long], [long], [long], [small]])
         (event,) = await self.refused(agent, lambda: self.directory.version == 6)
         assert (event["log_level"], "2000 bytes" in event["why"]) == ("error", True)
         assert self.directory.latest("s-known")
         assert len(agent.asked) == 4
 
     async def test_a_whole_list_over_the_bound_that_was_asked_for_is_refused_too(self) -> None:
-        agent = DiscoveryAgent(json.loads(nodes.list_text(100, version=5)), [[b"spoilt"]])
+        agent = ScriptedDiscovery(json.loads(nodes.list_text(100, version=5)), [[b"spoilt"]])
         events = await self.refused(agent, lambda: len(agent.asked) >= 4)
         assert len(events) == 1
         assert self.directory.latest("s-known")
--- a/tests/test_load_probes.py
+++ b/tests/test_load_probes.py
@@ -29,8 +29,8 @@
     REPORT_LIFETIME,
     LoadProber,
 )
+from tests.scripted_peers import Directory, ScriptedHttpBackend, answer, config, instance, listed
 from tests.test_simulator import FACTS, ROOT, SHELF
-from tests.wire import Directory, HttpBox, answer, config, instance, listed
 
 SLOW_START_DURATION = 10.0  # seconds
 
@@ -174,7 +174,7 @@
         async def script(trace: str) -> bytes:
             raise AssertionError("no request was made")
 
-        class Asked(HttpBox):
+        class Asked(ScriptedHttpBackend):
             silent = False
 
             async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -11,8 +11,8 @@
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.middleware import NODE, NeverExecutedError, scheduled
 from cleatyoke.scheduling.events import RequestArrived
-from tests.host import plan_spec
-from tests.wire import instance, listed, two_classes
+from tests.driven_front import plan_spec
+from tests.scripted_peers import instance, listed, two_classes
 
 
 class MiddlewareTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -13,7 +13,7 @@
     EndpointState,
 )
 from cleatyoke.simulator import read_entry, read_settings
-from tests.host import DrivenFront, class_spec, endpoint, plan_spec, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, plan_spec, settings
 
 
 @pytest.mark.parametrize("fronts", [0, -1, 99])
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -25,8 +25,8 @@
 from cleatyoke.process.handover import HoldFile
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import EndpointState
-from tests.wire import HttpBox, config, instance, listed
-from tests.wire import answer as box_answer
+from tests.scripted_peers import ScriptedHttpBackend, config, instance, listed
+from tests.scripted_peers import answer as box_answer
 
 ROOT = Path(__file__).resolve().parent.parent
 HEADERS = {
@@ -157,7 +157,7 @@
         async def script(trace: str) -> bytes:
             return box_answer()
 
-        self.box: HttpBox = await HttpBox(script).start()
+        self.box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
         self.boxes = BackendPools(self.directory, 0.25, 30.0, 32)
         self.front = HttpServer(config(), self.core, self.boxes, lambda: True)
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -5,7 +5,7 @@
     ClientDisconnected,
 )
 from cleatyoke.scheduling.settings import Idempotency
-from tests.host import DrivenFront, class_spec, endpoint, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, settings
 
 ORDERED = class_spec(ordered=True)
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -6,7 +6,7 @@
     AttemptOutcome,
 )
 from cleatyoke.scheduling.records import Request
-from tests.host import DrivenFront, class_spec, endpoint, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, settings
 
 
 def test_the_concurrency_limit_rises_with_fast_answers_and_falls_with_slow_ones() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 from cleatyoke.scheduling.events import (
     AttemptOutcome,
 )
-from tests.host import DrivenFront, class_spec, endpoint, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, settings
 
 
 def test_idle_slots_are_used_beyond_a_class_s_own() -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -18,10 +18,10 @@
 from cleatyoke.scheduling.actions import FailRequest, Reject, SendAttempt
 from cleatyoke.scheduling.events import AttemptOutcome, SettingsReloaded
 from cleatyoke.scheduling.settings import Idempotency
-from tests.host import DrivenFront, class_spec, endpoint, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, settings
+from tests.scripted_peers import FACTS, ScriptedDiscovery, ScriptedHttpBackend, answer
 from tests.test_http_front import HEADERS, TARGET, DaemonCase
 from tests.test_http_front import entry as listed
-from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer
 
 
 class IndexAllocatorTest(unittest.TestCase):
@@ -169,9 +169,9 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [listed("SERVING", box.port)]}
-        agent = await DiscoveryAgent(known, []).start()
+        agent = await ScriptedDiscovery(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
             daemon = await self.start(folder, known=known, discovery=f"127.0.0.1:{agent.port}")
             line = await self.line(daemon, b"event='ready'")
--- a/tests/test_safety_rules.py
+++ b/tests/test_safety_rules.py
@@ -21,8 +21,8 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope, RequestClass
-from tests.host import DrivenFront, class_spec, endpoint, plan_spec
-from tests.host import settings as host_settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, plan_spec
+from tests.driven_front import settings as host_settings
 
 CLASSES = [
     class_spec(latency_objective=0.3),
--- a/tests/test_scheduler_cost.py
+++ b/tests/test_scheduler_cost.py
@@ -17,7 +17,7 @@
 from cleatyoke.scheduling.retries import LOST_ANSWER_FRACTION
 from cleatyoke.scheduling.scheduler import Scheduler
 from cleatyoke.scheduling.state import SEND_MARGIN
-from tests.host import DrivenFront, endpoint, settings
+from tests.driven_front import DrivenFront, endpoint, settings
 
 
 def timers_set(actions: list[SchedulerAction]) -> list[SetTimer]:
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -17,8 +17,8 @@
 from cleatyoke.sftp import packets as p
 from cleatyoke.sftp.backends import SftpBackends
 from cleatyoke.sftp.server import SftpServer
-from tests.host import plan_spec
-from tests.wire import FileBox, instance, listed, two_classes
+from tests.driven_front import plan_spec
+from tests.scripted_peers import ScriptedFileBackend, instance, listed, two_classes
 
 NONE = p.Attrs()
 STORE = p.Flags.WRITE | p.Flags.CREAT | p.Flags.TRUNC
@@ -57,7 +57,7 @@
 
 
 class SftpCase(unittest.IsolatedAsyncioTestCase):
-    async def begin(self, *boxes: FileBox, plan: VolumePlan = PUBLIC, **changes: Any) -> Client:
+    async def begin(self, *boxes: ScriptedFileBackend, plan: VolumePlan = PUBLIC, **changes: Any) -> Client:
         self.core, self.directory = Core(two_classes(plans=[plan])), Directory({})
         front = SftpSettings(
             Address("127.0.0.1", 0), [VolumePath("/plats", 7, 0, 0, 1)], 0, 1, 0, 65536, 8192, 4, 5.0, 1.0
@@ -95,7 +95,7 @@
         assert said in status.message
 
     async def test_an_upload_is_stored_once_and_read_and_listed_and_renamed(self) -> None:
-        client = await self.begin(box := FileBox())
+        client = await self.begin(box := ScriptedFileBackend())
         scan = bytes(range(256)) * 200
         assert (await client.put("/plats/t1", scan)).code == p.Code.SSH_FX_OK
         assert (box.files["/plats/t1"], box.stored["/plats/t1"]) == (scan, 1)
@@ -113,13 +113,13 @@
         self.failed(missing, p.Code.SSH_FX_NO_SUCH_FILE, "no such file")
 
     async def test_an_upload_that_broke_after_it_may_have_been_stored_is_never_sent_again(self) -> None:
-        client = await self.begin(box := FileBox(breaks=True))
+        client = await self.begin(box := ScriptedFileBackend(breaks=True))
         status = await client.put("/plats/t1", b"scan")
         self.failed(status, p.Code.SSH_FX_FAILURE, "the change may have been made")
         assert (box.stored["/plats/t1"], box.commands.count("Open"), box.accepted) == (1, 1, 1)
 
     async def test_a_listing_repeated_after_a_drain_does_not_reach_the_draining_box(self) -> None:
-        old, new = FileBox(), FileBox()
+        old, new = ScriptedFileBackend(), ScriptedFileBackend()
         client = await self.begin(old, new)
         old.files["/plats/t1"] = new.files["/plats/t1"] = b"scan"
         assert await client.list("/plats") == ["/plats/t1"]
@@ -135,7 +135,7 @@
         assert (old.commands, new.commands) == (before, before)
 
     async def test_a_box_that_drains_while_the_connection_comes_up_is_sent_no_command(self) -> None:
-        client = await self.begin(box := FileBox())
+        client = await self.begin(box := ScriptedFileBackend())
         real = box.reply
 
         def reply(packet: p.Packet, handles: Any) -> p.Packet | None:
@@ -153,7 +153,7 @@
         self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "nothing was done")
 
     async def test_a_silent_box_is_given_up_by_the_deadline(self) -> None:
-        client = await self.begin(box := FileBox(silent=True), deadline=0.3)
+        client = await self.begin(box := ScriptedFileBackend(silent=True), deadline=0.3)
         began = self.core.now()
         status = await client.put("/plats/t1", b"scan")
         self.failed(status, p.Code.SSH_FX_FAILURE, "the change may have been made")
@@ -164,20 +164,20 @@
         plan = replace(
             PUBLIC, rate_limit=0.01, rate_limit_burst=8.0
         )  # a host that starts has none of it to spare
-        client = await self.begin(box := FileBox(), plan=plan, deadline=0.4)
+        client = await self.begin(box := ScriptedFileBackend(), plan=plan, deadline=0.4)
         self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "refused")
         self.core.scheduler.volumes[7].rate_limit.level = 2.0
         codes = [(await client.put(f"/plats/u{n}", b"scan")).code for n in range(4)]
         assert (codes.count(p.Code.SSH_FX_OK), sum(box.stored.values())) == (2, 2)
 
     async def test_an_upload_beyond_the_bound_is_not_stored_in_part(self) -> None:
-        client = await self.begin(box := FileBox())
+        client = await self.begin(box := ScriptedFileBackend())
         status = await client.put("/plats/t1", bytes(65537))
         self.failed(status, p.Code.SSH_FX_FAILURE, "not stored")
         assert box.accepted == 0
 
     async def test_bad_packets_handles_and_commands_are_told_apart(self) -> None:
-        client = await self.begin(FileBox())
+        client = await self.begin(ScriptedFileBackend())
         self.failed(await client.ask(p.Close(0, b"99")), p.Code.SSH_FX_FAILURE, "unknown handle")
         self.failed(await client.ask(p.Read(0, b"99", 0, 1)), p.Code.SSH_FX_FAILURE, "unknown handle")
         both = p.Open(0, "/plats/a", p.Flags.READ | p.Flags.WRITE, NONE)
@@ -200,7 +200,7 @@
         assert await other.reader.read() == b""
 
     async def test_a_client_that_leaves_takes_its_command_with_it(self) -> None:
-        client = await self.begin(box := FileBox(silent=True))
+        client = await self.begin(box := ScriptedFileBackend(silent=True))
         client.writer.write(p.encode(p.Stat(1, "/plats/t1")))
         async with asyncio.timeout(5):
             while not box.commands:
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -14,7 +14,7 @@
     ClientDisconnected,
 )
 from cleatyoke.scheduling.settings import Idempotency
-from tests.host import DrivenFront, class_spec, endpoint, plan_spec, settings
+from tests.driven_front import DrivenFront, class_spec, endpoint, plan_spec, settings
 
 ONCE = class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -14,7 +14,7 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.node_table import DecayingRates
-from tests.host import DrivenFront, endpoint, plan_spec, settings
+from tests.driven_front import DrivenFront, endpoint, plan_spec, settings
 
 
 def units_sent_while_warming(front: DrivenFront, seconds: float, units: float = 2.0) -> float:
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -24,7 +24,7 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.scheduler import Scheduler
-from tests.host import class_spec, endpoint, plan_spec, settings
+from tests.driven_front import class_spec, endpoint, plan_spec, settings
 
 MEAN, POWER, VOLUMES = 2.0, 50.0, 24  # units of a request, units a second of a warm node, volumes on it
 INITIAL_FRACTION, SLOW_START, MULTIPLE, WINDOW = 0.16, 14.0, 2.0, 2.0  # of the rule
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -19,7 +19,7 @@
 from cleatyoke.discovery.watch import Discovery, Watch
 from cleatyoke.emulation import clock
 from cleatyoke.scheduling.events import EndpointState, SchedulerEvent, UpdateKind
-from tests.wire import DiscoveryAgent, instance
+from tests.scripted_peers import ScriptedDiscovery, instance
 
 FRONTS = 200
 TOLD = 6.0
@@ -192,7 +192,7 @@
 
 class MoveStories(unittest.IsolatedAsyncioTestCase):
     async def begin(self) -> None:
-        self.old: DiscoveryAgent = await DiscoveryAgent(whole("SERVING"), [[b""]]).start()
+        self.old: ScriptedDiscovery = await ScriptedDiscovery(whole("SERVING"), [[b""]]).start()
         self.directory = Directory({})
         self.discovery = Discovery(
             Address("127.0.0.1", self.old.port), self.directory, lambda event: None, pushed=True
@@ -210,14 +210,14 @@
             while not true():
                 await asyncio.sleep(0.005)
 
-    async def move(self, says: dict[str, Any]) -> DiscoveryAgent:
-        new: DiscoveryAgent = await DiscoveryAgent(says, [[b""]]).start()
+    async def move(self, says: dict[str, Any]) -> ScriptedDiscovery:
+        new: ScriptedDiscovery = await ScriptedDiscovery(says, [[b""]]).start()
         self.addCleanup(new.stop)
         self.discovery.move(Address("127.0.0.1", new.port))
         await self.until(lambda: len(new.asked) == 2)
         return new
 
-    def write(self, agent: DiscoveryAgent, value: dict[str, Any]) -> None:
+    def write(self, agent: ScriptedDiscovery, value: dict[str, Any]) -> None:
         for writer in agent.writers:
             writer.write(chunk(value))
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,8 +30,8 @@
 from cleatyoke.scheduling.quotas import QuotaClock
 from cleatyoke.scheduling.scheduler import Scheduler
 from cleatyoke.transport.sockets import NotListeningError, take_listening
-from tests.host import class_spec, endpoint, plan_spec, settings
-from tests.wire import FACTS, config
+from tests.driven_front import class_spec, endpoint, plan_spec, settings
+from tests.scripted_peers import FACTS, config
 
 ROOT = Path(__file__).resolve().parent.parent
 
