--- a/cleatyoke/scheduling/ordering.py
+++ b/cleatyoke/scheduling/ordering.py
@@ -36,6 +36,8 @@
 
     def rest(self, request: Request) -> None:
         """Let the key rest: an attempt has ended that may still be executing."""
+        # The key is None for every unordered request, and for one of an ordered class without an item: the
+        # latter lets all of them rest.
         ends_at = self._state.now + self._state.safety.ordering_pause
         self.rests_until[request.order_key] = ends_at if request.request_class.ordered else 0.0
 
--- a/tests/scripted_peers.py
+++ b/tests/scripted_peers.py
@@ -138,6 +138,9 @@
             return
 
 
+Handles = dict[bytes, tuple[str, bytearray]]  # by handle: path and content
+
+
 class ScriptedFileBackend(Peer):
     """A backend for file commands; ``stored`` counts executions of a write, at its CLOSE, by path."""
 
@@ -149,7 +152,7 @@
         self.commands: list[str] = []
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        handles: dict[bytes, tuple[str, bytearray]] = {}
+        handles: Handles = {}
         while True:
             packet = p.decode(await p.read_packet(reader))
             if not isinstance(packet, p.Init):
@@ -161,12 +164,24 @@
                 return
             writer.write(p.encode(reply))
 
-    def reply(self, packet: p.Packet, handles: dict[bytes, tuple[str, bytearray]]) -> p.Packet | None:
-        done = p.Status(packet.id, p.Code.SSH_FX_OK)
-        missing = p.Status(packet.id, p.Code.SSH_FX_NO_SUCH_FILE, "no such file")
+    def reply(self, packet: p.Packet, handles: Handles) -> p.Packet | None:
+        """The answer to a packet; ``None``: the connection is closed without one."""
         match packet:
             case p.Init():
                 return p.Version(p.VERSION)
+            case p.Write(_, handle, offset, data):
+                handles[handle][1][offset : offset + len(data)] = data
+            case p.Read(_, handle, offset, length):
+                return p.Data(packet.id, bytes(handles[handle][1][offset : offset + length]))
+            case p.Close(_, handle):
+                return self.close(packet, handle, handles)
+            case p.Open() | p.Opendir() | p.Readdir() | p.Stat():
+                return self.look_up(packet, handles)
+        return p.Status(packet.id, p.Code.SSH_FX_OK)
+
+    def look_up(self, packet: p.Open | p.Opendir | p.Readdir | p.Stat, handles: Handles) -> p.Packet:
+        missing = p.Status(packet.id, p.Code.SSH_FX_NO_SUCH_FILE, "no such file")
+        match packet:
             case p.Open(_, path, flags, _):
                 if flags & p.Flags.READ and path not in self.files:
                     return missing
@@ -175,24 +190,21 @@
             case p.Opendir(_, path):
                 handles[b"d"] = path, bytearray(b"unread")
                 return p.Handle(packet.id, b"d")
-            case p.Readdir():
-                path, unread = handles[b"d"]
-                handles[b"d"] = path, bytearray()
-                names = [p.Name(one, one, p.Attrs()) for one in self.files if one.startswith(path)]
-                end = p.Status(packet.id, p.Code.SSH_FX_EOF)
-                return p.Names(packet.id, names) if unread and names else end
-            case p.Write(_, handle, offset, data):
-                handles[handle][1][offset : offset + len(data)] = data
-            case p.Read(_, handle, offset, length):
-                return p.Data(packet.id, bytes(handles[handle][1][offset : offset + length]))
-            case p.Close(_, handle):
-                path, content = handles.pop(handle)
-                if handle != b"d" and self.files.get(path) != content:
-                    self.files[path] = bytes(content)
-                    self.stored[path] += 1
-                    return None if self.breaks else done
             case p.Stat(_, path):
                 if path not in self.files:
                     return missing
                 return p.AttrsReply(packet.id, p.Attrs(size=len(self.files[path])))
-        return done
+        path, unread = handles[b"d"]
+        handles[b"d"] = path, bytearray()
+        names = [p.Name(one, one, p.Attrs()) for one in self.files if one.startswith(path)]
+        end = p.Status(packet.id, p.Code.SSH_FX_EOF)
+        return p.Names(packet.id, names) if unread and names else end
+
+    def close(self, packet: p.Packet, handle: bytes, handles: Handles) -> p.Packet | None:
+        path, content = handles.pop(handle)
+        if handle != b"d" and self.files.get(path) != content:
+            self.files[path] = bytes(content)
+            self.stored[path] += 1
+            if self.breaks:
+                return None
+        return p.Status(packet.id, p.Code.SSH_FX_OK)
--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -14,7 +14,7 @@
     async def begin_keyed(self, fails: int = 0) -> None:
         self.tried = 0
 
-        async def script(trace: str) -> bytes | None:
+        async def script(_trace: str) -> bytes | None:
             self.tried += 1
             return None if self.tried <= fails else answer()
 
--- a/tests/test_load_probes.py
+++ b/tests/test_load_probes.py
@@ -171,8 +171,9 @@
     async def test_a_backend_is_probed_over_a_connection_and_a_silent_one_counts_as_fully_used(self) -> None:
         """A backend accepts connections and answers no more: its load is unknown, so it counts as full."""
 
-        async def script(trace: str) -> bytes:
-            raise AssertionError("no request was made")
+        async def script(_trace: str) -> bytes:
+            msg = "no request was made"
+            raise AssertionError(msg)
 
         class Asked(ScriptedHttpBackend):
             silent = False
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,6 +7,7 @@
 import signal
 import tempfile
 import unittest
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -23,6 +24,32 @@
 from tests.test_http_front import HEADERS, TARGET, DaemonCase
 from tests.test_http_front import entry as listed
 
+REMOVED = object()
+
+
+def key_places(value: Any, path: tuple[Any, ...] = ()) -> Iterator[list[Any]]:
+    """Where the keys of a file stand, in its tables and lists of tables."""
+    if isinstance(value, dict):
+        for key in value:
+            yield [*path, key]
+            yield from key_places(value[key], (*path, key))
+    elif isinstance(value, list) and all(isinstance(one, dict) for one in value):
+        for place, one in enumerate(value):
+            yield from key_places(one, (*path, place))
+
+
+def changed(values: dict[str, Any], path: list[Any], to: Any = REMOVED) -> dict[str, Any]:
+    """The file's values with another value at this place, or without the key."""
+    values = copy.deepcopy(values)
+    subject: Any = values
+    for step in path[:-1]:
+        subject = subject[step]
+    if to is REMOVED:
+        del subject[path[-1]]
+    else:
+        subject[path[-1]] = to
+    return values
+
 
 class IndexAllocatorTest(unittest.TestCase):
     def test_a_name_keeps_its_index_and_a_removed_one_leaves_it_retired(self) -> None:
@@ -115,34 +142,15 @@
         before = copy.deepcopy(config)
         text = json.dumps(self.values)
         broken: list[Any] = ["", text[: len(text) // 2], "[]", "null"]
-
-        def without(value: Any, path: list[Any]) -> Any:
-            if isinstance(value, dict):
-                for key in value:
-                    broken.append((path, key))
-                    without(value[key], [*path, key])
-            elif isinstance(value, list) and all(isinstance(one, dict) for one in value):
-                for place, one in enumerate(value):
-                    without(one, [*path, place])
-
-        without(self.values, [])
+        broken += [changed(self.values, path) for path in key_places(self.values)]
+        lane = ["settings", "Lanes", 0]
         for key, figure in (("AimS", 0), ("GiveUpS", -1), ("GiveUpS", "1.5"), ("AimS", None)):
-            broken.append((["settings", "Lanes", 0], key, figure))
-        broken.append((["settings", "PolicyLimits"], "SendCap", 0))
-        for one in broken:
-            values: Any = one
-            if isinstance(one, tuple):
-                values = copy.deepcopy(self.values)
-                subject = values
-                for step in one[0]:
-                    subject = subject[step]
-                if len(one) == 2:
-                    del subject[one[1]]
-                else:
-                    subject[one[1]] = one[2]
+            broken.append(changed(self.values, [*lane, key], figure))
+        broken.append(changed(self.values, ["settings", "PolicyLimits", "SendCap"], 0))
+        for values in broken:
             with pytest.raises(ConfigError):
                 config.reload(self.read(values))
-            assert config == before, one
+            assert config == before, values
         assert len(broken) > 30
 
     def test_classes_come_and_go_by_name_with_all_that_goes_by_their_index(self) -> None:
@@ -166,7 +174,7 @@
 
 class ReloadedDaemonTest(DaemonCase):
     async def test_a_class_added_at_sighup_is_served_and_a_removed_one_is_not(self) -> None:
-        async def script(trace: str) -> bytes:
+        async def script(_trace: str) -> bytes:
             return answer()
 
         box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
--- a/tests/test_safety_rules.py
+++ b/tests/test_safety_rules.py
@@ -166,7 +166,8 @@
             self.check_send(action.request_id, action.node_id, now)
         elif isinstance(action, Reject | FailRequest):
             name = action.request_id
-            assert name in self.owed and name not in self.in_flight, "one final answer"
+            assert name in self.owed, "one final answer"
+            assert name not in self.in_flight, "one final answer"
             if isinstance(action, Reject) and name in self.may_have_executed:
                 kind = self.kind(name)
                 assert kind.idempotency is Idempotency.IDEMPOTENT or (
@@ -177,7 +178,8 @@
 
     def check_send(self, name: str, node: int, now: float) -> None:
         ask, kind, safety = self.asked[name], self.kind(name), self.safety
-        assert name in self.owed and name not in self.in_flight, "over, or two attempts at once"
+        assert name in self.owed, "it is over"
+        assert name not in self.in_flight, "two attempts at once"
         assert self.attempts[name] < self.config.max_attempts
         assert ask.shard in (None, node), "another shard"
         assert self.state[node] is EndpointState.LIVE, "drains"
@@ -188,7 +190,8 @@
                 assert now <= sent + kind.idempotency_window
                 assert kind.idempotency_scope is IdempotencyScope.ALL or node == home
         if kind.ordered and ask.item is not None:
-            assert self.line[ask.item][0] == name and now >= self.rest[ask.item], "order by key"
+            assert self.line[ask.item][0] == name, "order by key"
+            assert now >= self.rest[ask.item], "order by key"
         if self.attempts[name]:
             self.extras.append(now)
             recent = sum(1 for time in self.taken if time > now - safety.retry_budget_window)
