--- a/cleatyoke/scheduling/retries.py
+++ b/cleatyoke/scheduling/retries.py
@@ -102,7 +102,7 @@
     def remembered_until(self, request: Request) -> float:
         """Until when nodes discard duplicates of a request that may have executed.
 
-        Infinite where none need to. Nodes count from the first attempt; a margin is kept clear, as a send
+        Infinite where none has to. Nodes count from the first attempt; a margin is kept clear, as a send
         takes time.
         """
         if not request.may_have_executed or request.request_class.idempotency is not Idempotency.KEYED:
@@ -151,8 +151,8 @@
     def cancel_overdue(self, request: Request) -> None:
         """Cancel the request's attempts that are overdue, and set timers for the others.
 
-        A request that must not run again, or only where it ran, fails by this: its attempt goes only where
-        its answer seems lost, and past its objective.
+        A cancelled attempt may have executed, so a request fails by it that must not be repeated, or only
+        where it was sent. Its attempt is cancelled only where its answer seems lost, past its objective.
         """
         state = self._state
         if not state.settings.can_cancel:
--- a/cleatyoke/scheduling/slow_start.py
+++ b/cleatyoke/scheduling/slow_start.py
@@ -8,9 +8,8 @@
 from cleatyoke.scheduling.state import SchedulerState
 from cleatyoke.scheduling.verdict import ALLOWED, Rule, Verdict
 
-MAX_IDLE_MULTIPLE = (
-    2.0  # times its usual rate that a front may send a warming node, however idle the nodes are
-)
+# Times its usual rate that a front may send a warming node, however idle the nodes are.
+MAX_IDLE_MULTIPLE = 2.0
 MIN_RATE = 1e-9  # units a second: a rate is divided by
 
 
--- a/cleatyoke/scheduling/state.py
+++ b/cleatyoke/scheduling/state.py
@@ -14,9 +14,8 @@
 CONTROL_INTERVAL = 1.0  # seconds between control rounds; the paper's two seconds trail a surge
 SEND_MARGIN = 0.04  # seconds kept clear of a deadline or an idempotency window: timers and sends take time
 RETENTION = 60.0  # seconds after which an unused volume or node is forgotten: its buckets are long full
-QUEUE_FRACTION = (
-    0.125  # of the shortest objective to wait at a node; the rest is for service and queueing here
-)
+# Of the shortest objective to wait at a node; the rest is for service and queueing here.
+QUEUE_FRACTION = 0.125
 UNKNOWN_FRONT_COUNT = math.inf  # an even share among fronts of unknown number is nothing
 
 
