--- a/tests/host.py
+++ b/tests/driven_front.py
@@ -1,4 +1,4 @@
-"""Helpers: settings with every rule off, and a policy driven event by event."""
+"""Helpers: settings with every rule off, and a scheduler that is driven event by event."""
 
 from __future__ import annotations
 
@@ -87,40 +87,48 @@
     return replace(base, **changes)
 
 
-def entry(node: int, cell: int, state: EndpointState = EndpointState.LIVE, up_since: float = 0.0) -> Endpoint:
-    return Endpoint(node_id=node, shard=cell, zone=cell % 2, state=state, started_at=up_since)
+def endpoint(
+    node_id: int, shard: int | None, state: EndpointState = EndpointState.LIVE, started_at: float = 0.0
+) -> Endpoint:
+    return Endpoint(
+        node_id=node_id,
+        shard=shard,
+        zone=(-1 if shard is None else shard) % 2,
+        state=state,
+        started_at=started_at,
+    )
 
 
-class Host:
-    """One policy, its clock, and what it has out."""
+class DrivenFront:
+    """One front's scheduler, its clock, and the attempts that it sent."""
 
     def __init__(self, config: SchedulerSettings, nodes: list[Endpoint], now: float = 100.0) -> None:
-        self.policy = Scheduler(config)
+        self.scheduler = Scheduler(config)
         self.now = now
         self.log: list[SchedulerAction] = []
-        self.shots: dict[str, int] = {}
+        self.attempts: dict[str, int] = {}  # by request, the number of its latest attempt
         self.step(EndpointUpdate(UpdateKind.CACHED, nodes))
 
     def step(self, *events: SchedulerEvent, at: float | None = None) -> list[SchedulerAction]:
-        """Feed a batch; returns its actions without the policy's own wake-ups."""
+        """Pass a batch of events; returns its actions without the scheduler's own timers."""
         if at is not None:
             self.now = at
-        actions = self.policy.step(self.now, list(events))
+        actions = self.scheduler.step(self.now, list(events))
         actions = [action for action in actions if not isinstance(action, SetTimer)]
         for action in actions:
             if isinstance(action, SendAttempt):
-                self.shots[action.request_id] = self.shots.get(action.request_id, -1) + 1
+                self.attempts[action.request_id] = self.attempts.get(action.request_id, -1) + 1
         self.log += actions
         return actions
 
     def run_until(self, end: float) -> list[SchedulerAction]:
-        """Let time pass, a tick a step."""
+        """Let time pass, one step for each tick."""
         actions: list[SchedulerAction] = []
         while self.now < end:
             actions += self.step(TimerFired(0), at=min(end, self.now + 0.02))
         return actions
 
-    def ask(self, request: str, **changes: Any) -> list[SchedulerAction]:
+    def request(self, request: str, **changes: Any) -> list[SchedulerAction]:
         return self.step(self.arrival(request, **changes))
 
     def arrival(self, request: str, **changes: Any) -> RequestArrived:
@@ -137,12 +145,12 @@
         )
         return replace(base, **changes)
 
-    def end(
+    def finish(
         self, request: str, outcome: AttemptOutcome, node: int = 1, spent: float = 0.05, **changes: Any
     ) -> list[SchedulerAction]:
         base = AttemptFinished(
             request_id=request,
-            attempt=self.shots[request],
+            attempt=self.attempts[request],
             node_id=node,
             outcome=outcome,
             elapsed=spent,
--- a/tests/wire.py
+++ b/tests/scripted_peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback: boxes and discovery for the platform's front, boxes for file commands."""
+"""Scripted peers on loopback: backends and discovery for the HTTP front, backends for file commands."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from cleatyoke.scheduling.settings import Idempotency, SchedulerSettings
 from cleatyoke.sftp import packets as p
 from cleatyoke.testbed.peer import Peer
-from tests.host import class_spec, plan_spec, settings
+from tests.driven_front import class_spec, plan_spec, settings
 
 FACTS: dict[str, Any] = {
     "Areas": ["basement"],
@@ -69,12 +69,12 @@
     return EndpointUpdate(kind, directory.apply(EndpointList(1, whole, list(instances))))
 
 
-# trace id -> a whole answer, its pieces as they come, or None to break off
+# trace id -> a complete answer, its pieces as they come, or None to close the connection
 Script = Callable[[str], Awaitable[bytes | AsyncIterator[bytes] | None]]
 
 
-class HttpBox(Peer):
-    """Counts each request that came whole, by its id, and answers as scripted."""
+class ScriptedHttpBackend(Peer):
+    """Counts each complete request by its id, and answers as scripted."""
 
     def __init__(self, script: Script) -> None:
         super().__init__()
@@ -117,7 +117,7 @@
     return "\r\n".join(lines).encode() + body
 
 
-class DiscoveryAgent(Peer):
+class ScriptedDiscovery(Peer):
     """Serves ``whole`` as the list; each watch gets the next of the scripted rounds of lines."""
 
     def __init__(self, whole: dict[str, Any], rounds: list[list[bytes]]) -> None:
@@ -138,8 +138,11 @@
             return
 
 
-class FileBox(Peer):
-    """A box for file commands; ``stored`` counts executions of a write, at its CLOSE, by path."""
+Handles = dict[bytes, tuple[str, bytearray]]  # by handle: path and content
+
+
+class ScriptedFileBackend(Peer):
+    """A backend for file commands; ``stored`` counts executions of a write, at its CLOSE, by path."""
 
     def __init__(self, breaks: bool = False, silent: bool = False) -> None:
         super().__init__()
@@ -149,7 +152,7 @@
         self.commands: list[str] = []
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        handles: dict[bytes, tuple[str, bytearray]] = {}
+        handles: Handles = {}
         while True:
             packet = p.decode(await p.read_packet(reader))
             if not isinstance(packet, p.Init):
@@ -161,12 +164,24 @@
                 return
             writer.write(p.encode(reply))
 
-    def reply(self, packet: p.Packet, handles: dict[bytes, tuple[str, bytearray]]) -> p.Packet | None:
-        done = p.Status(packet.id, p.Code.SSH_FX_OK)
-        missing = p.Status(packet.id, p.Code.SSH_FX_NO_SUCH_FILE, "no such file")
+    def reply(self, packet: p.Packet, handles: Handles) -> p.Packet | None:
+        """The answer to a packet; ``None``: the connection is closed without one."""
         match packet:
             case p.Init():
                 return p.Version(p.VERSION)
+            case p.Write(_, handle, offset, data):
+                handles[handle][1][offset : offset + len(data)] = data
+            case p.Read(_, handle, offset, length):
+                return p.Data(packet.id, bytes(handles[handle][1][offset : offset + length]))
+            case p.Close(_, handle):
+                return self.close(packet, handle, handles)
+            case p.Open() | p.Opendir() | p.Readdir() | p.Stat():
+                return self.look_up(packet, handles)
+        return p.Status(packet.id, p.Code.SSH_FX_OK)
+
+    def look_up(self, packet: p.Open | p.Opendir | p.Readdir | p.Stat, handles: Handles) -> p.Packet:
+        missing = p.Status(packet.id, p.Code.SSH_FX_NO_SUCH_FILE, "no such file")
+        match packet:
             case p.Open(_, path, flags, _):
                 if flags & p.Flags.READ and path not in self.files:
                     return missing
@@ -175,24 +190,21 @@
             case p.Opendir(_, path):
                 handles[b"d"] = path, bytearray(b"unread")
                 return p.Handle(packet.id, b"d")
-            case p.Readdir():
-                path, unread = handles[b"d"]
-                handles[b"d"] = path, bytearray()
-                names = [p.Name(one, one, p.Attrs()) for one in self.files if one.startswith(path)]
-                end = p.Status(packet.id, p.Code.SSH_FX_EOF)
-                return p.Names(packet.id, names) if unread and names else end
-            case p.Write(_, handle, offset, data):
-                handles[handle][1][offset : offset + len(data)] = data
-            case p.Read(_, handle, offset, length):
-                return p.Data(packet.id, bytes(handles[handle][1][offset : offset + length]))
-            case p.Close(_, handle):
-                path, content = handles.pop(handle)
-                if handle != b"d" and self.files.get(path) != content:
-                    self.files[path] = bytes(content)
-                    self.stored[path] += 1
-                    return None if self.breaks else done
             case p.Stat(_, path):
                 if path not in self.files:
                     return missing
                 return p.AttrsReply(packet.id, p.Attrs(size=len(self.files[path])))
-        return done
+        path, unread = handles[b"d"]
+        handles[b"d"] = path, bytearray()
+        names = [p.Name(one, one, p.Attrs()) for one in self.files if one.startswith(path)]
+        end = p.Status(packet.id, p.Code.SSH_FX_EOF)
+        return p.Names(packet.id, names) if unread and names else end
+
+    def close(self, packet: p.Packet, handle: bytes, handles: Handles) -> p.Packet | None:
+        path, content = handles.pop(handle)
+        if handle != b"d" and self.files.get(path) != content:
+            self.files[path] = bytes(content)
+            self.stored[path] += 1
+            if self.breaks:
+                return None
+        return p.Status(packet.id, p.Code.SSH_FX_OK)
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -40,7 +40,15 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.scheduler import Scheduler
-from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer, config, instance, listed
+from tests.scripted_peers import (
+    FACTS,
+    ScriptedDiscovery,
+    ScriptedHttpBackend,
+    answer,
+    config,
+    instance,
+    listed,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 HEADERS = {
@@ -66,14 +74,14 @@
 
 class FrontCase(unittest.IsolatedAsyncioTestCase):
     async def begin(self, script: Any, most: int = 32) -> None:
-        self.box: HttpBox = await HttpBox(script).start()
+        self.box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
         self.boxes = BackendPools(self.directory, 0.25, 30.0, most)
         self.ready = False
         self.front = HttpServer(config(), self.core, self.boxes, lambda: self.ready)
         self.front.listen()
         self.url = f"http://127.0.0.1:{self.front.address.port}"
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
+        self.core.notify(listed(self.directory, instance("s-a", self.box.port), whole=True))
         self.client = aiohttp.ClientSession()
         self.addAsyncCleanup(self.end)
 
@@ -178,12 +186,12 @@
         asking = asyncio.create_task(self.ask("t", X_Expires_In_Ms="60000"))
         await self.until(lambda: self.box.counts["t"])
         asking.cancel()
-        await self.until(lambda: self.box.open == 0 and not self.core.calls)
-        assert sum(sum(node.out) for node in self.core.policy.nodes.values()) == 0
+        await self.until(lambda: self.box.open == 0 and not self.core.pending)
+        assert sum(sum(node.in_flight) for node in self.core.scheduler.nodes.values()) == 0
 
     async def test_without_a_box_a_request_is_refused_at_once(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING)))
+        self.core.notify(listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING)))
         began = self.core.now()
         assert (await self.ask("t"))[0] == 503
         assert self.core.now() - began < 1.4  # not held back until the deadline
@@ -331,7 +339,7 @@
         heard = await reader.read()
         assert (heard[8:13], heard.count(b"HTTP/")) == (b" 400 ", 1), heard
         assert b"Connection: close" in heard
-        await self.until(lambda: not self.core.calls and not self.box.open)  # its attempt is called off
+        await self.until(lambda: not self.core.pending and not self.box.open)  # its attempt is called off
         assert (self.box.counts["late"], self.box.counts["x"]) == (1, 0)
         writer.close()
 
@@ -350,7 +358,7 @@
         assert (await first)[0] == 200
         assert (await self.ask("t"))[0] == 400, "nor just after it"
         assert self.box.counts["t"] == 1
-        with mock.patch.object(self.core, "offset", self.core.offset + 60):
+        with mock.patch.object(self.core, "unix_offset", self.core.unix_offset + 60):
             await self.ask("u")
         assert self.front.taken == {"u"}, "ids are forgotten in the end"
 
@@ -369,13 +377,13 @@
 
         def step() -> None:
             real()
-            if "t" in self.core.calls and not self.core.calls["t"].words.empty():
+            if "t" in self.core.pending and not self.core.pending["t"].decisions.empty():
                 late.append(serving.cancel())
 
         with mock.patch.object(self.core, "step", step):
-            await self.until(lambda: late and not self.core.calls and not self.core.policy.requests)
+            await self.until(lambda: late and not self.core.pending and not self.core.scheduler.requests)
         assert late == [True]
-        assert sum(sum(node.out) for node in self.core.policy.nodes.values()) == 0
+        assert sum(sum(node.in_flight) for node in self.core.scheduler.nodes.values()) == 0
 
 
 class BoxStories(FrontCase):
@@ -543,7 +551,12 @@
             policy.step(100.0, [RequestArrived(f"r{cell}", 0, 0, cell, cell, cell, 1.0, 101.5, 1)])
         for now in (150.0, 200.0):
             policy.step(now, [])
-        assert (policy.held, policy.volumes, policy.requests, policy.tries) == ({}, {}, {}, {})
+        assert (
+            policy.state.queues,
+            policy.volumes,
+            policy.requests,
+            policy.lifecycle.recent_failures.by_identity,
+        ) == ({}, {}, {}, {})
 
 
 class LoadReports(unittest.TestCase):
@@ -565,7 +578,7 @@
     async def test_a_bad_line_is_skipped_and_the_whole_list_taken(self) -> None:
         whole = {"generation": 7, "reset": True, "instances": [entry("SERVING")]}
         change = {"generation": 8, "reset": False, "instances": [entry("DRAINING")]}
-        agent = await DiscoveryAgent(whole, [[b"", b"{tea"], [b"", json.dumps(change).encode()]]).start()
+        agent = await ScriptedDiscovery(whole, [[b"", b"{tea"], [b"", json.dumps(change).encode()]]).start()
         directory, told = Directory({}), asyncio.Queue[SchedulerEvent]()
         discovery = Discovery(Address("127.0.0.1", agent.port), directory, told.put_nowait)
         discovery.start()
@@ -583,7 +596,10 @@
         old_list = {"generation": 70, "reset": True, "instances": [entry("SERVING")]}
         new_list = {"generation": 7, "reset": True, "instances": [entry("SERVING", 10)]}
         later = {"generation": 71, "reset": False, "instances": [entry("DRAINING")]}
-        old, new = await DiscoveryAgent(old_list, [[b""]]).start(), await DiscoveryAgent(new_list, []).start()
+        old, new = (
+            await ScriptedDiscovery(old_list, [[b""]]).start(),
+            await ScriptedDiscovery(new_list, []).start(),
+        )
         directory, told = Directory({}), asyncio.Queue[SchedulerEvent]()
         discovery = Discovery(Address("127.0.0.1", old.port), directory, told.put_nowait)
         silent = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
@@ -716,7 +732,7 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
         silent = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
         with tempfile.TemporaryDirectory() as folder:
@@ -744,9 +760,9 @@
                 await asyncio.sleep(60)
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
-        agent = await DiscoveryAgent(known, []).start()
+        agent = await ScriptedDiscovery(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
             address = f"127.0.0.1:{agent.port}"
             daemon = await self.start(folder, known=known, discovery=address)
@@ -786,10 +802,10 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
-        first = await DiscoveryAgent({"generation": 9, "reset": True, "instances": []}, []).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
+        first = await ScriptedDiscovery({"generation": 9, "reset": True, "instances": []}, []).start()
         whole = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
-        second = await DiscoveryAgent(whole, []).start()
+        second = await ScriptedDiscovery(whole, []).start()
         at = [f"127.0.0.1:{agent.port}" for agent in (first, second)]
         with tempfile.TemporaryDirectory() as folder:
             daemon = await self.start(folder, {"RELAY_DISCOVERY": at[0]}, discovery=at[0])
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -25,8 +25,8 @@
 from cleatyoke.process.handover import HoldFile
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import EndpointState
-from tests.wire import HttpBox, config, instance, listed
-from tests.wire import answer as box_answer
+from tests.scripted_peers import ScriptedHttpBackend, config, instance, listed
+from tests.scripted_peers import answer as box_answer
 
 ROOT = Path(__file__).resolve().parent.parent
 HEADERS = {
@@ -157,13 +157,13 @@
         async def script(trace: str) -> bytes:
             return box_answer()
 
-        self.box: HttpBox = await HttpBox(script).start()
+        self.box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
         self.boxes = BackendPools(self.directory, 0.25, 30.0, 32)
         self.front = HttpServer(config(), self.core, self.boxes, lambda: True)
         self.front.listen()
         self.url = f"http://127.0.0.1:{self.front.address.port}"
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
+        self.core.notify(listed(self.directory, instance("s-a", self.box.port), whole=True))
         self.folder = tempfile.TemporaryDirectory()
         self.handed = HoldFile(Path(self.folder.name), self.directory, self.core, Faults(self.boxes.figures))
         self.handed.start()
