--- a/cleatyoke/distribution/records.py
+++ b/cleatyoke/distribution/records.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from cleatyoke.membership.wire import Count, Text, WireError, sealed, unsealed
+from cleatyoke.membership.wire import Count, Text, WireError, append_checksum, verify_checksum
 
 FORM = 1  # of these messages; another one is refused
 MARK = b"\xc1"  # in front of each message
@@ -125,7 +125,7 @@
 
 
 def encode(message: Poll | Reply) -> bytes:
-    return MARK + sealed(encoder.encode(message))
+    return MARK + append_checksum(encoder.encode(message))
 
 
 def is_ours(data: bytes) -> bool:
@@ -148,7 +148,7 @@
         msg = "foreign"
         raise WireError(msg)
     try:
-        return decoder.decode(unsealed(data[1:], MOST_MESSAGE))
+        return decoder.decode(verify_checksum(data[1:], MOST_MESSAGE))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         msg = "unreadable"
         raise WireError(msg) from error
--- a/cleatyoke/emulation/baselines.py
+++ b/cleatyoke/emulation/baselines.py
@@ -31,29 +31,31 @@
     nobody told first, no second look, nothing that reaches those believed dead.
     """
 
-    def suspicion_ends(self, life: MemberRecord) -> float:
+    def suspicion_deadline(self, life: MemberRecord) -> float:
         timing = self.timing
-        return life.since + timing.suspicion * timing.period * max(1.0, math.log10(len(self.lives) + 1))
+        return life.state_since + timing.suspicion_multiplier * timing.probe_interval * max(
+            1.0, math.log10(len(self.records) + 1)
+        )
 
-    def work(self) -> None:
-        self.health = 0
-        super().work()
-        self.health = 0
+    def run_timers(self) -> None:
+        self.health_score = 0
+        super().run_timers()
+        self.health_score = 0
 
-    def warn(self, life: MemberRecord, sender: Update) -> None:
+    def notify_suspect(self, life: MemberRecord, sender: Update) -> None:
         pass
 
-    def swap(self, address: str) -> None:
+    def exchange_rate_limited(self, address: str) -> None:
         pass
 
-    def look_again(self) -> None:
-        self.next["look"] = self.now + 3600.0
+    def recheck_suspect(self) -> None:
+        self.due_at["look"] = self.now + 3600.0
 
-    def probe_departed(self) -> None:
+    def probe_failed_member(self) -> None:
         pass
 
-    def wake(self, now: float, gap: float) -> None:
-        self.next = {name: max(at, now) for name, at in self.next.items()}
+    def resume_after_pause(self, now: float, gap: float) -> None:
+        self.due_at = {name: max(at, now) for name, at in self.due_at.items()}
 
 
 class Heartbeats(Membership):
@@ -68,44 +70,48 @@
         seeds: Sequence[str],
         rng: random.Random,
         timing: MembershipTiming | None = None,
-        alone: bool = False,
+        owns_address: bool = False,
     ) -> None:
-        super().__init__(deployment, name, boot, address, seeds, rng, timing, alone)
+        super().__init__(deployment, name, boot, address, seeds, rng, timing, owns_address)
         self.everybody = self.other_seeds()
 
-    def work(self) -> None:
+    def run_timers(self) -> None:
         now = self.now
-        if now >= self.next["probe"]:
-            self.next["probe"] = now + self.timing.period
-            data, _ = encode_datagram(self.deployment, self.me(), Gossip(), [])
+        if now >= self.due_at["probe"]:
+            self.due_at["probe"] = now + self.timing.probe_interval
+            data, _ = encode_datagram(self.deployment, self.own_update(), Gossip(), [])
             for address in self.everybody:
                 self.beat(address, data)
-        for id in [id for id in self.present if now >= self.lives[id].heard + MISSED * self.timing.period]:
-            old = self.lives[id].rumour
-            self.believe(Update(id, old.address, MemberState.DEAD, old.count, old.alone))
+        for id in [
+            id
+            for id in self.active_members
+            if now >= self.records[id].last_heard + MISSED * self.timing.probe_interval
+        ]:
+            old = self.records[id].update
+            self.merge_update(Update(id, old.address, MemberState.DEAD, old.incarnation, old.owns_address))
 
     def beat(self, address: str, data: bytes) -> None:
-        self.figures.datagrams_out += 1
-        self.figures.bytes_out += len(data)
+        self.counters.datagrams_out += 1
+        self.counters.bytes_out += len(data)
         self.actions.append(SendDatagram(address, data))
 
-    def next_at(self) -> float:
-        silent = min((self.lives[id].heard for id in self.present), default=math.inf)
-        return max(self.now, min(self.next["probe"], silent + MISSED * self.timing.period))
+    def next_step_at(self) -> float:
+        silent = min((self.records[id].last_heard for id in self.active_members), default=math.inf)
+        return max(self.now, min(self.due_at["probe"], silent + MISSED * self.timing.probe_interval))
 
-    def take(self, event: Any) -> None:
+    def handle_event(self, event: Any) -> None:
         if isinstance(event, DatagramReceived):
             try:
-                self.hear(decode_datagram(self.deployment, event.data))
+                self.handle_datagram(decode_datagram(self.deployment, event.data))
             except WireError:
-                self.figures.refused["any"] = self.figures.refused.get("any", 0) + 1
+                self.counters.rejected["any"] = self.counters.rejected.get("any", 0) + 1
 
-    def hear(self, message: Datagram) -> None:
+    def handle_datagram(self, message: Datagram) -> None:
         sender = message.sender
-        life = self.lives.get(sender.id)
+        life = self.records.get(sender.id)
         if life is None:
-            self.believe(sender)
-            life = self.lives[sender.id]
-        elif life.rumour.state is not MemberState.ALIVE:
-            self.changed(life, life.rumour, sender)
-        life.heard = self.now
+            self.merge_update(sender)
+            life = self.records[sender.id]
+        elif life.update.state is not MemberState.ALIVE:
+            self.apply_update(life, life.update, sender)
+        life.last_heard = self.now
--- a/cleatyoke/emulation/capacity/duties.py
+++ b/cleatyoke/emulation/capacity/duties.py
@@ -16,7 +16,7 @@
 from cleatyoke.emulation.capacity.nodes import NOW, ListedFront, settings
 from cleatyoke.emulation.capacity.plan import PLAN
 from cleatyoke.fleet.view import TRADE
-from cleatyoke.membership.wire import MemberId, MemberState, Update, decode_view, encode_view
+from cleatyoke.membership.wire import MemberId, MemberState, Update, decode_full_state, encode_full_state
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, SettingsReloaded, UpdateKind
 from cleatyoke.scheduling.load_probes import LoadProber
@@ -46,11 +46,11 @@
         )
         for one in range(members)
     ]
-    data = encode_view("capacity", lives[0], lives)
+    data = encode_full_state("capacity", lives[0], lives)
     return ViewCosts(
         len(data),
-        processor_seconds(lambda: encode_view("capacity", lives[0], lives), 3),
-        processor_seconds(lambda: decode_view("capacity", data), 3),
+        processor_seconds(lambda: encode_full_state("capacity", lives[0], lives), 3),
+        processor_seconds(lambda: decode_full_state("capacity", data), 3),
     )
 
 
--- a/cleatyoke/emulation/capacity/hollow.py
+++ b/cleatyoke/emulation/capacity/hollow.py
@@ -16,7 +16,7 @@
 from cleatyoke.emulation.capacity.cost import resident_bytes
 from cleatyoke.emulation.fleet import Fleet, Process
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.member_records import MemberRecord, mark_of
+from cleatyoke.membership.member_records import MemberRecord, update_checksum
 from cleatyoke.membership.members import Membership
 from cleatyoke.membership.wire import MemberId, MemberState, Update
 
@@ -70,13 +70,13 @@
         Update(MemberId(f"front-{front:04d}", 1), fleet.address(front), MemberState.ALIVE, 0, True)
         for front in range(size)
     ]
-    marks = {rumour.id: mark_of(rumour) for rumour in rumours}
+    marks = {rumour.id: update_checksum(rumour) for rumour in rumours}
     rng = random.Random(f"settled:{size}:{seed}")
     for front in range(size):
         members = settled_members(fleet, front, rumours, marks, rng)
         fleet.boots[front] = 1
         process = fleet.running[fleet.address(front)] = Process(front, members, 0.0)
-        process.alarm = members.next_at()
+        process.alarm = members.next_step_at()
         fleet.at(process.alarm, wake_up(fleet, process))
     return fleet
 
@@ -92,24 +92,30 @@
     """One that has been there for long, and knows all."""
     own = rumours[front]
     members = Membership(
-        "test", own.id.name, own.id.boot, own.address, fleet.seeds, random.Random(rng.random()), alone=True
+        "test",
+        own.id.name,
+        own.id.boot,
+        own.address,
+        fleet.seeds,
+        random.Random(rng.random()),
+        owns_address=True,
     )
     members.step(0.0)
-    members.joined = True
-    members.next["join"] = members.timing.sync * (0.5 + rng.random())
-    members.next["sync"] = rng.random() * members.timing.sync * max(1.0, len(rumours) / 20)
+    members.has_joined = True
+    members.due_at["join"] = members.timing.exchange_interval * (0.5 + rng.random())
+    members.due_at["sync"] = rng.random() * members.timing.exchange_interval * max(1.0, len(rumours) / 20)
     for rumour in rumours:
         if rumour is not own:
             life = MemberRecord(rumour, 0.0)
-            life.mark = marks[rumour.id]
-            members.lives[rumour.id] = life
-            members.present[rumour.id] = None
-            members.sum ^= life.mark
-    members.round = list(members.present)
-    rng.shuffle(members.round)
-    members.queue.clear()
-    members.actions, members.news = [], []
-    members.news_at = -math.inf
+            life.checksum = marks[rumour.id]
+            members.records[rumour.id] = life
+            members.active_members[rumour.id] = None
+            members.active_checksum ^= life.checksum
+    members.probe_round = list(members.active_members)
+    rng.shuffle(members.probe_round)
+    members.transmit_counts.clear()
+    members.actions, members.changed_ids = [], []
+    members.last_change_at = -math.inf
     return members
 
 
@@ -132,9 +138,9 @@
     """Whether all who run believe the same, doubt nobody, and believe what is true."""
     true = 0
     for process in fleet.running.values():
-        true ^= mark_of(process.members.me())
+        true ^= update_checksum(process.members.own_update())
     return all(
-        process.members.there_sum() == true and not process.members.doubted
+        process.members.membership_checksum() == true and not process.members.suspected_members
         for process in fleet.running.values()
     )
 
@@ -158,7 +164,7 @@
 
     def totals(self) -> dict[MemberId, int]:
         lives = (process.members for process in self.fleet.running.values())
-        return {members.id: members.figures.bytes_out for members in lives}
+        return {members.id: members.counters.bytes_out for members in lives}
 
     def close_window(self) -> None:
         totals = self.totals()
--- a/cleatyoke/emulation/capacity/needs.py
+++ b/cleatyoke/emulation/capacity/needs.py
@@ -14,7 +14,7 @@
 from cleatyoke.emulation.capacity.measure import Kind
 from cleatyoke.emulation.capacity.plan import DAY, PLAN, Plan
 from cleatyoke.emulation.capacity.results import Results, Spread
-from cleatyoke.membership.wire import MOST_COPIES, MOST_STREAM
+from cleatyoke.membership.wire import MAX_REPLICA_BYTES, MAX_STREAM_BYTES
 
 LOAD = 0.7  # of a core that a process of the data path may be kept at
 ENTRIES = 3  # of the list for one machine that is replaced: drains, went, came
@@ -139,12 +139,12 @@
         settled = results.at(name, "settled")
         yield Need(f"membership, {duty}, until all agree", settled, plan.config_within, "s", hollow, members)
     view = results.at("whole view", "bytes")
-    yield Need("a whole view, size", view, MOST_STREAM, "bytes", real, "encode_view (fleet/wire.py)")
+    yield Need("a whole view, size", view, MAX_STREAM_BYTES, "bytes", real, "encode_view (fleet/wire.py)")
     all_workers = plan.fronts * workers(results)
     wide = results.at("whole view", "bytes", all_workers)
     yield Need(
         "a whole view, with each worker a member",
-        *(wide, MOST_STREAM, "bytes", real, "encode_view (fleet/wire.py)"),
+        *(wide, MAX_STREAM_BYTES, "bytes", real, "encode_view (fleet/wire.py)"),
         f"{workers(results)} processes a front",
     )
 
@@ -155,7 +155,12 @@
     all_workers = plan.fronts * workers(results)
     yield Need("holds, lives that ever placed one", all_workers, MOST_ACTORS, "lives", paper, hold)
     yield Need(
-        "holds, one by each front", results.at("holds by hand", "bytes"), MOST_COPIES, "bytes", real, hold
+        "holds, one by each front",
+        results.at("holds by hand", "bytes"),
+        MAX_REPLICA_BYTES,
+        "bytes",
+        real,
+        hold,
     )
     rights = results.at("parts of limits", "cpu")
     yield Need("parts of limits, at rest", rights, plan.core, "core", real, "Rights.step (fleet/rights.py)")
--- a/cleatyoke/emulation/durability.py
+++ b/cleatyoke/emulation/durability.py
@@ -93,7 +93,7 @@
             self.may.add(box)
             self.must.discard(box)
             self.keep(members)
-        members.done_here()
+        members.push_local_change()
         self.step(self.address(front))
 
     def act(self, what: str, front: int, box: str) -> None:
--- a/cleatyoke/emulation/fleet.py
+++ b/cleatyoke/emulation/fleet.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.conclusions import Conclusion, Known, conclude
+from cleatyoke.membership.conclusions import Conclusion, ObservedMember, conclude
 from cleatyoke.membership.interface import (
-    Change,
+    ChangeKind,
     DatagramReceived,
     ExchangeAnswered,
     ExchangeRequested,
@@ -23,7 +23,7 @@
     SendDatagram,
     StartExchange,
 )
-from cleatyoke.membership.member_records import HEARD_OF, rank
+from cleatyoke.membership.member_records import ACTIVE_STATES, precedence
 from cleatyoke.membership.members import Membership
 from cleatyoke.membership.wire import MemberId, MemberState
 
@@ -103,7 +103,7 @@
             self.seeds,
             rng,
             self.timing,
-            alone=True,
+            owns_address=True,
         )
         self.running[address] = Process(front, members, self.now)
         self.step(address)
@@ -170,10 +170,10 @@
                 case MembershipChanged():
                     self.told(process, action)
         self.check_ranks(process)
-        if process.members.left:
+        if process.members.has_left:
             self.running.pop(address, None)
             return
-        due = process.members.next_at()
+        due = process.members.next_step_at()
         if due < process.alarm or process.alarm <= self.now:
             process.alarm = due
             self.at(due, lambda: self.rung(address, process, due))
@@ -199,35 +199,35 @@
 
     def told(self, process: Process, told: MembershipChanged) -> None:
         self.journal.told += 1
-        if told.change in (Change.SUSPECTED, Change.DIED):
+        if told.change in (ChangeKind.SUSPECTED, ChangeKind.DIED):
             self.journal.suspected.setdefault(told.id, self.now)
-        if told.change is Change.DIED:
+        if told.change is ChangeKind.DIED:
             true = all(other.members.id != told.id for other in self.running.values())
             self.journal.deaths.append((self.now, process.members.id.name, told.id, true))
 
     def check_ranks(self, process: Process) -> None:
         """What a life holds of another never goes back."""
-        for id in process.members.news:
-            life = process.members.lives.get(id)
+        for id in process.members.changed_ids:
+            life = process.members.records.get(id)
             if life is None:
                 continue
             was = process.ranks.get(id)
-            if was is not None and rank(life.rumour) < was:
+            if was is not None and precedence(life.update) < was:
                 self.broken.append(f"back: {process.members.id} of {id} at {self.now:.3f}")
-            process.ranks[id] = rank(life.rumour)
+            process.ranks[id] = precedence(life.update)
 
     def conclusion(self, process: Process, hosts: int) -> Conclusion:
         members = process.members
-        known = [Known(life.rumour, life.heard) for life in members.lives.values()]
-        return conclude(members.me(), known, hosts, self.now)
+        known = [ObservedMember(life.update, life.last_heard) for life in members.records.values()]
+        return conclude(members.own_update(), known, hosts, self.now)
 
     def check_counts(self) -> None:
         """Nobody counts fewer fronts than run, nor calls one that runs stopped, on any side of any cut."""
-        true = {one.members.id for one in self.running.values() if not one.members.leaving}
+        true = {one.members.id for one in self.running.values() if not one.members.is_leaving}
         for process in self.running.values():
             told = self.conclusion(process, self.size)
-            if told.count < len({id.name for id in true}):
-                self.broken.append(f"count: {process.members.id} counts {told.count} at {self.now:.3f}")
+            if told.front_count < len({id.name for id in true}):
+                self.broken.append(f"count: {process.members.id} counts {told.front_count} at {self.now:.3f}")
             if wrong := told.certainly_stopped & true:
                 self.broken.append(f"stopped: {process.members.id} says so of {min(wrong)} at {self.now:.3f}")
 
@@ -237,7 +237,7 @@
         digests = set()
         for process in self.running.values():
             members = process.members
-            there = {id for id, life in members.lives.items() if life.rumour.state is MemberState.ALIVE}
+            there = {id for id, life in members.records.items() if life.update.state is MemberState.ALIVE}
             if there | {members.id} != true:
                 return False
             digests.add(members.digest())
@@ -254,11 +254,11 @@
 
     def knows_dead(self, id: MemberId) -> float:
         """Part of those who run that no longer count on this life."""
-        lives = [process.members.lives.get(id) for process in self.running.values()]
-        gone = sum(life is not None and life.rumour.state not in HEARD_OF for life in lives)
+        lives = [process.members.records.get(id) for process in self.running.values()]
+        gone = sum(life is not None and life.update.state not in ACTIVE_STATES for life in lives)
         return gone / max(1, len(lives))
 
     def traffic(self) -> tuple[int, int]:
         """Datagrams and bytes that those who run have sent."""
-        figures = [process.members.figures for process in self.running.values()]
+        figures = [process.members.counters for process in self.running.values()]
         return sum(one.datagrams_out for one in figures), sum(one.bytes_out for one in figures)
--- a/cleatyoke/emulation/measure.py
+++ b/cleatyoke/emulation/measure.py
@@ -23,7 +23,7 @@
 
 KINDS: dict[str, type[Membership]] = {"ours": Membership, "plain SWIM": PlainSwim, "heartbeats": Heartbeats}
 SIZES = (10, 50, 200, 1000)
-PERIOD = MembershipTiming().period
+PERIOD = MembershipTiming().probe_interval
 WARM = 15.0  # seconds until the fleet has one view
 KILLS = 5
 WATCHED = 120.0  # seconds over which false deaths are counted, so that an hour is thirty times as many
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -33,14 +33,14 @@
 from cleatyoke.coordination.rate_limit_leases import RateLimitLeases
 from cleatyoke.coordination.slow_start_leases import SlowStartLeases
 from cleatyoke.core import Core
-from cleatyoke.membership.conclusions import Conclusion, Known, conclude
+from cleatyoke.membership.conclusions import Conclusion, ObservedMember, conclude
 from cleatyoke.membership.interface import (
-    Change,
+    BootNumberRecovered,
+    ChangeKind,
     DatagramReceived,
     DeliverBody,
     ExchangeAnswered,
     ExchangeRequested,
-    IncarnationRemembered,
     LeaveRequested,
     MembershipAction,
     MembershipChanged,
@@ -51,7 +51,7 @@
     StartExchange,
 )
 from cleatyoke.membership.members import Membership
-from cleatyoke.membership.wire import MOST_STREAM, MemberState
+from cleatyoke.membership.wire import MAX_STREAM_BYTES, MemberState
 from cleatyoke.process.faults import Faults, Watchdog
 from cleatyoke.process.handover import HoldFile
 from cleatyoke.scheduling.events import EndpointUpdate, QuotaShareChanged, SchedulerEvent
@@ -100,12 +100,12 @@
         self.loop = asyncio.get_running_loop()
         boot, times = peers.boot or boot or int(time.time() * 1000), peers.timing
         timing = MembershipTiming(
-            period=times["period"],
-            answer=times["answer"],
-            gossip=times["gossip"],
-            sync=times["sync"],
-            departed=times["departed"],
-            join=times["join"],
+            probe_interval=times["period"],
+            ack_timeout=times["answer"],
+            gossip_interval=times["gossip"],
+            exchange_interval=times["sync"],
+            failed_probe_interval=times["departed"],
+            join_interval=times["join"],
         )
         self.members = Membership(
             peers.deployment,
@@ -115,7 +115,7 @@
             [told(one) for one in peers.seeds],
             random.Random(f"{seed}:{name}:{boot}"),
             timing,
-            alone=True,
+            owns_address=True,
         )
         self.copies = self.members.store = HoldReplication(lambda: self.members.id)
         self.rights = QuotaLeases(self.loop.time(), random.Random(f"rights:{seed}:{name}:{boot}"))
@@ -150,7 +150,7 @@
                 raise
             self.transport, self.server = await self.bind(0)
             port = self.transport.get_extra_info("sockname")[1]
-            self.members.address, self.members.alone = told(Address(listen.host, port)), False
+            self.members.address, self.members.owns_address = told(Address(listen.host, port)), False
             log.info("fleet_beside_another", address=self.members.address)
             self.claims.start()
         self.alike.start()
@@ -184,7 +184,7 @@
         self.claims.stop()
         self.close_sockets()
         self.transport, self.server = transport, server
-        self.members.move(told(self.peers.advertise), alone=True)
+        self.members.change_address(told(self.peers.advertise), owns_address=True)
         log.info("fleet_alone", address=self.members.address)
         self.step()
 
@@ -236,7 +236,7 @@
         def called(box: str, hold: bool) -> None:
             (self.copies.hold if hold else self.copies.release)(box)
             keep()
-            self.members.done_here()
+            self.members.push_local_change()
             self.step()
 
         self.copies.changed, file.shared = changed, called
@@ -251,12 +251,12 @@
         known = self.members.seeds
         known += [peer for peer in memory.peers if peer not in known][:HINTS]
         if self.transport:  # it is late
-            self.step(IncarnationRemembered(memory.boot))
+            self.step(BootNumberRecovered(memory.boot))
             self.copies.changed(self.copies.holds.boxes(), frozenset())
 
     def memory(self, before: FrontState) -> FrontState:
         """What outlives a loss of power, in place of what was kept before."""
-        there = sorted(self.members.lives[id].rumour.address for id in self.members.present)
+        there = sorted(self.members.records[id].update.address for id in self.members.active_members)
         return dataclasses.replace(
             before, holds=self.copies.holds, boot=self.members.id.boot, peers=tuple(there) or before.peers
         )
@@ -275,11 +275,11 @@
         until = time.monotonic() + within
         while True:
             members = self.members
-            there = list(members.present)
+            there = list(members.active_members)
             done = (box in self.copies.holds.boxes()) == hold
             having = sum(not self.copies.lacks(id) for id in there) if done else -1
             if (having == len(there) and done and self.on_disk()) or time.monotonic() >= until:
-                return having + 1, max(self.conclusion().count, len(there) + 1)
+                return having + 1, max(self.conclusion().front_count, len(there) + 1)
             time.sleep(0.01)
 
     def say(self, settings: SchedulerSettings) -> None:
@@ -289,11 +289,11 @@
         shared = dataclasses.replace(
             settings, seed=0, idle_since=None, initial_quota_share=1.0, replaces_process=False
         )
-        self.members.goes_by(zlib.crc32(repr(shared).encode()))
+        self.members.announce_settings(zlib.crc32(repr(shared).encode()))
 
     def look_at_settings(self) -> None:
         """Each keeps to its own, and says so."""
-        if (differ := self.members.unlike()) != self.differ:
+        if (differ := self.members.fronts_with_other_settings()) != self.differ:
             self.differ = differ
             if differ:
                 log.warning("fleet_settings_differ", fronts=differ)
@@ -340,7 +340,7 @@
         """One step of the rights."""
         now = self.loop.time()
         for post in self.rights.step(now, events):
-            for action in self.members.post(post.receiver, post.message):
+            for action in self.members.send_lease_message(post.receiver, post.message):
                 self.act(action)
         if self.core:
             for event in self.changes(now):
@@ -350,7 +350,7 @@
         now = self.loop.time()
         needs = {key: need for one in (self.limits, self.cold) if one for key, need in one.needs(now).items()}
         if needs or self.rights.accounts:
-            alive = [id for id in self.members.present if id not in self.members.doubted]
+            alive = [id for id in self.members.active_members if id not in self.members.suspected_members]
             self.trade(PeersChanged(tuple(alive)), DemandChanged(needs))
 
     # Steps
@@ -376,8 +376,8 @@
             self.faults.told("fleet_fault", error)
         if self.bell:
             self.bell.cancel()
-        if not self.members.left:
-            self.bell = self.loop.call_at(self.members.next_at(), self.step)
+        if not self.members.has_left:
+            self.bell = self.loop.call_at(self.members.next_step_at(), self.step)
 
     def act(self, action: MembershipAction) -> None:
         match action:
@@ -397,7 +397,7 @@
                 if self.core:
                     self.trade(LeaseMessageReceived(sender, body))
             case MembershipChanged(change, id, by):
-                if change is Change.RENAMED and self.recall:
+                if change is ChangeKind.RENAMED and self.recall:
                     self.recall.keep()
                 log.info("fleet_change", change=change.value, of=id.name, boot=id.boot, by=by)
 
@@ -422,14 +422,14 @@
                     peer.host, peer.port, local_addr=(self.peers.listen.host, 0)
                 )
                 await write_message(writer, data)
-                answer = await read_message(reader, MOST_STREAM)
+                answer = await read_message(reader, MAX_STREAM_BYTES)
         except (ConfigError, OSError, EOFError, ValueError, TimeoutError):
             self.dropped["exchange"] += 1
         finally:
             if writer:
                 writer.transport.abort()
         self.step(ExchangeAnswered(address, answer))
-        if answer is not None and self.members.joined:
+        if answer is not None and self.members.has_joined:
             self.answered.set()
 
     def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -444,7 +444,7 @@
         token = self.tokens
         try:
             async with asyncio.timeout(PATIENCE):
-                data = await read_message(reader, MOST_STREAM)
+                data = await read_message(reader, MAX_STREAM_BYTES)
                 reply = self.waiting[token] = self.loop.create_future()
                 self.step(ExchangeRequested(token, data))
                 if not reply.done():
@@ -464,20 +464,20 @@
 
     def conclusion(self) -> Conclusion:
         members = self.members
-        known = [Known(life.rumour, life.heard) for life in list(members.lives.values())]
-        return conclude(members.me(), known, self.hosts, members.now)
+        known = [ObservedMember(life.update, life.last_heard) for life in list(members.records.values())]
+        return conclude(members.own_update(), known, self.hosts, members.now)
 
     def lines(self) -> list[str]:
         members, found = self.members, self.conclusion()
-        me = members.me()
-        place = "alone" if me.alone else "beside"
+        me = members.own_update()
+        place = "alone" if me.owns_address else "beside"
         out = [
-            f"fleet.me {me.id.name} {me.id.boot} {me.count} {me.address} {place}",
-            f"fleet.count {found.count}",
+            f"fleet.me {me.id.name} {me.id.boot} {me.incarnation} {me.address} {place}",
+            f"fleet.count {found.front_count}",
             f"fleet.digest {members.digest():08x}",
         ]
-        for life in sorted(members.lives.values(), key=lambda life: life.rumour.id):
-            one = life.rumour
+        for life in sorted(members.records.values(), key=lambda life: life.update.id):
+            one = life.update
             sure = (
                 "certainly-up"
                 if one.id in found.certainly_up
@@ -485,9 +485,9 @@
                 if one.id in found.certainly_stopped
                 else "perhaps-up"
             )
-            silent = f"{members.now - life.heard:.1f}" if life.heard > 0 else "never"
+            silent = f"{members.now - life.last_heard:.1f}" if life.last_heard > 0 else "never"
             out.append(
-                f"fleet.life {one.id.name} {one.id.boot} {one.count} {one.address} "
+                f"fleet.life {one.id.name} {one.id.boot} {one.incarnation} {one.address} "
                 f"{one.state.name.lower()} {sure} heard={silent}"
             )
         return out
@@ -497,7 +497,7 @@
         differed and were settled by the rule.
         """
         members, copies, rights = self.members, self.copies, self.rights
-        there = list(members.present)
+        there = list(members.active_members)
         lacking = sorted(id.name for id in there if copies.lacks(id))
         accounts = list(rights.accounts.items())
         loans = sum(len(account.loans) for _, account in accounts)
@@ -505,18 +505,18 @@
             f"replica.holds entries={len(copies.holds.held)} numbers={len(copies.holds.clock)} "
             f"lacking={len(lacking)} of={len(there)} settled={copies.merged} disk="
             + ("none" if self.recall is None else "yes" if self.on_disk() else "behind"),
-            f"replica.settings {members.settings:08x} differ={','.join(members.unlike()) or 'none'}",
+            f"replica.settings {members.settings_checksum:08x} differ={','.join(members.fronts_with_other_settings()) or 'none'}",
             *(f"replica.hold {box}" for box in sorted(copies.holds.held)),
             *(f"replica.lacks {name}" for name in lacking[:64]),
             f"replica.rights resources={len(accounts)} loans={loans} refused={rights.refused}",
         ]
 
     def figures(self) -> list[str]:
-        members, told = self.members, self.members.figures
-        states = Counter(life.rumour.state for life in list(members.lives.values()))
+        members, told = self.members, self.members.counters
+        states = Counter(life.update.state for life in list(members.records.values()))
         facts = {state.name.lower(): states[state] for state in MemberState}
         facts |= {name: getattr(told, name) for name in told.__dataclass_fields__ if name != "refused"}
-        facts |= {f"refused.{why.replace(' ', '-')}": count for why, count in dict(told.refused).items()}
+        facts |= {f"refused.{why.replace(' ', '-')}": count for why, count in dict(told.rejected).items()}
         facts |= {f"dropped.{why}": count for why, count in dict(self.dropped).items()}
         facts |= {"holds": len(self.copies.holds.held), "copies_merged": self.copies.merged}
         accounts = list(self.rights.accounts.values())
--- a/cleatyoke/membership/interface.py
+++ b/cleatyoke/membership/interface.py
@@ -15,19 +15,21 @@
 class MembershipTiming:
     """Seconds, or times them."""
 
-    period: float = 0.5  # between two probes by one life
-    answer: float = 0.15  # until others are asked to probe too
-    helpers: int = 3  # how many of them
-    gossip: float = 0.1  # between two rounds of rumours, while there are any
-    fanout: int = 3  # to how many they go in a round
-    spread: float = 4.0  # times the logarithm (to 10) of the members: how often a rumour is told
-    suspicion: float = 4.0  # periods, times that logarithm: the least that a suspicion lasts
-    doubt: float = 6.0  # times that, with one accuser alone
-    sync: float = 10.0  # between two exchanges of whole views with somebody
-    departed: float = 1.0  # between two probes of somebody departed
-    join: float = 1.0  # between two tries at a seed
-    away: float = 1.5  # late by so much, a step finds that this process was stopped
-    forget: float = 3600.0  # after which one that left is forgotten
+    probe_interval: float = 0.5  # between two probes by one life
+    ack_timeout: float = 0.15  # until others are asked to probe too
+    indirect_probes: int = 3  # how many of them
+    gossip_interval: float = 0.1  # between two rounds of rumours, while there are any
+    gossip_fanout: int = 3  # to how many they go in a round
+    retransmit_multiplier: float = (
+        4.0  # times the logarithm (to 10) of the members: how often a rumour is told
+    )
+    suspicion_multiplier: float = 4.0  # periods, times that logarithm: the least that a suspicion lasts
+    max_suspicion_multiplier: float = 6.0  # times that, with one accuser alone
+    exchange_interval: float = 10.0  # between two exchanges of whole views with somebody
+    failed_probe_interval: float = 1.0  # between two probes of somebody departed
+    join_interval: float = 1.0  # between two tries at a seed
+    pause_threshold: float = 1.5  # late by so much, a step finds that this process was stopped
+    left_retention: float = 3600.0  # after which one that left is forgotten
 
 
 # Events
@@ -62,14 +64,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class IncarnationRemembered:
+class BootNumberRecovered:
     """A boot number of our name that a life before used, as the disk told once this one had begun."""
 
     boot: int
 
 
 MembershipEvent = (
-    DatagramReceived | ExchangeRequested | ExchangeAnswered | LeaveRequested | IncarnationRemembered
+    DatagramReceived | ExchangeRequested | ExchangeAnswered | LeaveRequested | BootNumberRecovered
 )
 
 
@@ -96,7 +98,7 @@
     data: bytes
 
 
-class Change(Enum):
+class ChangeKind(Enum):
     """What the log is told, once for each."""
 
     JOINED = "joined"
@@ -104,15 +106,15 @@
     DIED = "died"
     RETURNED = "returned"  # it was believed dead, or suspected, and is not
     LEFT = "left"
-    AWAY = "away"  # this process itself was stopped, and knows it
+    PAUSED = "away"  # this process itself was stopped, and knows it
     RENAMED = "renamed"  # this life gave way upward to a higher boot number of its name
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipChanged:
-    change: Change
+    change: ChangeKind
     id: MemberId
-    by: str = ""
+    suspected_by: str = ""
 
 
 @dataclass(slots=True, frozen=True)
--- a/cleatyoke/membership/member_records.py
+++ b/cleatyoke/membership/member_records.py
@@ -8,19 +8,19 @@
 
 from cleatyoke.membership.wire import MemberId, MemberState, Update
 
-HEARD_OF = (MemberState.ALIVE, MemberState.SUSPECT)
+ACTIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 @dataclass(slots=True)
 class MemberRecord:
     """A life as this one knows it."""
 
-    rumour: Update
-    since: float  # of its state here
-    accusers: set[str] = field(default_factory=set)
-    heard: float = -math.inf  # directly, by a datagram or stream of its own
-    mark: int = 0  # what it adds to the sum of those that are there
-    warned: float = -math.inf  # when it was last told, at once, what is believed of it
+    update: Update
+    state_since: float  # of its state here
+    suspectors: set[str] = field(default_factory=set)
+    last_heard: float = -math.inf  # directly, by a datagram or stream of its own
+    checksum: int = 0  # what it adds to the sum of those that are there
+    notified_at: float = -math.inf  # when it was last told, at once, what is believed of it
 
 
 @dataclass(slots=True)
@@ -28,9 +28,9 @@
     """A ping of our own that has no answer yet."""
 
     target: MemberId
-    ask_at: float
-    over_at: float
-    asked: int = 0  # helpers
+    indirect_at: float
+    deadline: float
+    helpers_asked: int = 0  # helpers
     nacks: int = 0
 
 
@@ -38,10 +38,10 @@
 class RelayedPing:
     """A ping for somebody else."""
 
-    address: str
-    number: int
+    requester: str
+    requester_sequence: int
     nack_at: float
-    over_at: float
+    deadline: float
 
 
 @dataclass(slots=True)
@@ -56,15 +56,15 @@
     deaths: int = 0  # declared here
     refutations: int = 0  # of what was said of this life
     false_deaths: int = 0  # lives believed dead here that came back under the same boot number
-    refused: dict[str, int] = field(default_factory=dict)  # messages not taken, by reason
+    rejected: dict[str, int] = field(default_factory=dict)  # messages not taken, by reason
 
 
-def rank(rumour: Update) -> tuple[bool, int, int]:
+def precedence(rumour: Update) -> tuple[bool, int, int]:
     """Of two rumours of one life the greater holds. Leaving is by its own word and final; else its own count
     decides, which only it raises, and at one count the graver state.
     """
-    return rumour.state is MemberState.LEFT, rumour.count, int(rumour.state)
+    return rumour.state is MemberState.LEFT, rumour.incarnation, int(rumour.state)
 
 
-def mark_of(rumour: Update) -> int:
-    return zlib.crc32(f"{rumour.id.name}:{rumour.id.boot}:{rumour.count}".encode())
+def update_checksum(rumour: Update) -> int:
+    return zlib.crc32(f"{rumour.id.name}:{rumour.id.boot}:{rumour.incarnation}".encode())
--- a/cleatyoke/membership/probing.py
+++ b/cleatyoke/membership/probing.py
@@ -8,11 +8,17 @@
 import random
 
 from cleatyoke.membership.interface import MembershipTiming
-from cleatyoke.membership.member_records import HEARD_OF, MemberRecord, MembershipCounters, Probe, RelayedPing
-from cleatyoke.membership.suspicion import ACCUSERS, MemberTable
+from cleatyoke.membership.member_records import (
+    ACTIVE_STATES,
+    MemberRecord,
+    MembershipCounters,
+    Probe,
+    RelayedPing,
+)
+from cleatyoke.membership.suspicion import SUSPECTORS_FOR_SHORTEST, MemberTable
 from cleatyoke.membership.wire import Ack, Body, MemberId, MemberState, Ping, PingRequest, Update
 
-UNHEALTHY = 8  # most that local health counts
+MAX_HEALTH_SCORE = 8  # most that local health counts
 
 
 class Probing(MemberTable):
@@ -21,103 +27,119 @@
     def __init__(self, id: MemberId, address: str, rng: random.Random, timing: MembershipTiming) -> None:
         super().__init__(timing)
         self.id, self.address, self.rng = id, address, rng
-        self.figures = MembershipCounters()
-        self.round: list[MemberId] = []  # whom to probe in this round, the next one last
-        self.probes: dict[int, Probe] = {}
-        self.relayed: dict[int, RelayedPing] = {}
-        self.number = 0
-        self.health = 0  # 0: well; more, and this life doubts itself rather than others
-        self.next: dict[str, float] = {}
+        self.counters = MembershipCounters()
+        self.probe_round: list[MemberId] = []  # whom to probe in this round, the next one last
+        self.pending_probes: dict[int, Probe] = {}
+        self.relayed_pings: dict[int, RelayedPing] = {}
+        self.sequence = 0
+        self.health_score = 0  # 0: well; more, and this life doubts itself rather than others
+        self.due_at: dict[str, float] = {}
 
     def send(self, address: str, body: Body, receiver: MemberId | None = None) -> None:
         raise NotImplementedError
 
-    def believe(self, rumour: Update) -> None:
+    def merge_update(self, rumour: Update) -> None:
         raise NotImplementedError
 
-    def there_sum(self) -> int:
+    def membership_checksum(self) -> int:
         raise NotImplementedError
 
-    def probe_next(self) -> None:
+    def probe_next_member(self) -> None:
         """One member a period, each once in a round whose order is drawn anew."""
-        while self.round:
-            id = self.round.pop()
-            life = self.lives.get(id)
-            if life and life.rumour.state in HEARD_OF:
-                return self.probe(id)
-        self.round = self.there()
-        self.rng.shuffle(self.round)
-        if self.round:
-            self.probe(self.round.pop())
-
-    def probe(self, id: MemberId) -> None:
-        self.number += 1
-        slack = 1 + self.health
-        self.probes[self.number] = Probe(
-            id, self.now + self.timing.answer * slack, self.now + self.timing.period * slack
+        while self.probe_round:
+            id = self.probe_round.pop()
+            life = self.records.get(id)
+            if life and life.update.state in ACTIVE_STATES:
+                return self.send_probe(id)
+        self.probe_round = self.active_ids()
+        self.rng.shuffle(self.probe_round)
+        if self.probe_round:
+            self.send_probe(self.probe_round.pop())
+
+    def send_probe(self, id: MemberId) -> None:
+        self.sequence += 1
+        slack = 1 + self.health_score
+        self.pending_probes[self.sequence] = Probe(
+            id, self.now + self.timing.ack_timeout * slack, self.now + self.timing.probe_interval * slack
         )
-        self.send(self.lives[id].rumour.address, Ping(self.number, id, self.there_sum()), id)
-
-    def look_at_probe(self, number: int, probe: Probe) -> None:
-        life = self.lives.get(probe.target)
-        if life is None or life.rumour.state not in HEARD_OF:
-            del self.probes[number]
-        elif self.now >= probe.over_at:
-            del self.probes[number]
-            missed = probe.asked - probe.nacks  # helpers whom we do not hear either: the fault may be ours
-            self.health = min(UNHEALTHY, self.health + (missed if probe.asked else 1))
-            self.figures.suspicions += 1
-            old = life.rumour
-            self.believe(Update(old.id, old.address, MemberState.SUSPECT, old.count, old.alone, self.id.name))
-        elif self.now >= probe.ask_at and not probe.asked:
-            self.ask_others(number, probe, life.rumour.address)
-
-    def ask_others(self, number: int, probe: Probe, address: str) -> None:
-        helpers = [id for id in self.there() if id != probe.target]
-        chosen = self.rng.sample(helpers, min(self.timing.helpers, len(helpers)))
+        self.send(self.records[id].update.address, Ping(self.sequence, id, self.membership_checksum()), id)
+
+    def check_probe(self, number: int, probe: Probe) -> None:
+        life = self.records.get(probe.target)
+        if life is None or life.update.state not in ACTIVE_STATES:
+            del self.pending_probes[number]
+        elif self.now >= probe.deadline:
+            del self.pending_probes[number]
+            missed = (
+                probe.helpers_asked - probe.nacks
+            )  # helpers whom we do not hear either: the fault may be ours
+            self.health_score = min(
+                MAX_HEALTH_SCORE, self.health_score + (missed if probe.helpers_asked else 1)
+            )
+            self.counters.suspicions += 1
+            old = life.update
+            self.merge_update(
+                Update(
+                    old.id, old.address, MemberState.SUSPECT, old.incarnation, old.owns_address, self.id.name
+                )
+            )
+        elif self.now >= probe.indirect_at and not probe.helpers_asked:
+            self.request_indirect_probes(number, probe, life.update.address)
+
+    def request_indirect_probes(self, number: int, probe: Probe, address: str) -> None:
+        helpers = [id for id in self.active_ids() if id != probe.target]
+        chosen = self.rng.sample(helpers, min(self.timing.indirect_probes, len(helpers)))
         for id in chosen:
-            self.send(self.lives[id].rumour.address, PingRequest(number, probe.target, address))
-        probe.asked = len(chosen)
+            self.send(self.records[id].update.address, PingRequest(number, probe.target, address))
+        probe.helpers_asked = len(chosen)
         if not chosen:
-            probe.ask_at = probe.over_at
+            probe.indirect_at = probe.deadline
 
-    def probe_departed(self) -> None:
+    def probe_failed_member(self) -> None:
         """One of those believed dead: were it a cut that parted us, it heals by this. Or one that left and
         has no successor at its address: it may be back, and its seeds be gone. The rate is one life's,
         however many there are.
         """
-        there = {self.lives[id].rumour.address for id in self.present} if self.over else set()
-        left = [id for id in self.over if self.lives[id].rumour.address not in {*there, self.address}]
-        choices = [choice for choice in (list(self.departed), left) if choice]
+        there = (
+            {self.records[id].update.address for id in self.active_members} if self.left_members else set()
+        )
+        left = [
+            id for id in self.left_members if self.records[id].update.address not in {*there, self.address}
+        ]
+        choices = [choice for choice in (list(self.failed_members), left) if choice]
         if choices:
             id = self.rng.choice(self.rng.choice(choices))
-            self.number += 1
-            self.send(self.lives[id].rumour.address, Ping(self.number, id, self.there_sum()), id)
+            self.sequence += 1
+            self.send(
+                self.records[id].update.address, Ping(self.sequence, id, self.membership_checksum()), id
+            )
 
-    def look_again(self) -> None:
+    def recheck_suspect(self) -> None:
         """Ping one that has been suspected for a period. Its answer has its count, should its refutation not
         have come by others, as rumours reach nearly all and not all; no answer accuses nobody.
         """
-        for id, at in self.looks.items():
+        for id, at in self.recheck_at.items():
             if self.now >= at:
-                del self.looks[id]
-                self.next["look"] = self.now + self.timing.gossip
-                self.number += 1
-                self.send(self.lives[id].rumour.address, Ping(self.number, id, self.there_sum()), id)
+                del self.recheck_at[id]
+                self.due_at["look"] = self.now + self.timing.gossip_interval
+                self.sequence += 1
+                self.send(
+                    self.records[id].update.address, Ping(self.sequence, id, self.membership_checksum()), id
+                )
             return
 
-    def suspicion_ends(self, life: MemberRecord) -> float:
+    def suspicion_deadline(self, life: MemberRecord) -> float:
         """Long with one accuser, shorter with each further one (Lifeguard's logarithm)."""
-        timing, size = self.timing, len(self.lives) + 1
-        least = timing.suspicion * timing.period * max(1.0, math.log10(size))
-        most = least * timing.doubt
-        sure = math.log(max(1, len(life.accusers))) / math.log(ACCUSERS)
-        return life.since + max(least, most - (most - least) * sure)
-
-    def acked(self, number: int) -> None:
-        if number in self.probes:
-            del self.probes[number]
-            self.health = max(0, self.health - 1)
-        elif number in self.relayed:
-            relayed = self.relayed.pop(number)
-            self.send(relayed.address, Ack(relayed.number))
+        timing, size = self.timing, len(self.records) + 1
+        least = timing.suspicion_multiplier * timing.probe_interval * max(1.0, math.log10(size))
+        most = least * timing.max_suspicion_multiplier
+        sure = math.log(max(1, len(life.suspectors))) / math.log(SUSPECTORS_FOR_SHORTEST)
+        return life.state_since + max(least, most - (most - least) * sure)
+
+    def handle_ack(self, number: int) -> None:
+        if number in self.pending_probes:
+            del self.pending_probes[number]
+            self.health_score = max(0, self.health_score - 1)
+        elif number in self.relayed_pings:
+            relayed = self.relayed_pings.pop(number)
+            self.send(relayed.requester, Ack(relayed.requester_sequence))
--- a/cleatyoke/membership/wire.py
+++ b/cleatyoke/membership/wire.py
@@ -15,12 +15,12 @@
 import msgspec
 
 VERSION = 2
-MOST_DATAGRAM = 1200  # bytes
-MOST_STREAM = 1 << 20  # bytes of a whole view: some ten thousand lives
+MAX_DATAGRAM_BYTES = 1200  # bytes
+MAX_STREAM_BYTES = 1 << 20  # bytes of a whole view: some ten thousand lives
 HOME = 1000  # parts of what all share in which each front is at home
-SUM = 4  # bytes of the checksum at the end
-MOST_COPIES = 1 << 18  # bytes of what goes along with a view
-MOST_LIVES = 10_000  # entries of a whole view
+CHECKSUM_BYTES = 4  # bytes of the checksum at the end
+MAX_REPLICA_BYTES = 1 << 18  # bytes of what goes along with a view
+MAX_MEMBERS = 10_000  # entries of a whole view
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Count = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
@@ -48,10 +48,12 @@
     id: MemberId
     address: Text
     state: MemberState
-    count: Count
-    alone: bool = False  # it holds the address of its name, which no earlier life can then
-    by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # who accuses it, where it is suspected
-    settings: Count = 0  # a sum of those that it goes by, as it says itself; 0: not said, or by somebody else
+    incarnation: Count
+    owns_address: bool = False  # it holds the address of its name, which no earlier life can then
+    suspected_by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # who accuses it, where it is suspected
+    settings_checksum: Count = (
+        0  # a sum of those that it goes by, as it says itself; 0: not said, or by somebody else
+    )
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping", forbid_unknown_fields=True):
@@ -59,19 +61,19 @@
     sum of whom the sender believes there.
     """
 
-    number: Count
+    sequence: Count
     target: MemberId
-    there: Count
+    membership_checksum: Count
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack", forbid_unknown_fields=True):
-    number: Count
+    sequence: Count
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask", forbid_unknown_fields=True):
     """Ping ``target`` for me (SWIM's ping-req)."""
 
-    number: Count
+    sequence: Count
     target: MemberId
     address: Text
 
@@ -79,7 +81,7 @@
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag="nack", forbid_unknown_fields=True):
     """I have asked it for you, and have no answer yet (Lifeguard): so at least we two hear each other."""
 
-    number: Count
+    sequence: Count
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True, tag="gossip", forbid_unknown_fields=True):
@@ -113,7 +115,7 @@
     version: Count
     sender: Update
     body: Body
-    rumours: Annotated[list[Update], msgspec.Meta(max_length=64)]
+    updates: Annotated[list[Update], msgspec.Meta(max_length=64)]
 
 
 class FullState(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -122,71 +124,77 @@
     deployment: Text
     version: Count
     sender: Update
-    lives: Annotated[list[Update], msgspec.Meta(max_length=MOST_LIVES)]
-    copies: Annotated[bytes, msgspec.Meta(max_length=MOST_COPIES)] = b""
+    members: Annotated[list[Update], msgspec.Meta(max_length=MAX_MEMBERS)]
+    replicas: Annotated[bytes, msgspec.Meta(max_length=MAX_REPLICA_BYTES)] = b""
 
 
 class WireError(ValueError):
     """A message that is not taken; the text is the reason, one of a few words."""
 
 
-datagrams = msgspec.msgpack.Decoder(Datagram)
-views = msgspec.msgpack.Decoder(FullState)
+_datagram_decoder = msgspec.msgpack.Decoder(Datagram)
+_full_state_decoder = msgspec.msgpack.Decoder(FullState)
 encoder = msgspec.msgpack.Encoder()
 
 
 def encode_datagram(deployment: str, sender: Update, body: Body, rumours: list[Update]) -> tuple[bytes, int]:
     """The datagram, and how many of the rumours, from the first on, had room in it."""
-    head = len(encoder.encode(Datagram(deployment, VERSION, sender, body, []))) + 3 + SUM  # and its length's
+    head = (
+        len(encoder.encode(Datagram(deployment, VERSION, sender, body, []))) + 3 + CHECKSUM_BYTES
+    )  # and its length's
     used, size = 0, head
     for rumour in rumours[:64]:
         size += len(encoder.encode(rumour))
-        if size > MOST_DATAGRAM:
+        if size > MAX_DATAGRAM_BYTES:
             break
         used += 1
-    return sealed(encoder.encode(Datagram(deployment, VERSION, sender, body, rumours[:used]))), used
+    return append_checksum(encoder.encode(Datagram(deployment, VERSION, sender, body, rumours[:used]))), used
 
 
-def sealed(data: bytes) -> bytes:
-    return data + zlib.crc32(data).to_bytes(SUM, "big")
+def append_checksum(data: bytes) -> bytes:
+    return data + zlib.crc32(data).to_bytes(CHECKSUM_BYTES, "big")
 
 
-def unsealed(data: bytes, most: int) -> bytes:
+def verify_checksum(data: bytes, most: int) -> bytes:
     """A bit that flipped on the way could say of a life that it left, which is final."""
     if len(data) > most:
         msg = "too long"
         raise WireError(msg)
-    if len(data) <= SUM or zlib.crc32(data[:-SUM]) != int.from_bytes(data[-SUM:], "big"):
+    if len(data) <= CHECKSUM_BYTES or zlib.crc32(data[:-CHECKSUM_BYTES]) != int.from_bytes(
+        data[-CHECKSUM_BYTES:], "big"
+    ):
         msg = "corrupt"
         raise WireError(msg)
-    return data[:-SUM]
+    return data[:-CHECKSUM_BYTES]
 
 
 def decode_datagram(deployment: str, data: bytes) -> Datagram:
     try:
-        message = datagrams.decode(unsealed(data, MOST_DATAGRAM))
+        message = _datagram_decoder.decode(verify_checksum(data, MAX_DATAGRAM_BYTES))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         msg = "unreadable"
         raise WireError(msg) from error
-    check(deployment, message.deployment, message.version)
+    _check_peer(deployment, message.deployment, message.version)
     return message
 
 
-def encode_view(deployment: str, sender: Update, lives: list[Update], copies: bytes = b"") -> bytes:
-    return sealed(encoder.encode(FullState(deployment, VERSION, sender, lives[:MOST_LIVES], copies)))
+def encode_full_state(deployment: str, sender: Update, lives: list[Update], copies: bytes = b"") -> bytes:
+    return append_checksum(
+        encoder.encode(FullState(deployment, VERSION, sender, lives[:MAX_MEMBERS], copies))
+    )
 
 
-def decode_view(deployment: str, data: bytes) -> FullState:
+def decode_full_state(deployment: str, data: bytes) -> FullState:
     try:
-        message = views.decode(unsealed(data, MOST_STREAM))
+        message = _full_state_decoder.decode(verify_checksum(data, MAX_STREAM_BYTES))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         msg = "unreadable"
         raise WireError(msg) from error
-    check(deployment, message.deployment, message.version)
+    _check_peer(deployment, message.deployment, message.version)
     return message
 
 
-def check(ours: str, theirs: str, version: int) -> None:
+def _check_peer(ours: str, theirs: str, version: int) -> None:
     if theirs != ours:
         msg = "foreign"
         raise WireError(msg)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -95,9 +95,9 @@
 class Chatty(Membership):
     """Sends its whole view with each probe."""
 
-    def probe_next(self) -> None:
+    def probe_next_member(self) -> None:
         super().probe_next()
-        self.exchange(self.lives[next(iter(self.present))].rumour.address)
+        self.start_exchange(self.records[next(iter(self.active_members))].update.address)
 
 
 def test_a_member_at_rest_sends_alike_in_larger_fleets_and_one_that_does_not_is_caught() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,9 +14,9 @@
 from cleatyoke.emulation.fleet import Fleet
 from cleatyoke.emulation.network import Network
 from cleatyoke.membership import wire
-from cleatyoke.membership.conclusions import Known, conclude
+from cleatyoke.membership.conclusions import ObservedMember, conclude
 from cleatyoke.membership.interface import (
-    Change,
+    ChangeKind,
     DatagramReceived,
     ExchangeRequested,
     LeaveRequested,
@@ -39,27 +39,27 @@
 
 
 class LetsTheDeadRest(Membership):
-    def probe_departed(self) -> None:
+    def probe_failed_member(self) -> None:
         pass
 
 
 class AsksNobody(Membership):
-    def ask_others(self, number: int, probe: Probe, address: str) -> None:
-        probe.ask_at = probe.over_at
+    def request_indirect_probes(self, number: int, probe: Probe, address: str) -> None:
+        probe.indirect_at = probe.deadline
 
 
 class ForgetsBoot(Membership):
     def __init__(self, deployment: str, name: str, boot: int, *rest: object, **more: object) -> None:
         super().__init__(deployment, name, 1, *rest, **more)  # type: ignore[arg-type]
 
-    def rise(self, boot: int) -> None:
+    def adopt_higher_boot(self, boot: int) -> None:
         pass
 
 
 class WarnsAlways(Membership):
-    def warn(self, life: object, sender: Update) -> None:
-        life.warned = float("-inf")  # type: ignore[attr-defined]
-        super().warn(life, sender)  # type: ignore[arg-type]
+    def notify_suspect(self, life: object, sender: Update) -> None:
+        life.notified_at = float("-inf")  # type: ignore[attr-defined]
+        super().notify_suspect(life, sender)  # type: ignore[arg-type]
 
 
 def started(size: int = SIZE, make: type[Membership] = Membership, seed: int = 1, **network: float) -> Fleet:
@@ -89,34 +89,34 @@
 def test_a_message_is_taken_whole_or_refused_by_one_reason() -> None:
     data, used = wire.encode_datagram("ours", rumour(), Ping(1, MemberId("b", 1), 0), [rumour("c" * 30)] * 60)
     assert 10 < used < 60
-    assert len(data) <= wire.MOST_DATAGRAM
-    assert len(wire.decode_datagram("ours", data).rumours) == used
-    alien = wire.sealed(wire.encoder.encode(wire.Datagram("ours", 9, rumour(), Gossip(), [])))
+    assert len(data) <= wire.MAX_DATAGRAM_BYTES
+    assert len(wire.decode_datagram("ours", data).updates) == used
+    alien = wire.append_checksum(wire.encoder.encode(wire.Datagram("ours", 9, rumour(), Gossip(), [])))
     for deployment, bad, reason in (
         ("theirs", data, "foreign"),
         ("ours", alien, "version"),
         ("ours", data[:-1], "corrupt"),
         ("ours", b"", "corrupt"),
         ("ours", data * 2, "too long"),
-        ("ours", wire.sealed(b"\x93"), "unreadable"),
-        ("ours", wire.sealed(b"\x91" * 900), "unreadable"),
+        ("ours", wire.append_checksum(b"\x93"), "unreadable"),
+        ("ours", wire.append_checksum(b"\x91" * 900), "unreadable"),
     ):
         with pytest.raises(wire.WireError, match=f"^{reason}$"):
             wire.decode_datagram(deployment, bad)
     with pytest.raises(wire.WireError, match="too long"):
-        wire.decode_view("ours", bytes(wire.MOST_STREAM + 1))
+        wire.decode_full_state("ours", bytes(wire.MAX_STREAM_BYTES + 1))
 
 
 def test_garbage_by_the_thousand_changes_nothing_and_is_counted() -> None:
     fleet = started(4)
     one, rng = members(fleet, 0), random.Random(1)
-    good = wire.encode_datagram("test", one.lives[members(fleet, 1).id].rumour, Gossip(), [])[0]
+    good = wire.encode_datagram("test", one.records[members(fleet, 1).id].update, Gossip(), [])[0]
     before = one.digest()
     bad = [rng.randbytes(rng.randrange(40)) for _ in range(1000)]
     bad += [good[: rng.randrange(len(good))] for _ in range(1000)]
     one.step(fleet.now, map(DatagramReceived, bad))
     assert one.digest() == before
-    assert sum(one.figures.refused.values()) == 2000
+    assert sum(one.counters.rejected.values()) == 2000
     one.step(fleet.now, [DatagramReceived(good)] * 1000)  # replayed
     assert one.digest() == before
 
@@ -141,7 +141,7 @@
         one = Membership("test", "a", 1, "a:1", (), random.Random(1))
         one.step(0.0)
         for each in again:
-            one.believe(each)
+            one.merge_update(each)
         digests.add(one.digest())
     assert len(digests) == 1
 
@@ -151,11 +151,11 @@
 
 def test_silence_frees_nothing_and_only_its_word_or_its_start_anew_does() -> None:
     lives = [
-        Known(rumour("b", state=MemberState.DEAD), 0.0),
-        Known(rumour("c", state=MemberState.LEFT), 9.9),
-        Known(rumour("d", 1, MemberState.DEAD), 0.0),
-        Known(rumour("d", 2), 9.9),
-        Known(rumour("e"), 5.0),
+        ObservedMember(rumour("b", state=MemberState.DEAD), 0.0),
+        ObservedMember(rumour("c", state=MemberState.LEFT), 9.9),
+        ObservedMember(rumour("d", 1, MemberState.DEAD), 0.0),
+        ObservedMember(rumour("d", 2), 9.9),
+        ObservedMember(rumour("e"), 5.0),
     ]
     told = conclude(rumour(), lives, 2, 10.0)
     assert told.certainly_stopped == {MemberId("c", 1), MemberId("d", 1)}
@@ -163,13 +163,13 @@
     assert told.perhaps_up == {
         MemberId(name, boot) for name, boot in (("a", 1), ("b", 1), ("d", 2), ("e", 1))
     }
-    assert told.count == 4
+    assert told.front_count == 4
     assert told.may_use(8.0) == 2.0
-    assert conclude(rumour(), lives, 7, 10.0).count == 7  # somebody beyond a cut is in nobody's view
+    assert conclude(rumour(), lives, 7, 10.0).front_count == 7  # somebody beyond a cut is in nobody's view
     shared = Update(
         MemberId("d", 2), "d:2", MemberState.ALIVE, 0, False
     )  # an upgrade: two processes of one name
-    both = conclude(rumour(), [Known(rumour("d", 1), 9.9), Known(shared, 9.9)], 1, 10.0)
+    both = conclude(rumour(), [ObservedMember(rumour("d", 1), 9.9), ObservedMember(shared, 9.9)], 1, 10.0)
     assert both.perhaps_up >= {MemberId("d", 1), MemberId("d", 2)}
 
 
@@ -199,9 +199,9 @@
     assert fleet.knows_dead(id) > 0.5
     fleet.check_counts()  # it is counted all the same
     fleet.run(fleet.now + 0.2)
-    assert members(fleet, 3).count > 0  # and went beyond what was said of it, unasked
+    assert members(fleet, 3).incarnation > 0  # and went beyond what was said of it, unasked
     if caught:
-        members(fleet, 3).count = 0  # without its own word nothing brings it back
+        members(fleet, 3).incarnation = 0  # without its own word nothing brings it back
     assert (fleet.settle(HEAL) is None) == caught
     assert not fleet.broken
 
@@ -211,7 +211,7 @@
     fleet = started(make=make)
     fleet.network.deaf.add((fleet.address(4), fleet.address(7)))
     fleet.run(fleet.now + 60.0)
-    raised = members(fleet, 4).figures.suspicions + members(fleet, 7).figures.suspicions
+    raised = members(fleet, 4).counters.suspicions + members(fleet, 7).counters.suspicions
     assert false_deaths(fleet) == 0
     assert (raised > 0) == (most > 0)
 
@@ -225,8 +225,8 @@
     for _ in range(30):
         fleet.run(fleet.now + 1.0)
         fleet.check_counts()
-    assert len(members(fleet, 0).departed) == 7
-    assert len(members(fleet, 11).departed) == 5
+    assert len(members(fleet, 0).failed_members) == 7
+    assert len(members(fleet, 11).failed_members) == 5
     fleet.heal()
     assert (fleet.settle(HEAL) is None) == caught
     assert not fleet.broken
@@ -239,7 +239,7 @@
         fleet.network.deaf |= {(one, other), (other, one)}
     fleet.run(fleet.now + 30.0)
     fleet.check_counts()
-    assert members(fleet, 0).figures.deaths == 0
+    assert members(fleet, 0).counters.deaths == 0
     fleet.heal()
     # What was suspected just before may still be told dead, and be taken back: 0.1 to 3.4 s over 8 seeds.
     assert fleet.settle(2 * HEAL) is not None
@@ -257,15 +257,15 @@
     assert fleet.settle(HEAL) is not None
     assert not fleet.journal.deaths
     assert not fleet.broken
-    assert all(len(members(fleet, front).over) == SIZE for front in range(SIZE - 1))
+    assert all(len(members(fleet, front).left_members) == SIZE for front in range(SIZE - 1))
 
 
 def test_one_that_leaves_while_its_word_was_told_on_answers_still_ends() -> None:
     one = Membership("test", "a", 1, "a:1", (), random.Random(1))
     one.step(0.0, [LeaveRequested()])
-    one.queue.clear()
-    one.step(one.next_at())
-    assert one.left
+    one.transmit_counts.clear()
+    one.step(one.next_step_at())
+    assert one.has_left
 
 
 @pytest.mark.parametrize("loss", [0.3])
@@ -310,9 +310,9 @@
 def test_a_clock_that_jumps_back_costs_nothing() -> None:
     one = Membership("test", "a", 1, "a:1", ("b:1",), random.Random(1))
     one.step(100.0)
-    due = one.next_at()
+    due = one.next_step_at()
     one.step(40.0)
-    assert one.next_at() - 40.0 == pytest.approx(due - 100.0)
+    assert one.next_step_at() - 40.0 == pytest.approx(due - 100.0)
     tries = [one.step(40.0 + tenth / 10) for tenth in range(40)]
     assert sum(map(len, tries)) >= 2  # it still asks its seed
     assert not [told for told in itertools.chain(*tries) if isinstance(told, MembershipChanged)]
@@ -323,8 +323,10 @@
     mute = type("Mute", (make,), {"refute": NeverRefutes.refute})
     fleet = started(2, make=mute)
     for front in (0, 1):
-        other = members(fleet, 1 - front).me()
-        members(fleet, front).believe(Update(other.id, other.address, MemberState.DEAD, other.count, True))
+        other = members(fleet, 1 - front).own_update()
+        members(fleet, front).merge_update(
+            Update(other.id, other.address, MemberState.DEAD, other.incarnation, True)
+        )
     before = fleet.traffic()[0]
     fleet.run(fleet.now + 10.0)
     sent = fleet.traffic()[0] - before
@@ -337,34 +339,39 @@
     for at, state, count in ((0.0, 0, 0), (0.1, 0, 0), (0.2, 1, 0), (0.3, 1, 0), (0.4, 0, 1), (0.5, 3, 1)):
         one.actions = []
         one.now = at
-        one.believe(rumour("b", 1, MemberState(state), count, "x"))
+        one.merge_update(rumour("b", 1, MemberState(state), count, "x"))
         told += [action for action in one.actions if isinstance(action, MembershipChanged)]
-    assert [each.change for each in told] == [Change.JOINED, Change.SUSPECTED, Change.RETURNED, Change.LEFT]
+    assert [each.change for each in told] == [
+        ChangeKind.JOINED,
+        ChangeKind.SUSPECTED,
+        ChangeKind.RETURNED,
+        ChangeKind.LEFT,
+    ]
 
 
 def test_views_that_differ_without_news_are_exchanged_and_others_are_not() -> None:
     fleet = started()
     one, lost = members(fleet, 2), members(fleet, 9).id
-    one.timing = MembershipTiming(sync=3600.0)  # the clock does not help
-    one.next["sync"] = one.next["join"] = 3600.0
+    one.timing = MembershipTiming(exchange_interval=3600.0)  # the clock does not help
+    one.due_at["sync"] = one.due_at["join"] = 3600.0
     for process in fleet.running.values():
-        process.members.next["sync"] = process.members.next["join"] = 3600.0
-    before = [process.members.figures.bytes_out for process in fleet.running.values()]
+        process.members.due_at["sync"] = process.members.due_at["join"] = 3600.0
+    before = [process.members.counters.bytes_out for process in fleet.running.values()]
     fleet.run(fleet.now + 10.0)
-    spent = [process.members.figures.bytes_out for process in fleet.running.values()]
+    spent = [process.members.counters.bytes_out for process in fleet.running.values()]
     assert max(after - was for was, after in zip(before, spent)) < 5000  # no whole view among them
-    life = one.lives.pop(lost)  # rumours have left one out
-    one.sum ^= life.mark
-    del one.present[lost]
+    life = one.records.pop(lost)  # rumours have left one out
+    one.active_checksum ^= life.checksum
+    del one.active_members[lost]
     assert fleet.settle(20.0) is not None
 
 
 def test_a_whole_view_is_answered_by_one() -> None:
     one = Membership("test", "a", 1, "a:1", (), random.Random(1))
-    view = wire.encode_view("test", rumour("b"), [rumour("c", state=MemberState.DEAD)])
+    view = wire.encode_full_state("test", rumour("b"), [rumour("c", state=MemberState.DEAD)])
     actions = one.step(0.0, [ExchangeRequested(7, view)])
     assert [action.token for action in actions if isinstance(action, ReplyExchange)] == [7]
-    assert set(one.present) == {MemberId("b", 1)}
+    assert set(one.active_members) == {MemberId("b", 1)}
     assert not [action for action in actions if isinstance(action, SendDatagram)]
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -161,7 +161,7 @@
                     ("fleet/view.py", "peers.boot or boot or int(time.time() * 1000)", "1"),
                     (
                         "membership/members.py",
-                        "self.id, self.count = MemberId(self.id.name, boot + 1), 0",
+                        "self.id, self.incarnation = MemberId(self.id.name, boot + 1), 0",
                         "pass",
                     ),
                 ],
@@ -213,11 +213,11 @@
 
     async def test_garbage_foreign_and_replayed_datagrams_by_the_thousand_change_nothing(self) -> None:
         one, other = await self.start(1), await self.start(2)
-        await self.until("len(view.members.present)", 1)
+        await self.until("len(view.members.active_members)", 1)
         rng = random.Random(1)
         life = Update(MemberId("n2", 1), other.members.address, MemberState.DEAD, 0)
         foreign = wire.encode_datagram("theirs", life, Gossip(), [life])[0]
-        own = wire.encode_datagram("ours", other.members.me(), Gossip(), [])[0]
+        own = wire.encode_datagram("ours", other.members.own_update(), Gossip(), [])[0]
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             for number in range(2000):
                 bad = rng.randbytes(rng.randrange(1, 1400))
@@ -225,9 +225,9 @@
                 if number % 50 == 0:
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.2)
-            assert list(one.members.lives) == [MemberId("n2", 1)]
-            assert one.members.lives[MemberId("n2", 1)].rumour.state is not MemberState.DEAD
-            refused = one.members.figures.refused
+            assert list(one.members.records) == [MemberId("n2", 1)]
+            assert one.members.records[MemberId("n2", 1)].update.state is not MemberState.DEAD
+            refused = one.members.counters.rejected
             assert min(refused["foreign"], refused["corrupt"]) > 300
             stat = dict(line.split("=") for line in one.figures())
             assert int(stat["fleet.refused.foreign"]) == refused["foreign"]
@@ -261,7 +261,7 @@
         ours, theirs = settings(front_count=3, seed=1), settings(front_count=4)
         for number in (1, 2, 3):
             await self.start(number, goes_by=theirs if number == 3 else settings(front_count=3, seed=number))
-        await self.until("len(view.members.present)", 2)
+        await self.until("len(view.members.active_members)", 2)
         one, _, other = self.views
         async with asyncio.timeout(5):
             while one.differ != ["n3"] or other.differ != ["n1", "n2"]:
@@ -276,16 +276,16 @@
     async def test_two_processes_of_one_name_are_both_seen_and_the_younger_takes_the_address(self) -> None:
         old, witness = await self.start(1, boot=1), await self.start(2)
         new = await self.start(1, boot=2)
-        await self.until("len(view.members.present)", 2)
-        assert not new.members.alone
+        await self.until("len(view.members.active_members)", 2)
+        assert not new.members.owns_address
         both = {MemberId("n1", 1), MemberId("n1", 2)}
         assert both <= witness.conclusion().perhaps_up
         self.views.remove(old)
         old.stop()
-        await self.until("view.members.alone", True)
-        await self.until("len(view.members.over)", 1)
+        await self.until("view.members.owns_address", True)
+        await self.until("len(view.members.left_members)", 1)
         assert witness.conclusion().certainly_stopped == {MemberId("n1", 1)}
-        assert witness.members.lives[MemberId("n1", 2)].rumour.address == f"127.1.2.1:{self.port}"
+        assert witness.members.records[MemberId("n1", 2)].update.address == f"127.1.2.1:{self.port}"
         shown = read_view([*witness.lines(), "EOT"])
         assert shown.lives["n1", 1] == ("left", "certainly-stopped")
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -163,7 +163,7 @@
     def call(self, front: int, box: str, hold: bool) -> None:
         address = self.fleet.address(front)
         (self.copies[address].hold if hold else self.copies[address].release)(box)
-        self.fleet.running[address].members.done_here()
+        self.fleet.running[address].members.push_local_change()
         self.fleet.step(address)
 
     def run(self, seconds: float) -> None:
@@ -177,7 +177,7 @@
     shared = Shared()
     shared.call(3, "s-1", True)
     origin = shared.fleet.running[shared.fleet.address(3)].members
-    assert all(origin.store.lacks(id) for id in origin.present)  # type: ignore[union-attr]
+    assert all(origin.store.lacks(id) for id in origin.active_members)  # type: ignore[union-attr]
     shared.run(0.03)
     shared.fleet.kill(3)  # 30 ms after the call
     shared.run(1.0)
@@ -186,7 +186,7 @@
     shared.run(1.0)
     assert shared.held() == {frozenset()}
     other = shared.fleet.running[shared.fleet.address(4)].members
-    lacking = {id.name for id in other.present if other.store.lacks(id)}  # type: ignore[union-attr]
+    lacking = {id.name for id in other.active_members if other.store.lacks(id)}  # type: ignore[union-attr]
     assert lacking <= {"front-0003"}  # which nobody knows to be over yet
 
 
@@ -226,9 +226,9 @@
     one = shared.fleet.running[shared.fleet.address(0)].members
     stranger = Update(MemberId("z", 1), "z:1", MemberState.ALIVE, 0)
     for bad in (b"\xc1", msgspec.msgpack.encode({"held": {"s": [[["a", 1], 9]]}})):
-        one.step(shared.fleet.now, [ExchangeRequested(1, wire.encode_view("test", stranger, [], bad))])
-    assert one.figures.refused == {"copies unreadable": 1, "copies holds without their numbers": 1}
-    assert stranger.id in one.lives
+        one.step(shared.fleet.now, [ExchangeRequested(1, wire.encode_full_state("test", stranger, [], bad))])
+    assert one.counters.rejected == {"copies unreadable": 1, "copies holds without their numbers": 1}
+    assert stranger.id in one.records
     assert shared.held() == {frozenset()}
 
 
