--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -12,7 +12,6 @@
 import errno
 import random
 import time
-import zlib
 from collections import Counter
 from collections.abc import Callable, Coroutine
 from pathlib import Path
@@ -31,6 +30,7 @@
     QuotaLeases,
 )
 from cleatyoke.coordination.rate_limit_leases import RateLimitLeases
+from cleatyoke.coordination.settings_digest import settings_digest
 from cleatyoke.coordination.slow_start_leases import SlowStartLeases
 from cleatyoke.core import Core
 from cleatyoke.membership.conclusions import Conclusion, ObservedMember, conclude
@@ -286,10 +286,7 @@
         """Tell the others which settings this front goes by, that fronts of a fleet notice where they differ.
         What is a process's own is left out.
         """
-        shared = dataclasses.replace(
-            settings, seed=0, idle_since=None, initial_quota_share=1.0, replaces_process=False
-        )
-        self.members.announce_settings(zlib.crc32(repr(shared).encode()))
+        self.members.announce_settings(settings_digest(settings))
 
     def look_at_settings(self) -> None:
         """Each keeps to its own, and says so."""
@@ -515,7 +512,7 @@
         members, told = self.members, self.members.counters
         states = Counter(life.update.state for life in list(members.records.values()))
         facts = {state.name.lower(): states[state] for state in MemberState}
-        facts |= {name: getattr(told, name) for name in told.__dataclass_fields__ if name != "refused"}
+        facts |= {name: getattr(told, name) for name in told.__dataclass_fields__ if name != "rejected"}
         facts |= {f"refused.{why.replace(' ', '-')}": count for why, count in dict(told.rejected).items()}
         facts |= {f"dropped.{why}": count for why, count in dict(self.dropped).items()}
         facts |= {"holds": len(self.copies.holds.held), "copies_merged": self.copies.merged}
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -569,7 +569,14 @@
         )
 
     def digest(self) -> int:
-        """The same number wherever the same is believed of every life."""
-        every = [life.update for life in list(self.records.values())]  # a copy: other threads may ask
+        """The same number wherever the same is believed of every incarnation.
+
+        Operators compare it between fronts, also of different releases: the text that is summed up has names
+        of its own, which don't follow the names of this code.
+        """
+        every = [
+            record.update for record in list(self.records.values())
+        ]  # a copy: other threads may read too
         rows = sorted((one.id, int(one.state), one.incarnation) for one in (*every, self.own_update()))
-        return zlib.crc32(repr(rows).encode())
+        texts = [f"(Id(name={id.name!r}, boot={id.boot!r}), {state}, {count})" for id, state, count in rows]
+        return zlib.crc32(f"[{', '.join(texts)}]".encode())
