--- a/cleatyoke/coordination/demand.py
+++ b/cleatyoke/coordination/demand.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from cleatyoke.membership.wire import HOME
+from cleatyoke.membership.wire import HOME_PARTS
 
 SPAN = 0.25  # seconds over which what is asked for is summed up
 IDLE = 30.0  # seconds without a request after which a thing is no longer kept account of
@@ -49,7 +49,7 @@
         if now >= self.span_at + SPAN:
             spans = max(1.0, (now - self.span_at) / SPAN)
             for meter in self.by_key.values():
-                latest, times = meter.asked / (meter.home * SPAN * spans) * HOME, meter.times / spans
+                latest, times = meter.asked / (meter.home * SPAN * spans) * HOME_PARTS, meter.times / spans
                 # Where few ask, chance alone makes one span three times the other: parts that were borrowed
                 # for that are lacking where the need is. More than chance is believed at once.
                 chance = CHANCE * math.sqrt(meter.usual + 1)
--- a/cleatyoke/coordination/quota_leases.py
+++ b/cleatyoke/coordination/quota_leases.py
@@ -22,7 +22,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
 
 KEPT = 250  # of these, what is never lent, and so is a new life's at once
 MOST_RESOURCES = 4096  # that are kept account of; of one more nothing is lent or borrowed
@@ -151,9 +151,9 @@
         """Parts that this front may use at this moment, whatever it knew a moment ago."""
         account = self.accounts.get(resource)
         if account is None:
-            return HOME if now >= self.whole_at else KEPT
+            return HOME_PARTS if now >= self.whole_at else KEPT
         if now >= account.parts_until:
-            mine = HOME if now >= self.whole_at else KEPT
+            mine = HOME_PARTS if now >= self.whole_at else KEPT
             owed = sum(loan.owed(now) for loan in account.loans.values())
             account.parts = max(0, mine - owed) + sum(debt.held(now) for debt in account.debts.values())
             account.parts_until = self.next_end(account, now)
@@ -171,7 +171,7 @@
             return 0
         owed = sum(loan.owed(now) for other, loan in account.loans.items() if other != borrower)
         own = max(KEPT, math.ceil(account.need * self.terms.ahead))
-        return max(0, HOME - owed - own)
+        return max(0, HOME_PARTS - owed - own)
 
     def next_change(self, now: float) -> float:
         """When ``usable`` changes next by time alone."""
@@ -250,7 +250,7 @@
             if not want.parts:  # it holds nothing of ours, and takes no older grant any more
                 loan.leases.clear()
                 return []
-            parts = min(want.parts, self.spare(account, now, borrower), HOME)
+            parts = min(want.parts, self.spare(account, now, borrower), HOME_PARTS)
             if parts < self.terms.scrape:
                 parts = 0
             if parts:
@@ -296,7 +296,7 @@
                 account.changed()
                 out.append(self.give_back(resource, lender, debt))
             elif held and not debt.asked and now >= debt.end - terms.lease / 2:
-                more = max(0, min(need - have, HOME - KEPT - held))  # it may have more to lend by now
+                more = max(0, min(need - have, HOME_PARTS - KEPT - held))  # it may have more to lend by now
                 out.append(self.ask(now, resource, lender, debt, held + more))
                 have += more  # as far as is known, so that not all are asked for the same
         under_way = sum(debt.asked[2] for debt in account.debts.values() if debt.asked and not debt.held(now))
@@ -306,7 +306,7 @@
             if lenders:
                 lender = self.rng.choice(lenders)
                 debt = account.debts[lender] = BorrowedLease()
-                out.append(self.ask(now, resource, lender, debt, min(lack, HOME - KEPT)))
+                out.append(self.ask(now, resource, lender, debt, min(lack, HOME_PARTS - KEPT)))
         return out
 
     def ask(
--- a/cleatyoke/coordination/rate_limit_leases.py
+++ b/cleatyoke/coordination/rate_limit_leases.py
@@ -10,7 +10,7 @@
 
 from cleatyoke.coordination.demand import DemandMeters
 from cleatyoke.coordination.quota_leases import QuotaLeases
-from cleatyoke.membership.wire import HOME
+from cleatyoke.membership.wire import HOME_PARTS
 from cleatyoke.scheduling.events import QuotaLeaseChanged, RequestArrived, SchedulerEvent
 from cleatyoke.scheduling.settings import VolumePlan
 
@@ -42,9 +42,9 @@
         out: list[SchedulerEvent] = []
         for volume in self.meters.by_key.keys() | self.told.keys():
             parts = self.rights.usable(resource(volume), now)
-            if parts != self.told.get(volume, HOME):
+            if parts != self.told.get(volume, HOME_PARTS):
                 self.told[volume] = parts
-                if parts == HOME:
+                if parts == HOME_PARTS:
                     del self.told[volume]
-                out.append(QuotaLeaseChanged(volume, parts / HOME))
+                out.append(QuotaLeaseChanged(volume, parts / HOME_PARTS))
         return out
--- a/cleatyoke/coordination/slow_start_leases.py
+++ b/cleatyoke/coordination/slow_start_leases.py
@@ -14,7 +14,7 @@
 
 from cleatyoke.coordination.demand import DemandMeters
 from cleatyoke.coordination.quota_leases import QuotaLeases
-from cleatyoke.membership.wire import HOME
+from cleatyoke.membership.wire import HOME_PARTS
 from cleatyoke.scheduling.events import (
     EndpointState,
     EndpointUpdate,
@@ -92,10 +92,10 @@
         out: list[SchedulerEvent] = []
         for node in self.boxes.keys() | self.told.keys():
             box = self.boxes.get(node)
-            parts = self.rights.usable(box.resource, now) if box else HOME
-            if parts != self.told.get(node, HOME):
+            parts = self.rights.usable(box.resource, now) if box else HOME_PARTS
+            if parts != self.told.get(node, HOME_PARTS):
                 self.told[node] = parts
-                if parts == HOME:
+                if parts == HOME_PARTS:
                     del self.told[node]
-                out.append(SlowStartLeaseChanged(node, parts / HOME))
+                out.append(SlowStartLeaseChanged(node, parts / HOME_PARTS))
         return out
--- a/cleatyoke/emulation/baselines.py
+++ b/cleatyoke/emulation/baselines.py
@@ -45,7 +45,7 @@
     def notify_suspect(self, life: MemberRecord, sender: Update) -> None:
         pass
 
-    def exchange_rate_limited(self, address: str) -> None:
+    def exchange_if_allowed(self, address: str) -> None:
         pass
 
     def recheck_suspect(self) -> None:
--- a/cleatyoke/emulation/capacity/hollow.py
+++ b/cleatyoke/emulation/capacity/hollow.py
@@ -16,7 +16,7 @@
 from cleatyoke.emulation.capacity.cost import resident_bytes
 from cleatyoke.emulation.fleet import Fleet, Process
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.member_records import MemberRecord, update_checksum
+from cleatyoke.membership.member_records import MemberRecord, member_checksum
 from cleatyoke.membership.members import Membership
 from cleatyoke.membership.wire import MemberId, MemberState, Update
 
@@ -70,7 +70,7 @@
         Update(MemberId(f"front-{front:04d}", 1), fleet.address(front), MemberState.ALIVE, 0, True)
         for front in range(size)
     ]
-    marks = {rumour.id: update_checksum(rumour) for rumour in rumours}
+    marks = {rumour.id: member_checksum(rumour) for rumour in rumours}
     rng = random.Random(f"settled:{size}:{seed}")
     for front in range(size):
         members = settled_members(fleet, front, rumours, marks, rng)
@@ -138,7 +138,7 @@
     """Whether all who run believe the same, doubt nobody, and believe what is true."""
     true = 0
     for process in fleet.running.values():
-        true ^= update_checksum(process.members.own_update())
+        true ^= member_checksum(process.members.own_update())
     return all(
         process.members.membership_checksum() == true and not process.members.suspected_members
         for process in fleet.running.values()
--- a/cleatyoke/emulation/quota_leases.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -20,7 +20,7 @@
     QuotaLeases,
 )
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
 
 RESOURCE = "limit:1"
 TICK = 0.05  # seconds between two steps that nothing else brings about
@@ -85,7 +85,7 @@
         )
 
     def whole(self) -> int:
-        return self.size * HOME
+        return self.size * HOME_PARTS
 
     # Faults
 
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -38,7 +38,7 @@
     BootNumberRecovered,
     ChangeKind,
     DatagramReceived,
-    DeliverBody,
+    DeliverLeaseMessage,
     ExchangeAnswered,
     ExchangeRequested,
     LeaveRequested,
@@ -390,7 +390,7 @@
             case ReplyExchange(token, data):
                 if (reply := self.waiting.get(token)) and not reply.done():
                     reply.set_result(data)
-            case DeliverBody(sender, body):
+            case DeliverLeaseMessage(sender, body):
                 if self.core:
                     self.trade(LeaseMessageReceived(sender, body))
             case MembershipChanged(change, id, by):
--- a/cleatyoke/membership/interface.py
+++ b/cleatyoke/membership/interface.py
@@ -118,14 +118,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DeliverBody:
+class DeliverLeaseMessage:
     """A message that is not for the view: of this life, which sent it under this id."""
 
     sender: MemberId
-    body: LeaseRequest | LeaseGrant
+    message: LeaseRequest | LeaseGrant
 
 
-MembershipAction = SendDatagram | StartExchange | ReplyExchange | MembershipChanged | DeliverBody
+MembershipAction = SendDatagram | StartExchange | ReplyExchange | MembershipChanged | DeliverLeaseMessage
 
 
 class ReplicatedStore(Protocol):
--- a/cleatyoke/membership/member_records.py
+++ b/cleatyoke/membership/member_records.py
@@ -66,5 +66,5 @@
     return rumour.state is MemberState.LEFT, rumour.incarnation, int(rumour.state)
 
 
-def update_checksum(rumour: Update) -> int:
+def member_checksum(rumour: Update) -> int:
     return zlib.crc32(f"{rumour.id.name}:{rumour.id.boot}:{rumour.incarnation}".encode())
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -23,7 +23,7 @@
     BootNumberRecovered,
     ChangeKind,
     DatagramReceived,
-    DeliverBody,
+    DeliverLeaseMessage,
     ExchangeAnswered,
     ExchangeRequested,
     LeaveRequested,
@@ -40,8 +40,8 @@
     ACTIVE_STATES,
     MemberRecord,
     RelayedPing,
+    member_checksum,
     precedence,
-    update_checksum,
 )
 from cleatyoke.membership.probing import MAX_HEALTH_SCORE, Probing
 from cleatyoke.membership.wire import (
@@ -319,7 +319,7 @@
         if returned and sender.id in self.active_members:  # a cut has healed: there may be more beyond it
             for _ in range(REJOIN_PROBES):
                 self.probe_failed_member()
-            self.exchange_rate_limited(sender.address)
+            self.exchange_if_allowed(sender.address)
         for rumour in message.updates:
             self.merge_update(rumour)
         if self.incarnation > before:  # it, or one it believes, held us for gone: our word brings us back
@@ -345,10 +345,10 @@
             case Ack(number):
                 self.handle_ack(number)
             case LeaseRequest() | LeaseGrant():
-                self.actions.append(DeliverBody(sender.id, body))
+                self.actions.append(DeliverLeaseMessage(sender.id, body))
         self.notify_suspect(life, sender)
 
-    def exchange_rate_limited(self, address: str) -> None:
+    def exchange_if_allowed(self, address: str) -> None:
         """Exchange whole views with one from beyond a cut: what each side held for dead is suspected on the
         other, where it can refute. Once in a while only, as all meet somebody at once.
         """
@@ -389,7 +389,7 @@
 
     def membership_checksum(self) -> int:
         copies = self.store.digest() if self.store else 0
-        return self.active_checksum ^ update_checksum(self.own_update()) ^ copies
+        return self.active_checksum ^ member_checksum(self.own_update()) ^ copies
 
     def compare_checksums(self, there: int, address: str) -> None:
         """Where the other has others there than we, though nothing new has come for a while, rumours have
@@ -400,7 +400,7 @@
             there != self.membership_checksum()
             and self.now >= self.last_change_at + QUIET_PERIODS * self.timing.probe_interval
         ):
-            self.exchange_rate_limited(address)
+            self.exchange_if_allowed(address)
 
     def notify_suspect(self, life: MemberRecord, sender: Update) -> None:
         """Tell it first what is believed of it, that it may refute; once in a while only: two that believe
--- a/cleatyoke/membership/suspicion.py
+++ b/cleatyoke/membership/suspicion.py
@@ -5,7 +5,7 @@
 import math
 
 from cleatyoke.membership.interface import MembershipTiming
-from cleatyoke.membership.member_records import ACTIVE_STATES, MemberRecord, update_checksum
+from cleatyoke.membership.member_records import ACTIVE_STATES, MemberRecord, member_checksum
 from cleatyoke.membership.wire import MemberId, MemberState
 
 SUSPECTORS_FOR_SHORTEST = 3  # independent ones by which a suspicion is as short as it gets
@@ -40,7 +40,7 @@
         self.transmit_counts[id] = 0
         self.changed_ids.append(id)
         self.last_change_at = self.now
-        mark = update_checksum(life.update) if state in ACTIVE_STATES else 0
+        mark = member_checksum(life.update) if state in ACTIVE_STATES else 0
         self.active_checksum ^= life.checksum ^ mark
         life.checksum = mark
         for kept, states in (
--- a/cleatyoke/membership/wire.py
+++ b/cleatyoke/membership/wire.py
@@ -17,7 +17,7 @@
 VERSION = 2
 MAX_DATAGRAM_BYTES = 1200  # bytes
 MAX_STREAM_BYTES = 1 << 20  # bytes of a whole view: some ten thousand lives
-HOME = 1000  # parts of what all share in which each front is at home
+HOME_PARTS = 1000  # parts of what all share in which each front is at home
 CHECKSUM_BYTES = 4  # bytes of the checksum at the end
 MAX_REPLICA_BYTES = 1 << 18  # bytes of what goes along with a view
 MAX_MEMBERS = 10_000  # entries of a whole view
@@ -103,8 +103,8 @@
 
     resource: Text
     number: Count
-    parts: Annotated[int, msgspec.Meta(ge=0, le=HOME)]
-    spare: Annotated[int, msgspec.Meta(ge=0, le=HOME)]
+    parts: Annotated[int, msgspec.Meta(ge=0, le=HOME_PARTS)]
+    surplus: Annotated[int, msgspec.Meta(ge=0, le=HOME_PARTS)]
 
 
 Body = Ping | Ack | PingRequest | Nack | Gossip | LeaseRequest | LeaseGrant
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -161,7 +161,7 @@
                 resource=value["resource"],
                 number=value["number"],
                 parts=value["parts"],
-                spare=value["spare"],
+                surplus=value["spare"],
             )
     raise KeyError(value["type"])
 
@@ -204,7 +204,7 @@
                 "resource": body.resource,
                 "number": body.number,
                 "parts": body.parts,
-                "spare": body.spare,
+                "spare": body.surplus,
             }
 
 
--- a/tests/test_cold_shares.py
+++ b/tests/test_cold_shares.py
@@ -12,7 +12,7 @@
     QuotaLeases,
 )
 from cleatyoke.coordination.slow_start_leases import SlowStartLeases, resource
-from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
 from cleatyoke.scheduling.actions import SendAttempt
 from cleatyoke.scheduling.events import (
     AttemptFinished,
@@ -58,14 +58,15 @@
         shares.heard(step * 0.25, 101.0, [asks(f"a{step}", 5.0, cell=3)])
         needs = shares.needs(step * 0.25)
     assert list(needs) == [name]
-    assert 8 * HOME < needs[name] <= 10 * HOME
+    assert 8 * HOME_PARTS < needs[name] <= 10 * HOME_PARTS
     [post] = terms.step(2.0, [DemandChanged(needs), PeersChanged((MemberId("b", 1),))])
     assert isinstance(post.message, LeaseRequest)
-    assert post.message.parts == HOME - KEPT
+    assert post.message.parts == HOME_PARTS - KEPT
     terms.step(
-        2.01, [LeaseMessageReceived(MemberId("b", 1), LeaseGrant(name, post.message.number, HOME - KEPT, 0))]
+        2.01,
+        [LeaseMessageReceived(MemberId("b", 1), LeaseGrant(name, post.message.number, HOME_PARTS - KEPT, 0))],
     )
-    assert shares.changes(2.02) == [SlowStartLeaseChanged(BOX, (2 * HOME - KEPT) / HOME)]
+    assert shares.changes(2.02) == [SlowStartLeaseChanged(BOX, (2 * HOME_PARTS - KEPT) / HOME_PARTS)]
     assert shares.changes(2.03) == []
     assert shares.changes(9.0) == [SlowStartLeaseChanged(BOX, 1.0)]  # its lease is over, with no step between
 
@@ -97,7 +98,7 @@
     fresh = cold(
         QuotaLeases(0.0, random.Random(1))
     )  # a new life, whose last may have lent: before any step of it
-    assert fresh.changes(0.1) == [SlowStartLeaseChanged(BOX, KEPT / HOME)]
+    assert fresh.changes(0.1) == [SlowStartLeaseChanged(BOX, KEPT / HOME_PARTS)]
 
 
 def sent_in(host: Host, seconds: float, part: float | None = None) -> float:
--- a/tests/test_rights.py
+++ b/tests/test_rights.py
@@ -25,7 +25,7 @@
 )
 from cleatyoke.emulation.network import Network
 from cleatyoke.emulation.quota_leases import RESOURCE, LeaseSimulation
-from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
 
 
 class KeptOverRestart(QuotaLeases):
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("make", [KeptOverRestart, EndsAfterGrant])
 def test_wrong_variants_are_caught_by_random_plays(make: type[QuotaLeases]) -> None:
-    assert any(play(seed, make).most > 6 * HOME for seed in range(12))
+    assert any(play(seed, make).most > 6 * HOME_PARTS for seed in range(12))
 
 
 def test_the_need_is_met_where_it_is_and_moves_with_it() -> None:
@@ -108,7 +108,7 @@
     market = LeaseSimulation(5, 1, Network(1))
     market.needs = [2000.0] * 5
     market.run(5.0)
-    assert [one.rights.usable(RESOURCE, market.now) for one in market.traders.values()] == [HOME] * 5
+    assert [one.rights.usable(RESOURCE, market.now) for one in market.traders.values()] == [HOME_PARTS] * 5
 
 
 def test_a_stopped_borrower_finds_at_wake_that_its_lease_is_over() -> None:
@@ -116,13 +116,14 @@
     market.needs = [2500.0, 0.0, 0.0]
     market.run(2.5)
     trader = market.traders[0]
-    assert trader.rights.usable(RESOURCE, trader.clock(market.now)) > 2 * HOME
+    assert trader.rights.usable(RESOURCE, trader.clock(market.now)) > 2 * HOME_PARTS
     market.stop(0, 3.0)
     market.needs = [0.0, 2500.0, 0.0]
     market.run(5.4)
     lent = market.traders[1].rights.usable(RESOURCE, market.now)
-    assert lent > HOME  # the lender has it again, and lent it anew
-    assert trader.rights.usable(RESOURCE, trader.clock(5.5)) == HOME  # asked before a use, with no step yet
+    assert lent > HOME_PARTS  # the lender has it again, and lent it anew
+    # asked before a use, with no step yet
+    assert trader.rights.usable(RESOURCE, trader.clock(5.5)) == HOME_PARTS
 
 
 def test_a_new_life_uses_what_is_never_lent_until_all_loans_before_it_are_over() -> None:
@@ -137,7 +138,7 @@
         ],
     )
     assert post.message == LeaseGrant(RESOURCE, 1, 0, 0)
-    assert rights.usable(RESOURCE, terms.lender(100.0)) == HOME
+    assert rights.usable(RESOURCE, terms.lender(100.0)) == HOME_PARTS
     rights.step(
         103.0, [DemandChanged({RESOURCE: 0.0}), QuotaFractionChanged(0.5)]
     )  # beside another process of this front
@@ -163,7 +164,7 @@
     )  # the same loan, no longer one
     assert one.next_change(1.0) == LeaseTerms().lender(0.0)
     one.step(1.1, [LeaseMessageReceived(b, LeaseRequest(RESOURCE, 3, 0))])
-    assert one.usable(RESOURCE, 1.1) == HOME
+    assert one.usable(RESOURCE, 1.1) == HOME_PARTS
     assert (
         one.step(
             1.2,
@@ -176,14 +177,14 @@
     )
     for grant in (LeaseGrant(RESOURCE, 9, 500, 0), LeaseGrant("limit:2", 1, 500, 0)):
         one.step(1.3, [LeaseMessageReceived(b, grant)])
-    assert one.usable(RESOURCE, 1.3) == HOME
+    assert one.usable(RESOURCE, 1.3) == HOME_PARTS
     one.step(2.0, [DemandChanged({RESOURCE: 1400.0})])
     debt = one.accounts[RESOURCE].debts[b]
     assert debt.asked
     one.step(
         2.1, [LeaseMessageReceived(b, LeaseGrant(RESOURCE, debt.asked[0], 1000, 0))]
     )  # more than was asked for
-    assert one.usable(RESOURCE, 2.1) == HOME
+    assert one.usable(RESOURCE, 2.1) == HOME_PARTS
     flood = [LeaseMessageReceived(b, LeaseRequest(f"limit:{number}", number, 1)) for number in range(5000)]
     one.step(3.0, flood)
     assert list(one.accounts) == [RESOURCE]  # at home in nothing else
@@ -273,7 +274,7 @@
                     if front != stopped[0] or now > stopped[1]
                 ),
             )
-        if used > 3 * HOME:
+        if used > 3 * HOME_PARTS:
             break
     return count, used
 
@@ -287,15 +288,15 @@
 ) -> None:
     states, used = search(QuotaLeases, lease, seconds, faults)
     assert states > 500
-    assert used == 3 * HOME
+    assert used == 3 * HOME_PARTS
 
 
 @pytest.mark.parametrize(("make", "place"), [(KeptOverRestart, 0), (EndsAfterGrant, 1)])
 def test_the_search_finds_wrong_variants(make: type[QuotaLeases], place: int) -> None:
-    assert search(make, *SEARCHES[place])[1] > 3 * HOME
+    assert search(make, *SEARCHES[place])[1] > 3 * HOME_PARTS
 
 
-@pytest.mark.parametrize(("make", "left"), [(QuotaLeases, HOME - 700), (SilenceFrees, HOME)])
+@pytest.mark.parametrize(("make", "left"), [(QuotaLeases, HOME_PARTS - 700), (SilenceFrees, HOME_PARTS)])
 def test_what_was_lent_to_one_that_the_view_has_lost_is_still_lent(
     make: type[QuotaLeases], left: int
 ) -> None:
@@ -343,4 +344,4 @@
     assert isinstance(post.message, LeaseRequest)
     rights.step(0.0, [LeaseMessageReceived(b, LeaseGrant(RESOURCE, post.message.number, 200, 0))])
     [post] = rights.step(1.2, [DemandChanged({RESOURCE: 1600.0})])
-    assert post.message == LeaseRequest(RESOURCE, 2, HOME - KEPT)
+    assert post.message == LeaseRequest(RESOURCE, 2, HOME_PARTS - KEPT)
