--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -221,11 +221,11 @@
             view = FleetView(peers, config.name, config.settings.front_count, config.seed, self.faults, boot)
             if recall:
                 recall.serve(view)
-            view.share(self.handed, config.state_dir)
+            view.replicate_holds(self.handed, config.state_dir)
             if peers.limits or peers.cold:
                 boxes = directory.boxes
-                view.lend(self.core, lambda node: boxes[node].name if node in boxes else None)
-            view.say(config.settings)
+                view.start_leasing(self.core, lambda node: boxes[node].name if node in boxes else None)
+            view.announce_settings(config.settings)
             await view.start()
         except (ImportError, OSError) as error:
             msg = f"fleet: {error}"
@@ -267,14 +267,14 @@
 
         def figures() -> list[str]:
             lines = self.figures.lines(list(self.config.classes), len(directory.boxes), directory.down())
-            return lines + (self.fleet.figures() if self.fleet else []) + config_lines()
+            return lines + (self.fleet.metric_lines() if self.fleet else []) + config_lines()
 
         def config_lines() -> list[str]:
             return self.subscription.lines() if self.subscription else []
 
         def held(box: str, hold: bool) -> tuple[int, int]:
             if self.fleet:
-                return self.fleet.held_by(box, hold, HELD_BY)
+                return self.fleet.wait_until_replicated(box, hold, HELD_BY)
             return 1, self.config.settings.front_count  # it is still starting
 
         kept = bool(self.config.fleet)
@@ -285,7 +285,7 @@
             enable=self.handed.enable,
             drain=front.drained,
             resume=front.drain.resume,
-            fleet=(lambda: self.fleet.lines() if self.fleet else []) if kept else None,
+            fleet=(lambda: self.fleet.status_lines() if self.fleet else []) if kept else None,
             shared=held if kept else None,
             replica=(lambda: self.fleet.replica_lines() if self.fleet else []) if kept else None,
             recovery=(lambda: self.startup.lines() if self.startup else []) if kept else None,
@@ -325,7 +325,7 @@
             self.core.tell(SettingsReloaded(settings, taken.retired))
             self.life.retime(self.notice())
             if self.fleet:
-                self.fleet.say(settings)
+                self.fleet.announce_settings(settings)
         self.discovery.keep_pace(self.config.drain_grace)
         if taken.moved:
             self.discovery.move(self.config.discovery)
--- a/cleatyoke/emulation/capacity/duties.py
+++ b/cleatyoke/emulation/capacity/duties.py
@@ -15,7 +15,7 @@
 from cleatyoke.emulation.capacity.cost import processor_seconds
 from cleatyoke.emulation.capacity.nodes import NOW, ListedFront, settings
 from cleatyoke.emulation.capacity.plan import PLAN
-from cleatyoke.fleet.view import TRADE
+from cleatyoke.fleet.lease_trading import LEASE_INTERVAL
 from cleatyoke.membership.wire import MemberId, MemberState, Update, decode_full_state, encode_full_state
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, SettingsReloaded, UpdateKind
@@ -92,10 +92,10 @@
 
     def look() -> None:
         nonlocal now
-        now += TRADE
+        now += LEASE_INTERVAL
         rights.step(now, [PeersChanged(tuple(one for one in peers if one not in doubted)), need])
 
-    return processor_seconds(look, 100) / TRADE
+    return processor_seconds(look, 100) / LEASE_INTERVAL
 
 
 def discovery_calls(hosts: int, seed: int) -> float:
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -157,7 +157,7 @@
             )
             if scenario.view.limits or scenario.view.cold:
                 boxes = front.directory.boxes
-                front.view.lend(front.core, lambda node: boxes[node].name if node in boxes else None)
+                front.view.start_leasing(front.core, lambda node: boxes[node].name if node in boxes else None)
             await front.view.start()
         self.version += 1
         known = [box.listed() for box in self.boxes]
--- a/cleatyoke/emulation/view.py
+++ b/cleatyoke/emulation/view.py
@@ -9,7 +9,9 @@
 
 from cleatyoke.config.deployment import Address, FleetSettings
 from cleatyoke.emulation.network import Network
-from cleatyoke.fleet.view import PATIENCE, FleetView, told
+from cleatyoke.fleet.sockets import format_address
+from cleatyoke.fleet.streams import EXCHANGE_TIMEOUT
+from cleatyoke.fleet.view import FleetView
 from cleatyoke.membership.actions import MembershipAction, ReplyExchange, SendDatagram, StartExchange
 from cleatyoke.membership.events import DatagramReceived, ExchangeAnswered, ExchangeRequested
 from cleatyoke.process.faults import Faults
@@ -37,7 +39,7 @@
         self, ether: Ether, peers: FleetSettings, name: str, hosts: int, seed: int, faults: Faults
     ) -> None:
         super().__init__(peers, name, hosts, seed, faults)
-        self.ether, self.address = ether, told(peers.advertise)
+        self.ether, self.address = ether, format_address(peers.advertise)
 
     async def start(self) -> None:
         self.ether.views[self.address] = self
@@ -47,14 +49,14 @@
         """As by SIGKILL: no word, and nothing of it is left."""
         if self.ether.views.get(self.address) is self:
             del self.ether.views[self.address]
-        for bell in (self.bell, self.lending.bell, self.alike.bell):
+        for bell in (self.step_timer, self.lease_timer.bell, self.settings_timer.bell):
             if bell:
                 bell.cancel()
 
     def close_sockets(self) -> None:
         self.kill()
 
-    def act(self, action: MembershipAction) -> None:
+    def perform(self, action: MembershipAction) -> None:
         network, here = self.ether.network, self.address
         match action:
             case SendDatagram(target, data):
@@ -63,7 +65,9 @@
             case StartExchange(target, data):
                 reached = network.stream(here, target, data)
                 if reached is None or target not in self.ether.views:
-                    self.ether.later(PATIENCE, here, lambda view: view.step(ExchangeAnswered(target, None)))
+                    self.ether.later(
+                        EXCHANGE_TIMEOUT, here, lambda view: view.step(ExchangeAnswered(target, None))
+                    )
                     return
                 self.ether.tokens += 1
                 token = self.ether.tokens
@@ -77,7 +81,7 @@
                         back, asker.address, lambda view: view.step(ExchangeAnswered(here, data))
                     )
             case _:
-                super().act(action)
+                super().perform(action)
 
 
 def address_of(front: int) -> Address:
--- /dev/null
+++ b/cleatyoke/fleet/hold_sharing.py
@@ -0,0 +1,111 @@
+"""Operators' holds of nodes, kept in step among fronts and in a file.
+
+Between the file of this front's holds (``process.handover``) and their replication
+(``coordination.hold_replication``).
+"""
+
+from __future__ import annotations
+
+import contextlib
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING, NamedTuple
+
+import structlog
+
+from cleatyoke.coordination.hold_replication import HoldReplication
+from cleatyoke.process.faults import Faults
+from cleatyoke.process.handover import HoldFile
+
+if TYPE_CHECKING:
+    from cleatyoke.fleet.view import FleetView
+
+HOLDS_FILE = "cleatyoke-fleet-copies"  # in the state directory: what is known of all fronts' holds
+REPLICATION_POLL = 0.01  # seconds between checks whether a hold has reached all fronts
+log = structlog.get_logger()
+
+
+class HoldSpread(NamedTuple):
+    """How far a hold or its release has come."""
+
+    confirmed: int  # fronts that are known to have it, this one included
+    fronts: int  # that may be up
+
+
+def wait_until_replicated(view: FleetView, node_name: str, *, is_held: bool, timeout: float) -> HoldSpread:
+    """Wait until all fronts and the disk have a hold, or its release, that was made here.
+
+    Blocks its thread, which must not be the loop's; returns after ``timeout`` seconds at the latest.
+    """
+    replication = view.hold_replication
+    deadline = time.monotonic() + timeout
+    while True:
+        active = list(view.membership.active_members)
+        is_applied = (node_name in replication.holds.boxes()) == is_held
+        confirmed = 0
+        if is_applied:
+            confirmed = 1 + sum(not replication.lacks(member) for member in active)
+        is_complete = is_applied and confirmed == len(active) + 1 and view.holds_are_on_disk()
+        if is_complete or time.monotonic() >= deadline:
+            return HoldSpread(confirmed, max(view.conclusion().front_count, len(active) + 1))
+        time.sleep(REPLICATION_POLL)
+
+
+class HoldSharing:
+    """Takes operators' calls to the replication, and remote changes to this front's holds.
+
+    What is known of holds stands in a file too, so that a release that this front misses while it is down
+    still counts for it. ``on_local_change`` is called after an operator's call here, ``save_state`` after
+    each change.
+    """
+
+    def __init__(  # noqa: PLR0913 - the parts that it connects
+        self,
+        replication: HoldReplication,
+        hold_file: HoldFile,
+        folder: Path,
+        faults: Faults,
+        *,
+        on_local_change: Callable[[], None],
+        save_state: Callable[[], None],
+    ) -> None:
+        self.replication = replication
+        self.hold_file = hold_file
+        self.path = folder / HOLDS_FILE
+        self.faults = faults
+        self.on_local_change = on_local_change
+        self.save_state = save_state
+
+    def start(self) -> None:
+        """Read what an earlier process knew, and share holds from now on."""
+        data = b""
+        with contextlib.suppress(OSError):
+            data = self.path.read_bytes()
+        self.hold_file.look()  # what an earlier process held
+        held = frozenset(self.hold_file.directory.holds.held)
+        self.replication.restore(data, held)
+        self.replication.changed = self._apply_remote_change
+        self.hold_file.shared = self._apply_local_change
+        if absent := self.replication.holds.boxes() - frozenset(self.hold_file.directory.holds.held):
+            self.hold_file.heard(absent, frozenset())
+
+    def _apply_remote_change(self, held: frozenset[str], released: frozenset[str]) -> None:
+        log.info("fleet_holds", held=sorted(held), released=sorted(released))
+        self._save()
+        self.hold_file.heard(held, released)
+
+    def _apply_local_change(self, node_name: str, is_held: bool) -> None:  # called by position by HoldFile
+        if is_held:
+            self.replication.hold(node_name)
+        else:
+            self.replication.release(node_name)
+        self._save()
+        self.on_local_change()
+
+    def _save(self) -> None:
+        self.save_state()
+        with self.faults.step("fleet_copies"):
+            new = self.path.with_suffix(".new")
+            new.write_bytes(self.replication.dump())
+            new.replace(self.path)
--- a/cleatyoke/fleet/restore.py
+++ b/cleatyoke/fleet/restore.py
@@ -26,11 +26,11 @@
 class DurableReplicas(Protocol):
     """What is kept on the disk comes from here, and what the disk said goes here."""
 
-    recall: DurableState | None
+    durable_state: DurableState | None
 
-    def remember(self, memory: FrontState) -> None: ...
+    def restore_state(self, memory: FrontState) -> None: ...
 
-    def memory(self, before: FrontState) -> FrontState:
+    def state_to_save(self, before: FrontState) -> FrontState:
         """What is worth keeping now; ``before``: what was kept last."""
         ...
 
@@ -82,14 +82,14 @@
         """
         self.view = view
         if self.first.done():
-            view.recall = self
-            view.remember(self.first.result().memory)
+            view.durable_state = self
+            view.restore_state(self.first.result().memory)
             self.beat.start()
 
     def keep(self) -> None:
         """Write what is new."""
         assert self.view
-        memory = self.view.memory(self.last)
+        memory = self.view.state_to_save(self.last)
         memory = replace(memory, peers=memory.peers[:MOST_PEERS])
         if memory != self.last:
             self.last = memory
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -47,7 +47,7 @@
         return recall
 
     async def meet(self, view: FleetView) -> None:
-        await self.wait(StartStage.PEERS, view.met())
+        await self.wait(StartStage.PEERS, view.wait_for_peer())
 
     async def hear_of_boxes(self, known: bool, heard: asyncio.Event) -> None:
         """``known``: there is an old list."""
--- /dev/null
+++ b/cleatyoke/fleet/status.py
@@ -0,0 +1,100 @@
+"""What operators are shown of the fleet: answers to ``show-fleet`` and ``show-replica``, and metrics.
+
+The texts are interfaces, described in the page ``fleet-view.md``. All functions are called from the
+operators' thread while the loop goes on: they copy each collection in one step of the interpreter before they
+read it.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from cleatyoke.membership.conclusions import Conclusion
+from cleatyoke.membership.wire import MemberId, MemberState
+
+if TYPE_CHECKING:
+    from cleatyoke.fleet.view import FleetView
+
+MAX_LACKING_SHOWN = 64  # fronts that are not known to have all replicated data
+
+
+def fleet_lines(view: FleetView) -> list[str]:
+    """Return the answer to ``show-fleet``: this front, the number of fronts, the digest, each member."""
+    membership = view.membership
+    conclusion = view.conclusion()
+    own = membership.own_update()
+    place = "alone" if own.owns_address else "beside"
+    lines = [
+        f"fleet.me {own.id.name} {own.id.boot} {own.incarnation} {own.address} {place}",
+        f"fleet.count {conclusion.front_count}",
+        f"fleet.digest {membership.digest():08x}",
+    ]
+    for record in sorted(membership.records.values(), key=lambda record: record.update.id):
+        update = record.update
+        certainty = _certainty(conclusion, update.id)
+        heard = f"{membership.now - record.last_heard:.1f}" if record.last_heard > 0 else "never"
+        lines.append(
+            f"fleet.life {update.id.name} {update.id.boot} {update.incarnation} {update.address} "
+            f"{update.state.name.lower()} {certainty} heard={heard}"
+        )
+    return lines
+
+
+def _certainty(conclusion: Conclusion, member: MemberId) -> str:
+    if member in conclusion.certainly_up:
+        return "certainly-up"
+    if member in conclusion.certainly_stopped:
+        return "certainly-stopped"
+    return "perhaps-up"
+
+
+def replica_lines(view: FleetView) -> list[str]:
+    """Return the answer to ``show-replica``.
+
+    The holds, who is not known to have them, copies that differed and were settled by the merge rule, and
+    whether all is on disk; the settings' checksum; quota leases.
+    """
+    membership = view.membership
+    replication = view.hold_replication
+    active = list(membership.active_members)
+    lacking = sorted(member.name for member in active if replication.lacks(member))
+    differing = membership.fronts_with_other_settings()
+    accounts = list(view.quota_leases.accounts.items())
+    loans = sum(len(account.loans) for _, account in accounts)
+    return [
+        f"replica.holds entries={len(replication.holds.held)} numbers={len(replication.holds.clock)} "
+        f"lacking={len(lacking)} of={len(active)} settled={replication.merged} disk={_disk_state(view)}",
+        f"replica.settings {membership.settings_checksum:08x} differ={','.join(differing) or 'none'}",
+        *(f"replica.hold {node}" for node in sorted(replication.holds.held)),
+        *(f"replica.lacks {name}" for name in lacking[:MAX_LACKING_SHOWN]),
+        f"replica.rights resources={len(accounts)} loans={loans} refused={view.quota_leases.refused}",
+    ]
+
+
+def _disk_state(view: FleetView) -> str:
+    if view.durable_state is None:
+        return "none"
+    return "yes" if view.holds_are_on_disk() else "behind"
+
+
+def metric_lines(view: FleetView) -> list[str]:
+    """Return the fleet's metrics, ``fleet.NAME=VALUE`` each, in their fixed order."""
+    membership = view.membership
+    counters = membership.counters
+    states = Counter(record.update.state for record in list(membership.records.values()))
+    metrics = {state.name.lower(): states[state] for state in MemberState}
+    metrics |= {name: getattr(counters, name) for name in counters.__dataclass_fields__ if name != "rejected"}
+    rejected = dict(counters.rejected)
+    metrics |= {f"refused.{reason.replace(' ', '-')}": count for reason, count in rejected.items()}
+    metrics |= {f"dropped.{reason}": count for reason, count in dict(view.dropped).items()}
+    metrics["holds"] = len(view.hold_replication.holds.held)
+    metrics["copies_merged"] = view.hold_replication.merged
+    accounts = list(view.quota_leases.accounts.values())
+    metrics["lent"] = sum(len(account.loans) for account in accounts)
+    metrics["borrowed"] = sum(len(account.debts) for account in accounts)
+    return [
+        *(f"fleet.{name}={value}" for name, value in metrics.items()),
+        *(view.durable_state.figures() if view.durable_state else []),
+        f"fleet.digest={membership.digest():08x}",
+    ]
--- /dev/null
+++ b/cleatyoke/fleet/streams.py
@@ -0,0 +1,114 @@
+"""Anti-entropy exchanges by stream: each connection carries one message each way and ends.
+
+A message has its length in four bytes before it (``transport.framing``). Streams are bounded in number and in
+time, so that a peer that never answers, or a stranger that sends without end, costs little.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections import Counter
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from cleatyoke.config.deployment import ConfigError, read_address
+from cleatyoke.membership.events import ExchangeAnswered, ExchangeRequested
+from cleatyoke.membership.wire import MAX_STREAM_BYTES
+from cleatyoke.transport.framing import read_message, write_message
+
+MAX_STREAMS = 16  # open at once, both ways together; one more is rejected
+EXCHANGE_TIMEOUT = 1.0  # seconds for a whole exchange
+
+
+class ExchangeStreams:
+    """Runs exchanges as tasks of the running loop.
+
+    ``host``: local address of outgoing connections. ``on_requested`` gets a peer's request, and has to call
+    ``reply`` before it returns or the stream ends unanswered. ``dropped`` counts what failed, by reason.
+    """
+
+    def __init__(
+        self,
+        host: str,
+        on_requested: Callable[[ExchangeRequested], None],
+        on_answered: Callable[[ExchangeAnswered], None],
+        dropped: Counter[str],
+    ) -> None:
+        self.host = host
+        self.on_requested = on_requested
+        self.on_answered = on_answered
+        self.dropped = dropped
+        self.tasks: set[asyncio.Task[None]] = set()
+        self._replies: dict[int, asyncio.Future[bytes]] = {}  # by token, of streams that wait for our state
+        self._last_token = 0
+
+    def start_exchange(self, address: str, data: bytes) -> None:
+        """Send a message to a peer; ``on_answered`` is called with the answer, or with None."""
+        self._open(self._exchange(address, data))
+
+    def reply(self, token: int, data: bytes) -> None:
+        """Answer the request of this token, if its stream still waits."""
+        reply = self._replies.get(token)
+        if reply and not reply.done():
+            reply.set_result(data)
+
+    def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a peer's connection, or abort it where there are too many."""
+        if len(self.tasks) >= MAX_STREAMS:
+            self.dropped["streams"] += 1
+            writer.transport.abort()
+        else:
+            self._open(self._serve(reader, writer))
+
+    def cancel(self) -> None:
+        """End all exchanges."""
+        for task in list(self.tasks):
+            task.cancel()
+
+    def _open(self, conversation: Coroutine[Any, Any, None]) -> None:
+        if len(self.tasks) >= MAX_STREAMS:
+            self.dropped["streams"] += 1
+            conversation.close()
+            return
+        task = asyncio.create_task(conversation)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    async def _exchange(self, address: str, data: bytes) -> None:
+        answer: bytes | None = None
+        writer: asyncio.StreamWriter | None = None
+        try:
+            async with asyncio.timeout(EXCHANGE_TIMEOUT):
+                peer = read_address(address, "peer")
+                reader, writer = await asyncio.open_connection(
+                    peer.host, peer.port, local_addr=(self.host, 0)
+                )
+                await write_message(writer, data)
+                answer = await read_message(reader, MAX_STREAM_BYTES)
+        except (ConfigError, OSError, EOFError, ValueError, TimeoutError):
+            self.dropped["exchange"] += 1
+        finally:
+            if writer:
+                writer.transport.abort()
+        self.on_answered(ExchangeAnswered(address, answer))
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._last_token += 1
+        token = self._last_token
+        try:
+            async with asyncio.timeout(EXCHANGE_TIMEOUT):
+                data = await read_message(reader, MAX_STREAM_BYTES)
+                reply = self._replies[token] = asyncio.get_running_loop().create_future()
+                self.on_requested(ExchangeRequested(token, data))
+                if not reply.done():
+                    return  # a message that is rejected gets no answer
+                await write_message(writer, reply.result())
+                writer.close()
+                await writer.wait_closed()
+        except (OSError, EOFError, ValueError, TimeoutError):
+            self.dropped["stream"] += 1
+        finally:
+            self._replies.pop(token, None)
+            with contextlib.suppress(OSError):
+                writer.transport.abort()
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -1,38 +1,33 @@
-"""The fleet's view on the wire: a datagram socket and a stream listener that drive ``fleet.members``.
+"""One front's part in its fleet: the membership and what is built on it, on sockets and the event loop.
 
-Thin: it decides nothing. Imported only where the view is on. A stream holds one message each way, its length
-in four bytes before it.
+Decides nothing itself. ``FleetView`` owns the parts and their timers: the membership's state machine, its
+sockets (``sockets``) and streams (``streams``), the replication of holds (``hold_sharing``), the quota leases
+(``lease_trading``), and what operators are shown (``status``). Imported only where the fleet is on.
 """
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import dataclasses
-import errno
 import random
 import time
 from collections import Counter
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import structlog
 
-from cleatyoke.config.deployment import Address, ConfigError, FleetSettings, read_address
+from cleatyoke.config.deployment import FleetSettings
 from cleatyoke.coordination.hold_replication import HoldReplication
-from cleatyoke.coordination.quota_leases import (
-    DemandChanged,
-    LeaseEvent,
-    LeaseMessageReceived,
-    PeersChanged,
-    QuotaFractionChanged,
-    QuotaLeases,
-)
-from cleatyoke.coordination.rate_limit_leases import RateLimitLeases
+from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.coordination.settings_digest import settings_digest
-from cleatyoke.coordination.slow_start_leases import SlowStartLeases
 from cleatyoke.core import Core
+from cleatyoke.fleet import status
+from cleatyoke.fleet.hold_sharing import HoldSharing, HoldSpread, wait_until_replicated
+from cleatyoke.fleet.lease_trading import LEASE_INTERVAL, LeaseTrading
+from cleatyoke.fleet.sockets import FleetSockets, format_address
+from cleatyoke.fleet.streams import ExchangeStreams
 from cleatyoke.membership.actions import (
     ChangeKind,
     DeliverLeaseMessage,
@@ -47,480 +42,276 @@
     BootNumberRecovered,
     DatagramReceived,
     ExchangeAnswered,
-    ExchangeRequested,
     LeaveRequested,
     MembershipEvent,
 )
 from cleatyoke.membership.members import Membership
 from cleatyoke.membership.timing import MembershipTiming
-from cleatyoke.membership.wire import MAX_STREAM_BYTES, MemberState
 from cleatyoke.process.faults import Faults, Watchdog
 from cleatyoke.process.handover import HoldFile
-from cleatyoke.scheduling.events import EndpointUpdate, QuotaShareChanged, SchedulerEvent
 from cleatyoke.scheduling.settings import SchedulerSettings
-from cleatyoke.transport.framing import read_message, write_message
 
 if TYPE_CHECKING:
     from cleatyoke.durability.records import FrontState
     from cleatyoke.fleet.restore import DurableState
 
-MOST_HEARD = 2000  # datagrams taken in a second; more are dropped, so that a flood costs no request its time
-MOST_STREAMS = 16  # open at once, each way; one more is refused
-PATIENCE = 1.0  # seconds for a whole exchange by stream
-CLAIM = 1.0  # seconds between tries at the stated address, where an older process of this name holds it
-COPIES = "cleatyoke-fleet-copies"  # file in $TMPDIR
-TRADE = 0.05  # seconds between looks at what is needed of limits
-HINTS = 8  # of the peers that the disk remembers, that are asked beside the seeds
-ALIKE = 1.0  # seconds between looks whether all go by the same settings
-TRIES = 8  # at a port that both sockets can have
+SETTINGS_INTERVAL = 1.0  # seconds between checks whether all fronts run with the same settings
+MAX_REMEMBERED_PEERS = 8  # of those on disk that are asked beside the seeds
 log = structlog.get_logger()
 
 
-def told(address: Address) -> str:
-    return f"{address.host}:{address.port}"
-
-
-class Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, view: FleetView) -> None:
-        self.view = view
-
-    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.view.heard(data)
-
-    def error_received(self, exc: Exception) -> None:
-        self.view.dropped["unsendable"] += 1  # nobody listens there
-
-
 class FleetView:
-    """One front's part in the view of its fleet."""
-
-    def __init__(
-        self, peers: FleetSettings, name: str, hosts: int, seed: int, faults: Faults, boot: int = 0
+    """One front's view of its fleet, and its part in it. To be made on the running event loop.
+
+    ``front_count``: of the settings. ``boot``: of this process, as its disk has it; 0: the disk says nothing.
+    """
+
+    def __init__(  # noqa: PLR0913 - a constructor of plain settings
+        self,
+        settings: FleetSettings,
+        name: str,
+        front_count: int,
+        seed: int,
+        faults: Faults,
+        boot: int = 0,
     ) -> None:
-        """``boot``: of this life, as its disk has it; 0: nothing is known of it."""
-        self.peers, self.hosts, self.faults = peers, hosts, faults
+        self.settings = settings
+        self.front_count = front_count
+        self.faults = faults
         self.loop = asyncio.get_running_loop()
-        boot, times = peers.boot or boot or int(time.time() * 1000), peers.timing
-        timing = MembershipTiming(
-            probe_interval=times["period"],
-            ack_timeout=times["answer"],
-            gossip_interval=times["gossip"],
-            exchange_interval=times["sync"],
-            failed_probe_interval=times["departed"],
-            join_interval=times["join"],
-        )
-        self.members = Membership(
-            peers.deployment,
+        boot = settings.boot or boot or int(time.time() * 1000)
+        self.membership = Membership(
+            settings.deployment,
             name,
             boot,
-            told(peers.advertise),
-            [told(one) for one in peers.seeds],
+            format_address(settings.advertise),
+            [format_address(seed_address) for seed_address in settings.seeds],
             random.Random(f"{seed}:{name}:{boot}"),
-            timing,
+            _membership_timing(settings),
             owns_address=True,
         )
-        self.copies = self.members.store = HoldReplication(lambda: self.members.id)
-        self.rights = QuotaLeases(self.loop.time(), random.Random(f"rights:{seed}:{name}:{boot}"))
-        self.differ: list[str] = []  # fronts of other settings, as the log was told
-        self.alike = Watchdog(faults, "fleet_settings", ALIKE, self.look_at_settings)
-        self.recall: DurableState | None = None
-        self.answered = asyncio.Event()  # a peer's whole view has come
-        self.core: Core | None = None
-        self.limits: RateLimitLeases | None = None
-        self.cold: SlowStartLeases | None = None
-        self.lending = Watchdog(faults, "fleet_limits", TRADE, self.look_at_needs)
-        self.transport: asyncio.DatagramTransport | None = None
-        self.server: asyncio.Server | None = None
-        self.bell: asyncio.TimerHandle | None = None
-        self.claims = Watchdog(faults, "fleet_claim", CLAIM, self.claim)
-        self.claiming: asyncio.Task[None] | None = None
-        self.streams: set[asyncio.Task[None]] = set()
-        self.waiting: dict[int, asyncio.Future[bytes]] = {}  # token: who waits for our view
-        self.tokens = 0
-        self.dropped: Counter[str] = Counter()  # what was not taken in or sent, by reason
-        self.span, self.taken = 0.0, 0  # second of the loop's clock, datagrams taken in it
-
-    # Sockets
+        self.hold_replication = HoldReplication(lambda: self.membership.id)
+        self.membership.store = self.hold_replication
+        self.quota_leases = QuotaLeases(self.loop.time(), random.Random(f"rights:{seed}:{name}:{boot}"))
+        self.lease_trading = LeaseTrading(self.quota_leases, self.membership, self.perform)
+        self.dropped: Counter[str] = Counter()  # messages that were not accepted or sent, by reason
+        self.streams = ExchangeStreams(settings.listen.host, self.step, self._handle_answer, self.dropped)
+        self.sockets = FleetSockets(
+            settings.listen,
+            faults,
+            self.dropped,
+            on_datagram=self.handle_datagram,
+            on_stream=self.streams.accept,
+            on_claimed=self._move_to_stated_address,
+        )
+        self.step_timer: asyncio.TimerHandle | None = None
+        self.settings_timer = Watchdog(faults, "fleet_settings", SETTINGS_INTERVAL, self.check_settings)
+        self.lease_timer = Watchdog(faults, "fleet_limits", LEASE_INTERVAL, self.lease_trading.update_demand)
+        self.differing_fronts: list[str] = []  # that run with other settings, as last logged
+        self.durable_state: DurableState | None = None  # set once the disk has been read
+        self.peer_state_received = asyncio.Event()
+
+    # Start and stop
 
     async def start(self) -> None:
-        """Bind, or where an older process of this name is still there, use another port meanwhile."""
-        listen = self.peers.listen
-        try:
-            self.transport, self.server = await self.bind(listen.port)
-        except OSError as error:
-            if error.errno != errno.EADDRINUSE:
-                raise
-            self.transport, self.server = await self.bind(0)
-            port = self.transport.get_extra_info("sockname")[1]
-            self.members.address, self.members.owns_address = told(Address(listen.host, port)), False
-            log.info("fleet_beside_another", address=self.members.address)
-            self.claims.start()
-        self.alike.start()
-        self.step()
+        """Bind the stated port, or another one while an earlier process of this name still holds it.
 
-    async def bind(self, port: int) -> tuple[asyncio.DatagramTransport, asyncio.Server]:
-        """One port for both. Raises ``OSError``."""
-        host = self.peers.listen.host
-        for _ in range(TRIES):
-            transport, _ = await self.loop.create_datagram_endpoint(
-                lambda: Datagrams(self), local_addr=(host, port)
-            )
-            try:
-                chosen = transport.get_extra_info("sockname")[1]
-                return transport, await asyncio.start_server(self.accept, host, chosen, backlog=64)
-            except OSError as error:
-                transport.close()
-                if port or error.errno != errno.EADDRINUSE:
-                    raise
-        raise OSError(errno.EADDRINUSE, "no port free for datagrams and streams")
-
-    def claim(self) -> None:
-        if self.claiming is None or self.claiming.done():
-            self.claiming = asyncio.create_task(self.try_claim())
-
-    async def try_claim(self) -> None:
-        try:
-            transport, server = await self.bind(self.peers.listen.port)
-        except OSError:
-            return  # it is still there
-        self.claims.stop()
-        self.close_sockets()
-        self.transport, self.server = transport, server
-        self.members.change_address(told(self.peers.advertise), owns_address=True)
-        log.info("fleet_alone", address=self.members.address)
+        Raises ``OSError`` where neither can be bound.
+        """
+        if not await self.sockets.open():
+            self.membership.address = self.sockets.bound_address()
+            self.membership.owns_address = False
+            log.info("fleet_beside_another", address=self.membership.address)
+            self.sockets.start_claiming()
+        self.settings_timer.start()
         self.step()
 
-    def close_sockets(self) -> None:
-        if self.transport:
-            self.transport.close()
-        if self.server:
-            self.server.close()
-
     def stop(self) -> None:
-        """Say that this life is over: it uses nothing more from here on."""
+        """Tell the others that this process leaves, and end everything: it uses nothing more from here on."""
         with self.faults.step("fleet_leave"):
             self.step(LeaveRequested())
-        if self.recall:
-            self.recall.stop()
-        for bell in (self.bell, self.claims, self.lending, self.alike):
-            if bell:
-                bell.stop() if isinstance(bell, Watchdog) else bell.cancel()
-        for task in (*self.streams, *([self.claiming] if self.claiming else [])):
-            task.cancel()
+        if self.durable_state:
+            self.durable_state.stop()
+        if self.step_timer:
+            self.step_timer.cancel()
+        for timer in (self.lease_timer, self.settings_timer):
+            timer.stop()
+        self.streams.cancel()
+        self.sockets.stop_claiming()
         self.close_sockets()
 
-    # Holds
-
-    def share(self, file: HoldFile, folder: Path) -> None:
-        """Keep the holds by hand in step with the other fronts'. What is known of them stands in a file too,
-        so that a release that this front misses while it is down still counts for it.
-        """
-        kept = folder / COPIES
-        data = b""
-        with contextlib.suppress(OSError):
-            data = kept.read_bytes()
-        file.look()  # what an earlier life held
-        self.copies.restore(data, frozenset(file.directory.holds.held))
-
-        def keep() -> None:
-            if self.recall:
-                self.recall.keep()
-            with self.faults.step("fleet_copies"):
-                spare = kept.with_suffix(".new")
-                spare.write_bytes(self.copies.dump())
-                spare.replace(kept)
-
-        def changed(held: frozenset[str], released: frozenset[str]) -> None:
-            log.info("fleet_holds", held=sorted(held), released=sorted(released))
-            keep()
-            file.heard(held, released)
-
-        def called(box: str, hold: bool) -> None:
-            (self.copies.hold if hold else self.copies.release)(box)
-            keep()
-            self.members.push_local_change()
-            self.step()
-
-        self.copies.changed, file.shared = changed, called
-        if absent := self.copies.holds.boxes() - frozenset(file.directory.holds.held):
-            file.heard(absent, frozenset())
-
-    def remember(self, memory: FrontState) -> None:
-        """Take what the disk says, which may come after the start. Whom this front knew before is asked
-        too, as its seeds may be down.
-        """
-        self.copies.holds = self.copies.holds.merge(memory.holds)
-        known = self.members.seeds
-        known += [peer for peer in memory.peers if peer not in known][:HINTS]
-        if self.transport:  # it is late
-            self.step(BootNumberRecovered(memory.boot))
-            self.copies.changed(self.copies.holds.boxes(), frozenset())
-
-    def memory(self, before: FrontState) -> FrontState:
-        """What outlives a loss of power, in place of what was kept before."""
-        there = sorted(self.members.records[id].update.address for id in self.members.active_members)
-        return dataclasses.replace(
-            before, holds=self.copies.holds, boot=self.members.id.boot, peers=tuple(there) or before.peers
-        )
+    def close_sockets(self) -> None:
+        """Close both sockets, if they are open."""
+        self.sockets.close()
 
-    async def met(self) -> str:
-        """Once a peer's whole view has come, or there is nobody to ask."""
-        if not self.members.other_seeds():
+    async def wait_for_peer(self) -> str:
+        """Wait until a peer's full state has come; returns by what, for the log of the start."""
+        if not self.membership.other_seeds():
             return "nobody to ask"
-        await self.answered.wait()
+        await self.peer_state_received.wait()
         return "a peer"
 
-    def held_by(self, box: str, hold: bool, within: float) -> tuple[int, int]:
-        """From the operators' thread: how many fronts have a call made here, of how many that may be up;
-        waits for them so many seconds at the most, and for the disk.
-        """
-        until = time.monotonic() + within
-        while True:
-            members = self.members
-            there = list(members.active_members)
-            done = (box in self.copies.holds.boxes()) == hold
-            having = sum(not self.copies.lacks(id) for id in there) if done else -1
-            if (having == len(there) and done and self.on_disk()) or time.monotonic() >= until:
-                return having + 1, max(self.conclusion().front_count, len(there) + 1)
-            time.sleep(0.01)
-
-    def say(self, settings: SchedulerSettings) -> None:
-        """Tell the others which settings this front goes by, that fronts of a fleet notice where they differ.
-        What is a process's own is left out.
-        """
-        self.members.announce_settings(settings_digest(settings))
-
-    def look_at_settings(self) -> None:
-        """Each keeps to its own, and says so."""
-        if (differ := self.members.fronts_with_other_settings()) != self.differ:
-            self.differ = differ
-            if differ:
-                log.warning("fleet_settings_differ", fronts=differ)
-            else:
-                log.info("fleet_settings_alike")
-
-    def on_disk(self) -> bool:
-        """Whether all holds known here are on the disk, as far as there is one."""
-        return self.recall is None or self.recall.has(self.copies.holds)
-
-    # Limits and cold boxes
-
-    def lend(self, core: Core, name: Callable[[int], str | None]) -> None:
-        """Lend parts of limits and of what cold boxes bear, and borrow them, from now on. ``name``: of a
-        node, the id that all fronts know it by.
-        """
-        self.core = core
-        if self.peers.limits:
-            self.limits = RateLimitLeases(self.rights, lambda: core.policy.settings.plans)
-        if self.peers.cold:
-            self.cold = SlowStartLeases(self.rights, lambda: core.policy.settings, name)
-        self.rights.part = core.policy.settings.initial_quota_share
-        core.before = self.before_step
-        self.lending.start()
-
-    def before_step(self, now: float, events: list[SchedulerEvent]) -> list[SchedulerEvent]:
-        """Directly before the policy decides: leases that have ended meanwhile count no longer."""
-        at = self.loop.time()
-        if self.limits:
-            self.limits.heard(at, events)
-        if self.cold:
-            self.cold.heard(at, now, events)
-        for event in events:
-            if isinstance(event, QuotaShareChanged):
-                self.trade(QuotaFractionChanged(event.fraction))
-        lists = [event for event in events if isinstance(event, EndpointUpdate)]  # first, as they name nodes
-        rest = [event for event in events if not isinstance(event, EndpointUpdate)]
-        return [*lists, *self.changes(at), *rest]
-
-    def changes(self, at: float) -> list[SchedulerEvent]:
-        return [event for one in (self.limits, self.cold) if one for event in one.changes(at)]
-
-    def trade(self, *events: LeaseEvent) -> None:
-        """One step of the rights."""
-        now = self.loop.time()
-        for post in self.rights.step(now, events):
-            for action in self.members.send_lease_message(post.receiver, post.message):
-                self.act(action)
-        if self.core:
-            for event in self.changes(now):
-                self.core.tell(event)
-
-    def look_at_needs(self) -> None:
-        now = self.loop.time()
-        needs = {key: need for one in (self.limits, self.cold) if one for key, need in one.needs(now).items()}
-        if needs or self.rights.accounts:
-            alive = [id for id in self.members.active_members if id not in self.members.suspected_members]
-            self.trade(PeersChanged(tuple(alive)), DemandChanged(needs))
-
-    # Steps
-
-    def heard(self, data: bytes) -> None:
-        if self.transport is None:  # its socket is open and its listener not yet: nothing can be answered
-            self.dropped["early"] += 1
-            return
-        now = self.loop.time()
-        if now >= self.span + 1:
-            self.span, self.taken = now, 0
-        self.taken += 1
-        if self.taken > MOST_HEARD:
-            self.dropped["flood"] += 1
-            return
+    # What arrives
+
+    def handle_datagram(self, data: bytes) -> None:
+        """Take in a datagram."""
         self.step(DatagramReceived(data))
 
+    def _move_to_stated_address(self) -> None:
+        self.membership.change_address(format_address(self.settings.advertise), owns_address=True)
+        log.info("fleet_alone", address=self.membership.address)
+        self.step()
+
+    def _handle_answer(self, event: ExchangeAnswered) -> None:
+        self.step(event)
+        if event.data is not None and self.membership.has_joined:
+            self.peer_state_received.set()
+
+    # Steps of the membership
+
     def step(self, *events: MembershipEvent) -> None:
+        """Let the membership take in events and do whatever is due; sets the timer of its next step."""
         try:
-            for action in self.members.step(self.loop.time(), events):
-                self.act(action)
-        except Exception as error:  # guards the timer, which a fault would never set again
+            for action in self.membership.step(self.loop.time(), events):
+                self.perform(action)
+        except Exception as error:  # noqa: BLE001 - guards the timer, which a fault would never set again
             self.faults.told("fleet_fault", error)
-        if self.bell:
-            self.bell.cancel()
-        if not self.members.has_left:
-            self.bell = self.loop.call_at(self.members.next_step_at(), self.step)
+        if self.step_timer:
+            self.step_timer.cancel()
+        if not self.membership.has_left:
+            self.step_timer = self.loop.call_at(self.membership.next_step_at(), self.step)
 
-    def act(self, action: MembershipAction) -> None:
+    def perform(self, action: MembershipAction) -> None:
+        """Carry out one action of the membership."""
         match action:
             case SendDatagram(address, data):
-                assert self.transport
-                try:
-                    peer = read_address(address, "peer")
-                    self.transport.sendto(data, (peer.host, peer.port))
-                except (ConfigError, OSError, ValueError):
-                    self.dropped["unsendable"] += 1
+                self.sockets.send(address, data)
             case StartExchange(address, data):
-                self.open_stream(self.exchange(address, data))
+                self.streams.start_exchange(address, data)
             case ReplyExchange(token, data):
-                if (reply := self.waiting.get(token)) and not reply.done():
-                    reply.set_result(data)
-            case DeliverLeaseMessage(sender, body):
-                if self.core:
-                    self.trade(LeaseMessageReceived(sender, body))
-            case MembershipChanged(change, id, by):
-                if change is ChangeKind.RENAMED and self.recall:
-                    self.recall.keep()
-                log.info("fleet_change", change=change.value, of=id.name, boot=id.boot, by=by)
-
-    # Streams
-
-    def open_stream(self, conversation: Coroutine[Any, Any, None]) -> None:
-        if len(self.streams) >= MOST_STREAMS:
-            self.dropped["streams"] += 1
-            conversation.close()
-            return
-        task = asyncio.create_task(conversation)
-        self.streams.add(task)
-        task.add_done_callback(self.streams.discard)
-
-    async def exchange(self, address: str, data: bytes) -> None:
-        answer: bytes | None = None
-        writer: asyncio.StreamWriter | None = None
-        try:
-            async with asyncio.timeout(PATIENCE):
-                peer = read_address(address, "peer")
-                reader, writer = await asyncio.open_connection(
-                    peer.host, peer.port, local_addr=(self.peers.listen.host, 0)
+                self.streams.reply(token, data)
+            case DeliverLeaseMessage():
+                self.lease_trading.receive(action)
+            case MembershipChanged(change, member, suspected_by):
+                if change is ChangeKind.RENAMED and self.durable_state:
+                    self.durable_state.keep()
+                log.info(
+                    "fleet_change", change=change.value, of=member.name, boot=member.boot, by=suspected_by
                 )
-                await write_message(writer, data)
-                answer = await read_message(reader, MAX_STREAM_BYTES)
-        except (ConfigError, OSError, EOFError, ValueError, TimeoutError):
-            self.dropped["exchange"] += 1
-        finally:
-            if writer:
-                writer.transport.abort()
-        self.step(ExchangeAnswered(address, answer))
-        if answer is not None and self.members.has_joined:
-            self.answered.set()
-
-    def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.transport is None or len(self.streams) >= MOST_STREAMS:
-            self.dropped["early" if self.transport is None else "streams"] += 1
-            writer.transport.abort()
+
+    # Holds and durable state
+
+    def replicate_holds(self, hold_file: HoldFile, folder: Path) -> None:
+        """Keep operators' holds in step with the other fronts' from now on. ``folder``: of the state."""
+        HoldSharing(
+            self.hold_replication,
+            hold_file,
+            folder,
+            self.faults,
+            on_local_change=self._push_holds,
+            save_state=self._save_state,
+        ).start()
+
+    def _push_holds(self) -> None:
+        self.membership.push_local_change()
+        self.step()
+
+    def _save_state(self) -> None:
+        if self.durable_state:
+            self.durable_state.keep()
+
+    def restore_state(self, state: FrontState) -> None:
+        """Take what the disk says, which may come after the start.
+
+        Peers that this front knew before are asked too, as its seeds may be down.
+        """
+        self.hold_replication.holds = self.hold_replication.holds.merge(state.holds)
+        seeds = self.membership.seeds
+        seeds += [peer for peer in state.peers if peer not in seeds][:MAX_REMEMBERED_PEERS]
+        if self.sockets.is_open():  # the disk answered late
+            self.step(BootNumberRecovered(state.boot))
+            self.hold_replication.changed(self.hold_replication.holds.boxes(), frozenset())
+
+    def state_to_save(self, before: FrontState) -> FrontState:
+        """Return what is to outlive a loss of power. ``before``: what was saved last."""
+        records = self.membership.records
+        peers = sorted(records[member].update.address for member in self.membership.active_members)
+        return dataclasses.replace(
+            before,
+            holds=self.hold_replication.holds,
+            boot=self.membership.id.boot,
+            peers=tuple(peers) or before.peers,
+        )
+
+    def holds_are_on_disk(self) -> bool:
+        """Whether all holds known here are on the disk, as far as there is one. From any thread."""
+        return self.durable_state is None or self.durable_state.has(self.hold_replication.holds)
+
+    def wait_until_replicated(self, node_name: str, is_held: bool, timeout: float) -> HoldSpread:
+        """Wait until all fronts and the disk have a hold, or its release, that was made here.
+
+        Called from the operators' thread; returns after ``timeout`` seconds at the latest.
+        """
+        return wait_until_replicated(self, node_name, is_held=is_held, timeout=timeout)
+
+    # Settings
+
+    def announce_settings(self, settings: SchedulerSettings) -> None:
+        """Tell the others a checksum of the settings in force here, so that a difference is noticed."""
+        self.membership.announce_settings(settings_digest(settings))
+
+    def check_settings(self) -> None:
+        """Log when fronts begin or cease to run with other settings; each keeps its own."""
+        differing = self.membership.fronts_with_other_settings()
+        if differing == self.differing_fronts:
+            return
+        self.differing_fronts = differing
+        if differing:
+            log.warning("fleet_settings_differ", fronts=differing)
         else:
-            self.open_stream(self.converse(reader, writer))
+            log.info("fleet_settings_alike")
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.tokens += 1
-        token = self.tokens
-        try:
-            async with asyncio.timeout(PATIENCE):
-                data = await read_message(reader, MAX_STREAM_BYTES)
-                reply = self.waiting[token] = self.loop.create_future()
-                self.step(ExchangeRequested(token, data))
-                if not reply.done():
-                    return  # what cannot be read gets no answer
-                answer = reply.result()
-                await write_message(writer, answer)
-                writer.close()
-                await writer.wait_closed()
-        except (OSError, EOFError, ValueError, TimeoutError):
-            self.dropped["stream"] += 1
-        finally:
-            self.waiting.pop(token, None)
-            with contextlib.suppress(OSError):
-                writer.transport.abort()
-
-    # What is told; called from the operators' thread, so copies first, each in one step of the interpreter
+    # Quota leases
 
-    def conclusion(self) -> Conclusion:
-        members = self.members
-        known = [ObservedMember(life.update, life.last_heard) for life in list(members.records.values())]
-        return conclude(members.own_update(), known, self.hosts, members.now)
-
-    def lines(self) -> list[str]:
-        members, found = self.members, self.conclusion()
-        me = members.own_update()
-        place = "alone" if me.owns_address else "beside"
-        out = [
-            f"fleet.me {me.id.name} {me.id.boot} {me.incarnation} {me.address} {place}",
-            f"fleet.count {found.front_count}",
-            f"fleet.digest {members.digest():08x}",
-        ]
-        for life in sorted(members.records.values(), key=lambda life: life.update.id):
-            one = life.update
-            sure = (
-                "certainly-up"
-                if one.id in found.certainly_up
-                else "certainly-stopped"
-                if one.id in found.certainly_stopped
-                else "perhaps-up"
-            )
-            silent = f"{members.now - life.last_heard:.1f}" if life.last_heard > 0 else "never"
-            out.append(
-                f"fleet.life {one.id.name} {one.id.boot} {one.incarnation} {one.address} "
-                f"{one.state.name.lower()} {sure} heard={silent}"
-            )
-        return out
+    def start_leasing(self, core: Core, node_name: Callable[[int], str | None]) -> None:
+        """Lease parts of rate limits and of warming nodes to and from other fronts from now on.
 
-    def replica_lines(self) -> list[str]:
-        """For ``show-replica``: of each kind its entries, who is not known to have them, and copies that
-        differed and were settled by the rule.
+        ``node_name``: of a node's number, the id by which all fronts know it.
         """
-        members, copies, rights = self.members, self.copies, self.rights
-        there = list(members.active_members)
-        lacking = sorted(id.name for id in there if copies.lacks(id))
-        accounts = list(rights.accounts.items())
-        loans = sum(len(account.loans) for _, account in accounts)
-        return [
-            f"replica.holds entries={len(copies.holds.held)} numbers={len(copies.holds.clock)} "
-            f"lacking={len(lacking)} of={len(there)} settled={copies.merged} disk="
-            + ("none" if self.recall is None else "yes" if self.on_disk() else "behind"),
-            f"replica.settings {members.settings_checksum:08x} differ={','.join(members.fronts_with_other_settings()) or 'none'}",
-            *(f"replica.hold {box}" for box in sorted(copies.holds.held)),
-            *(f"replica.lacks {name}" for name in lacking[:64]),
-            f"replica.rights resources={len(accounts)} loans={loans} refused={rights.refused}",
+        self.lease_trading.start(self.settings, core, node_name)
+        self.lease_timer.start()
+
+    # What operators are shown; called from their thread
+
+    def conclusion(self) -> Conclusion:
+        """Return what may be concluded from the view now."""
+        membership = self.membership
+        members = [
+            ObservedMember(record.update, record.last_heard) for record in list(membership.records.values())
         ]
+        return conclude(membership.own_update(), members, self.front_count, membership.now)
+
+    def status_lines(self) -> list[str]:
+        """Return the answer to ``show-fleet``."""
+        return status.fleet_lines(self)
 
-    def figures(self) -> list[str]:
-        members, told = self.members, self.members.counters
-        states = Counter(life.update.state for life in list(members.records.values()))
-        facts = {state.name.lower(): states[state] for state in MemberState}
-        facts |= {name: getattr(told, name) for name in told.__dataclass_fields__ if name != "rejected"}
-        facts |= {f"refused.{why.replace(' ', '-')}": count for why, count in dict(told.rejected).items()}
-        facts |= {f"dropped.{why}": count for why, count in dict(self.dropped).items()}
-        facts |= {"holds": len(self.copies.holds.held), "copies_merged": self.copies.merged}
-        accounts = list(self.rights.accounts.values())
-        facts["lent"] = sum(len(account.loans) for account in accounts)
-        facts["borrowed"] = sum(len(account.debts) for account in accounts)
-        kept = self.recall.figures() if self.recall else []
-        digest = f"fleet.digest={members.digest():08x}"
-        return [*(f"fleet.{name}={value}" for name, value in facts.items()), *kept, digest]
+    def replica_lines(self) -> list[str]:
+        """Return the answer to ``show-replica``."""
+        return status.replica_lines(self)
+
+    def metric_lines(self) -> list[str]:
+        """Return the fleet's metrics."""
+        return status.metric_lines(self)
+
+
+def _membership_timing(settings: FleetSettings) -> MembershipTiming:
+    """The intervals that the deployment sets, by the keys of ``[fleet]``."""
+    seconds = settings.timing
+    return MembershipTiming(
+        probe_interval=seconds["period"],
+        ack_timeout=seconds["answer"],
+        gossip_interval=seconds["gossip"],
+        exchange_interval=seconds["sync"],
+        failed_probe_interval=seconds["departed"],
+        join_interval=seconds["join"],
+    )
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -61,7 +61,7 @@
 from cleatyoke.coordination import replicated_holds as replicas
 from cleatyoke.membership import wire
 from cleatyoke.membership.actions import ReplyExchange
-from cleatyoke.membership.events import (ExchangeRequested, DatagramReceived)
+from cleatyoke.membership.events import ExchangeRequested, DatagramReceived
 from cleatyoke.coordination.staged_start import Evidence, StagedStart, StartStage
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.admin.maintenance import FrontDrain
@@ -335,29 +335,29 @@
 async def fleet_view(value: Plain) -> FleetView:
     """A front's view of its fleet after some datagrams, without sockets."""
     view = FleetView(fleet_peers(), "n0", 2, 1, Faults(Metrics()))
-    view.members.step(100.0, [])
-    view.members.step(100.05, [DatagramReceived(unpack(one)) for one in value.get("datagrams", [])])
+    view.membership.step(100.0, [])
+    view.membership.step(100.05, [DatagramReceived(unpack(one)) for one in value.get("datagrams", [])])
     for node in value.get("held", []):
-        view.copies.hold(node)
+        view.hold_replication.hold(node)
     return view
 
 
 async def capture_sums(value: Plain) -> Plain:
     """Sums that travel among fronts and have to be equal in all versions of the program."""
     view = await fleet_view(value)
-    view.say(all_settings())
+    view.announce_settings(all_settings())
     return {
-        "settings": view.members.settings_checksum,
-        "members": view.members.digest(),
-        "members and holds in pings": view.members.membership_checksum(),
-        "holds": view.copies.digest(),
+        "settings": view.membership.settings_checksum,
+        "members": view.membership.digest(),
+        "members and holds in pings": view.membership.membership_checksum(),
+        "holds": view.hold_replication.digest(),
     }
 
 
 async def capture_view_exchange(value: Plain) -> Plain:
     """The answer to a peer's whole view: this front's own."""
     view = await fleet_view(value)
-    actions = view.members.step(100.1, [ExchangeRequested(1, unpack(value["view"]))])
+    actions = view.membership.step(100.1, [ExchangeRequested(1, unpack(value["view"]))])
     return [pack(action.data) for action in actions if isinstance(action, ReplyExchange)]
 
 
@@ -1210,12 +1210,12 @@
 async def capture_control(value: Plain) -> Plain:
     """Control calls over loopback, each on a connection of its own, and their answers."""
     view = await fleet_view(value)
-    view.say(all_settings())
+    view.announce_settings(all_settings())
     figures = counted_figures()
 
     def stat() -> list[str]:
         lines = figures.lines(["tile-read", "record-write"], 6, 2)
-        return [*lines, *(view.figures() if value["fleet"] else []), *config_status().lines(100.0)]
+        return [*lines, *(view.metric_lines() if value["fleet"] else []), *config_status().lines(100.0)]
 
     commands = ControlCommands(
         ready=lambda: value.get("ready", True),
@@ -1224,7 +1224,7 @@
         enable=lambda name: name == "s-a",
         drain=lambda: None,
         resume=lambda: None,
-        fleet=view.lines if value["fleet"] else None,
+        fleet=view.status_lines if value["fleet"] else None,
         shared=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
         replica=view.replica_lines if value["fleet"] else None,
         recovery=(lambda: recovery_lines(value)) if value["fleet"] else None,
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -22,13 +22,13 @@
 from cleatyoke.coordination.replicated_holds import HoldSet
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.membership.wire import MemberId
-from cleatyoke.fleet.view import COPIES
+from cleatyoke.fleet.hold_sharing import HOLDS_FILE
 from cleatyoke.process.handover import HoldFile, SiblingProcesses
 from tests import host
 
 CHECK_MODULE = "cleatyoke.durability"
 DURABLE_FILES = NAMES
-COPIES_FILE = COPIES
+COPIES_FILE = HOLDS_FILE
 LANE_TITLES = {Lane.NODES: "nodes first", Lane.SETTINGS: "settings"}
 
 Neutral = dict[str, Any]
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -23,7 +23,8 @@
 from cleatyoke.config.deployment import ConfigError, FleetSettings, read_address, read_fronts
 from cleatyoke.emulation.network import Fault, Network
 from cleatyoke.emulation.traffic import emulate
-from cleatyoke.fleet.view import MOST_HEARD, FleetView
+from cleatyoke.fleet.sockets import MAX_DATAGRAMS_PER_SECOND
+from cleatyoke.fleet.view import FleetView
 from cleatyoke.membership import wire
 from cleatyoke.membership.wire import Gossip, MemberId, MemberState, Update
 from cleatyoke.process.faults import Faults
@@ -158,7 +159,7 @@
             "view": (
                 roll,
                 [
-                    ("fleet/view.py", "peers.boot or boot or int(time.time() * 1000)", "1"),
+                    ("fleet/view.py", "settings.boot or boot or int(time.time() * 1000)", "1"),
                     (
                         "membership/merging.py",
                         "self.id = MemberId(self.id.name, boot + 1)\n        self.incarnation = 0",
@@ -201,7 +202,7 @@
         view = FleetView(peers, f"n{number}", 1, number, Faults(Metrics()))
         self.views.append(view)
         if goes_by:
-            view.say(goes_by)
+            view.announce_settings(goes_by)
         await view.start()
         return view
 
@@ -213,11 +214,11 @@
 
     async def test_garbage_foreign_and_replayed_datagrams_by_the_thousand_change_nothing(self) -> None:
         one, other = await self.start(1), await self.start(2)
-        await self.until("len(view.members.active_members)", 1)
+        await self.until("len(view.membership.active_members)", 1)
         rng = random.Random(1)
-        life = Update(MemberId("n2", 1), other.members.address, MemberState.DEAD, 0)
+        life = Update(MemberId("n2", 1), other.membership.address, MemberState.DEAD, 0)
         foreign = wire.encode_datagram("theirs", life, Gossip(), [life])[0]
-        own = wire.encode_datagram("ours", other.members.own_update(), Gossip(), [])[0]
+        own = wire.encode_datagram("ours", other.membership.own_update(), Gossip(), [])[0]
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             for number in range(2000):
                 bad = rng.randbytes(rng.randrange(1, 1400))
@@ -225,14 +226,15 @@
                 if number % 50 == 0:
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.2)
-            assert list(one.members.records) == [MemberId("n2", 1)]
-            assert one.members.records[MemberId("n2", 1)].update.state is not MemberState.DEAD
-            refused = one.members.counters.rejected
+            assert list(one.membership.records) == [MemberId("n2", 1)]
+            assert one.membership.records[MemberId("n2", 1)].update.state is not MemberState.DEAD
+            refused = one.membership.counters.rejected
             assert min(refused["foreign"], refused["corrupt"]) > 300
-            stat = dict(line.split("=") for line in one.figures())
+            stat = dict(line.split("=") for line in one.metric_lines())
             assert int(stat["fleet.refused.foreign"]) == refused["foreign"]
             for _ in range(3):
-                one.span, one.taken = asyncio.get_running_loop().time(), MOST_HEARD
+                one.sockets.datagram_limit.second_began = asyncio.get_running_loop().time()
+                one.sockets.datagram_limit.received = MAX_DATAGRAMS_PER_SECOND
                 stranger.sendto(own, ("127.1.2.1", self.port))
                 await asyncio.sleep(0.02)
         assert one.dropped["flood"] > 0
@@ -261,32 +263,32 @@
         ours, theirs = settings(front_count=3, seed=1), settings(front_count=4)
         for number in (1, 2, 3):
             await self.start(number, goes_by=theirs if number == 3 else settings(front_count=3, seed=number))
-        await self.until("len(view.members.active_members)", 2)
+        await self.until("len(view.membership.active_members)", 2)
         one, _, other = self.views
         async with asyncio.timeout(5):
-            while one.differ != ["n3"] or other.differ != ["n1", "n2"]:
+            while one.differing_fronts != ["n3"] or other.differing_fronts != ["n1", "n2"]:
                 await asyncio.sleep(0.02)
         assert one.replica_lines()[1].endswith("differ=n3")
         assert [view.faults.figures.faults for view in self.views] == [0] * 3
-        other.say(ours)
+        other.announce_settings(ours)
         async with asyncio.timeout(5):
-            while one.differ or other.differ:
+            while one.differing_fronts or other.differing_fronts:
                 await asyncio.sleep(0.02)
 
     async def test_two_processes_of_one_name_are_both_seen_and_the_younger_takes_the_address(self) -> None:
         old, witness = await self.start(1, boot=1), await self.start(2)
         new = await self.start(1, boot=2)
-        await self.until("len(view.members.active_members)", 2)
-        assert not new.members.owns_address
+        await self.until("len(view.membership.active_members)", 2)
+        assert not new.membership.owns_address
         both = {MemberId("n1", 1), MemberId("n1", 2)}
         assert both <= witness.conclusion().perhaps_up
         self.views.remove(old)
         old.stop()
-        await self.until("view.members.owns_address", True)
-        await self.until("len(view.members.left_members)", 1)
+        await self.until("view.membership.owns_address", True)
+        await self.until("len(view.membership.left_members)", 1)
         assert witness.conclusion().certainly_stopped == {MemberId("n1", 1)}
-        assert witness.members.records[MemberId("n1", 2)].update.address == f"127.1.2.1:{self.port}"
-        shown = read_view([*witness.lines(), "EOT"])
+        assert witness.membership.records[MemberId("n1", 2)].update.address == f"127.1.2.1:{self.port}"
+        shown = read_view([*witness.status_lines(), "EOT"])
         assert shown.lives["n1", 1] == ("left", "certainly-stopped")
 
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -150,7 +150,7 @@
         cls.addClassCleanup(shutil.rmtree, forgetful)
         shutil.copytree(ROOT / "cleatyoke", forgetful / "cleatyoke")
         part = forgetful / "cleatyoke" / "fleet" / "view.py"
-        right = "self.copies.holds = self.copies.holds.merge(memory.holds)"
+        right = "self.hold_replication.holds = self.hold_replication.holds.merge(state.holds)"
         text = part.read_text()
         assert text.count(right) == 1
         part.write_text(text.replace(right, "pass"))
@@ -315,16 +315,16 @@
         view = FleetView(peers, "n1", 1, 1, faults, recall.last.boot)
         recall.serve(view)
         changed: list[frozenset[str]] = []
-        view.copies.changed = lambda held, released: changed.append(held)
+        view.hold_replication.changed = lambda held, released: changed.append(held)
         await view.start()
         await startup.meet(view)
         await startup.hear_of_boxes(True, asyncio.Event())
         assert startup.recovery.door_open()
         go.set()
         async with asyncio.timeout(5):
-            while not recall.first.done() or not view.on_disk():
+            while not recall.first.done() or not view.holds_are_on_disk():
                 await asyncio.sleep(0.01)
-        assert (changed, view.members.id.boot) == ([frozenset({"s-003"})], (1 << 52) + 2)
+        assert (changed, view.membership.id.boot) == ([frozenset({"s-003"})], (1 << 52) + 2)
         view.stop()
         assert faults.figures.faults == 0
         assert StateDatabase(self.durable, "ours/n1").load()[0].boot == (1 << 52) + 2
