--- a/cleatyoke/fleet/status.py
+++ b/cleatyoke/fleet/status.py
@@ -84,7 +84,14 @@
     counters = membership.counters
     states = Counter(record.update.state for record in list(membership.records.values()))
     metrics = {state.name.lower(): states[state] for state in MemberState}
-    metrics |= {name: getattr(counters, name) for name in counters.__dataclass_fields__ if name != "rejected"}
+    metrics["datagrams_out"] = counters.datagrams_out
+    metrics["datagrams_in"] = counters.datagrams_in
+    metrics["bytes_out"] = counters.bytes_out
+    metrics["bytes_in"] = counters.bytes_in
+    metrics["suspicions"] = counters.suspicions
+    metrics["deaths"] = counters.deaths
+    metrics["refutations"] = counters.refutations
+    metrics["false_deaths"] = counters.false_deaths
     rejected = dict(counters.rejected)
     metrics |= {f"refused.{reason.replace(' ', '-')}": count for reason, count in rejected.items()}
     metrics |= {f"dropped.{reason}": count for reason, count in dict(view.dropped).items()}
--- a/cleatyoke/membership/member_records.py
+++ b/cleatyoke/membership/member_records.py
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class MembershipCounters:
-    """Counted since the start. The names are those of the metrics ``fleet.NAME`` (page ``fleet-view.md``)."""
+    """Counted since the start; shown as metrics ``fleet.NAME`` (page ``fleet-view.md``)."""
 
     datagrams_out: int = 0
     datagrams_in: int = 0
