--- a/tests/membership_fleets.py
+++ b/tests/membership_fleets.py
@@ -76,7 +76,6 @@
 
 def single_member() -> Membership:
     """Return a member that knows nobody."""
-
     return Membership("test", "a", 1, "a:1", (), random.Random(1))
 
 
