--- a/cleatyoke/emulation/baselines.py
+++ b/cleatyoke/emulation/baselines.py
@@ -44,13 +44,13 @@
         pass
 
     def recheck_suspect(self) -> None:
-        self.due_at["look"] = self.now + 3600.0
+        self.due_at.recheck = self.now + 3600.0
 
     def probe_failed_member(self) -> None:
         pass
 
     def resume_after_pause(self, now: float, gap: float) -> None:
-        self.due_at = {name: max(at, now) for name, at in self.due_at.items()}
+        self.due_at.postpone(now)
 
 
 class Heartbeats(Membership):
@@ -72,8 +72,8 @@
 
     def run_timers(self) -> None:
         now = self.now
-        if now >= self.due_at["probe"]:
-            self.due_at["probe"] = now + self.timing.probe_interval
+        if now >= self.due_at.probe:
+            self.due_at.probe = now + self.timing.probe_interval
             data, _ = encode_datagram(self.deployment, self.own_update(), Gossip(), [])
             for address in self.everybody:
                 self.beat(address, data)
@@ -92,7 +92,7 @@
 
     def next_step_at(self) -> float:
         silent = min((self.records[id].last_heard for id in self.active_members), default=math.inf)
-        return max(self.now, min(self.due_at["probe"], silent + MISSED * self.timing.probe_interval))
+        return max(self.now, min(self.due_at.probe, silent + MISSED * self.timing.probe_interval))
 
     def handle_event(self, event: Any) -> None:
         if isinstance(event, DatagramReceived):
--- a/cleatyoke/emulation/capacity/hollow.py
+++ b/cleatyoke/emulation/capacity/hollow.py
@@ -102,8 +102,8 @@
     )
     members.step(0.0)
     members.has_joined = True
-    members.due_at["join"] = members.timing.exchange_interval * (0.5 + rng.random())
-    members.due_at["sync"] = rng.random() * members.timing.exchange_interval * max(1.0, len(rumours) / 20)
+    members.due_at.join = members.timing.exchange_interval * (0.5 + rng.random())
+    members.due_at.exchange = rng.random() * members.timing.exchange_interval * max(1.0, len(rumours) / 20)
     for rumour in rumours:
         if rumour is not own:
             life = MemberRecord(rumour, 0.0)
--- a/cleatyoke/membership/anti_entropy.py
+++ b/cleatyoke/membership/anti_entropy.py
@@ -103,7 +103,7 @@
     def exchange_at_interval(self) -> None:
         """Exchange with a random member; in large fleets less often, so that the load of each stays flat."""
         interval = self.timing.exchange_interval * max(1.0, len(self.records) / FIXED_RATE_MEMBERS)
-        self.due_at["sync"] = self.now + interval * (0.75 + self.rng.random() / 2)
+        self.due_at.exchange = self.now + interval * (0.75 + self.rng.random() / 2)
         if active := self.active_ids():
             self.start_exchange(self.records[self.rng.choice(active)].update.address)
 
@@ -112,8 +112,8 @@
 
         What each side believes dead is suspected on the other, where it can refute.
         """
-        if self.now >= self.due_at["swap"]:
-            self.due_at["swap"] = self.now + self.timing.failed_probe_interval
+        if self.now >= self.due_at.rejoin_exchange:
+            self.due_at.rejoin_exchange = self.now + self.timing.failed_probe_interval
             self.start_exchange(address)
 
     def compare_checksums(self, theirs: int, address: str) -> None:
@@ -149,7 +149,7 @@
         """Push replicated data that were changed here to all active members, some at a time."""
         self.push_deadline = self.now + self.timing.exchange_interval
         self.last_change_at = self.now
-        self.due_at["push"] = self.now
+        self.due_at.push = self.now
 
     def push_replicas(self) -> None:
         """Exchange with some members that lack a change made here; ends the push where none is left."""
@@ -158,6 +158,6 @@
         if not lacking:
             self.push_deadline = -math.inf
             return
-        self.due_at["push"] = self.now + self.timing.ack_timeout
+        self.due_at.push = self.now + self.timing.ack_timeout
         for member in self.rng.sample(lacking, min(PUSH_FANOUT, len(lacking))):
             self.start_exchange(self.records[member].update.address)
--- a/cleatyoke/membership/joining.py
+++ b/cleatyoke/membership/joining.py
@@ -37,7 +37,7 @@
         unknown = [seed for seed in seeds if seed not in active]
         is_isolated = not self.has_joined or not active
         interval = self.timing.join_interval if is_isolated else self.timing.exchange_interval
-        self.due_at["join"] = self.now + interval * (0.5 + self.rng.random())
+        self.due_at.join = self.now + interval * (0.5 + self.rng.random())
         if unknown or (is_isolated and seeds):
             self.start_exchange(self.rng.choice(unknown or seeds))
 
@@ -45,7 +45,7 @@
         """Shut down: tell several members at once, as the process may end directly after; then by gossip."""
         self.is_leaving = True
         self.transmit_counts = {self.id: 0}
-        self.due_at["gossip"] = self.now
+        self.due_at.gossip = self.now
         active = self.active_ids()
         for member in self.rng.sample(active, min(LEAVE_FANOUT, len(active))):
             self.send(self.records[member].update.address, Gossip())
@@ -61,7 +61,7 @@
         """Say which settings this front runs with, by their checksum; they themselves never travel."""
         has_changed = checksum != self.settings_checksum
         self.settings_checksum = checksum
-        if has_changed and self.due_at:  # it has started, so that others may know an earlier checksum
+        if has_changed and self.has_started:  # others may know an earlier checksum
             self._announce_change()
 
     def fronts_with_other_settings(self) -> list[str]:
@@ -79,4 +79,4 @@
     def _announce_change(self) -> None:
         self.incarnation += 1
         self.announce_self()
-        self.due_at["gossip"] = self.now
+        self.due_at.gossip = self.now
--- a/cleatyoke/membership/member_table.py
+++ b/cleatyoke/membership/member_table.py
@@ -13,7 +13,7 @@
     OwnIdentity,
     member_checksum,
 )
-from cleatyoke.membership.timing import MembershipTiming
+from cleatyoke.membership.timing import DueTimes, MembershipTiming
 from cleatyoke.membership.wire import MemberId, MemberState
 
 
@@ -28,9 +28,8 @@
         self.rng = rng
         self.timing = timing
         self.now = -math.inf
-        # Times of what is due next: probe, gossip, sync (exchange with a random member), departed (probe of a
-        # failed member), join, push (replicated data); swap and look: before which no exchange, no recheck.
-        self.due_at: dict[str, float] = {}
+        self.has_started = False  # the first step has set the due times
+        self.due_at = DueTimes()
         self.actions: list[MembershipAction] = []  # of the current step
         self.counters = MembershipCounters()
         self.records: dict[MemberId, MemberRecord] = {}  # of all other members; indexes of it:
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -39,7 +39,7 @@
 from cleatyoke.membership.joining import Joining
 from cleatyoke.membership.member_records import OwnIdentity
 from cleatyoke.membership.merging import MAX_HEALTH_SCORE
-from cleatyoke.membership.timing import MembershipTiming
+from cleatyoke.membership.timing import DueTimes, MembershipTiming
 from cleatyoke.membership.wire import (
     Ack,
     Body,
@@ -56,7 +56,6 @@
 from cleatyoke.transport.encoding import WireError
 
 REJOIN_PROBES = 3  # of failed members that are sent at once where one has returned
-NOT_BEFORE = ("swap", "look")  # times that only bar something, and call for no step
 
 
 class Membership(Joining):
@@ -89,7 +88,7 @@
         self.changed_ids = []
         self.clock_correction = max(self.clock_correction, self.now - now)
         now += self.clock_correction
-        if not self.due_at:
+        if not self.has_started:
             self.start_timers(now)
         elif now > self.expected_step_at + self.timing.pause_threshold:
             self.resume_after_pause(now, now - self.expected_step_at)
@@ -105,36 +104,38 @@
         """Return when the next step is due even if nothing arrives, by the caller's clock."""
         if self.has_left:
             return math.inf
-        idle = set(NOT_BEFORE)
-        if not self.transmit_counts and not self.is_leaving:
-            idle.add("gossip")
-        if self.now >= self.push_deadline:
-            idle.add("push")
-        due = min(at for name, at in self.due_at.items() if name not in idle)
+        due_at = self.due_at
+        due = min(due_at.probe, due_at.exchange, due_at.failed_probe, due_at.join)
+        if self.transmit_counts or self.is_leaving:
+            due = min(due, due_at.gossip)
+        if self.now < self.push_deadline:
+            due = min(due, due_at.push)
         for probe in self.pending_probes.values():
             due = min(due, probe.deadline if probe.helpers_asked else probe.indirect_at)
         for relayed in self.relayed_pings.values():
             due = min(due, relayed.nack_at)
         for at in itertools.islice(self.recheck_at.values(), 1):
-            due = min(due, max(at, self.due_at["look"]))
+            due = min(due, max(at, self.due_at.recheck))
         deadlines = map(self.suspicion_deadline, self.suspected_members.values())
         return max(self.now, min(due, min(deadlines, default=math.inf))) - self.clock_correction
 
     def start_timers(self, now: float) -> None:
         """Spread the first rounds at random, so that a fleet that starts at once doesn't stay in step."""
         timing = self.timing
+        draw = self.rng.random
         self.now = now
-        for name, interval in (
-            ("probe", timing.probe_interval),
-            ("gossip", timing.gossip_interval),
-            ("sync", timing.exchange_interval),
-            ("departed", timing.failed_probe_interval),
-        ):
-            self.due_at[name] = now + self.rng.random() * interval
-        for name in (*NOT_BEFORE, "push"):
-            self.due_at[name] = now
+        self.has_started = True
         self.has_joined = not self.other_seeds()
-        self.due_at["join"] = math.inf if self.has_joined else now
+        self.due_at = DueTimes(
+            probe=now + draw() * timing.probe_interval,
+            gossip=now + draw() * timing.gossip_interval,
+            exchange=now + draw() * timing.exchange_interval,
+            failed_probe=now + draw() * timing.failed_probe_interval,
+            join=math.inf if self.has_joined else now,
+            push=now,
+            rejoin_exchange=now,
+            recheck=now,
+        )
 
     def resume_after_pause(self, now: float, gap: float) -> None:
         """Go on after this process was stopped for ``gap`` seconds (SIGSTOP, a frozen machine).
@@ -146,13 +147,13 @@
         self.relayed_pings.clear()
         for record in self.suspected_members.values():
             record.state_since += gap
-        self.due_at = {name: max(at, now) for name, at in self.due_at.items()}
+        self.due_at.postpone(now)
         self.health_score = MAX_HEALTH_SCORE
         self.now = now
         self.incarnation += 1
         self.announce_self()
         self.actions.append(MembershipChanged(ChangeKind.PAUSED, self.id))
-        self.due_at["gossip"] = self.due_at["sync"] = now
+        self.due_at.gossip = self.due_at.exchange = now
 
     def run_timers(self) -> None:
         """Do whatever is due at ``now``, in this order."""
@@ -161,22 +162,22 @@
         self.fail_expired_suspects()
         self.drop_expired_left_members()
         now = self.now
-        if now >= self.due_at["join"]:
+        if now >= self.due_at.join:
             self.join()
-        if now >= self.due_at["probe"]:
-            self.due_at["probe"] = now + self.timing.probe_interval * (1 + self.health_score)
+        if now >= self.due_at.probe:
+            self.due_at.probe = now + self.timing.probe_interval * (1 + self.health_score)
             self.probe_next_member()
-        if now >= self.due_at["look"]:
+        if now >= self.due_at.recheck:
             self.recheck_suspect()
-        if self.due_at["push"] <= now < self.push_deadline:
+        if self.due_at.push <= now < self.push_deadline:
             self.push_replicas()
-        if now >= self.due_at["departed"]:
-            self.due_at["departed"] = now + self.timing.failed_probe_interval
+        if now >= self.due_at.failed_probe:
+            self.due_at.failed_probe = now + self.timing.failed_probe_interval
             self.probe_failed_member()
-        if now >= self.due_at["sync"]:
+        if now >= self.due_at.exchange:
             self.exchange_at_interval()
-        if now >= self.due_at["gossip"] and (self.transmit_counts or self.is_leaving):
-            self.due_at["gossip"] = now + self.timing.gossip_interval
+        if now >= self.due_at.gossip and (self.transmit_counts or self.is_leaving):
+            self.due_at.gossip = now + self.timing.gossip_interval
             self.send_gossip()
 
     # Messages
--- a/cleatyoke/membership/suspicion.py
+++ b/cleatyoke/membership/suspicion.py
@@ -41,7 +41,7 @@
         for member, at in self.recheck_at.items():
             if self.now >= at:
                 del self.recheck_at[member]
-                self.due_at["look"] = self.now + self.timing.gossip_interval
+                self.due_at.recheck = self.now + self.timing.gossip_interval
                 self.send_ping(member)
             return
 
--- a/cleatyoke/membership/timing.py
+++ b/cleatyoke/membership/timing.py
@@ -1,7 +1,8 @@
-"""Intervals and multipliers of the membership."""
+"""Intervals and multipliers of the membership, and when each of its duties is due."""
 
 from __future__ import annotations
 
+import math
 from dataclasses import dataclass
 
 
@@ -22,3 +23,28 @@
     join_interval: float = 1.0  # between two attempts to join by a seed
     pause_threshold: float = 1.5  # a step late by more says that this process was stopped
     left_retention: float = 3600.0  # for which a member that left is remembered
+
+
+@dataclass(slots=True)
+class DueTimes:
+    """When each duty is due next: seconds on the caller's clock, infinite where it never is."""
+
+    probe: float = math.inf  # of the next member of the round
+    gossip: float = math.inf  # while there are updates to send
+    exchange: float = math.inf  # with a random member
+    failed_probe: float = math.inf  # of a member believed dead
+    join: float = math.inf  # by a seed
+    push: float = math.inf  # of replicated data, while members lack a change made here
+    rejoin_exchange: float = -math.inf  # no exchange with a returned or differing peer before
+    recheck: float = -math.inf  # no ping of a suspected member before
+
+    def postpone(self, now: float) -> None:
+        """Let nothing have been due before ``now``."""
+        self.probe = max(self.probe, now)
+        self.gossip = max(self.gossip, now)
+        self.exchange = max(self.exchange, now)
+        self.failed_probe = max(self.failed_probe, now)
+        self.join = max(self.join, now)
+        self.push = max(self.push, now)
+        self.rejoin_exchange = max(self.rejoin_exchange, now)
+        self.recheck = max(self.recheck, now)
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -196,9 +196,9 @@
     fleet = started_fleet()
     one, lost = membership_of(fleet, 2), membership_of(fleet, 9).id
     one.timing = MembershipTiming(exchange_interval=3600.0)  # the clock does not help
-    one.due_at["sync"] = one.due_at["join"] = 3600.0
+    one.due_at.exchange = one.due_at.join = 3600.0
     for process in fleet.running.values():
-        process.members.due_at["sync"] = process.members.due_at["join"] = 3600.0
+        process.members.due_at.exchange = process.members.due_at.join = 3600.0
     before = [process.members.counters.bytes_out for process in fleet.running.values()]
     fleet.run(fleet.now + 10.0)
     spent = [process.members.counters.bytes_out for process in fleet.running.values()]
