--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -80,16 +80,7 @@
         self.faults = faults
         self.loop = asyncio.get_running_loop()
         boot = settings.boot or boot or int(time.time() * 1000)
-        self.membership = Membership(
-            settings.deployment,
-            name,
-            boot,
-            format_address(settings.advertise),
-            [format_address(seed_address) for seed_address in settings.seeds],
-            random.Random(f"{seed}:{name}:{boot}"),
-            _membership_timing(settings),
-            owns_address=True,
-        )
+        self.membership = _make_membership(settings, name, boot, seed)
         self.hold_replication = HoldReplication(lambda: self.membership.id)
         self.membership.store = self.hold_replication
         self.quota_leases = QuotaLeases(self.loop.time(), random.Random(f"rights:{seed}:{name}:{boot}"))
@@ -304,6 +295,19 @@
         return status.metric_lines(self)
 
 
+def _make_membership(settings: FleetSettings, name: str, boot: int, seed: int) -> Membership:
+    return Membership(
+        settings.deployment,
+        name,
+        boot,
+        format_address(settings.advertise),
+        [format_address(address) for address in settings.seeds],
+        random.Random(f"{seed}:{name}:{boot}"),
+        _membership_timing(settings),
+        owns_address=True,
+    )
+
+
 def _membership_timing(settings: FleetSettings) -> MembershipTiming:
     """The intervals that the deployment sets, by the keys of ``[fleet]``."""
     seconds = settings.timing
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -247,9 +247,7 @@
                 self.actions.append(DeliverLeaseMessage(sender.id, body))
 
     def _handle_ping(self, sender: Update, ping: Ping) -> None:
-        if (
-            ping.target != self.id
-        ):  # it took us for an earlier process at this address: the sender learns of us
+        if ping.target != self.id:  # it took us for an earlier process at this address: let it learn of us
             self.send(sender.address, Gossip(), sender.id)
             return
         self.send(sender.address, Ack(ping.sequence), sender.id)
--- a/cleatyoke/membership/probing.py
+++ b/cleatyoke/membership/probing.py
@@ -44,11 +44,11 @@
 
     def send_probe(self, member: MemberId) -> None:
         """Ping a member and wait for the answer, the longer the worse this member's health is."""
-        patience = 1 + self.health_score
+        health_factor = 1 + self.health_score
         probe = Probe(
             member,
-            indirect_at=self.now + self.timing.ack_timeout * patience,
-            deadline=self.now + self.timing.probe_interval * patience,
+            indirect_at=self.now + self.timing.ack_timeout * health_factor,
+            deadline=self.now + self.timing.probe_interval * health_factor,
         )
         self.pending_probes[self.send_ping(member)] = probe
 
