--- a/cleatyoke/membership/probing.py
+++ b/cleatyoke/membership/probing.py
@@ -1,123 +1,134 @@
-"""Whom a life probes, and what it makes of a missing answer: SWIM's probe of one member a period, through
-others where it is silent, and Lifeguard's local health.
+"""Failure detection: whom a member probes, and what it makes of a missing answer.
+
+From SWIM: the probe of one member an interval, and the indirect probe by helpers of one that is silent. From
+Lifeguard: local health, by which a member that misses answers itself waits longer before it suspects others.
+Besides, members believed dead are probed, so that a cut heals with no operator.
 """
 
 from __future__ import annotations
 
-import math
 import random
 
-from cleatyoke.membership.interface import MembershipTiming
-from cleatyoke.membership.member_records import HEARD_OF, MemberRecord, MembershipCounters, Probe, RelayedPing
-from cleatyoke.membership.suspicion import ACCUSERS, MemberTable
-from cleatyoke.membership.wire import Ack, Body, MemberId, MemberState, Ping, PingRequest, Update
-
-UNHEALTHY = 8  # most that local health counts
-
-
-class Probing(MemberTable):
-    """``send``, ``believe`` and ``there_sum`` are the member's own."""
-
-    def __init__(self, id: MemberId, address: str, rng: random.Random, timing: MembershipTiming) -> None:
-        super().__init__(timing)
-        self.id, self.address, self.rng = id, address, rng
-        self.figures = MembershipCounters()
-        self.round: list[MemberId] = []  # whom to probe in this round, the next one last
-        self.probes: dict[int, Probe] = {}
-        self.relayed: dict[int, RelayedPing] = {}
-        self.number = 0
-        self.health = 0  # 0: well; more, and this life doubts itself rather than others
-        self.next: dict[str, float] = {}
-
-    def send(self, address: str, body: Body, receiver: MemberId | None = None) -> None:
-        raise NotImplementedError
-
-    def believe(self, rumour: Update) -> None:
-        raise NotImplementedError
-
-    def there_sum(self) -> int:
-        raise NotImplementedError
-
-    def probe_next(self) -> None:
-        """One member a period, each once in a round whose order is drawn anew."""
-        while self.round:
-            id = self.round.pop()
-            life = self.lives.get(id)
-            if life and life.rumour.state in HEARD_OF:
-                return self.probe(id)
-        self.round = self.there()
-        self.rng.shuffle(self.round)
-        if self.round:
-            self.probe(self.round.pop())
-
-    def probe(self, id: MemberId) -> None:
-        self.number += 1
-        slack = 1 + self.health
-        self.probes[self.number] = Probe(
-            id, self.now + self.timing.answer * slack, self.now + self.timing.period * slack
+from cleatyoke.membership.member_records import (
+    ACTIVE_STATES,
+    OwnIdentity,
+    Probe,
+    RelayedPing,
+    with_state,
+)
+from cleatyoke.membership.merging import UpdateMerging
+from cleatyoke.membership.timing import MembershipTiming
+from cleatyoke.membership.wire import Ack, MemberId, MemberState, Nack, Ping, PingRequest
+
+
+class Probing(UpdateMerging):
+    """Pings of this member's own, and those that it relays for others."""
+
+    def __init__(self, identity: OwnIdentity, rng: random.Random, timing: MembershipTiming) -> None:
+        super().__init__(identity, rng, timing)
+        self.pending_probes: dict[int, Probe] = {}  # by sequence number
+        self.relayed_pings: dict[int, RelayedPing] = {}  # by our sequence number
+
+    def probe_next_member(self) -> None:
+        """Probe one member, each once in a round whose order is drawn anew."""
+        while self.probe_round:
+            member = self.probe_round.pop()
+            record = self.records.get(member)
+            if record and record.update.state in ACTIVE_STATES:
+                self.send_probe(member)
+                return
+        self.probe_round = self.active_ids()
+        self.rng.shuffle(self.probe_round)
+        if self.probe_round:
+            self.send_probe(self.probe_round.pop())
+
+    def send_probe(self, member: MemberId) -> None:
+        """Ping a member and wait for the answer, the longer the worse this member's health is."""
+        health_factor = 1 + self.health_score
+        probe = Probe(
+            member,
+            indirect_at=self.now + self.timing.ack_timeout * health_factor,
+            deadline=self.now + self.timing.probe_interval * health_factor,
         )
-        self.send(self.lives[id].rumour.address, Ping(self.number, id, self.there_sum()), id)
-
-    def look_at_probe(self, number: int, probe: Probe) -> None:
-        life = self.lives.get(probe.target)
-        if life is None or life.rumour.state not in HEARD_OF:
-            del self.probes[number]
-        elif self.now >= probe.over_at:
-            del self.probes[number]
-            missed = probe.asked - probe.nacks  # helpers whom we do not hear either: the fault may be ours
-            self.health = min(UNHEALTHY, self.health + (missed if probe.asked else 1))
-            self.figures.suspicions += 1
-            old = life.rumour
-            self.believe(Update(old.id, old.address, MemberState.SUSPECT, old.count, old.alone, self.id.name))
-        elif self.now >= probe.ask_at and not probe.asked:
-            self.ask_others(number, probe, life.rumour.address)
-
-    def ask_others(self, number: int, probe: Probe, address: str) -> None:
-        helpers = [id for id in self.there() if id != probe.target]
-        chosen = self.rng.sample(helpers, min(self.timing.helpers, len(helpers)))
-        for id in chosen:
-            self.send(self.lives[id].rumour.address, PingRequest(number, probe.target, address))
-        probe.asked = len(chosen)
+        self.pending_probes[self.send_ping(member)] = probe
+
+    def check_probes(self) -> None:
+        """Go on with the probes that have no answer yet."""
+        for sequence, probe in list(self.pending_probes.items()):
+            self.check_probe(sequence, probe)
+
+    def check_probe(self, sequence: int, probe: Probe) -> None:
+        """Ask helpers, or suspect the member, if it is time for that."""
+        record = self.records.get(probe.target)
+        if record is None or record.update.state not in ACTIVE_STATES:
+            del self.pending_probes[sequence]
+        elif self.now >= probe.deadline:
+            del self.pending_probes[sequence]
+            silent_helpers = probe.helpers_asked - probe.nacks  # we don't hear these: the fault may be ours
+            self.worsen_health(silent_helpers if probe.helpers_asked else 1)
+            self.counters.suspicions += 1
+            self.merge_update(with_state(record.update, MemberState.SUSPECT, self.id.name))
+        elif self.now >= probe.indirect_at and not probe.helpers_asked:
+            self.request_indirect_probes(sequence, probe, record.update.address)
+
+    def request_indirect_probes(self, sequence: int, probe: Probe, address: str) -> None:
+        """Ask random members to ping the target, so that a link that fails one way suspects nobody."""
+        helpers = [member for member in self.active_ids() if member != probe.target]
+        chosen = self.rng.sample(helpers, min(self.timing.indirect_probes, len(helpers)))
+        for member in chosen:
+            self.send(self.records[member].update.address, PingRequest(sequence, probe.target, address))
+        probe.helpers_asked = len(chosen)
         if not chosen:
-            probe.ask_at = probe.over_at
-
-    def probe_departed(self) -> None:
-        """One of those believed dead: were it a cut that parted us, it heals by this. Or one that left and
-        has no successor at its address: it may be back, and its seeds be gone. The rate is one life's,
-        however many there are.
+            probe.indirect_at = probe.deadline
+
+    def relay_ping(self, requester: str, request: PingRequest) -> None:
+        """Ping a member on behalf of another."""
+        self.sequence += 1
+        self.relayed_pings[self.sequence] = RelayedPing(
+            requester,
+            request.sequence,
+            nack_at=self.now + self.timing.ack_timeout,
+            deadline=self.now + self.timing.probe_interval,
+        )
+        ping = Ping(self.sequence, request.target, self.membership_checksum())
+        self.send(request.address, ping)
+
+    def check_relayed_pings(self) -> None:
+        """Tell requesters that there is no answer yet, and forget pings that nobody waits for any more."""
+        for sequence, relayed in list(self.relayed_pings.items()):
+            if self.now >= relayed.deadline:
+                del self.relayed_pings[sequence]
+            elif self.now >= relayed.nack_at:
+                relayed.nack_at = relayed.deadline
+                self.send(relayed.requester, Nack(relayed.requester_sequence))
+
+    def handle_ack(self, sequence: int) -> None:
+        """End the probe that is answered, or pass the answer on to its requester."""
+        if sequence in self.pending_probes:
+            del self.pending_probes[sequence]
+            self.improve_health()
+        elif sequence in self.relayed_pings:
+            relayed = self.relayed_pings.pop(sequence)
+            self.send(relayed.requester, Ack(relayed.requester_sequence))
+
+    def handle_nack(self, sequence: int) -> None:
+        """Count a helper that we hear, though it has no answer of the target."""
+        if sequence in self.pending_probes:
+            self.pending_probes[sequence].nacks += 1
+
+    def probe_failed_member(self) -> None:
+        """Ping one member that is believed dead, or one that left and has no successor at its address.
+
+        Prevents that the two sides of a cut stay apart after it has healed, and that a front that is back
+        finds nobody where all seeds are gone. The rate is one member's, however many have failed.
         """
-        there = {self.lives[id].rumour.address for id in self.present} if self.over else set()
-        left = [id for id in self.over if self.lives[id].rumour.address not in {*there, self.address}]
-        choices = [choice for choice in (list(self.departed), left) if choice]
+        choices = [choice for choice in (list(self.failed_members), self._left_without_successor()) if choice]
         if choices:
-            id = self.rng.choice(self.rng.choice(choices))
-            self.number += 1
-            self.send(self.lives[id].rumour.address, Ping(self.number, id, self.there_sum()), id)
-
-    def look_again(self) -> None:
-        """Ping one that has been suspected for a period. Its answer has its count, should its refutation not
-        have come by others, as rumours reach nearly all and not all; no answer accuses nobody.
-        """
-        for id, at in self.looks.items():
-            if self.now >= at:
-                del self.looks[id]
-                self.next["look"] = self.now + self.timing.gossip
-                self.number += 1
-                self.send(self.lives[id].rumour.address, Ping(self.number, id, self.there_sum()), id)
-            return
-
-    def suspicion_ends(self, life: MemberRecord) -> float:
-        """Long with one accuser, shorter with each further one (Lifeguard's logarithm)."""
-        timing, size = self.timing, len(self.lives) + 1
-        least = timing.suspicion * timing.period * max(1.0, math.log10(size))
-        most = least * timing.doubt
-        sure = math.log(max(1, len(life.accusers))) / math.log(ACCUSERS)
-        return life.since + max(least, most - (most - least) * sure)
-
-    def acked(self, number: int) -> None:
-        if number in self.probes:
-            del self.probes[number]
-            self.health = max(0, self.health - 1)
-        elif number in self.relayed:
-            relayed = self.relayed.pop(number)
-            self.send(relayed.address, Ack(relayed.number))
+            self.send_ping(self.rng.choice(self.rng.choice(choices)))
+
+    def _left_without_successor(self) -> list[MemberId]:
+        if not self.left_members:
+            return []
+        addresses = {self.records[member].update.address for member in self.active_members}
+        addresses.add(self.address)
+        return [one for one in self.left_members if self.records[one].update.address not in addresses]
--- a/cleatyoke/membership/suspicion.py
+++ b/cleatyoke/membership/suspicion.py
@@ -1,64 +1,59 @@
-"""What one life believes of all others: their rumours, found by state, and which are still told on."""
+"""How long a suspicion lasts, and how its subject hears of it in time to refute it.
+
+From Lifeguard (Dadgar, Phillips, Currey 2017): a suspicion is long with one suspector and shortens with each
+independent one, and a suspected member is told first.
+"""
 
 from __future__ import annotations
 
 import math
 
-from cleatyoke.membership.interface import MembershipTiming
-from cleatyoke.membership.member_records import HEARD_OF, MemberRecord, mark_of
-from cleatyoke.membership.wire import MemberId, MemberState
-
-ACCUSERS = 3  # independent ones by which a suspicion is as short as it gets
-
+from cleatyoke.membership.dissemination import Dissemination
+from cleatyoke.membership.member_records import MemberRecord
+from cleatyoke.membership.merge_rules import precedence
+from cleatyoke.membership.wire import Gossip, MemberState, Update
 
-class MemberTable:
-    def __init__(self, timing: MembershipTiming) -> None:
-        self.timing = timing
-        self.now = -math.inf
-        self.lives: dict[MemberId, MemberRecord] = {}  # of others
-        self.present: dict[MemberId, None] = {}  # of these, those that are alive or suspected ...
-        self.doubted: dict[MemberId, MemberRecord] = {}  # ... those that are suspected ...
-        self.looks: dict[
-            MemberId, float
-        ] = {}  # ... when each of these is pinged once more, by who suspects it ...
-        self.departed: dict[MemberId, None] = {}  # ... those believed dead ...
-        self.over: dict[MemberId, None] = {}  # ... and those that left, the first to leave first
-        self.sum = 0  # of the marks of those that are there: the same where the same ones are
-        self.news_at = -math.inf  # when something new was heard of anybody
-        self.news: list[MemberId] = []  # of whom this step has brought something new
-        self.queue: dict[MemberId, int] = {}  # whose latest rumours are still told, and how often they were
+SUSPECTORS_FOR_SHORTEST = 3  # independent ones by which a suspicion is as short as it gets
 
-    def there(self) -> list[MemberId]:
-        return list(self.present)
 
-    def keep(self, life: MemberRecord) -> None:
-        """Its rumour is new: told on from now, and found by its state."""
-        id, state = life.rumour.id, life.rumour.state
-        self.lives[id] = life
-        self.queue[id] = 0
-        self.news.append(id)
-        self.news_at = self.now
-        mark = mark_of(life.rumour) if state in HEARD_OF else 0
-        self.sum ^= life.mark ^ mark
-        life.mark = mark
-        for kept, states in (
-            (self.present, HEARD_OF),
-            (self.departed, (MemberState.DEAD,)),
-            (self.over, (MemberState.LEFT,)),
-        ):
-            if state in states:
-                kept.setdefault(id)
-            else:
-                kept.pop(id, None)
-        if state is MemberState.SUSPECT:
-            if id not in self.doubted:
-                self.looks[id] = self.now + self.timing.period
-            self.doubted[id] = life
-        else:
-            self.doubted.pop(id, None)
-            self.looks.pop(id, None)
+class Suspicion(Dissemination):
+    """Deadlines of suspicions, and messages to their subjects."""
 
     @staticmethod
-    def accuses(life: MemberRecord, by: str) -> bool:
-        """Whether this accuser is a further one that counts."""
-        return by not in life.accusers and len(life.accusers) < ACCUSERS
+    def is_new_suspector(record: MemberRecord, name: str) -> bool:
+        """Whether this is a further independent suspector that shortens the suspicion."""
+        return name not in record.suspectors and len(record.suspectors) < SUSPECTORS_FOR_SHORTEST
+
+    def suspicion_deadline(self, record: MemberRecord) -> float:
+        """Return when the member is declared dead unless it refutes (Lifeguard's logarithm)."""
+        timing, size = self.timing, len(self.records) + 1
+        shortest = timing.suspicion_multiplier * timing.probe_interval * max(1.0, math.log10(size))
+        longest = shortest * timing.max_suspicion_multiplier
+        confirmed = math.log(max(1, len(record.suspectors))) / math.log(SUSPECTORS_FOR_SHORTEST)
+        return record.state_since + max(shortest, longest - (longest - shortest) * confirmed)
+
+    def recheck_suspect(self) -> None:
+        """Ping one member that has been suspected for a probe interval, at most one a gossip interval.
+
+        Prevents false deaths after a cut has healed: gossip reaches nearly all members and not all, so that a
+        few would miss the refutation. The ack carries the suspect's incarnation. No answer suspects nobody.
+        """
+        for member, at in self.recheck_at.items():
+            if self.now >= at:
+                del self.recheck_at[member]
+                self.due_at.recheck = self.now + self.timing.gossip_interval
+                self.send_ping(member)
+            return
+
+    def notify_suspect(self, record: MemberRecord, sender: Update) -> None:
+        """Tell the sender of a message at once that it is suspected or believed dead, so that it may refute.
+
+        At most once per ack timeout: two members that believe each other dead and of which one cannot refute
+        would answer each other without end, and each datagram that a link doubles would begin another such
+        exchange.
+        """
+        if record.update.state is MemberState.ALIVE or precedence(record.update) <= precedence(sender):
+            return
+        if self.now >= record.notified_at + self.timing.ack_timeout:
+            record.notified_at = self.now
+            self.send(sender.address, Gossip(), sender.id)
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -60,7 +60,8 @@
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.coordination import replicated_holds as replicas
 from cleatyoke.membership import wire
-from cleatyoke.membership.interface import ExchangeRequested, DatagramReceived, ReplyExchange
+from cleatyoke.membership.actions import ReplyExchange
+from cleatyoke.membership.events import ExchangeRequested, DatagramReceived
 from cleatyoke.coordination.staged_start import Evidence, StagedStart, StartStage
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.admin.maintenance import FrontDrain
@@ -111,14 +112,18 @@
     """What is said of a life; absent fields have their defaults."""
     optional = {
         ours: value[plain]
-        for plain, ours in (("sole", "alone"), ("accuser", "by"), ("settings sum", "settings"))
+        for plain, ours in (
+            ("sole", "owns_address"),
+            ("accuser", "suspected_by"),
+            ("settings sum", "settings_checksum"),
+        )
         if plain in value
     }
     return wire.Update(
         id=life_of(value["life"]),
         address=value["address"],
         state=STATES[value["state"]],
-        count=value["count"],
+        incarnation=value["count"],
         **optional,
     )
 
@@ -129,10 +134,10 @@
         "life": plain_life(rumour.id),
         "address": rumour.address,
         "state": next(word for word, state in STATES.items() if state is rumour.state),
-        "count": rumour.count,
-        "sole": rumour.alone,
-        "accuser": rumour.by,
-        "settings sum": rumour.settings,
+        "count": rumour.incarnation,
+        "sole": rumour.owns_address,
+        "accuser": rumour.suspected_by,
+        "settings sum": rumour.settings_checksum,
     }
 
 
@@ -141,16 +146,18 @@
     match value["type"]:
         case "ping":
             return wire.Ping(
-                number=value["number"], target=life_of(value["target"]), there=value["members sum"]
+                sequence=value["number"],
+                target=life_of(value["target"]),
+                membership_checksum=value["members sum"],
             )
         case "ack":
-            return wire.Ack(number=value["number"])
+            return wire.Ack(sequence=value["number"])
         case "indirect ping":
             return wire.PingRequest(
-                number=value["number"], target=life_of(value["target"]), address=value["address"]
+                sequence=value["number"], target=life_of(value["target"]), address=value["address"]
             )
         case "nack":
-            return wire.Nack(number=value["number"])
+            return wire.Nack(sequence=value["number"])
         case "gossip":
             return wire.Gossip()
         case "loan request":
@@ -160,7 +167,7 @@
                 resource=value["resource"],
                 number=value["number"],
                 parts=value["parts"],
-                spare=value["spare"],
+                surplus=value["spare"],
             )
     raise KeyError(value["type"])
 
@@ -170,14 +177,24 @@
     match body:
         case wire.Ping():
             target = plain_life(body.target)
-            return {"type": "ping", "number": body.number, "target": target, "members sum": body.there}
+            return {
+                "type": "ping",
+                "number": body.sequence,
+                "target": target,
+                "members sum": body.membership_checksum,
+            }
         case wire.Ack():
-            return {"type": "ack", "number": body.number}
+            return {"type": "ack", "number": body.sequence}
         case wire.PingRequest():
             target = plain_life(body.target)
-            return {"type": "indirect ping", "number": body.number, "target": target, "address": body.address}
+            return {
+                "type": "indirect ping",
+                "number": body.sequence,
+                "target": target,
+                "address": body.address,
+            }
         case wire.Nack():
-            return {"type": "nack", "number": body.number}
+            return {"type": "nack", "number": body.sequence}
         case wire.Gossip():
             return {"type": "gossip"}
         case wire.LeaseRequest():
@@ -193,7 +210,7 @@
                 "resource": body.resource,
                 "number": body.number,
                 "parts": body.parts,
-                "spare": body.spare,
+                "spare": body.surplus,
             }
 
 
@@ -219,7 +236,7 @@
         "version": message.version,
         "sender": plain_rumour(message.sender),
         "body": plain_body(message.body),
-        "rumours": [plain_rumour(one) for one in message.rumours],
+        "rumours": [plain_rumour(one) for one in message.updates],
     }
 
 
@@ -228,22 +245,22 @@
     lives = [rumour_of(one) for one in value["lives"]]
     deployment, sender = value.get("deployment", DEPLOYMENT), rumour_of(value["sender"])
     if "copies" in value:
-        return wire.encode_view(deployment, sender, lives, unpack(value["copies"]))
-    return wire.encode_view(deployment, sender, lives)
+        return wire.encode_full_state(deployment, sender, lives, unpack(value["copies"]))
+    return wire.encode_full_state(deployment, sender, lives)
 
 
 def decode_fleet_view(data: bytes) -> Plain:
     """The fields of a whole view, or why it is refused."""
     try:
-        message = wire.decode_view(DEPLOYMENT, data)
+        message = wire.decode_full_state(DEPLOYMENT, data)
     except wire.WireError as refused:
         return {"refused": str(refused)}
     return {
         "deployment": message.deployment,
         "version": message.version,
         "sender": plain_rumour(message.sender),
-        "lives": [plain_rumour(one) for one in message.lives],
-        "copies": pack(message.copies),
+        "lives": [plain_rumour(one) for one in message.members],
+        "copies": pack(message.replicas),
     }
 
 
@@ -323,29 +340,29 @@
 async def fleet_view(value: Plain) -> FleetView:
     """A front's view of its fleet after some datagrams, without sockets."""
     view = FleetView(fleet_peers(), "n0", 2, 1, Faults(Metrics()))
-    view.members.step(100.0, [])
-    view.members.step(100.05, [DatagramReceived(unpack(one)) for one in value.get("datagrams", [])])
+    view.membership.step(100.0, [])
+    view.membership.step(100.05, [DatagramReceived(unpack(one)) for one in value.get("datagrams", [])])
     for node in value.get("held", []):
-        view.copies.hold(node)
+        view.hold_replication.hold(node)
     return view
 
 
 async def capture_sums(value: Plain) -> Plain:
     """Sums that travel among fronts and have to be equal in all versions of the program."""
     view = await fleet_view(value)
-    view.say(all_settings())
+    view.announce_settings(all_settings())
     return {
-        "settings": view.members.settings,
-        "members": view.members.digest(),
-        "members and holds in pings": view.members.there_sum(),
-        "holds": view.copies.digest(),
+        "settings": view.membership.settings_checksum,
+        "members": view.membership.digest(),
+        "members and holds in pings": view.membership.membership_checksum(),
+        "holds": view.hold_replication.digest(),
     }
 
 
 async def capture_view_exchange(value: Plain) -> Plain:
     """The answer to a peer's whole view: this front's own."""
     view = await fleet_view(value)
-    actions = view.members.step(100.1, [ExchangeRequested(1, unpack(value["view"]))])
+    actions = view.membership.step(100.1, [ExchangeRequested(1, unpack(value["view"]))])
     return [pack(action.data) for action in actions if isinstance(action, ReplyExchange)]
 
 
@@ -1198,12 +1215,12 @@
 async def capture_control(value: Plain) -> Plain:
     """Control calls over loopback, each on a connection of its own, and their answers."""
     view = await fleet_view(value)
-    view.say(all_settings())
+    view.announce_settings(all_settings())
     figures = counted_figures()
 
     def stat() -> list[str]:
         lines = figures.lines(["tile-read", "record-write"], 6, 2)
-        return [*lines, *(view.figures() if value["fleet"] else []), *config_status().lines(100.0)]
+        return [*lines, *(view.metric_lines() if value["fleet"] else []), *config_status().lines(100.0)]
 
     commands = ControlCommands(
         ready=lambda: value.get("ready", True),
@@ -1212,7 +1229,7 @@
         enable=lambda name: name == "s-a",
         drain=lambda: None,
         resume=lambda: None,
-        fleet=view.lines if value["fleet"] else None,
+        fleet=view.status_lines if value["fleet"] else None,
         shared=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
         replica=view.replica_lines if value["fleet"] else None,
         recovery=(lambda: recovery_lines(value)) if value["fleet"] else None,
--- a/tests/recorded/fleet_adapter.py
+++ b/tests/recorded/fleet_adapter.py
@@ -23,24 +23,26 @@
 from cleatyoke.coordination.rate_limit_leases import RateLimitLeases
 from cleatyoke.coordination.slow_start_leases import SlowStartLeases
 from cleatyoke.coordination.staged_start import Evidence, StagedStart, StagePassed, StartStage
-from cleatyoke.membership.conclusions import Conclusion, Known, conclude
-from cleatyoke.membership.interface import (
-    Change,
-    DatagramReceived,
-    DeliverBody,
-    ExchangeAnswered,
-    ExchangeRequested,
-    IncarnationRemembered,
-    LeaveRequested,
+from cleatyoke.membership.actions import (
+    ChangeKind,
+    DeliverLeaseMessage,
     MembershipAction,
     MembershipChanged,
-    MembershipEvent,
-    MembershipTiming,
     ReplyExchange,
     SendDatagram,
     StartExchange,
 )
+from cleatyoke.membership.conclusions import Conclusion, ObservedMember, conclude
+from cleatyoke.membership.events import (
+    BootNumberRecovered,
+    DatagramReceived,
+    ExchangeAnswered,
+    ExchangeRequested,
+    LeaveRequested,
+    MembershipEvent,
+)
 from cleatyoke.membership.members import Membership
+from cleatyoke.membership.timing import MembershipTiming
 from cleatyoke.membership.wire import LeaseGrant, LeaseRequest, MemberId, MemberState, Update
 from cleatyoke.scheduling.events import (
     Endpoint,
@@ -63,13 +65,13 @@
     "left": MemberState.LEFT,
 }
 CHANGES = {
-    Change.JOINED: "joined",
-    Change.SUSPECTED: "suspected",
-    Change.DIED: "died",
-    Change.RETURNED: "returned",
-    Change.LEFT: "left",
-    Change.AWAY: "away",
-    Change.RENAMED: "renamed",
+    ChangeKind.JOINED: "joined",
+    ChangeKind.SUSPECTED: "suspected",
+    ChangeKind.DIED: "died",
+    ChangeKind.RETURNED: "returned",
+    ChangeKind.LEFT: "left",
+    ChangeKind.PAUSED: "away",
+    ChangeKind.RENAMED: "renamed",
 }
 STAGES = {
     "disk": StartStage.DISK,
@@ -107,14 +109,14 @@
     """A message on leases from its plain form."""
     if plain[0] == "want":
         return LeaseRequest(resource=plain[1], number=plain[2], parts=plain[3])
-    return LeaseGrant(resource=plain[1], number=plain[2], parts=plain[3], spare=plain[4])
+    return LeaseGrant(resource=plain[1], number=plain[2], parts=plain[3], surplus=plain[4])
 
 
 def lease_plain(message: LeaseRequest | LeaseGrant) -> Plain:
     """A message on leases in plain form."""
     if isinstance(message, LeaseRequest):
         return "want", message.resource, message.number, message.parts
-    return "grant", message.resource, message.number, message.parts, message.spare
+    return "grant", message.resource, message.number, message.parts, message.surplus
 
 
 # Membership
@@ -132,7 +134,7 @@
         case ("leave",):
             return LeaveRequested()
         case ("remembered", boot):
-            return IncarnationRemembered(boot=boot)
+            return BootNumberRecovered(boot=boot)
     raise ValueError(plain)
 
 
@@ -145,9 +147,9 @@
     if isinstance(action, ReplyExchange):
         return "reply", action.token, action.data
     if isinstance(action, MembershipChanged):
-        return "change", CHANGES[action.change], life_word(action.id), action.by
-    assert isinstance(action, DeliverBody)
-    return "deliver", life_word(action.sender), lease_plain(action.body)
+        return "change", CHANGES[action.change], life_word(action.id), action.suspected_by
+    assert isinstance(action, DeliverLeaseMessage)
+    return "deliver", life_word(action.sender), lease_plain(action.message)
 
 
 def conclusion_plain(conclusion: Conclusion) -> Plain:
@@ -156,8 +158,8 @@
         sorted(map(life_word, conclusion.certainly_up)),
         sorted(map(life_word, conclusion.perhaps_up)),
         sorted(map(life_word, conclusion.certainly_stopped)),
-        conclusion.count,
-        conclusion.may_use(100.0),
+        conclusion.front_count,
+        100.0 / conclusion.front_count,
     )
 
 
@@ -166,9 +168,11 @@
 
     def rumour(plain: Plain) -> Update:
         life, address, state, count, alone = plain
-        return Update(id=life_id(life), address=address, state=STATES[state], count=count, alone=alone)
+        return Update(
+            id=life_id(life), address=address, state=STATES[state], incarnation=count, owns_address=alone
+        )
 
-    lives = [Known(rumour=rumour(one), heard=heard) for one, heard in known]
+    lives = [ObservedMember(update=rumour(one), last_heard=heard) for one, heard in known]
     return conclusion_plain(conclude(rumour(me), lives, hosts, now))
 
 
@@ -193,7 +197,7 @@
             seeds=seeds,
             rng=random.Random(seed),
             timing=timing_of(timing) if timing else None,
-            alone=alone,
+            owns_address=alone,
         )
 
     def step(self, now: float, events: Iterable[Plain]) -> list[Plain]:
@@ -202,15 +206,18 @@
 
     def post(self, receiver: str, message: Plain) -> list[Plain]:
         """Send a message on leases to a life."""
-        return [member_action(one) for one in self.inner.post(life_id(receiver), lease_message(message))]
+        return [
+            member_action(one)
+            for one in self.inner.send_lease_message(life_id(receiver), lease_message(message))
+        ]
 
     def move(self, address: str, alone: bool) -> None:
         """This member is reached elsewhere from now on."""
-        self.inner.move(address, alone)
+        self.inner.change_address(address, owns_address=alone)
 
     def set_settings(self, number: int) -> None:
         """This member goes by other settings."""
-        self.inner.goes_by(number)
+        self.inner.announce_settings(number)
 
     def share(self, shared: SharedHolds) -> None:
         """Take this copy along with each exchange of views."""
@@ -218,15 +225,15 @@
 
     def changed_here(self) -> None:
         """The copy was changed here."""
-        self.inner.done_here()
+        self.inner.push_local_change()
 
     def next_at(self) -> float:
         """When the next step is due."""
-        return self.inner.next_at()
+        return self.inner.next_step_at()
 
     def has_left(self) -> bool:
         """Whether it has left, and said so."""
-        return self.inner.left
+        return self.inner.has_left
 
     def life(self) -> str:
         """Its own life."""
@@ -234,7 +241,7 @@
 
     def other_settings(self) -> list[str]:
         """Members that go by other settings."""
-        return self.inner.unlike()
+        return self.inner.fronts_with_other_settings()
 
     def same_view(self, other: Member) -> bool:
         """Whether both believe the same; the number itself is not recorded."""
@@ -242,20 +249,20 @@
 
     def conclusion(self, hosts: int, now: float) -> Plain:
         """What may be concluded from its view."""
-        known = [Known(rumour=life.rumour, heard=life.heard) for life in self.inner.lives.values()]
-        return conclusion_plain(conclude(self.inner.me(), known, hosts, now))
+        known = [ObservedMember(record.update, record.last_heard) for record in self.inner.records.values()]
+        return conclusion_plain(conclude(self.inner.own_update(), known, hosts, now))
 
     def counted(self) -> Plain:
         """What it has counted."""
-        figures = self.inner.figures
+        figures = self.inner.counters
         return (
             ("datagrams", figures.datagrams_out, figures.datagrams_in),
             ("suspicions", figures.suspicions),
             ("deaths", figures.deaths),
             ("refutations", figures.refutations),
             ("false deaths", figures.false_deaths),
-            ("refused", sorted(figures.refused.items())),
-            ("health", self.inner.health),
+            ("refused", sorted(figures.rejected.items())),
+            ("health", self.inner.health_score),
         )
 
 
@@ -263,12 +270,12 @@
     """Times of the membership that differ from the usual ones."""
     usual = MembershipTiming()
     return MembershipTiming(
-        period=plain.get("period", usual.period),
-        answer=plain.get("answer", usual.answer),
-        helpers=int(plain.get("helpers", usual.helpers)),
-        gossip=plain.get("gossip", usual.gossip),
-        fanout=int(plain.get("fanout", usual.fanout)),
-        sync=plain.get("sync", usual.sync),
+        probe_interval=plain.get("period", usual.probe_interval),
+        ack_timeout=plain.get("answer", usual.ack_timeout),
+        indirect_probes=int(plain.get("helpers", usual.indirect_probes)),
+        gossip_interval=plain.get("gossip", usual.gossip_interval),
+        gossip_fanout=int(plain.get("fanout", usual.gossip_fanout)),
+        exchange_interval=plain.get("sync", usual.exchange_interval),
     )
 
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -52,7 +52,7 @@
     SubscriberTiming,
 )
 from cleatyoke.emulation.distribution import SOURCE, Links, Measured, Tree
-from cleatyoke.membership.wire import WireError
+from cleatyoke.transport.encoding import WireError
 
 AMPLE = SubscriberTiming(rate=1e6, burst=1e6, jitter=0.0)
 S, N = Lane.SETTINGS, Lane.NODES
@@ -333,8 +333,8 @@
         (b"", "foreign"),
         (b"\x93\x01\x02\x03", "foreign"),
         (MARK + b"\x00" * 2_000_000, "too long"),
-        (MARK + records.sealed(b"\xc1"), "unreadable"),
-        (MARK + records.sealed(msgspec.msgpack.encode([1, 2])), "unreadable"),
+        (MARK + records.append_checksum(b"\xc1"), "unreadable"),
+        (MARK + records.append_checksum(msgspec.msgpack.encode([1, 2])), "unreadable"),
         (encode(Poll("other", FORM, "f", 1, 0, [Position(), Position()], 9)), "foreign"),
         (encode(Poll("d", FORM + 1, "f", 1, 0, [Position(), Position()], 9)), "version"),
         (encode(Poll("d", FORM, "f", 1, 0, [Position()], 9)), "unreadable"),
