--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -216,11 +216,11 @@
 
             config, directory, discovery = self.config, self.directory, self.discovery
             self.startup = startup = StagedStartRunner()
-            recall = await startup.recall(peers, config.name, self.faults)
-            boot = recall.last.boot if recall else 0
+            recall = await startup.restore_durable_state(peers, config.name, self.faults)
+            boot = recall.state.incarnation if recall else 0
             view = FleetView(peers, config.name, config.settings.front_count, config.seed, self.faults, boot)
             if recall:
-                recall.serve(view)
+                recall.attach(view)
             view.share(self.handed, config.state_dir)
             if peers.limits or peers.cold:
                 boxes = directory.boxes
@@ -231,8 +231,8 @@
             msg = f"fleet: {error}"
             raise ConfigError(msg) from error
         self.fleet = view
-        await startup.meet(view)
-        await startup.hear_of_boxes(bool(directory.boxes), discovery.heard)
+        await startup.wait_for_peers(view)
+        await startup.wait_for_endpoint_list(bool(directory.boxes), discovery.heard)
 
     def subscribe(self, relays: DistributionSettings) -> Subscription:
         """Distributed configuration, from now on. Serving waits for none of it."""
@@ -288,7 +288,7 @@
             fleet=(lambda: self.fleet.lines() if self.fleet else []) if kept else None,
             shared=held if kept else None,
             replica=(lambda: self.fleet.replica_lines() if self.fleet else []) if kept else None,
-            recovery=(lambda: self.startup.lines() if self.startup else []) if kept else None,
+            recovery=(lambda: self.startup.status_lines() if self.startup else []) if kept else None,
             config=config_lines if self.config.distribution else None,
         )
 
--- a/cleatyoke/coordination/rate_limit_leases.py
+++ b/cleatyoke/coordination/rate_limit_leases.py
@@ -1,7 +1,7 @@
-"""Limits of volumes by rights: what is asked for here, what may be used, and when the policy hears of it.
+"""Quota leases for the rate limits of volumes: what is measured, and what the scheduler is told.
 
-No input, output or clock. A volume's resource is its number; its home part is a front's even part of the
-limit, as the policy has it without this.
+No I/O and no clock. The home quota of a volume is a front's even part of the limit, which the scheduler
+applies without leases. Times are seconds of the leases' monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,36 +15,43 @@
 from cleatyoke.scheduling.settings import VolumePlan
 
 
-def resource(volume: int) -> str:
+def rate_limit_resource(volume: int) -> str:
+    """The name on the wire of a volume's rate limit."""
     return f"limit:{volume:x}"
 
 
 class RateLimitLeases:
-    """``plans``: of the settings that count now. Times are of one clock, the rights' own."""
+    """Measure the demand for each limited volume, and report the quota that leases leave to this front.
 
-    def __init__(self, rights: QuotaLeases, plans: Callable[[], list[VolumePlan]]) -> None:
-        self.rights, self.plans = rights, plans
+    ``plans`` returns the plans of the settings in force, by plan index.
+    """
+
+    def __init__(self, leases: QuotaLeases, plans: Callable[[], list[VolumePlan]]) -> None:
+        self.leases = leases
+        self.plans = plans
         self.meters: DemandMeters[int] = DemandMeters()
-        self.told: dict[int, int] = {}  # volume: parts that the policy was told of
+        self.reported_parts: dict[int, int] = {}  # by volume, where the scheduler was told other than HOME
 
-    def heard(self, now: float, events: Iterable[SchedulerEvent]) -> None:
-        """Requests that came."""
+    def observe(self, now: float, events: Iterable[SchedulerEvent]) -> None:
+        """Count the requests among these events."""
         for event in events:
             if isinstance(event, RequestArrived) and (limit := self.plans()[event.plan_index].rate_limit):
-                self.meters.asked(now, event.volume_id, event.units, limit / max(1, event.front_count))
+                home_rate = limit / max(1, event.front_count)
+                self.meters.record(now, event.volume_id, event.units, home_rate)
 
-    def needs(self, now: float) -> dict[str, float]:
-        """What this front could use of each volume that it is asked for."""
-        return {resource(volume): need for volume, need in self.meters.needs(now).items()}
+    def demand(self, now: float) -> dict[str, float]:
+        """By resource: what this front could use of the volumes that it has requests for."""
+        return {rate_limit_resource(volume): parts for volume, parts in self.meters.demand(now).items()}
 
-    def changes(self, now: float) -> list[SchedulerEvent]:
-        """What the policy has to be told before it decides anything at this moment."""
+    def quota_changes(self, now: float) -> list[SchedulerEvent]:
+        """What the scheduler must be told before it decides anything at this moment."""
         out: list[SchedulerEvent] = []
-        for volume in self.meters.by_key.keys() | self.told.keys():
-            parts = self.rights.usable(resource(volume), now)
-            if parts != self.told.get(volume, HOME):
-                self.told[volume] = parts
-                if parts == HOME:
-                    del self.told[volume]
-                out.append(QuotaLeaseChanged(volume, parts / HOME))
+        for volume in self.meters.by_key.keys() | self.reported_parts.keys():
+            parts = self.leases.usable_parts(rate_limit_resource(volume), now)
+            if parts == self.reported_parts.get(volume, HOME):
+                continue
+            self.reported_parts[volume] = parts
+            if parts == HOME:
+                del self.reported_parts[volume]
+            out.append(QuotaLeaseChanged(volume, parts / HOME))
         return out
--- a/cleatyoke/coordination/slow_start_leases.py
+++ b/cleatyoke/coordination/slow_start_leases.py
@@ -1,9 +1,9 @@
-"""Cold boxes by rights: which are cold, what is asked for at them here, and which part of what one bears this
-front may send.
+"""Quota leases for nodes that are warming up: how much of such a node's capacity this front may use.
 
-No input, output or clock. All fronts are at home in an even part of the units that the settings state for a
-cold box, as the policy has it without this. The resource is a box in one of its lives, by its id and start:
-fronts that know of different starts lend one another nothing, and each keeps to its own part (the safe side).
+No I/O and no clock. The home quota is an even part of the units that the settings state for a node that has
+just started, which the scheduler applies without leases. The resource is a node in one of its incarnations:
+fronts that know different start times of a node lend each other nothing, and each keeps to its home quota,
+which is the safe side.
 """
 
 from __future__ import annotations
@@ -25,77 +25,100 @@
 )
 from cleatyoke.scheduling.settings import SchedulerSettings
 
+MIN_HOME_RATE = 1e-9  # units a second; keeps a division from failing where the settings state no units
+
 
 @dataclass(slots=True, frozen=True)
 class WarmingNode:
-    resource: str
-    cell: int
-    warm_at: float  # Unix time
+    """A live node that has not served for the whole slow start yet."""
+
+    resource: str  # its name on the wire
+    shard: int
+    warmed_up_at: float  # Unix time
+
 
+def warming_node_resource(name: str, started: float) -> str:
+    """The name on the wire of a node's incarnation.
 
-def resource(name: str, started: float) -> str:
-    """``started``: Unix time, to the millisecond that discovery tells."""
+    ``started``: Unix time; milliseconds count, as discovery tells no more.
+    """
     return "cold:" + hashlib.blake2s(f"{name}|{round(started * 1000)}".encode(), digest_size=12).hexdigest()
 
 
 class SlowStartLeases:
-    """``name``: the id of a node, or None where it is not listed."""
+    """Measure the demand for each node that warms up, and report the quota that leases leave to this front.
+
+    ``settings`` returns the settings in force. ``node_name`` returns the id by which all fronts know a node,
+    or None for a node that is not listed.
+    """
 
     def __init__(
         self,
-        rights: QuotaLeases,
+        leases: QuotaLeases,
         settings: Callable[[], SchedulerSettings],
-        name: Callable[[int], str | None],
+        node_name: Callable[[int], str | None],
     ) -> None:
-        self.rights, self.settings, self.name = rights, settings, name
-        self.boxes: dict[int, WarmingNode] = {}  # node: while it is cold and listed as serving
+        self.leases = leases
+        self.settings = settings
+        self.node_name = node_name
+        self.warming_nodes: dict[int, WarmingNode] = {}  # by node
         self.meters: DemandMeters[str] = DemandMeters()
-        self.told: dict[int, int] = {}  # node: parts that the policy was told of
+        self.reported_parts: dict[int, int] = {}  # by node, where the scheduler was told other than HOME
+
+    def observe(self, now: float, unix_time: float, events: Iterable[SchedulerEvent]) -> None:
+        """Follow the endpoint updates and count the requests among these events.
 
-    def heard(self, now: float, unix: float, events: Iterable[SchedulerEvent]) -> None:
-        """Lists and requests that came. ``now``: of the rights' clock; ``unix``: of the lists' one."""
-        self.boxes = {node: box for node, box in self.boxes.items() if unix < box.warm_at}
+        ``now``: the leases' monotonic clock. ``unix_time``: the clock of the nodes' start times.
+        """
+        self.warming_nodes = {
+            node_id: node for node_id, node in self.warming_nodes.items() if unix_time < node.warmed_up_at
+        }
         for event in events:
             if isinstance(event, EndpointUpdate):
-                self.listed(unix, event)
+                self._update_endpoints(unix_time, event)
             elif isinstance(event, RequestArrived):
-                for box in self.boxes.values():
-                    if box.cell == event.shard:
-                        self.meters.asked(now, box.resource, event.units, self.home())
+                self._count_request(now, event)
 
-    def home(self) -> float:
-        """Units a second of a box that has just started, for one front."""
-        settings = self.settings()
-        return max(
-            1e-9, settings.slow_start_units / settings.safety.overload_after / max(1, settings.front_count)
-        )
-
-    def listed(self, unix: float, news: EndpointUpdate) -> None:
-        if news.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
-            self.boxes = {}
-        ramp = self.settings().safety.slow_start_duration
-        for entry in news.endpoints:
-            self.boxes.pop(entry.node_id, None)
-            name, warm_at = self.name(entry.node_id), entry.started_at + ramp
-            if name and entry.state is EndpointState.LIVE and entry.started_at > 0 and unix < warm_at:
-                self.boxes[entry.node_id] = WarmingNode(
-                    resource(name, entry.started_at), entry.shard, warm_at
-                )
-
-    def needs(self, now: float) -> dict[str, float]:
-        """What this front could use of each cold box. Nothing is asked for at some: those it can lend."""
-        asked = self.meters.needs(now)
-        return {box.resource: asked.get(box.resource, 0.0) for box in self.boxes.values()}
+    def demand(self, now: float) -> dict[str, float]:
+        """By resource: what this front could use of each warming node; 0 for those it can lend."""
+        measured = self.meters.demand(now)
+        return {node.resource: measured.get(node.resource, 0.0) for node in self.warming_nodes.values()}
 
-    def changes(self, now: float) -> list[SchedulerEvent]:
-        """What the policy has to be told before it decides anything at this moment."""
+    def quota_changes(self, now: float) -> list[SchedulerEvent]:
+        """What the scheduler must be told before it decides anything at this moment."""
         out: list[SchedulerEvent] = []
-        for node in self.boxes.keys() | self.told.keys():
-            box = self.boxes.get(node)
-            parts = self.rights.usable(box.resource, now) if box else HOME
-            if parts != self.told.get(node, HOME):
-                self.told[node] = parts
-                if parts == HOME:
-                    del self.told[node]
-                out.append(SlowStartLeaseChanged(node, parts / HOME))
+        for node_id in self.warming_nodes.keys() | self.reported_parts.keys():
+            node = self.warming_nodes.get(node_id)
+            parts = self.leases.usable_parts(node.resource, now) if node else HOME
+            if parts == self.reported_parts.get(node_id, HOME):
+                continue
+            self.reported_parts[node_id] = parts
+            if parts == HOME:
+                del self.reported_parts[node_id]
+            out.append(SlowStartLeaseChanged(node_id, parts / HOME))
         return out
+
+    def _home_rate(self) -> float:
+        """Units a second of one front's home quota in a node that has just started."""
+        settings = self.settings()
+        node_rate = settings.slow_start_units / settings.safety.overload_after
+        return max(MIN_HOME_RATE, node_rate / max(1, settings.front_count))
+
+    def _count_request(self, now: float, request: RequestArrived) -> None:
+        for node in self.warming_nodes.values():
+            if node.shard == request.shard:
+                self.meters.record(now, node.resource, request.units, self._home_rate())
+
+    def _update_endpoints(self, unix_time: float, update: EndpointUpdate) -> None:
+        if update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
+            self.warming_nodes = {}
+        duration = self.settings().safety.slow_start_duration
+        for endpoint in update.endpoints:
+            self.warming_nodes.pop(endpoint.node_id, None)
+            name = self.node_name(endpoint.node_id)
+            warmed_up_at = endpoint.started_at + duration
+            is_known_start = endpoint.started_at > 0 and unix_time < warmed_up_at
+            if name and endpoint.state is EndpointState.LIVE and is_known_start:
+                self.warming_nodes[endpoint.node_id] = WarmingNode(
+                    warming_node_resource(name, endpoint.started_at), endpoint.shard, warmed_up_at
+                )
--- a/cleatyoke/durability/__main__.py
+++ b/cleatyoke/durability/__main__.py
@@ -12,11 +12,11 @@
 
 import click
 
-from cleatyoke.durability.records import FrontState, read
-from cleatyoke.durability.store import NAMES, UnreadableStoreError, rows_in
+from cleatyoke.durability.records import FrontState, decode_state
+from cleatyoke.durability.store import FILE_NAMES, UnreadableStoreError, read_rows
 
 
-def front_of(rows: list[tuple[object, ...]]) -> str:
+def _front_in(rows: list[tuple[object, ...]]) -> str:
     """Whose file it is, as its first row says."""
     return str(rows[0][2]) if rows and len(rows[0]) > 2 else ""
 
@@ -35,7 +35,7 @@
     """
     memory, good = FrontState(), True
     with tempfile.TemporaryDirectory() as copies:
-        for name in NAMES:
+        for name in FILE_NAMES:
             if not (folder / name).exists():
                 click.echo(f"{name}: no file")
                 good = False
@@ -44,23 +44,25 @@
                 if not path.name.startswith(f"{name}.doubtful"):
                     shutil.copy(path, copies)
             try:
-                rows = rows_in(Path(copies) / name)
+                rows = read_rows(Path(copies) / name)
             except (UnreadableStoreError, sqlite3.Error) as error:
                 click.echo(f"{name}: not believed: {error}; a start puts it aside")
                 good = False
                 continue
-            front = front or front_of(rows)
-            found, doubts = read(rows, front, name)
+            front = front or _front_in(rows)
+            found, doubts = decode_state(rows, front, name)
             memory = memory.merge(found)
             click.echo(f"{name}: {len(rows)} rows of {front}, {len(doubts)} not believed")
             for doubt in doubts:
-                click.echo(f"  {doubt.where}: not believed: {doubt.why}")
+                click.echo(f"  {doubt.source}: not believed: {doubt.reason}")
                 good = False
     for path in sorted(folder.glob("*.doubtful-*")):
         click.echo(f"{path.name}: put aside by an earlier start")
-    click.echo(f"boot number: {memory.boot}; the next life begins beyond it, whatever the clock says")
-    click.echo(f"held by hand: {len(memory.holds.held)} boxes; each stays held until somebody releases it")
-    for box, dots in sorted(memory.holds.held.items()):
+    click.echo(f"boot number: {memory.incarnation}; the next life begins beyond it, whatever the clock says")
+    click.echo(
+        f"held by hand: {len(memory.holds.dots_by_node)} boxes; each stays held until somebody releases it"
+    )
+    for box, dots in sorted(memory.holds.dots_by_node.items()):
         placed = [f"{life.name} (boot {life.boot}, number {number})" for life, number in sorted(dots)]
         click.echo(f"  {box}: placed by {', '.join(placed)}")
     click.echo(f"asked first at the next start: {', '.join(memory.peers) or 'the seeds alone'}")
--- a/cleatyoke/durability/records.py
+++ b/cleatyoke/durability/records.py
@@ -27,19 +27,19 @@
 from cleatyoke.coordination.replicated_holds import HoldSet, decode
 from cleatyoke.membership.wire import Count, Text
 
-FORM = 1  # of the rows written; up to this, all are read
-MOST_PEERS = 64
-MOST_ROW = 1 << 20  # bytes
+SCHEMA_VERSION = 1  # of the rows written; up to this, all are read
+MAX_PEERS = 64
+MAX_ROW_BYTES = 1 << 20  # bytes
 
-Peers = Annotated[tuple[Text, ...], msgspec.Meta(max_length=MOST_PEERS)]
+Peers = Annotated[tuple[Text, ...], msgspec.Meta(max_length=MAX_PEERS)]
 
 
 class Row(NamedTuple):
     kind: str
-    form: int
+    schema_version: int
     front: str  # whose it is: deployment and name
     data: bytes
-    sum: int
+    checksum: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,60 +47,62 @@
     """All that is kept. ``boot``: the highest boot number that a life of this front has used."""
 
     holds: HoldSet = field(default_factory=HoldSet)
-    boot: int = 0
+    incarnation: int = 0
     peers: tuple[str, ...] = ()
 
     def merge(self, other: FrontState) -> FrontState:
         """Of two copies; neither takes anything from the other."""
-        peers = tuple(dict.fromkeys((*self.peers, *other.peers)))[:MOST_PEERS]
-        return FrontState(self.holds.merge(other.holds), max(self.boot, other.boot), peers)
+        peers = tuple(dict.fromkeys((*self.peers, *other.peers)))[:MAX_PEERS]
+        return FrontState(self.holds.merge(other.holds), max(self.incarnation, other.incarnation), peers)
 
 
 @dataclass(slots=True, frozen=True)
-class RestoreDoubt:
+class StorageProblem:
     """A row or a file that is not believed, told by name."""
 
-    where: str
-    why: str
+    source: str
+    reason: str
 
 
-def sum_of(kind: str, form: int, front: str, data: bytes) -> int:
+def row_checksum(kind: str, form: int, front: str, data: bytes) -> int:
     return zlib.crc32(data, zlib.crc32(f"{kind}\n{form}\n{front}\n".encode()))
 
 
-def sealed(kind: str, front: str, data: bytes, form: int = FORM) -> Row:
-    return Row(kind, form, front, data, sum_of(kind, form, front, data))
+def make_row(kind: str, front: str, data: bytes, form: int = SCHEMA_VERSION) -> Row:
+    return Row(kind, form, front, data, row_checksum(kind, form, front, data))
 
 
-def rows_of(memory: FrontState, front: str) -> list[Row]:
+def encode_state(memory: FrontState, front: str) -> list[Row]:
     encode = msgspec.msgpack.encode
     return [
-        sealed("holds", front, encode(memory.holds)),
-        sealed("boot", front, encode(memory.boot)),
-        sealed("peers", front, encode(memory.peers)),
+        make_row("holds", front, encode(memory.holds)),
+        make_row("boot", front, encode(memory.incarnation)),
+        make_row("peers", front, encode(memory.peers)),
     ]
 
 
-def read_holds(data: bytes) -> FrontState:
+def _decode_holds(data: bytes) -> FrontState:
     return FrontState(holds=decode("holds", data))
 
 
-def read_boot(data: bytes) -> FrontState:
-    return FrontState(boot=msgspec.msgpack.decode(data, type=Count))
+def _decode_incarnation(data: bytes) -> FrontState:
+    return FrontState(incarnation=msgspec.msgpack.decode(data, type=Count))
 
 
-def read_peers(data: bytes) -> FrontState:
+def _decode_peers(data: bytes) -> FrontState:
     return FrontState(peers=msgspec.msgpack.decode(data, type=Peers))
 
 
-READERS: dict[str, Callable[[bytes], FrontState]] = {
-    "holds": read_holds,
-    "boot": read_boot,
-    "peers": read_peers,
+_DECODERS: dict[str, Callable[[bytes], FrontState]] = {
+    "holds": _decode_holds,
+    "boot": _decode_incarnation,
+    "peers": _decode_peers,
 }
 
 
-def read(rows: Iterable[tuple[Any, ...]], front: str, where: str) -> tuple[FrontState, list[RestoreDoubt]]:
+def decode_state(
+    rows: Iterable[tuple[Any, ...]], front: str, where: str
+) -> tuple[FrontState, list[StorageProblem]]:
     """What these rows of one file say, and what of them is not believed. Rows come as a file gave them:
     anything may stand in them.
     """
@@ -109,26 +111,26 @@
         kind, why = str(values[0])[:32] if values else "?", ""
         try:
             row = Row(*values)
-            if not isinstance(row.data, bytes) or len(row.data) > MOST_ROW:
+            if not isinstance(row.data, bytes) or len(row.data) > MAX_ROW_BYTES:
                 why = "no data"
-            elif sum_of(row.kind, row.form, row.front, row.data) != row.sum:
+            elif row_checksum(row.kind, row.schema_version, row.front, row.data) != row.checksum:
                 why = "sum"
-            elif row.form > FORM:
-                why = f"form {row.form}, newer than {FORM}"
+            elif row.schema_version > SCHEMA_VERSION:
+                why = f"form {row.schema_version}, newer than {SCHEMA_VERSION}"
             elif row.front != front:
                 why = f"of another front, {row.front[:80]}"
-            elif row.kind not in READERS:
+            elif row.kind not in _DECODERS:
                 why = "unknown kind"
             else:
-                memory = memory.merge(READERS[row.kind](row.data))
+                memory = memory.merge(_DECODERS[row.kind](row.data))
         except (TypeError, ValueError, msgspec.MsgspecError, RecursionError) as error:
             why = f"unreadable, {type(error).__name__}"
         if why:
-            doubts.append(RestoreDoubt(f"{where}: {kind}", why))
+            doubts.append(StorageProblem(f"{where}: {kind}", why))
     return memory, doubts
 
 
-def next_boot(remembered: int, unix: float) -> int:
+def next_incarnation(remembered: int, unix: float) -> int:
     """The boot number of a new life: beyond the last one, whatever the clock did; by the wall clock, in
     milliseconds, where that is further, so that a front without its memory seldom falls behind its peers'.
     """
--- a/cleatyoke/durability/store.py
+++ b/cleatyoke/durability/store.py
@@ -14,11 +14,18 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke.durability.records import FORM, FrontState, RestoreDoubt, Row, read, rows_of
-
-APPLICATION = 0x436C5431  # sqlite's application_id: "ClT1"
-NAMES = ("front-a.sqlite", "front-b.sqlite")
-BUSY = 2.0  # seconds for a lock, as while an older process of this front ends
+from cleatyoke.durability.records import (
+    SCHEMA_VERSION,
+    FrontState,
+    Row,
+    StorageProblem,
+    decode_state,
+    encode_state,
+)
+
+APPLICATION_ID = 0x436C5431  # sqlite's application_id: "ClT1"
+FILE_NAMES = ("front-a.sqlite", "front-b.sqlite")
+LOCK_TIMEOUT = 2.0  # seconds for a lock, as while an older process of this front ends
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS rows (
     kind TEXT PRIMARY KEY, form INTEGER NOT NULL, front TEXT NOT NULL, data BLOB NOT NULL, sum INTEGER NOT
@@ -30,12 +37,12 @@
 
 
 @contextlib.contextmanager
-def opened(path: Path, make: bool) -> Iterator[sqlite3.Connection]:
+def open_database(path: Path, make: bool) -> Iterator[sqlite3.Connection]:
     """Raises ``Unreadable``, or ``sqlite3.Error`` where the disk does not let it be used."""
     if not make and not path.exists():
         msg = "no file"
         raise UnreadableStoreError(msg)
-    connection = sqlite3.connect(path, timeout=BUSY, isolation_level=None, check_same_thread=False)
+    connection = sqlite3.connect(path, timeout=LOCK_TIMEOUT, isolation_level=None, check_same_thread=False)
     try:
         connection.execute("PRAGMA journal_mode = WAL")
         connection.execute("PRAGMA synchronous = FULL")
@@ -43,36 +50,36 @@
             connection.execute(f"PRAGMA {name}").fetchone()[0] for name in ("application_id", "user_version")
         )
         tables = connection.execute("SELECT count(*) FROM sqlite_schema").fetchone()[0]
-        if tables and application != APPLICATION:
+        if tables and application != APPLICATION_ID:
             msg = "foreign"
             raise UnreadableStoreError(msg)
-        if form > FORM:
+        if form > SCHEMA_VERSION:
             msg = f"newer form {form}"
             raise UnreadableStoreError(msg)
         if (found := connection.execute("PRAGMA quick_check").fetchone()[0]) != "ok":
             msg = f"damaged: {str(found)[:80]}"
             raise UnreadableStoreError(msg)
         if make and not tables:
-            connection.execute(f"PRAGMA application_id = {APPLICATION}")
-            connection.execute(f"PRAGMA user_version = {FORM}")
+            connection.execute(f"PRAGMA application_id = {APPLICATION_ID}")
+            connection.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
             connection.execute(SCHEMA)
         yield connection
     finally:
         connection.close()
 
 
-def rows_in(path: Path) -> list[tuple[Any, ...]]:
+def read_rows(path: Path) -> list[tuple[Any, ...]]:
     """Raises ``Unreadable`` or ``sqlite3.Error``."""
-    with opened(path, make=False) as connection:
+    with open_database(path, make=False) as connection:
         return connection.execute("SELECT kind, form, front, data, sum FROM rows ORDER BY kind").fetchall()
 
 
-def damaged(error: sqlite3.Error) -> bool:
+def is_damage(error: sqlite3.Error) -> bool:
     """Whether the file is at fault, rather than the disk or somebody who holds it."""
     return not isinstance(error, sqlite3.OperationalError) or "malformed" in str(error)
 
 
-def put_aside(path: Path) -> Path:
+def quarantine(path: Path) -> Path:
     """Rename it, with what sqlite keeps beside it. Raises ``OSError``."""
     number = 1
     while (aside := path.with_name(f"{path.name}.doubtful-{number}")).exists():
@@ -88,49 +95,49 @@
 
     def __init__(self, folder: Path, front: str) -> None:
         self.folder, self.front = folder, front
-        self.paths = [folder / name for name in NAMES]
+        self.paths = [folder / name for name in FILE_NAMES]
 
-    def load(self) -> tuple[FrontState, list[RestoreDoubt]]:
+    def load(self) -> tuple[FrontState, list[StorageProblem]]:
         """What both say together, and what was not believed. Raises nothing."""
-        memory, doubts = FrontState(), list[RestoreDoubt]()
+        memory, doubts = FrontState(), list[StorageProblem]()
         for path in self.paths:
             if not path.exists():
                 continue
             try:
-                found, doubtful = read(rows_in(path), self.front, path.name)
+                found, doubtful = decode_state(read_rows(path), self.front, path.name)
                 memory = memory.merge(found)
                 doubts += doubtful
-                if any(doubt.why.startswith("of another front") for doubt in doubtful):
+                if any(doubt.reason.startswith("of another front") for doubt in doubtful):
                     msg = "of another front"
                     raise UnreadableStoreError(msg)
             except (UnreadableStoreError, sqlite3.Error, OSError) as error:
-                doubts.append(self.set_aside(path, error))
+                doubts.append(self._handle_unreadable(path, error))
         return memory, doubts
 
-    def set_aside(self, path: Path, error: Exception) -> RestoreDoubt:
+    def _handle_unreadable(self, path: Path, error: Exception) -> StorageProblem:
         why = str(error) or type(error).__name__
-        if isinstance(error, OSError) or (isinstance(error, sqlite3.Error) and not damaged(error)):
-            return RestoreDoubt(path.name, why)  # the disk's fault: the file may be good
+        if isinstance(error, OSError) or (isinstance(error, sqlite3.Error) and not is_damage(error)):
+            return StorageProblem(path.name, why)  # the disk's fault: the file may be good
         try:
-            return RestoreDoubt(path.name, f"{why}; put aside as {put_aside(path).name}")
+            return StorageProblem(path.name, f"{why}; put aside as {quarantine(path).name}")
         except OSError as failed:
-            return RestoreDoubt(path.name, f"{why}; and not put aside, {failed.strerror}")
+            return StorageProblem(path.name, f"{why}; and not put aside, {failed.strerror}")
 
-    def save(self, memory: FrontState) -> list[RestoreDoubt]:
+    def save(self, memory: FrontState) -> list[StorageProblem]:
         """Write all to both, one after the other; what failed, by file. A row that is there and cannot be
         believed any more is written over, as its file passed the look at the start.
         """
-        rows, failed = rows_of(memory, self.front), []
+        rows, failed = encode_state(memory, self.front), []
         for path in self.paths:
             try:
                 self.folder.mkdir(parents=True, exist_ok=True)
-                self.write(path, rows)
+                self._write_rows(path, rows)
             except (UnreadableStoreError, sqlite3.Error, OSError) as error:
-                failed.append(RestoreDoubt(path.name, str(error) or type(error).__name__))
+                failed.append(StorageProblem(path.name, str(error) or type(error).__name__))
         return failed
 
-    def write(self, path: Path, rows: list[Row]) -> None:
-        with opened(path, make=True) as connection:
+    def _write_rows(self, path: Path, rows: list[Row]) -> None:
+        with open_database(path, make=True) as connection:
             connection.execute("BEGIN IMMEDIATE")
             connection.executemany("INSERT OR REPLACE INTO rows VALUES (?, ?, ?, ?, ?)", rows)
             connection.execute("COMMIT")
--- a/cleatyoke/durability/writer.py
+++ b/cleatyoke/durability/writer.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from cleatyoke.durability.records import FrontState, RestoreDoubt, next_boot
+from cleatyoke.durability.records import FrontState, StorageProblem, next_incarnation
 
-AGAIN = 1.0  # seconds until a write that failed is tried again
-FLUSH = 0.3  # seconds that an orderly exit waits at the most for what is not yet written
+RETRY_DELAY = 1.0  # seconds until a write that failed is tried again
+FLUSH_TIMEOUT = 0.3  # seconds that an orderly exit waits at the most for what is not yet written
 
 
 class StateStore(Protocol):
-    def load(self) -> tuple[FrontState, list[RestoreDoubt]]: ...
+    def load(self) -> tuple[FrontState, list[StorageProblem]]: ...
 
-    def save(self, memory: FrontState) -> list[RestoreDoubt]: ...
+    def save(self, memory: FrontState) -> list[StorageProblem]: ...
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,10 +31,10 @@
     the disk before it is used, unless ``failed``; ``found``: a life before has written there.
     """
 
-    memory: FrontState
-    found: bool
-    doubts: list[RestoreDoubt]
-    failed: list[RestoreDoubt]
+    state: FrontState
+    was_found: bool
+    problems: list[StorageProblem]
+    write_problems: list[StorageProblem]
 
 
 class StateWriter:
@@ -47,66 +47,66 @@
         disk: StateStore,
         unix: Callable[[], float],
         recalled: Callable[[RestoredState], None],
-        heard: Callable[[list[RestoreDoubt]], None] = lambda doubts: None,
+        heard: Callable[[list[StorageProblem]], None] = lambda doubts: None,
     ) -> None:
-        self.disk, self.unix, self.recalled, self.heard = disk, unix, recalled, heard
-        self.turn = threading.Condition()
-        self.waiting: tuple[int, FrontState] | None = None
-        self.given = self.kept = 0  # numbers of the last write that was asked for, and that is over
+        self.store, self.wall_clock, self.on_restored, self.on_problems_changed = disk, unix, recalled, heard
+        self._condition = threading.Condition()
+        self._pending: tuple[int, FrontState] | None = None
+        self.submitted = self.written = 0  # numbers of the last write that was asked for, and that is over
         self.copies = 0  # files that have the last one
-        self.doubts: list[RestoreDoubt] = []
+        self.problems: list[StorageProblem] = []
         self.writes = self.failures = 0
-        self.ended = False
-        self.thread = threading.Thread(target=self.serve, name="durable", daemon=True)
+        self._stopping = False
+        self.thread = threading.Thread(target=self._run, name="durable", daemon=True)
 
     def start(self) -> None:
         self.thread.start()
 
-    def write(self, memory: FrontState) -> int:
+    def submit(self, memory: FrontState) -> int:
         """Never blocks; the number by which ``keeps`` tells whether it is over."""
-        with self.turn:
-            self.given += 1
-            self.waiting = self.given, memory
-            self.turn.notify()
-            return self.given
-
-    def keeps(self, number: int) -> bool:
-        return self.kept >= number
-
-    def recall(self) -> None:
-        memory, doubts = self.disk.load()
-        found = memory.boot > 0
-        memory = replace(memory, boot=next_boot(memory.boot, self.unix()))
-        failed = self.disk.save(memory)
-        self.recalled(RestoredState(memory, found, doubts, failed))
-
-    def serve(self) -> None:
-        self.recall()
+        with self._condition:
+            self.submitted += 1
+            self._pending = self.submitted, memory
+            self._condition.notify()
+            return self.submitted
+
+    def is_written(self, number: int) -> bool:
+        return self.written >= number
+
+    def _restore(self) -> None:
+        memory, doubts = self.store.load()
+        found = memory.incarnation > 0
+        memory = replace(memory, incarnation=next_incarnation(memory.incarnation, self.wall_clock()))
+        failed = self.store.save(memory)
+        self.on_restored(RestoredState(memory, found, doubts, failed))
+
+    def _run(self) -> None:
+        self._restore()
         while True:
-            with self.turn:
-                while self.waiting is None and not self.ended:
-                    self.turn.wait()
-                if self.waiting is None:
+            with self._condition:
+                while self._pending is None and not self._stopping:
+                    self._condition.wait()
+                if self._pending is None:
                     return
-                (number, memory), self.waiting = self.waiting, None
-            doubts = self.disk.save(memory)
-            with self.turn:
+                (number, memory), self._pending = self._pending, None
+            doubts = self.store.save(memory)
+            with self._condition:
                 self.writes += 1
-                if [doubt.where for doubt in doubts] != [doubt.where for doubt in self.doubts]:
-                    self.heard(doubts)
-                self.doubts = doubts
+                if [doubt.source for doubt in doubts] != [doubt.source for doubt in self.problems]:
+                    self.on_problems_changed(doubts)
+                self.problems = doubts
                 if len(doubts) < 2:  # one file at the least has it
-                    self.kept = number
+                    self.written = number
                 else:
                     self.failures += 1
                 if doubts:
-                    self.waiting = self.waiting or (number, memory)
-                    if self.ended:
+                    self._pending = self._pending or (number, memory)
+                    if self._stopping:
                         return
-                    self.turn.wait(AGAIN)
+                    self._condition.wait(RETRY_DELAY)
 
     def stop(self) -> None:
-        with self.turn:
-            self.ended = True
-            self.turn.notify()
-        self.thread.join(FLUSH)
+        with self._condition:
+            self._stopping = True
+            self._condition.notify()
+        self.thread.join(FLUSH_TIMEOUT)
--- a/cleatyoke/emulation/capacity/duties.py
+++ b/cleatyoke/emulation/capacity/duties.py
@@ -7,11 +7,12 @@
 from dataclasses import dataclass
 
 from cleatyoke.coordination.hold_replication import HoldReplication
-from cleatyoke.coordination.quota_leases import DemandChanged, PeersChanged, QuotaLeases
+from cleatyoke.coordination.lease_events import DemandChanged, PeersChanged
+from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.coordination.replicated_holds import HoldSet
 from cleatyoke.discovery.backoff import Backoff
 from cleatyoke.discovery.watch import EACH, LEAST, MOST, PERIOD
-from cleatyoke.durability.records import FrontState, rows_of
+from cleatyoke.durability.records import FrontState, encode_state
 from cleatyoke.emulation.capacity.cost import processor_seconds
 from cleatyoke.emulation.capacity.nodes import NOW, ListedFront, settings
 from cleatyoke.emulation.capacity.plan import PLAN
@@ -73,10 +74,10 @@
     held = {f"s-{box:06d}": frozenset({(MemberId(f"front-{box:05d}", seed), 1)}) for box in range(count)}
     copies = HoldSet({MemberId(f"front-{box:05d}", seed): 1 for box in range(count)}, held)
     sharing = HoldReplication(lambda: MemberId("front-00000", seed), holds=copies)
-    rows = sum(len(row.data) for row in rows_of(FrontState(holds=copies), "capacity/front"))
+    rows = sum(len(row.data) for row in encode_state(FrontState(holds=copies), "capacity/front"))
     return HoldCosts(
         len(sharing.dump()),
-        processor_seconds(sharing.sum_up, 5),
+        processor_seconds(sharing.compute_digest, 5),
         processor_seconds(lambda: copies.merge(copies), 5),
         rows,
     )
--- a/cleatyoke/emulation/capacity/needs.py
+++ b/cleatyoke/emulation/capacity/needs.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from cleatyoke.config.deployment import SocketBudget
-from cleatyoke.coordination.replicated_holds import MOST_ACTORS
+from cleatyoke.coordination.replicated_holds import MAX_ACTORS
 from cleatyoke.discovery.listings import MOST_LIST
 from cleatyoke.discovery.watch import BEAT, EACH
 from cleatyoke.emulation.capacity import duties
@@ -153,7 +153,7 @@
     """Holds, parts of limits and of cold nodes, probes, discovery, the disk."""
     real, paper, hold = Kind.REAL.value, Kind.PAPER.value, "Sharing, Holds (fleet/sharing.py, replicas.py)"
     all_workers = plan.fronts * workers(results)
-    yield Need("holds, lives that ever placed one", all_workers, MOST_ACTORS, "lives", paper, hold)
+    yield Need("holds, lives that ever placed one", all_workers, MAX_ACTORS, "lives", paper, hold)
     yield Need(
         "holds, one by each front", results.at("holds by hand", "bytes"), MOST_COPIES, "bytes", real, hold
     )
--- a/cleatyoke/emulation/durability.py
+++ b/cleatyoke/emulation/durability.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from cleatyoke.coordination.hold_replication import HoldReplication
-from cleatyoke.durability.records import FrontState, Row, next_boot, read, rows_of
+from cleatyoke.durability.records import FrontState, Row, decode_state, encode_state, next_incarnation
 from cleatyoke.emulation.fleet import Fleet
 from cleatyoke.emulation.network import Network
 from cleatyoke.membership.members import Membership
@@ -25,7 +25,7 @@
 
 
 def recalls(rows: Sequence[Row], name: str) -> FrontState:
-    return read(rows, name, "disk")[0]
+    return decode_state(rows, name, "disk")[0]
 
 
 class Keeping(Fleet):
@@ -51,11 +51,13 @@
     def build(self, deployment: str, name: str, boot: int, *words: Any, **more: Any) -> Membership:
         """A life that begins by its disk, with a clock that may be an hour off."""
         memory = self.recall(self.disks.get(name, []), name)
-        number = next_boot(memory.boot, 7200 + self.now + self.rng.choice((-3600.0, 0.0, 3600.0)))
+        number = next_incarnation(
+            memory.incarnation, 7200 + self.now + self.rng.choice((-3600.0, 0.0, 3600.0))
+        )
         members = Membership(deployment, name, number, *words, **more)
         store = members.store = self.share(lambda: members.id, holds=memory.holds)
-        store.changed = lambda held, released: self.keep(members)
-        self.disks[name] = rows_of(FrontState(memory.holds, number), name)
+        store.on_change = lambda held, released: self.keep(members)
+        self.disks[name] = encode_state(FrontState(memory.holds, number), name)
         return members
 
     def keep(self, members: Membership, then: Callable[[], None] = lambda: None) -> None:
@@ -64,7 +66,7 @@
         def kept() -> None:
             if any(one.members is members for one in self.running.values()):
                 store = self.store(members)
-                self.disks[members.id.name] = rows_of(
+                self.disks[members.id.name] = encode_state(
                     FrontState(store.holds, members.id.boot), members.id.name
                 )
                 then()
@@ -88,7 +90,7 @@
             store.hold(box)
             self.may.add(box)
             self.keep(members, lambda: self.must.add(box))
-        elif box in store.holds.boxes():
+        elif box in store.holds.held_nodes():
             store.release(box)
             self.may.add(box)
             self.must.discard(box)
@@ -121,13 +123,13 @@
 
     def elsewhere(self, name: str) -> bool:
         """Whether all that must stand is on other disks too: of one copy alone the loss is for good."""
-        others = [recalls(rows, one).holds.boxes() for one, rows in self.disks.items() if one != name]
+        others = [recalls(rows, one).holds.held_nodes() for one, rows in self.disks.items() if one != name]
         return all(any(box in held for held in others) for box in self.must)
 
     def wrong(self) -> list[str]:
         out = []
         for process in self.running.values():
-            held = self.store(process.members).holds.boxes()
+            held = self.store(process.members).holds.held_nodes()
             if lost := self.must - held:
                 out.append(f"hold: {process.members.id.name} lost {min(lost)}")
             if extra := held - self.must - self.may:
--- a/cleatyoke/emulation/quota_leases.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -12,13 +12,9 @@
 
 import msgspec
 
-from cleatyoke.coordination.quota_leases import (
-    DemandChanged,
-    LeaseMessageReceived,
-    LeaseTerms,
-    PeersChanged,
-    QuotaLeases,
-)
+from cleatyoke.coordination.lease_events import DemandChanged, LeaseMessageReceived, PeersChanged
+from cleatyoke.coordination.lease_terms import LeaseTerms
+from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.emulation.network import Network
 from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
 
@@ -79,7 +75,7 @@
 
     def usable(self) -> int:
         return sum(
-            one.rights.usable(RESOURCE, one.clock(self.now))
+            one.rights.usable_parts(RESOURCE, one.clock(self.now))
             for one in self.traders.values()
             if self.now >= one.stopped_until
         )
@@ -92,7 +88,7 @@
     def start(self, front: int, began: float | None = None) -> None:
         """A new life; ``began`` long ago: the fleet has run for a while."""
         boot = self.traders[front].id.boot + 1 if front in self.traders else 1
-        drift = self.terms.drift / 2
+        drift = self.terms.clock_drift / 2
         pace = 1 + self.rng.uniform(-drift, drift)
         since = (self.now if began is None else began) * pace
         rights = self.make(since, random.Random(f"{self.seed}:{front}:{boot}"), self.terms)
--- a/cleatyoke/fleet/restore.py
+++ b/cleatyoke/fleet/restore.py
@@ -14,7 +14,7 @@
 import structlog
 
 from cleatyoke.coordination.replicated_holds import HoldSet
-from cleatyoke.durability.records import MOST_PEERS, FrontState, RestoreDoubt
+from cleatyoke.durability.records import MAX_PEERS, FrontState, StorageProblem
 from cleatyoke.durability.store import StateDatabase
 from cleatyoke.durability.writer import RestoredState, StateWriter
 from cleatyoke.process.faults import Faults, Watchdog
@@ -40,77 +40,79 @@
 
     def __init__(self, folder: Path, front: str, faults: Faults) -> None:
         self.loop = asyncio.get_running_loop()
-        self.first: asyncio.Future[RestoredState] = self.loop.create_future()
+        self.restored: asyncio.Future[RestoredState] = self.loop.create_future()
         self.view: DurableReplicas | None = None
-        self.last = FrontState()
-        self.writer = StateWriter(StateDatabase(folder, front), time.time, self.recalled, self.heard)
-        self.beat = Watchdog(faults, "durable", SETTLE, self.keep)
+        self.state = FrontState()
+        self.writer = StateWriter(
+            StateDatabase(folder, front), time.time, self._on_restored, self._on_problems_changed
+        )
+        self.watchdog = Watchdog(faults, "durable", SETTLE, self.save)
         self.writer.start()
 
-    async def read(self) -> str:
+    async def wait_until_restored(self) -> str:
         """Once the disk has said what it has: what that is, in a few words."""
-        recalled = await asyncio.shield(self.first)
-        return "found" if recalled.found else "nothing found"
+        recalled = await asyncio.shield(self.restored)
+        return "found" if recalled.was_found else "nothing found"
 
-    def recalled(self, recalled: RestoredState) -> None:
+    def _on_restored(self, recalled: RestoredState) -> None:
         """From the writer's thread."""
-        self.loop.call_soon_threadsafe(self.take, recalled)
-
-    def take(self, recalled: RestoredState) -> None:
-        for doubt in recalled.doubts:
-            log.warning("durable_doubtful", of=doubt.where, why=doubt.why)
-        if recalled.failed:
-            self.tell(recalled.failed)
-        self.last = recalled.memory
-        self.first.set_result(recalled)
+        self.loop.call_soon_threadsafe(self._apply_restored, recalled)
+
+    def _apply_restored(self, recalled: RestoredState) -> None:
+        for doubt in recalled.problems:
+            log.warning("durable_doubtful", of=doubt.source, why=doubt.reason)
+        if recalled.write_problems:
+            self._log_problems(recalled.write_problems)
+        self.state = recalled.state
+        self.restored.set_result(recalled)
         if self.view:  # it began without
-            self.serve(self.view)
+            self.attach(self.view)
 
-    def heard(self, doubts: list[RestoreDoubt]) -> None:
-        self.loop.call_soon_threadsafe(self.tell, doubts)
+    def _on_problems_changed(self, doubts: list[StorageProblem]) -> None:
+        self.loop.call_soon_threadsafe(self._log_problems, doubts)
 
-    def tell(self, doubts: list[RestoreDoubt]) -> None:
+    def _log_problems(self, doubts: list[StorageProblem]) -> None:
         """Once for each change: writes fail, or do no longer."""
         if doubts:
-            log.error("durable_failing", why="; ".join(f"{one.where}: {one.why}" for one in doubts))
+            log.error("durable_failing", why="; ".join(f"{one.source}: {one.reason}" for one in doubts))
         else:
             log.info("durable_well")
 
-    def serve(self, view: DurableReplicas) -> None:
+    def attach(self, view: DurableReplicas) -> None:
         """Give the view what the disk said, now or once it does, and keep what the view knows from then
         on.
         """
         self.view = view
-        if self.first.done():
+        if self.restored.done():
             view.recall = self
-            view.remember(self.first.result().memory)
-            self.beat.start()
+            view.remember(self.restored.result().state)
+            self.watchdog.start()
 
-    def keep(self) -> None:
+    def save(self) -> None:
         """Write what is new."""
         assert self.view
-        memory = self.view.memory(self.last)
-        memory = replace(memory, peers=memory.peers[:MOST_PEERS])
-        if memory != self.last:
-            self.last = memory
-            self.writer.write(memory)
+        memory = self.view.memory(self.state)
+        memory = replace(memory, peers=memory.peers[:MAX_PEERS])
+        if memory != self.state:
+            self.state = memory
+            self.writer.submit(memory)
 
-    def has(self, holds: HoldSet) -> bool:
+    def has_written(self, holds: HoldSet) -> bool:
         """From any thread: whether these are on the disk."""
-        given = self.writer.given
-        return self.last.holds == holds and self.writer.keeps(given)
+        given = self.writer.submitted
+        return self.state.holds == holds and self.writer.is_written(given)
 
     def stop(self) -> None:
-        self.beat.stop()
-        self.keep()
+        self.watchdog.stop()
+        self.save()
         self.writer.stop()
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         writer = self.writer
         facts = {
             "writes": writer.writes,
             "failures": writer.failures,
-            "behind": writer.given - writer.kept,
-            "failing": len(writer.doubts),
+            "behind": writer.submitted - writer.written,
+            "failing": len(writer.problems),
         }
         return [f"durable.{name}={value}" for name, value in facts.items()]
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -11,7 +11,7 @@
 import structlog
 
 from cleatyoke.config.deployment import FleetSettings
-from cleatyoke.coordination.quota_leases import LeaseTerms
+from cleatyoke.coordination.lease_terms import LeaseTerms
 from cleatyoke.coordination.staged_start import Evidence, StagedStart, StartStage
 from cleatyoke.fleet.restore import DurableState
 from cleatyoke.fleet.view import FleetView
@@ -35,37 +35,44 @@
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         now = self.loop.time()
-        self.recovery = StagedStart(now, LeaseTerms().lender(now))
+        self.staged_start = StagedStart(now, LeaseTerms().lender_expiry(now))
 
-    async def recall(self, peers: FleetSettings, name: str, faults: Faults) -> DurableState | None:
+    async def restore_durable_state(
+        self, peers: FleetSettings, name: str, faults: Faults
+    ) -> DurableState | None:
         """The own memory; None where none is kept."""
         if peers.durable is None:
-            await self.wait(StartStage.DISK, at_once("none kept"))
+            await self._wait_for(StartStage.DISK, at_once("none kept"))
             return None
         recall = DurableState(peers.durable, f"{peers.deployment}/{name}", faults)
-        await self.wait(StartStage.DISK, recall.read())
+        await self._wait_for(StartStage.DISK, recall.wait_until_restored())
         return recall
 
-    async def meet(self, view: FleetView) -> None:
-        await self.wait(StartStage.PEERS, view.met())
+    async def wait_for_peers(self, view: FleetView) -> None:
+        await self._wait_for(StartStage.PEERS, view.met())
 
-    async def hear_of_boxes(self, known: bool, heard: asyncio.Event) -> None:
+    async def wait_for_endpoint_list(self, known: bool, heard: asyncio.Event) -> None:
         """``known``: there is an old list."""
         word = at_once("an old list") if known and not heard.is_set() else once(heard, "discovery")
-        await self.wait(StartStage.LIST, word)
+        await self._wait_for(StartStage.ENDPOINT_LIST, word)
 
-    async def wait(self, stage: StartStage, evidence: Awaitable[str]) -> None:
+    async def _wait_for(self, stage: StartStage, evidence: Awaitable[str]) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(self.recovery.ends_at()):
-                self.step(Evidence(stage, await evidence))
-        self.step()
-        if self.recovery.stage is StartStage.LENT:
-            self.loop.call_at(self.recovery.ends_at(), self.step)
-
-    def step(self, *events: Evidence) -> None:
-        for one in self.recovery.step(self.loop.time(), events):
-            tell = log.warning if one.what == "bound" else log.info
-            tell("recovery_stage", passed=one.stage.value, by=one.what, waited=round(one.waited, 3))
-
-    def lines(self) -> list[str]:
-        return self.recovery.lines(self.loop.time())
+            async with asyncio.timeout_at(self.staged_start.stage_ends_at()):
+                self._step(Evidence(stage, await evidence))
+        self._step()
+        if self.staged_start.stage is StartStage.OLD_LEASES:
+            self.loop.call_at(self.staged_start.stage_ends_at(), self._step)
+
+    def _step(self, *events: Evidence) -> None:
+        for one in self.staged_start.step(self.loop.time(), events):
+            tell = log.warning if one.passed_by == "bound" else log.info
+            tell(
+                "recovery_stage",
+                passed=one.stage.value,
+                by=one.passed_by,
+                waited=round(one.waited_seconds, 3),
+            )
+
+    def status_lines(self) -> list[str]:
+        return self.staged_start.status_lines(self.loop.time())
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -22,14 +22,14 @@
 
 from cleatyoke.config.deployment import Address, ConfigError, FleetSettings, read_address
 from cleatyoke.coordination.hold_replication import HoldReplication
-from cleatyoke.coordination.quota_leases import (
+from cleatyoke.coordination.lease_events import (
     DemandChanged,
     LeaseEvent,
     LeaseMessageReceived,
     PeersChanged,
     QuotaFractionChanged,
-    QuotaLeases,
 )
+from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.coordination.rate_limit_leases import RateLimitLeases
 from cleatyoke.coordination.slow_start_leases import SlowStartLeases
 from cleatyoke.core import Core
@@ -222,7 +222,7 @@
 
         def keep() -> None:
             if self.recall:
-                self.recall.keep()
+                self.recall.save()
             with self.faults.step("fleet_copies"):
                 spare = kept.with_suffix(".new")
                 spare.write_bytes(self.copies.dump())
@@ -239,8 +239,8 @@
             self.members.done_here()
             self.step()
 
-        self.copies.changed, file.shared = changed, called
-        if absent := self.copies.holds.boxes() - frozenset(file.directory.holds.held):
+        self.copies.on_change, file.shared = changed, called
+        if absent := self.copies.holds.held_nodes() - frozenset(file.directory.holds.held):
             file.heard(absent, frozenset())
 
     def remember(self, memory: FrontState) -> None:
@@ -251,14 +251,17 @@
         known = self.members.seeds
         known += [peer for peer in memory.peers if peer not in known][:HINTS]
         if self.transport:  # it is late
-            self.step(IncarnationRemembered(memory.boot))
-            self.copies.changed(self.copies.holds.boxes(), frozenset())
+            self.step(IncarnationRemembered(memory.incarnation))
+            self.copies.on_change(self.copies.holds.held_nodes(), frozenset())
 
     def memory(self, before: FrontState) -> FrontState:
         """What outlives a loss of power, in place of what was kept before."""
         there = sorted(self.members.lives[id].rumour.address for id in self.members.present)
         return dataclasses.replace(
-            before, holds=self.copies.holds, boot=self.members.id.boot, peers=tuple(there) or before.peers
+            before,
+            holds=self.copies.holds,
+            incarnation=self.members.id.boot,
+            peers=tuple(there) or before.peers,
         )
 
     async def met(self) -> str:
@@ -276,8 +279,8 @@
         while True:
             members = self.members
             there = list(members.present)
-            done = (box in self.copies.holds.boxes()) == hold
-            having = sum(not self.copies.lacks(id) for id in there) if done else -1
+            done = (box in self.copies.holds.held_nodes()) == hold
+            having = sum(not self.copies.is_behind(id) for id in there) if done else -1
             if (having == len(there) and done and self.on_disk()) or time.monotonic() >= until:
                 return having + 1, max(self.conclusion().count, len(there) + 1)
             time.sleep(0.01)
@@ -302,7 +305,7 @@
 
     def on_disk(self) -> bool:
         """Whether all holds known here are on the disk, as far as there is one."""
-        return self.recall is None or self.recall.has(self.copies.holds)
+        return self.recall is None or self.recall.has_written(self.copies.holds)
 
     # Limits and cold boxes
 
@@ -315,7 +318,7 @@
             self.limits = RateLimitLeases(self.rights, lambda: core.policy.settings.plans)
         if self.peers.cold:
             self.cold = SlowStartLeases(self.rights, lambda: core.policy.settings, name)
-        self.rights.part = core.policy.settings.initial_quota_share
+        self.rights.quota_fraction = core.policy.settings.initial_quota_share
         core.before = self.before_step
         self.lending.start()
 
@@ -323,9 +326,9 @@
         """Directly before the policy decides: leases that have ended meanwhile count no longer."""
         at = self.loop.time()
         if self.limits:
-            self.limits.heard(at, events)
+            self.limits.observe(at, events)
         if self.cold:
-            self.cold.heard(at, now, events)
+            self.cold.observe(at, now, events)
         for event in events:
             if isinstance(event, QuotaShareChanged):
                 self.trade(QuotaFractionChanged(event.fraction))
@@ -334,7 +337,7 @@
         return [*lists, *self.changes(at), *rest]
 
     def changes(self, at: float) -> list[SchedulerEvent]:
-        return [event for one in (self.limits, self.cold) if one for event in one.changes(at)]
+        return [event for one in (self.limits, self.cold) if one for event in one.quota_changes(at)]
 
     def trade(self, *events: LeaseEvent) -> None:
         """One step of the rights."""
@@ -348,7 +351,9 @@
 
     def look_at_needs(self) -> None:
         now = self.loop.time()
-        needs = {key: need for one in (self.limits, self.cold) if one for key, need in one.needs(now).items()}
+        needs = {
+            key: need for one in (self.limits, self.cold) if one for key, need in one.demand(now).items()
+        }
         if needs or self.rights.accounts:
             alive = [id for id in self.members.present if id not in self.members.doubted]
             self.trade(PeersChanged(tuple(alive)), DemandChanged(needs))
@@ -398,7 +403,7 @@
                     self.trade(LeaseMessageReceived(sender, body))
             case MembershipChanged(change, id, by):
                 if change is Change.RENAMED and self.recall:
-                    self.recall.keep()
+                    self.recall.save()
                 log.info("fleet_change", change=change.value, of=id.name, boot=id.boot, by=by)
 
     # Streams
@@ -498,17 +503,17 @@
         """
         members, copies, rights = self.members, self.copies, self.rights
         there = list(members.present)
-        lacking = sorted(id.name for id in there if copies.lacks(id))
+        lacking = sorted(id.name for id in there if copies.is_behind(id))
         accounts = list(rights.accounts.items())
-        loans = sum(len(account.loans) for _, account in accounts)
+        loans = sum(len(account.granted) for _, account in accounts)
         return [
-            f"replica.holds entries={len(copies.holds.held)} numbers={len(copies.holds.clock)} "
-            f"lacking={len(lacking)} of={len(there)} settled={copies.merged} disk="
+            f"replica.holds entries={len(copies.holds.dots_by_node)} numbers={len(copies.holds.clock)} "
+            f"lacking={len(lacking)} of={len(there)} settled={copies.merges} disk="
             + ("none" if self.recall is None else "yes" if self.on_disk() else "behind"),
             f"replica.settings {members.settings:08x} differ={','.join(members.unlike()) or 'none'}",
-            *(f"replica.hold {box}" for box in sorted(copies.holds.held)),
+            *(f"replica.hold {box}" for box in sorted(copies.holds.dots_by_node)),
             *(f"replica.lacks {name}" for name in lacking[:64]),
-            f"replica.rights resources={len(accounts)} loans={loans} refused={rights.refused}",
+            f"replica.rights resources={len(accounts)} loans={loans} refused={rights.refused_resources}",
         ]
 
     def figures(self) -> list[str]:
@@ -518,10 +523,10 @@
         facts |= {name: getattr(told, name) for name in told.__dataclass_fields__ if name != "refused"}
         facts |= {f"refused.{why.replace(' ', '-')}": count for why, count in dict(told.refused).items()}
         facts |= {f"dropped.{why}": count for why, count in dict(self.dropped).items()}
-        facts |= {"holds": len(self.copies.holds.held), "copies_merged": self.copies.merged}
+        facts |= {"holds": len(self.copies.holds.dots_by_node), "copies_merged": self.copies.merges}
         accounts = list(self.rights.accounts.values())
-        facts["lent"] = sum(len(account.loans) for account in accounts)
-        facts["borrowed"] = sum(len(account.debts) for account in accounts)
-        kept = self.recall.figures() if self.recall else []
+        facts["lent"] = sum(len(account.granted) for account in accounts)
+        facts["borrowed"] = sum(len(account.borrowed) for account in accounts)
+        kept = self.recall.metric_lines() if self.recall else []
         digest = f"fleet.digest={members.digest():08x}"
         return [*(f"fleet.{name}={value}" for name, value in facts.items()), *kept, digest]
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -348,7 +348,7 @@
             self.news_at = self.now
             there = self.there()
             for id in self.rng.sample(there, min(self.timing.fanout, len(there))):
-                if self.store.lacks(id):
+                if self.store.is_behind(id):
                     self.exchange(self.lives[id].rumour.address)
 
     def done_here(self) -> None:
@@ -358,7 +358,7 @@
 
     def push(self) -> None:
         assert self.store
-        lacking = [id for id in self.present if self.store.lacks(id)]
+        lacking = [id for id in self.present if self.store.is_behind(id)]
         if not lacking:
             self.push_until = -math.inf
             return
--- a/tests/test_durable.py
+++ b/tests/test_durability.py
@@ -20,8 +20,16 @@
 
 from cleatyoke.coordination.replicated_holds import HoldSet
 from cleatyoke.durability.__main__ import main
-from cleatyoke.durability.records import FORM, FrontState, RestoreDoubt, next_boot, read, rows_of, sealed
-from cleatyoke.durability.store import NAMES, StateDatabase, rows_in
+from cleatyoke.durability.records import (
+    SCHEMA_VERSION,
+    FrontState,
+    StorageProblem,
+    decode_state,
+    encode_state,
+    make_row,
+    next_incarnation,
+)
+from cleatyoke.durability.store import FILE_NAMES, StateDatabase, read_rows
 from cleatyoke.durability.writer import RestoredState, StateWriter
 from cleatyoke.membership.wire import MemberId
 
@@ -52,36 +60,36 @@
 
 
 def test_a_row_is_believed_by_itself_or_not_at_all() -> None:
-    rows = rows_of(HELD, FRONT)
-    assert read(rows, FRONT, "a") == (HELD, [])
+    rows = encode_state(HELD, FRONT)
+    assert decode_state(rows, FRONT, "a") == (HELD, [])
     for place, row in enumerate(rows):
         for byte in range(len(row.data)):
             bad = bytearray(row.data)
             bad[byte] ^= 1 << byte % 8
             spoilt = [*rows[:place], row._replace(data=bytes(bad)), *rows[place + 1 :]]
-            memory, doubts = read(spoilt, FRONT, "a")
-            assert doubts == [RestoreDoubt(f"a: {row.kind}", "sum")]
+            memory, doubts = decode_state(spoilt, FRONT, "a")
+            assert doubts == [StorageProblem(f"a: {row.kind}", "sum")]
             assert memory.merge(HELD) == HELD
     for odd, why in (
         ((), "unreadable"),
         ((None,) * 5, "no data"),
         (("holds", 1, FRONT, "text", 0), "no data"),
-        (sealed("holds", FRONT, b"x", FORM + 1), "newer"),
-        (sealed("holds", "theirs/n1", b"x"), "another front"),
-        (sealed("new", FRONT, b"x"), "unknown"),
-        (sealed("boot", FRONT, b"\xc1"), "unreadable"),
-        (sealed("holds", FRONT, b"\xff" * 99), "unreadable"),
+        (make_row("holds", FRONT, b"x", SCHEMA_VERSION + 1), "newer"),
+        (make_row("holds", "theirs/n1", b"x"), "another front"),
+        (make_row("new", FRONT, b"x"), "unknown"),
+        (make_row("boot", FRONT, b"\xc1"), "unreadable"),
+        (make_row("holds", FRONT, b"\xff" * 99), "unreadable"),
         (("holds", "x", FRONT, b"x", 1), "sum"),
     ):
-        memory, [doubt] = read([odd, *rows], FRONT, "a")
+        memory, [doubt] = decode_state([odd, *rows], FRONT, "a")
         assert memory == HELD
-        assert why in doubt.why
+        assert why in doubt.reason
 
 
 def test_a_boot_number_only_rises_whatever_the_clock_does() -> None:
-    assert next_boot(0, 1000.5) == 1_000_500
-    assert next_boot(1_000_500, 1000.0 - 3600) == 1_000_501  # an hour back
-    assert next_boot(1_000_500, 1000.0 + 3600) == 4_600_000
+    assert next_incarnation(0, 1000.5) == 1_000_500
+    assert next_incarnation(1_000_500, 1000.0 - 3600) == 1_000_501  # an hour back
+    assert next_incarnation(1_000_500, 1000.0 + 3600) == 4_600_000
 
 
 # Files
@@ -93,7 +101,7 @@
     def flip(place: int) -> bytes:
         return whole[:place] + bytes([whole[place] ^ 0x10]) + whole[place + 1 :]
 
-    newer = f"PRAGMA user_version = {FORM + 1}"
+    newer = f"PRAGMA user_version = {SCHEMA_VERSION + 1}"
     out: dict[str, Callable[[], object]] = {
         "empty": lambda: path.write_bytes(b""),
         "gone": path.unlink,
@@ -110,7 +118,7 @@
 
 def test_no_damage_to_one_file_loses_a_hold_or_ends_a_start(tmp_path: Path) -> None:
     StateDatabase(tmp_path / "good", FRONT).save(HELD)
-    for name in NAMES:
+    for name in FILE_NAMES:
         for what in damage(tmp_path / "good" / name):
             folder = tmp_path / "spoilt"
             shutil.copytree(tmp_path / "good", folder)
@@ -119,7 +127,7 @@
             memory, doubts = disk.load()
             assert memory == HELD, what
             if what in ("text", "newer", "foreign") or what.startswith("cut 4096"):
-                assert "put aside as" in doubts[0].why and list(folder.glob("*.doubtful-1")), what
+                assert "put aside as" in doubts[0].reason and list(folder.glob("*.doubtful-1")), what
             assert disk.save(memory) == [], what
             assert disk.load() == (HELD, []), what
             shutil.rmtree(folder)
@@ -131,16 +139,16 @@
     shutil.copytree(tmp_path / "disk", tmp_path / "old")
     later = FrontState(HELD.holds.release("s-003").hold(MemberId("n1", 7), "s-004"), 9, HELD.peers)
     disk.save(later)
-    shutil.copy(tmp_path / "old" / NAMES[0], tmp_path / "disk" / NAMES[0])
+    shutil.copy(tmp_path / "old" / FILE_NAMES[0], tmp_path / "disk" / FILE_NAMES[0])
     assert disk.load()[0] == later  # the release that the old copy lacks stands too
-    shutil.copy(tmp_path / "old" / NAMES[1], tmp_path / "disk" / NAMES[1])
+    shutil.copy(tmp_path / "old" / FILE_NAMES[1], tmp_path / "disk" / FILE_NAMES[1])
     assert disk.load()[0] == HELD  # both put back: a hold too many at the most, and peers know better
     other = StateDatabase(tmp_path / "disk", "ours/n2")
     memory, doubts = other.load()
     assert memory == FrontState()
-    assert sum("another front" in doubt.why for doubt in doubts) >= 2
-    assert other.save(FrontState(boot=1)) == []
-    assert other.load() == (FrontState(boot=1), [])
+    assert sum("another front" in doubt.reason for doubt in doubts) >= 2
+    assert other.save(FrontState(incarnation=1)) == []
+    assert other.load() == (FrontState(incarnation=1), [])
 
 
 def test_a_disk_that_cannot_be_written_is_named_and_costs_nothing_else(tmp_path: Path) -> None:
@@ -149,13 +157,13 @@
     assert StateDatabase(tmp_path / "file" / "below", FRONT).load() == (FrontState(), [])
     disk = StateDatabase(tmp_path / "disk", FRONT)
     disk.save(HELD)
-    with sqlite3.connect(tmp_path / "disk" / NAMES[0], isolation_level=None) as holder:
+    with sqlite3.connect(tmp_path / "disk" / FILE_NAMES[0], isolation_level=None) as holder:
         holder.execute("BEGIN EXCLUSIVE")  # another process holds one file
         memory, doubts = disk.load()
     holder.close()
     assert memory == HELD
     assert not list((tmp_path / "disk").glob("*.doubtful*"))
-    assert [doubt.where for doubt in doubts] in ([], [NAMES[0]])
+    assert [doubt.source for doubt in doubts] in ([], [FILE_NAMES[0]])
 
 
 FULL = """
@@ -169,13 +177,13 @@
 assert disk.save(FrontState(holds, 7)) == []
 signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
 resource.setrlimit(resource.RLIMIT_FSIZE, (16384, resource.RLIM_INFINITY))
-many = HoldSet(holds.clock, {f"s-{number}": holds.held["s-003"] for number in range(2000)})
+many = HoldSet(holds.clock, {f"s-{number}": holds.dots_by_node["s-003"] for number in range(2000)})
 failed = disk.save(FrontState(many, 8))
 assert len(failed) == 2, failed
 resource.setrlimit(resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
 memory, doubts = disk.load()
 assert (memory, doubts) == (FrontState(holds, 7), []), (memory, doubts)
-assert disk.save(FrontState(holds, 9)) == [] and disk.load()[0].boot == 9
+assert disk.save(FrontState(holds, 9)) == [] and disk.load()[0].incarnation == 9
 """
 
 
@@ -190,13 +198,13 @@
     def __init__(self) -> None:
         self.go, self.failing, self.saved = threading.Event(), 0, list[FrontState]()
 
-    def load(self) -> tuple[FrontState, list[RestoreDoubt]]:
+    def load(self) -> tuple[FrontState, list[StorageProblem]]:
         return HELD, []
 
-    def save(self, memory: FrontState) -> list[RestoreDoubt]:
+    def save(self, memory: FrontState) -> list[StorageProblem]:
         assert self.go.wait(10)
         self.saved.append(memory)
-        return [RestoreDoubt(f"file {number}", "full") for number in range(self.failing)]
+        return [StorageProblem(f"file {number}", "full") for number in range(self.failing)]
 
 
 def until(what: Callable[[], bool]) -> None:
@@ -207,28 +215,31 @@
 
 
 def test_nobody_waits_for_a_slow_disk_and_a_failing_one_is_told_once() -> None:
-    disk, first, told = SlowDisk(), list[RestoredState](), list[list[RestoreDoubt]]()
+    disk, first, told = SlowDisk(), list[RestoredState](), list[list[StorageProblem]]()
     writer = StateWriter(disk, lambda: 0.0, first.append, told.append)
     writer.start()
     began = time.monotonic()
-    numbers = [writer.write(FrontState(boot=boot)) for boot in range(100, 150)]
+    numbers = [writer.submit(FrontState(incarnation=boot)) for boot in range(100, 150)]
     assert time.monotonic() - began < 0.5
     assert not first
-    assert not writer.keeps(numbers[0])
+    assert not writer.is_written(numbers[0])
     disk.go.set()
-    until(lambda: writer.keeps(numbers[-1]))
-    assert first[0].memory.boot == HELD.boot + 1
-    assert first[0].found
-    assert [one.boot for one in disk.saved] == [HELD.boot + 1, 149]  # the newest of all that waited
+    until(lambda: writer.is_written(numbers[-1]))
+    assert first[0].state.incarnation == HELD.incarnation + 1
+    assert first[0].was_found
+    assert [one.incarnation for one in disk.saved] == [
+        HELD.incarnation + 1,
+        149,
+    ]  # the newest of all that waited
     disk.failing = 1
-    number = writer.write(FrontState(boot=200))
-    until(lambda: writer.keeps(number))  # one of two has it
+    number = writer.submit(FrontState(incarnation=200))
+    until(lambda: writer.is_written(number))  # one of two has it
     disk.failing = 2
-    number = writer.write(FrontState(boot=201))
+    number = writer.submit(FrontState(incarnation=201))
     until(lambda: len(told) == 2)
-    assert not writer.keeps(number)
+    assert not writer.is_written(number)
     disk.failing = 0
-    until(lambda: writer.keeps(number))  # tried again by itself
+    until(lambda: writer.is_written(number))  # tried again by itself
     until(lambda: told[-1] == [])
     assert [len(doubts) for doubts in told] == [1, 2, 0]
     writer.stop()
@@ -246,10 +257,10 @@
 memory, doubts = disk.load()
 assert not doubts, doubts
 for number in range(10000):
-    holds = memory.holds.hold(MemberId("n1", memory.boot), f"s-{len(memory.holds.held)}")
-    memory = FrontState(holds, memory.boot + 1)
+    holds = memory.holds.hold(MemberId("n1", memory.incarnation), f"s-{len(memory.holds.dots_by_node)}")
+    memory = FrontState(holds, memory.incarnation + 1)
     assert not disk.save(memory)
-    print(len(memory.holds.held), memory.boot, flush=True)
+    print(len(memory.holds.dots_by_node), memory.incarnation, flush=True)
 """
 
 
@@ -268,8 +279,8 @@
                     boxes, boot = map(int, line.split())
         memory, doubts = StateDatabase(tmp_path, FRONT).load()
         assert doubts == []
-        assert len(memory.holds.held) >= boxes
-        assert memory.boot >= boot
+        assert len(memory.holds.dots_by_node) >= boxes
+        assert memory.incarnation >= boot
 
 
 # The command
@@ -280,14 +291,14 @@
     shown = CliRunner().invoke(main, ["check", str(tmp_path)])
     assert shown.exit_code == 0
     assert "s-003: placed by n1 (boot 7, number 1)" in shown.output
-    (tmp_path / NAMES[1]).write_text("x" * 5000)
+    (tmp_path / FILE_NAMES[1]).write_text("x" * 5000)
     before = sorted(path.name for path in tmp_path.iterdir())
     shown = CliRunner().invoke(main, ["check", str(tmp_path)])
     assert shown.exit_code == 1
     assert "not believed" in shown.output
     assert "s-003" in shown.output
     assert sorted(path.name for path in tmp_path.iterdir()) == before
-    assert rows_in(tmp_path / NAMES[0])
+    assert read_rows(tmp_path / FILE_NAMES[0])
     other = CliRunner().invoke(main, ["check", str(tmp_path), "--front", "ours/n9"])
     assert other.exit_code == 1
     assert "of another front" in other.output
--- a/tests/test_rights.py
+++ b/tests/test_quota_leases.py
@@ -6,23 +6,25 @@
 import copy
 import pickle
 import random
-from collections.abc import Iterator
+from collections.abc import Collection, Iterator
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.coordination.demand import SPAN, DemandMeters
-from cleatyoke.coordination.quota_leases import (
-    KEPT,
+from cleatyoke.coordination.demand import SPAN_SECONDS, DemandMeters
+from cleatyoke.coordination.lease_accounts import ResourceAccount
+from cleatyoke.coordination.lease_borrower import Borrower
+from cleatyoke.coordination.lease_events import (
     DemandChanged,
     LeaseMessageReceived,
-    LeaseTerms,
     PeersChanged,
     QuotaFractionChanged,
-    QuotaLeases,
     SendLeaseMessage,
 )
+from cleatyoke.coordination.lease_lender import Lender
+from cleatyoke.coordination.lease_terms import NEVER_LEASED_PARTS, LeaseTerms
+from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.emulation.network import Network
 from cleatyoke.emulation.quota_leases import RESOURCE, LeaseSimulation
 from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
@@ -35,23 +37,38 @@
         super().__init__(began - 3600.0, rng, terms)
 
 
+class _BorrowerByLendersClock(Borrower):
+    def accept_grant(
+        self, now: float, account: ResourceAccount | None, lender: MemberId, grant: LeaseGrant
+    ) -> None:
+        super().accept_grant(now, account, lender, grant)
+        assert account
+        for lease in account.borrowed.values():
+            if lease.number == grant.number:
+                lease.expires_at = self.terms.borrower_expiry(now)
+
+
 class EndsAfterGrant(QuotaLeases):
     """The borrower judges its lease by when the grant came, that is by the lender's clock."""
 
-    def take(self, now: float, lender: MemberId, grant: LeaseGrant) -> None:
-        super().take(now, lender, grant)
-        for debt in self.accounts[grant.resource].debts.values():
-            if debt.number == grant.number:
-                debt.end = self.terms.borrower(now)
+    def __init__(self, began: float, rng: random.Random, terms: LeaseTerms | None = None) -> None:
+        super().__init__(began, rng, terms)
+        self.borrower = _BorrowerByLendersClock(self.terms, rng)
+
+
+class _LenderByMembership(Lender):
+    def drop_expired(self, now: float, account: ResourceAccount, peers: Collection[MemberId]) -> None:
+        for borrower in [borrower for borrower in account.granted if borrower not in peers]:
+            del account.granted[borrower]
+        super().drop_expired(now, account, peers)
 
 
 class SilenceFrees(QuotaLeases):
     """The lender takes back from one that it no longer counts among its peers."""
 
-    def forget(self, now: float, account: object) -> None:
-        for id in [id for id in account.loans if id not in self.peers]:  # type: ignore[attr-defined]
-            del account.loans[id]  # type: ignore[attr-defined]
-        super().forget(now, account)  # type: ignore[arg-type]
+    def __init__(self, began: float, rng: random.Random, terms: LeaseTerms | None = None) -> None:
+        super().__init__(began, rng, terms)
+        self.lender = _LenderByMembership(self.terms)
 
 
 def play(seed: int, make: type[QuotaLeases] = QuotaLeases, seconds: float = 40.0) -> LeaseSimulation:
@@ -95,12 +112,12 @@
         market.needs = [300.0] * market.size
         market.needs[hot] = 3000.0
         market.run(market.now + 1.0)
-        assert market.traders[hot].rights.usable(RESOURCE, market.now) >= 3000
+        assert market.traders[hot].rights.usable_parts(RESOURCE, market.now) >= 3000
         market.run(market.now + 6.0)  # renewed for as long as it lasts
-        assert market.traders[hot].rights.usable(RESOURCE, market.now) >= 3000
+        assert market.traders[hot].rights.usable_parts(RESOURCE, market.now) >= 3000
     market.needs = [300.0] * market.size
     market.run(market.now + 0.5)
-    assert not any(one.rights.accounts[RESOURCE].debts for one in market.traders.values())  # given back
+    assert not any(one.rights.accounts[RESOURCE].borrowed for one in market.traders.values())  # given back
     assert market.most <= market.whole()
 
 
@@ -108,7 +125,7 @@
     market = LeaseSimulation(5, 1, Network(1))
     market.needs = [2000.0] * 5
     market.run(5.0)
-    assert [one.rights.usable(RESOURCE, market.now) for one in market.traders.values()] == [HOME] * 5
+    assert [one.rights.usable_parts(RESOURCE, market.now) for one in market.traders.values()] == [HOME] * 5
 
 
 def test_a_stopped_borrower_finds_at_wake_that_its_lease_is_over() -> None:
@@ -116,19 +133,21 @@
     market.needs = [2500.0, 0.0, 0.0]
     market.run(2.5)
     trader = market.traders[0]
-    assert trader.rights.usable(RESOURCE, trader.clock(market.now)) > 2 * HOME
+    assert trader.rights.usable_parts(RESOURCE, trader.clock(market.now)) > 2 * HOME
     market.stop(0, 3.0)
     market.needs = [0.0, 2500.0, 0.0]
     market.run(5.4)
-    lent = market.traders[1].rights.usable(RESOURCE, market.now)
+    lent = market.traders[1].rights.usable_parts(RESOURCE, market.now)
     assert lent > HOME  # the lender has it again, and lent it anew
-    assert trader.rights.usable(RESOURCE, trader.clock(5.5)) == HOME  # asked before a use, with no step yet
+    assert (
+        trader.rights.usable_parts(RESOURCE, trader.clock(5.5)) == HOME
+    )  # asked before a use, with no step yet
 
 
 def test_a_new_life_uses_what_is_never_lent_until_all_loans_before_it_are_over() -> None:
     terms = LeaseTerms()
     rights = QuotaLeases(100.0, random.Random(1), terms)
-    assert rights.usable(RESOURCE, 100.0) == KEPT
+    assert rights.usable_parts(RESOURCE, 100.0) == NEVER_LEASED_PARTS
     [post] = rights.step(
         101.0,
         [
@@ -137,7 +156,7 @@
         ],
     )
     assert post.message == LeaseGrant(RESOURCE, 1, 0, 0)
-    assert rights.usable(RESOURCE, terms.lender(100.0)) == HOME
+    assert rights.usable_parts(RESOURCE, terms.lender_expiry(100.0)) == HOME
     rights.step(
         103.0, [DemandChanged({RESOURCE: 0.0}), QuotaFractionChanged(0.5)]
     )  # beside another process of this front
@@ -161,9 +180,11 @@
     assert (
         one.step(1.0, [LeaseMessageReceived(b, LeaseRequest(RESOURCE, 1, 300))]) == first
     )  # the same loan, no longer one
-    assert one.next_change(1.0) == LeaseTerms().lender(0.0)
+    expiry, later = LeaseTerms().lender_expiry(0.0), copy.deepcopy(one)
+    assert {later.usable_parts(RESOURCE, at) for at in (1.0, expiry - 1e-6)} == {HOME - 300}
+    assert later.usable_parts(RESOURCE, expiry) == HOME
     one.step(1.1, [LeaseMessageReceived(b, LeaseRequest(RESOURCE, 3, 0))])
-    assert one.usable(RESOURCE, 1.1) == HOME
+    assert one.usable_parts(RESOURCE, 1.1) == HOME
     assert (
         one.step(
             1.2,
@@ -176,27 +197,35 @@
     )
     for grant in (LeaseGrant(RESOURCE, 9, 500, 0), LeaseGrant("limit:2", 1, 500, 0)):
         one.step(1.3, [LeaseMessageReceived(b, grant)])
-    assert one.usable(RESOURCE, 1.3) == HOME
+    assert one.usable_parts(RESOURCE, 1.3) == HOME
     one.step(2.0, [DemandChanged({RESOURCE: 1400.0})])
-    debt = one.accounts[RESOURCE].debts[b]
-    assert debt.asked
+    debt = one.accounts[RESOURCE].borrowed[b]
+    assert debt.pending
     one.step(
-        2.1, [LeaseMessageReceived(b, LeaseGrant(RESOURCE, debt.asked[0], 1000, 0))]
+        2.1, [LeaseMessageReceived(b, LeaseGrant(RESOURCE, debt.pending.number, 1000, 0))]
     )  # more than was asked for
-    assert one.usable(RESOURCE, 2.1) == HOME
+    assert one.usable_parts(RESOURCE, 2.1) == HOME
     flood = [LeaseMessageReceived(b, LeaseRequest(f"limit:{number}", number, 1)) for number in range(5000)]
     one.step(3.0, flood)
     assert list(one.accounts) == [RESOURCE]  # at home in nothing else
     one.step(4.0, [DemandChanged({f"limit:{number}": 0.0 for number in range(5000)})])
     assert len(one.accounts) == 4096
-    assert one.refused > 900
+    assert one.refused_resources > 900
 
 
 # An exhaustive search of our own states
 
 
 def steps(lease: float) -> LeaseTerms:
-    return LeaseTerms(lease=lease, drift=0.0, slack=0.0, ahead=1.0, swing=0, patience=lease, scrape=1)
+    return LeaseTerms(
+        duration=lease,
+        clock_drift=0.0,
+        margin=0.0,
+        demand_headroom=1.0,
+        hysteresis_parts=0,
+        request_timeout=lease,
+        min_lease_parts=1,
+    )
 
 
 State = tuple[list[QuotaLeases], list[tuple[int, int, object]], int, frozenset[str], tuple[int, int]]
@@ -268,7 +297,7 @@
             used = max(
                 used,
                 sum(
-                    one.usable(RESOURCE, float(now))
+                    one.usable_parts(RESOURCE, float(now))
                     for front, one in enumerate(rights)
                     if front != stopped[0] or now > stopped[1]
                 ),
@@ -309,31 +338,31 @@
         ],
     )
     one.step(0.1, [PeersChanged(())])  # it may be at work beyond a cut
-    assert one.usable(RESOURCE, 0.1) == left
+    assert one.usable_parts(RESOURCE, 0.1) == left
 
 
 def test_what_is_asked_for_by_chance_moves_a_need_less_than_a_change_does() -> None:
     rng, meters, needs = random.Random(2), DemandMeters[int](), list[float]()
     at, now = 0.0, 0.0
     for _ in range(400):  # two requests a second at a home of five units: 400 parts
-        now += SPAN
+        now += SPAN_SECONDS
         while at < now:
-            meters.asked(at, 1, 1.0, 5.0)
+            meters.record(at, 1, 1.0, 5.0)
             at += rng.expovariate(2.0)
-        needs.append(meters.needs(now)[1])
+        needs.append(meters.demand(now)[1])
     later = sorted(needs[40:])
     assert 350 < sum(later) / len(later) < 450
     assert later[len(later) // 10] > 100
     assert later[-len(later) // 10] < 800
     for _ in range(8):  # then 28 a second: 5,600 parts
-        now += SPAN
+        now += SPAN_SECONDS
         for _ in range(7):
-            meters.asked(now, 1, 1.0, 5.0)
-        need = meters.needs(now)[1]
+            meters.record(now, 1, 1.0, 5.0)
+        need = meters.demand(now)[1]
     assert need > 5000
     for _ in range(8):
-        now += SPAN
-        need = meters.needs(now)[1]
+        now += SPAN_SECONDS
+        need = meters.demand(now)[1]
     assert need < 500
 
 
@@ -343,4 +372,4 @@
     assert isinstance(post.message, LeaseRequest)
     rights.step(0.0, [LeaseMessageReceived(b, LeaseGrant(RESOURCE, post.message.number, 200, 0))])
     [post] = rights.step(1.2, [DemandChanged({RESOURCE: 1600.0})])
-    assert post.message == LeaseRequest(RESOURCE, 2, HOME - KEPT)
+    assert post.message == LeaseRequest(RESOURCE, 2, HOME - NEVER_LEASED_PARTS)
--- a/tests/test_replicas.py
+++ b/tests/test_replicated_holds.py
@@ -38,8 +38,10 @@
 
     def merge(self, other: HoldSet) -> HoldSet:
         merged = super().merge(other)
-        both = self.held.keys() & other.held.keys()
-        return ReleaseWins(merged.clock, {box: dots for box, dots in merged.held.items() if box in both})
+        both = self.dots_by_node.keys() & other.dots_by_node.keys()
+        return ReleaseWins(
+            merged.clock, {box: dots for box, dots in merged.dots_by_node.items() if box in both}
+        )
 
 
 def played(
@@ -69,11 +71,11 @@
                 latest[front] = latest[front].merge(latest[other])
                 highest[front] = highest[front].merge(highest[other])
             case "say":
-                latest[front] = latest[front].say(LIVES[front], box, 1.0)
+                latest[front] = latest[front].assign(LIVES[front], box, 1.0)
             case "raise":
-                highest[front] = highest[front].raised(box, other)
+                highest[front] = highest[front].raise_to(box, other)
         model = {box_of[number] for number in known[front] - dead[front]}
-        right = right and holds[front].boxes() == model
+        right = right and holds[front].held_nodes() == model
     return holds, latest, highest, right
 
 
@@ -94,7 +96,7 @@
     ]
     holds, _, _, right = played(split, HoldSet())
     assert right
-    assert [copy.boxes() for copy in holds[:2]] == [{"s-1"}, {"s-1"}]
+    assert [copy.held_nodes() for copy in holds[:2]] == [{"s-1"}, {"s-1"}]
     assert not played(split, ReleaseWins())[3]
 
 
@@ -114,11 +116,11 @@
 def test_old_numbers_go_only_when_every_copy_has_them() -> None:
     a, b = LIVES[0], LIVES[2]
     one, behind = HoldSet().hold(a, "s-1").release("s-1").hold(b, "s-2"), HoldSet().hold(b, "s-2")
-    assert one.has(behind)
-    assert not behind.has(one)
-    assert one.forget([a, b], [one, behind]) == one  # a copy that may still come in lacks them
-    assert one.forget([a, b], [one]).clock == {b: 1}  # of b a hold is left
-    assert one.forget([], [one]) == one
+    assert one.includes(behind)
+    assert not behind.includes(one)
+    assert one.forget_actors([a, b], [one, behind]) == one  # a copy that may still come in lacks them
+    assert one.forget_actors([a, b], [one]).clock == {b: 1}  # of b a hold is left
+    assert one.forget_actors([], [one]) == one
 
 
 @pytest.mark.parametrize(
@@ -152,7 +154,7 @@
             life = Membership(deployment, name, boot, address, *rest, **more)
             life.store = sharing = HoldReplication(lambda: life.id)
             if before := self.copies.get(address):
-                sharing.restore(before.dump() if keeps else b"", before.holds.boxes())
+                sharing.restore(before.dump() if keeps else b"", before.holds.held_nodes())
             self.copies[address] = sharing
             return life
 
@@ -170,14 +172,14 @@
         self.fleet.run(self.fleet.now + seconds)
 
     def held(self) -> set[frozenset[str]]:
-        return {self.copies[address].holds.boxes() for address in self.fleet.running}
+        return {self.copies[address].holds.held_nodes() for address in self.fleet.running}
 
 
 def test_a_hold_reaches_all_within_a_second_and_its_front_knows_who_has_it() -> None:
     shared = Shared()
     shared.call(3, "s-1", True)
     origin = shared.fleet.running[shared.fleet.address(3)].members
-    assert all(origin.store.lacks(id) for id in origin.present)  # type: ignore[union-attr]
+    assert all(origin.store.is_behind(id) for id in origin.present)  # type: ignore[union-attr]
     shared.run(0.03)
     shared.fleet.kill(3)  # 30 ms after the call
     shared.run(1.0)
@@ -186,7 +188,7 @@
     shared.run(1.0)
     assert shared.held() == {frozenset()}
     other = shared.fleet.running[shared.fleet.address(4)].members
-    lacking = {id.name for id in other.present if other.store.lacks(id)}  # type: ignore[union-attr]
+    lacking = {id.name for id in other.present if other.store.is_behind(id)}  # type: ignore[union-attr]
     assert lacking <= {"front-0003"}  # which nobody knows to be over yet
 
 
@@ -236,8 +238,8 @@
     """Every probe asks for it: at 3,200 holds one sum took 20 ms."""
     sharing = HoldReplication(lambda: MemberId("a", 1))
     sums: list[int] = []
-    real = HoldReplication.sum_up
-    with mock.patch.object(HoldReplication, "sum_up", lambda self: (sums.append(1), real(self))[1]):
+    real = HoldReplication.compute_digest
+    with mock.patch.object(HoldReplication, "compute_digest", lambda self: (sums.append(1), real(self))[1]):
         first = [sharing.digest() for _ in range(5)]
         sharing.hold("s-1")
         second = [sharing.digest() for _ in range(5)]
--- a/tests/test_cold_shares.py
+++ b/tests/test_slow_start_leases.py
@@ -4,14 +4,10 @@
 
 import random
 
-from cleatyoke.coordination.quota_leases import (
-    KEPT,
-    DemandChanged,
-    LeaseMessageReceived,
-    PeersChanged,
-    QuotaLeases,
-)
-from cleatyoke.coordination.slow_start_leases import SlowStartLeases, resource
+from cleatyoke.coordination.lease_events import DemandChanged, LeaseMessageReceived, PeersChanged
+from cleatyoke.coordination.lease_terms import NEVER_LEASED_PARTS
+from cleatyoke.coordination.quota_leases import QuotaLeases
+from cleatyoke.coordination.slow_start_leases import SlowStartLeases, warming_node_resource
 from cleatyoke.membership.wire import HOME, LeaseGrant, LeaseRequest, MemberId
 from cleatyoke.scheduling.actions import SendAttempt
 from cleatyoke.scheduling.events import (
@@ -47,57 +43,69 @@
     shares = SlowStartLeases(
         rights, lambda: settings(front_count=4, slow_start_units=8.0), lambda node: f"s-{node}"
     )
-    shares.heard(0.0, 101.0, [EndpointUpdate(UpdateKind.SNAPSHOT, [entry(BOX, 3, up_since=start)])])
+    shares.observe(0.0, 101.0, [EndpointUpdate(UpdateKind.SNAPSHOT, [entry(BOX, 3, up_since=start)])])
     return shares
 
 
 def test_a_cold_box_is_lent_by_who_needs_it_least_and_the_policy_hears_before_it_decides() -> None:
     terms = QuotaLeases(-100.0, random.Random(1))
-    shares, name = cold(terms), resource("s-7", 100.0)
+    shares, name = cold(terms), warming_node_resource("s-7", 100.0)
     for step in range(1, 9):  # 20 units a second at a home of 2
-        shares.heard(step * 0.25, 101.0, [asks(f"a{step}", 5.0, cell=3)])
-        needs = shares.needs(step * 0.25)
+        shares.observe(step * 0.25, 101.0, [asks(f"a{step}", 5.0, cell=3)])
+        needs = shares.demand(step * 0.25)
     assert list(needs) == [name]
     assert 8 * HOME < needs[name] <= 10 * HOME
     [post] = terms.step(2.0, [DemandChanged(needs), PeersChanged((MemberId("b", 1),))])
     assert isinstance(post.message, LeaseRequest)
-    assert post.message.parts == HOME - KEPT
+    assert post.message.parts == HOME - NEVER_LEASED_PARTS
     terms.step(
-        2.01, [LeaseMessageReceived(MemberId("b", 1), LeaseGrant(name, post.message.number, HOME - KEPT, 0))]
+        2.01,
+        [
+            LeaseMessageReceived(
+                MemberId("b", 1), LeaseGrant(name, post.message.number, HOME - NEVER_LEASED_PARTS, 0)
+            )
+        ],
     )
-    assert shares.changes(2.02) == [SlowStartLeaseChanged(BOX, (2 * HOME - KEPT) / HOME)]
-    assert shares.changes(2.03) == []
-    assert shares.changes(9.0) == [SlowStartLeaseChanged(BOX, 1.0)]  # its lease is over, with no step between
+    assert shares.quota_changes(2.02) == [SlowStartLeaseChanged(BOX, (2 * HOME - NEVER_LEASED_PARTS) / HOME)]
+    assert shares.quota_changes(2.03) == []
+    assert shares.quota_changes(9.0) == [
+        SlowStartLeaseChanged(BOX, 1.0)
+    ]  # its lease is over, with no step between
 
 
 def test_one_asked_for_nothing_there_lends_and_has_less() -> None:
     rights = QuotaLeases(-100.0, random.Random(1))
     shares = cold(rights)
-    rights.step(1.0, [DemandChanged(shares.needs(1.0))])
+    rights.step(1.0, [DemandChanged(shares.demand(1.0))])
     [post] = rights.step(
-        1.0, [LeaseMessageReceived(MemberId("b", 1), LeaseRequest(resource("s-7", 100.0), 1, 600))]
+        1.0,
+        [LeaseMessageReceived(MemberId("b", 1), LeaseRequest(warming_node_resource("s-7", 100.0), 1, 600))],
     )
     assert isinstance(post.message, LeaseGrant)
     assert post.message.parts == 600
-    assert shares.changes(1.0) == [SlowStartLeaseChanged(BOX, 0.4)]
+    assert shares.quota_changes(1.0) == [SlowStartLeaseChanged(BOX, 0.4)]
 
 
 def test_only_boxes_in_the_same_life_that_are_cold_and_serve_are_lent() -> None:
     rights = QuotaLeases(-100.0, random.Random(1))
     for news in (entry(BOX, 3, DRAINING, 100.0), entry(BOX, 3, up_since=0.0), entry(BOX, 3, up_since=80.0)):
         shares = cold(rights)
-        shares.heard(0.5, 101.0, [EndpointUpdate(UpdateKind.DELTA, [news])])
-        assert shares.needs(1.0) == {}
+        shares.observe(0.5, 101.0, [EndpointUpdate(UpdateKind.DELTA, [news])])
+        assert shares.demand(1.0) == {}
     shares = cold(rights)
-    shares.heard(9.0, 110.5, [])  # warm by now
-    assert shares.needs(9.0) == {}
+    shares.observe(9.0, 110.5, [])  # warm by now
+    assert shares.demand(9.0) == {}
     shares = cold(rights)
-    shares.heard(1.0, 101.0, [EndpointUpdate(UpdateKind.DELTA, [entry(BOX, 3, up_since=100.9)])])
-    assert list(shares.needs(1.0)) == [resource("s-7", 100.9)] != [resource("s-7", 100.0)]
+    shares.observe(1.0, 101.0, [EndpointUpdate(UpdateKind.DELTA, [entry(BOX, 3, up_since=100.9)])])
+    assert (
+        list(shares.demand(1.0))
+        == [warming_node_resource("s-7", 100.9)]
+        != [warming_node_resource("s-7", 100.0)]
+    )
     fresh = cold(
         QuotaLeases(0.0, random.Random(1))
     )  # a new life, whose last may have lent: before any step of it
-    assert fresh.changes(0.1) == [SlowStartLeaseChanged(BOX, KEPT / HOME)]
+    assert fresh.quota_changes(0.1) == [SlowStartLeaseChanged(BOX, NEVER_LEASED_PARTS / HOME)]
 
 
 def sent_in(host: Host, seconds: float, part: float | None = None) -> float:
--- a/tests/test_startup.py
+++ b/tests/test_staged_start.py
@@ -27,8 +27,8 @@
 from cleatyoke.config.deployment import FLEET_TIMES, FleetSettings, read_address
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.coordination.replicated_holds import HoldSet
-from cleatyoke.coordination.staged_start import BOUNDS, ORDER, Evidence, StagedStart, StartStage
-from cleatyoke.durability.records import FrontState, RestoreDoubt, Row
+from cleatyoke.coordination.staged_start import STAGE_BOUNDS, STAGE_ORDER, Evidence, StagedStart, StartStage
+from cleatyoke.durability.records import FrontState, Row, StorageProblem
 from cleatyoke.durability.store import StateDatabase
 from cleatyoke.emulation import durability
 from cleatyoke.emulation.durability import recalls
@@ -51,25 +51,25 @@
     for after, events in looks:
         now += after
         came |= set(events)
-        before = recovery.since
+        before = recovery.stage_began
         for one in recovery.step(now, [Evidence(stage, "word") for stage in events]):
-            if one.stage is StartStage.LENT and now < 2.05:
+            if one.stage is StartStage.OLD_LEASES and now < 2.05:
                 out.append("lease")
-            bound = BOUNDS.get(one.stage, 0.0)
-            if one.stage not in came and one.stage in BOUNDS and now < before + bound:
+            bound = STAGE_BOUNDS.get(one.stage, 0.0)
+            if one.stage not in came and one.stage in STAGE_BOUNDS and now < before + bound:
                 out.append("early")
         stages = [one.stage for one in recovery.passed]
-        if stages != ORDER[: len(stages)]:
+        if stages != STAGE_ORDER[: len(stages)]:
             out.append("order")
-        if recovery.door_open() != (StartStage.LIST in stages):
-            out.append("door")
-        if recovery.stage is not StartStage.OPEN and now >= recovery.ends_at():
+        if recovery.stage is not STAGE_ORDER[len(stages)]:
+            out.append("stage")
+        if recovery.stage is not StartStage.OPEN and now >= recovery.stage_ends_at():
             out.append("bound")
     return out
 
 
 looks = st.lists(
-    st.tuples(st.floats(0, 1.5), st.lists(st.sampled_from(ORDER), max_size=2)), min_size=1, max_size=12
+    st.tuples(st.floats(0, 1.5), st.lists(st.sampled_from(STAGE_ORDER), max_size=2)), min_size=1, max_size=12
 )
 
 
@@ -83,7 +83,7 @@
     """Waits for nothing but a while."""
 
     def step(self, now: float, events: Any = ()) -> Any:
-        out = super().step(now, [Evidence(stage, "a while") for stage in BOUNDS] if now > 0.4 else ())
+        out = super().step(now, [Evidence(stage, "a while") for stage in STAGE_BOUNDS] if now > 0.4 else ())
         return out
 
 
@@ -92,7 +92,7 @@
 
     def step(self, now: float, events: Any = ()) -> Any:
         if any(event.stage is StartStage.DISK for event in events):
-            self.lent_until = now
+            self.old_leases_end = now
         return super().step(now, events)
 
 
@@ -105,14 +105,16 @@
 
 def test_what_a_start_waits_for_is_told() -> None:
     recovery = StagedStart(10.0, 12.05)
-    recovery.step(10.1, [Evidence(StartStage.DISK, "found"), Evidence(StartStage.LIST, "an old list")])
-    assert recovery.lines(10.4) == [
+    recovery.step(
+        10.1, [Evidence(StartStage.DISK, "found"), Evidence(StartStage.ENDPOINT_LIST, "an old list")]
+    )
+    assert recovery.status_lines(10.4) == [
         "recovery.stage peers",
         "recovery.passed disk by=found waited=0.100",
         "recovery.waits peers for=0.700",
     ]
-    assert [one.what for one in recovery.step(11.2)] == ["bound", "an old list"]
-    assert recovery.door_open()
+    assert [one.passed_by for one in recovery.step(11.2)] == ["bound", "an old list"]
+    assert recovery.stage is StartStage.OLD_LEASES  # requests are accepted from here on
 
 
 class TakesAbsenceForRelease(HoldReplication):
@@ -120,12 +122,12 @@
 
     def load(self, sender: MemberId, data: bytes) -> bool:
         news = super().load(sender, data)
-        self.holds = self.told[sender]
+        self.holds = self.received[sender]
         return news
 
 
 def reads_nothing(rows: Sequence[Row], name: str) -> FrontState:
-    return FrontState(boot=recalls(rows, name).boot)
+    return FrontState(incarnation=recalls(rows, name).incarnation)
 
 
 def test_no_hold_that_was_kept_is_lost_in_any_order_of_losses_and_wrong_variants_are_caught() -> None:
@@ -274,13 +276,13 @@
             assert "replica.holds entries=0" in await self.call("show-replica")
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), 10) == 0
-        assert StateDatabase(self.durable, "ours/n1").load()[0].boot > 0
+        assert StateDatabase(self.durable, "ours/n1").load()[0].incarnation > 0
 
     async def test_killed_at_any_stage_ten_times_in_a_row_it_goes_on_from_what_it_kept(self) -> None:
         held = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)  # far ahead of any clock
         disk = StateDatabase(self.durable, "ours/n1")
         assert disk.save(held) == []
-        rng, boots = random.Random(4), [held.boot]
+        rng, boots = random.Random(4), [held.incarnation]
         for number in range(10):
             async with self.process() as process:
                 passed = ("disk", "peers", "list", "ready")[number % 4]
@@ -289,8 +291,8 @@
                 await asyncio.sleep(rng.uniform(0, 0.05))
             memory, doubts = disk.load()
             assert (doubts, memory.holds) == ([], held.holds)
-            boots.append(memory.boot)
-        assert boots == list(range(held.boot, held.boot + 11))
+            boots.append(memory.incarnation)
+        assert boots == list(range(held.incarnation, held.incarnation + 11))
         async with self.process() as process:
             await self.log(process, "event='ready'")
             assert f"n1 {boots[-1] + 1} " in await self.call("show-fleet")
@@ -301,7 +303,7 @@
         remembered = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)
 
         class Late(StateDatabase):
-            def load(self) -> tuple[FrontState, list[RestoreDoubt]]:
+            def load(self) -> tuple[FrontState, list[StorageProblem]]:
                 go.wait(10)
                 return remembered, []
 
@@ -309,22 +311,22 @@
         peers = FleetSettings("ours", listen, listen, [], 0, FLEET_TIMES, durable=self.durable)
         faults, startup = Faults(Metrics()), StagedStartRunner()
         with unittest.mock.patch("cleatyoke.fleet.restore.StateDatabase", Late):
-            recall = await startup.recall(peers, "n1", faults)
+            recall = await startup.restore_durable_state(peers, "n1", faults)
         assert recall
-        assert [one.what for one in startup.recovery.passed] == ["bound"]
-        view = FleetView(peers, "n1", 1, 1, faults, recall.last.boot)
-        recall.serve(view)
+        assert [one.passed_by for one in startup.staged_start.passed] == ["bound"]
+        view = FleetView(peers, "n1", 1, 1, faults, recall.state.incarnation)
+        recall.attach(view)
         changed: list[frozenset[str]] = []
-        view.copies.changed = lambda held, released: changed.append(held)
+        view.copies.on_change = lambda held, released: changed.append(held)
         await view.start()
-        await startup.meet(view)
-        await startup.hear_of_boxes(True, asyncio.Event())
-        assert startup.recovery.door_open()
+        await startup.wait_for_peers(view)
+        await startup.wait_for_endpoint_list(True, asyncio.Event())
+        assert startup.staged_start.stage in (StartStage.OLD_LEASES, StartStage.OPEN)
         go.set()
         async with asyncio.timeout(5):
-            while not recall.first.done() or not view.on_disk():
+            while not recall.restored.done() or not view.on_disk():
                 await asyncio.sleep(0.01)
         assert (changed, view.members.id.boot) == ([frozenset({"s-003"})], (1 << 52) + 2)
         view.stop()
         assert faults.figures.faults == 0
-        assert StateDatabase(self.durable, "ours/n1").load()[0].boot == (1 << 52) + 2
+        assert StateDatabase(self.durable, "ours/n1").load()[0].incarnation == (1 << 52) + 2
