--- a/tests/recorded/bytes_samples.py
+++ b/tests/recorded/bytes_samples.py
@@ -9,13 +9,14 @@
 
 from tests.recorded.bytes_plain import Plain, pack
 
-READ = [
-    ["X-Trace-Id", "00000000deadbeef"],
-    ["X-Qos", "tile-read"],
-    ["X-Plan", "public"],
-    ["X-Expires-In-Ms", "1500"],
-    ["X-IO", "volume=00000003b4d60021,units=2,shard=0,hosts=1"],
-]
+READ_FIELDS = {
+    "X-Trace-Id": "00000000deadbeef",
+    "X-Qos": "tile-read",
+    "X-Plan": "public",
+    "X-Expires-In-Ms": "1500",
+    "X-IO": "volume=00000003b4d60021,units=2,shard=0,hosts=1",
+}
+READ = [[name, value] for name, value in READ_FIELDS.items()]
 TARGET = "/api?block=7f3a9c21e0b4d655"
 
 
@@ -27,9 +28,8 @@
 def changed(**changes: str | None) -> list[list[str]]:
     """The headers of a read with some of them changed, or left out where the change is None."""
     new = {name.replace("_", "-"): value for name, value in changes.items()}
-    out = [[name, new.get(name, value)] for name, value in READ]
-    out += [[name, value] for name, value in new.items() if name not in dict(READ)]
-    return [[name, value] for name, value in out if value is not None]
+    old: dict[str, str | None] = dict(READ_FIELDS)
+    return [[name, value] for name, value in (old | new).items() if value is not None]
 
 
 def http(method: str, target: str, headers: list[list[str]], body: str = "", version: str = "1.1") -> Plain:
@@ -83,20 +83,20 @@
     out["fleet view: foreign"] = {"kind": "fleet view", "given": given}
     sender = bytes([0x97, 0x92, 0xA2, 0x6E, 0x31, 41, 0xA1, 0x78, 0, 3, 0xC2, 0xA0, 0])
     short = bytes([0x94, 0x92, 0xA2, 0x6E, 0x31, 41, 0xA1, 0x78, 0, 3])
-    name = b"\xa8recorded"
+    prefix = b"\xa8recorded"
     for what, data in {
-        "another version": b"\x95" + name + b"\x03" + sender + b"\x91\xa6gossip\x90",
-        "a version before": b"\x95" + name + b"\x01" + sender + b"\x91\xa6gossip\x90",
-        "sender without optional fields": b"\x95" + name + b"\x02" + short + b"\x91\xa6gossip\x90",
-        "unknown body": b"\x95" + name + b"\x02" + sender + b"\x91\xa6gossup\x90",
-        "a field too many": b"\x96" + name + b"\x02" + sender + b"\x91\xa6gossip\x90\xc0",
+        "another version": b"\x95" + prefix + b"\x03" + sender + b"\x91\xa6gossip\x90",
+        "a version before": b"\x95" + prefix + b"\x01" + sender + b"\x91\xa6gossip\x90",
+        "sender without optional fields": b"\x95" + prefix + b"\x02" + short + b"\x91\xa6gossip\x90",
+        "unknown body": b"\x95" + prefix + b"\x02" + sender + b"\x91\xa6gossup\x90",
+        "a field too many": b"\x96" + prefix + b"\x02" + sender + b"\x91\xa6gossip\x90\xc0",
     }.items():
         out[f"fleet datagram: {what}"] = {"kind": "fleet datagram", "bytes": pack(seal(data))}
     out["fleet datagram: corrupt"] = {"kind": "fleet datagram", "bytes": text("no message at all")}
     out["fleet datagram: too long"] = {"kind": "fleet datagram", "bytes": text("x" * 1201)}
     out["fleet view: another version"] = {
         "kind": "fleet view",
-        "bytes": pack(seal(b"\x94" + name + b"\x03" + sender + b"\x90")),
+        "bytes": pack(seal(b"\x94" + prefix + b"\x03" + sender + b"\x90")),
     }
     return out
 
@@ -336,7 +336,10 @@
 def sftp_sessions() -> dict[str, Plain]:
     """Whole sessions: what the client and the node are sent."""
     init, version = packet(1, 3), packet(2, 3)
-    done = lambda number: packet(101, number, 0, b"ok", b"en")  # noqa: E731
+
+    def done(number: int) -> Plain:
+        return packet(101, number, 0, b"ok", b"en")
+
     attributes: list[bytes | int] = [1, 0, 5]  # a size of 5
     read = {
         "client": [
