--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -246,7 +246,7 @@
     """Nodes held out of service, each with the ``[name, boot, number]`` of its holds."""
     return replicas.HoldSet(
         clock={wire.MemberId(name=name, boot=boot): number for name, boot, number in value["known"]},
-        held={
+        dots_by_node={
             node: frozenset((wire.MemberId(name=name, boot=boot), number) for name, boot, number in dots)
             for node, dots in value["held"].items()
         },
@@ -255,7 +255,7 @@
 
 def encode_holds(value: Plain) -> bytes:
     """The shared holds as they go along with a view."""
-    return HoldReplication(me=lambda: wire.MemberId(name="n0", boot=1), holds=holds_of(value)).dump()
+    return HoldReplication(self_id=lambda: wire.MemberId(name="n0", boot=1), holds=holds_of(value)).dump()
 
 
 def decode_holds(data: bytes) -> Plain:
@@ -268,7 +268,7 @@
         "known": sorted([life.name, life.boot, number] for life, number in copy.clock.items()),
         "held": {
             node: sorted([life.name, life.boot, number] for life, number in dots)
-            for node, dots in sorted(copy.held.items())
+            for node, dots in sorted(copy.dots_by_node.items())
         },
     }
 
@@ -279,7 +279,7 @@
         wire.MemberId(name=name, boot=boot): replicas.TimestampedValue(number=number, value=text, at=at)
         for name, boot, number, text, at in value
     }
-    return msgspec.msgpack.encode(replicas.LatestValues(words=words))
+    return msgspec.msgpack.encode(replicas.LatestValues(values=words))
 
 
 def decode_latest_words(data: bytes) -> Plain:
@@ -289,19 +289,19 @@
     except ValueError as error:
         return {"refused": str(error)}
     return sorted(
-        [life.name, life.boot, word.number, word.value, word.at] for life, word in copy.words.items()
+        [life.name, life.boot, word.number, word.value, word.at] for life, word in copy.values.items()
     )
 
 
 def encode_highest_numbers(value: Plain) -> bytes:
     """The highest number of each key."""
-    return msgspec.msgpack.encode(replicas.MaximumValues(numbers=value))
+    return msgspec.msgpack.encode(replicas.MaximumValues(values=value))
 
 
 def decode_highest_numbers(data: bytes) -> Plain:
     """The highest number of each key, or why they are refused."""
     try:
-        return dict(replicas.decode("highest", data).numbers)
+        return dict(replicas.decode("highest", data).values)
     except ValueError as error:
         return {"refused": str(error)}
 
@@ -1187,7 +1187,7 @@
     if value["stage"] == "end":
         recovery.step(101.5)
         recovery.step(106.0)
-    return recovery.lines({"begin": 100.125, "amid": 100.5, "end": 107.0}[value["stage"]])
+    return recovery.status_lines({"begin": 100.125, "amid": 100.5, "end": 107.0}[value["stage"]])
 
 
 async def capture_control(value: Plain) -> Plain:
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -16,7 +16,7 @@
 from cleatyoke.distribution.records import Entry, Lane
 from cleatyoke.distribution.relay import Source
 from cleatyoke.durability import records
-from cleatyoke.durability.store import NAMES, StateDatabase
+from cleatyoke.durability.store import FILE_NAMES, StateDatabase
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.coordination.replicated_holds import HoldSet
@@ -27,7 +27,7 @@
 from tests import host
 
 CHECK_MODULE = "cleatyoke.durability"
-DURABLE_FILES = NAMES
+DURABLE_FILES = FILE_NAMES
 COPIES_FILE = COPIES
 LANE_TITLES = {Lane.NODES: "nodes first", Lane.SETTINGS: "settings"}
 
@@ -43,7 +43,7 @@
     """Holds of neutral form: ``known`` numbers by life, and ``held`` nodes with the marks that hold them."""
     return HoldSet(
         clock={life(name, boot): number for name, boot, number in facts["known"]},
-        held={
+        dots_by_node={
             node: frozenset((life(name, boot), number) for name, boot, number in marks)
             for node, marks in facts["held"].items()
         },
@@ -56,7 +56,7 @@
         "known": sorted([one.name, one.boot, number] for one, number in holds.clock.items()),
         "held": {
             node: sorted([one.name, one.boot, number] for one, number in marks)
-            for node, marks in sorted(holds.held.items())
+            for node, marks in sorted(holds.dots_by_node.items())
         },
     }
 
@@ -64,9 +64,9 @@
 def save_durable(folder: Path, front: str, facts: Neutral) -> list[list[str]]:
     """Write both files as a front does; what failed, by file."""
     memory = records.FrontState(
-        holds=make_holds(facts["holds"]), boot=facts["boot"], peers=tuple(facts["peers"])
+        holds=make_holds(facts["holds"]), incarnation=facts["boot"], peers=tuple(facts["peers"])
     )
-    return [[one.where, one.why] for one in StateDatabase(folder=folder, front=front).save(memory)]
+    return [[one.source, one.reason] for one in StateDatabase(folder=folder, front=front).save(memory)]
 
 
 def load_durable(folder: Path, front: str) -> Neutral:
@@ -74,22 +74,22 @@
     memory, doubts = StateDatabase(folder=folder, front=front).load()
     return {
         "holds": neutral_holds(memory.holds),
-        "boot": memory.boot,
+        "boot": memory.incarnation,
         "peers": list(memory.peers),
-        "doubts": [[one.where, one.why] for one in doubts],
+        "doubts": [[one.source, one.reason] for one in doubts],
         "files": sorted(path.name for path in folder.iterdir()),
     }
 
 
 def sealed_row(kind: str, front: str, data: bytes, form: int) -> tuple[str, int, str, bytes, int]:
     """A row with a sum that fits it."""
-    row = records.sealed(kind=kind, front=front, data=data, form=form)
-    return row.kind, row.form, row.front, row.data, row.sum
+    row = records.make_row(kind=kind, front=front, data=data, form=form)
+    return row.kind, row.schema_version, row.front, row.data, row.checksum
 
 
 def next_boot(remembered: int, unix: float) -> int:
     """The boot number of a new life."""
-    return records.next_boot(remembered, unix)
+    return records.next_incarnation(remembered, unix)
 
 
 def with_hold_file(folder: Path, act: Callable[[HoldFile, Directory], None]) -> Neutral:
@@ -163,12 +163,12 @@
 
 def dump_copies(facts: Neutral) -> bytes:
     """The file by which a front remembers holds, with what it knows of other fronts' releases."""
-    return HoldReplication(me=lambda: life("n1", 1), holds=make_holds(facts)).dump()
+    return HoldReplication(self_id=lambda: life("n1", 1), holds=make_holds(facts)).dump()
 
 
 def restore_copies(data: bytes, held: list[str]) -> Neutral:
     """What the next life ``n1``, boot 99, makes of that file and of the nodes that its hold file holds."""
-    sharing = HoldReplication(me=lambda: life("n1", 99))
+    sharing = HoldReplication(self_id=lambda: life("n1", 99))
     sharing.restore(data, frozenset(held))
     return neutral_holds(sharing.holds)
 
