--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -217,7 +217,7 @@
             config, directory, discovery = self.config, self.directory, self.discovery
             self.startup = startup = StagedStartRunner()
             recall = await startup.restore_durable_state(peers, config.name, self.faults)
-            boot = recall.state.incarnation if recall else 0
+            boot = recall.state.boot_number if recall else 0
             view = FleetView(peers, config.name, config.settings.front_count, config.seed, self.faults, boot)
             if recall:
                 recall.attach(view)
@@ -232,7 +232,7 @@
             raise ConfigError(msg) from error
         self.fleet = view
         await startup.wait_for_peers(view)
-        await startup.wait_for_endpoint_list(bool(directory.boxes), discovery.heard)
+        await startup.wait_for_endpoint_list(has_cached_list=bool(directory.boxes), received=discovery.heard)
 
     def subscribe(self, relays: DistributionSettings) -> Subscription:
         """Distributed configuration, from now on. Serving waits for none of it."""
--- a/cleatyoke/durability/writer.py
+++ b/cleatyoke/durability/writer.py
@@ -1,9 +1,8 @@
-"""The thread that reads a front's disk at its start and writes it from then on, so that no request waits
-for it.
+"""The thread that reads durable state at a start and writes it from then on.
 
-Of several writes that wait, the newest counts: each holds all. A disk that is full, read-only, slow or gone
-costs nothing but the promise that what is new outlives a loss of power; it is told once, and tried again
-and again.
+No request waits for the disk. Of several writes that wait only the newest is done, as each holds the whole
+state. A disk that is full, read-only, slow or gone costs the promise that what is new outlives a loss of
+power, and nothing else; it is reported once, and the write is repeated until it works.
 """
 
 from __future__ import annotations
@@ -11,24 +10,34 @@
 import threading
 from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
-from cleatyoke.durability.records import FrontState, StorageProblem, next_incarnation
+from cleatyoke.durability.records import FrontState, LoadedState, StorageProblem, next_boot_number
 
-RETRY_DELAY = 1.0  # seconds until a write that failed is tried again
-FLUSH_TIMEOUT = 0.3  # seconds that an orderly exit waits at the most for what is not yet written
+RETRY_DELAY = 1.0  # seconds until a failed write is repeated
+FLUSH_TIMEOUT = 0.3  # seconds that an orderly exit waits at the most for the last write
+COPIES = 2  # files that a store writes; a state in one of them is durable
 
 
 class StateStore(Protocol):
-    def load(self) -> tuple[FrontState, list[StorageProblem]]: ...
+    """The files. Both methods block, raise nothing, and are called from the writer's thread alone."""
 
-    def save(self, memory: FrontState) -> list[StorageProblem]: ...
+    def load(self) -> LoadedState:
+        """What the files hold together."""
+        ...
+
+    def save(self, state: FrontState) -> list[StorageProblem]:
+        """Write to all files; return those that failed."""
+        ...
 
 
 @dataclass(slots=True, frozen=True)
 class RestoredState:
-    """What the disk said as the process began. ``memory.boot`` is the boot number of this life, which is on
-    the disk before it is used, unless ``failed``; ``found``: a life before has written there.
+    """What the files held when the process began.
+
+    ``state.boot_number`` is the one of this incarnation. It was written before it is reported here, so that
+    no later incarnation uses it again, unless ``write_problems`` names all files. ``was_found``: a previous
+    incarnation had written there. ``problems``: what was not trusted.
     """
 
     state: FrontState
@@ -37,76 +46,104 @@
     write_problems: list[StorageProblem]
 
 
+class _PendingWrite(NamedTuple):
+    number: int
+    state: FrontState
+
+
 class StateWriter:
-    """From its thread it calls ``recalled`` once, and ``heard`` with what changed: the doubts of the last
-    write, or none any more. ``unix``: the wall clock.
+    """A daemon thread between the event loop and a ``StateStore``.
+
+    Thread boundaries: ``start``, ``submit`` and ``stop`` are called from the event loop. They don't wait for
+    the disk, but for ``stop``, which waits ``FLUSH_TIMEOUT`` at the most. ``is_written`` and the counters may
+    be read from any thread. ``on_restored`` (once) and ``on_problems_changed`` (at each change of the failing
+    files; an empty list when all work again) are called on the writer's thread.
+
+    ``wall_clock`` returns Unix time.
     """
 
     def __init__(
         self,
-        disk: StateStore,
-        unix: Callable[[], float],
-        recalled: Callable[[RestoredState], None],
-        heard: Callable[[list[StorageProblem]], None] = lambda doubts: None,
+        store: StateStore,
+        wall_clock: Callable[[], float],
+        on_restored: Callable[[RestoredState], None],
+        on_problems_changed: Callable[[list[StorageProblem]], None],
     ) -> None:
-        self.store, self.wall_clock, self.on_restored, self.on_problems_changed = disk, unix, recalled, heard
+        self.store = store
+        self.wall_clock = wall_clock
+        self.on_restored = on_restored
+        self.on_problems_changed = on_problems_changed
+        self.submitted = 0  # number of the last write that was submitted
+        self.written = 0  # number of the last write that is durable
+        self.problems: list[StorageProblem] = []  # of the last write
+        self.writes = 0
+        self.failures = 0  # writes that reached no file
+        self.thread = threading.Thread(target=self._run, name="durable", daemon=True)
         self._condition = threading.Condition()
-        self._pending: tuple[int, FrontState] | None = None
-        self.submitted = self.written = 0  # numbers of the last write that was asked for, and that is over
-        self.copies = 0  # files that have the last one
-        self.problems: list[StorageProblem] = []
-        self.writes = self.failures = 0
+        self._pending: _PendingWrite | None = None
         self._stopping = False
-        self.thread = threading.Thread(target=self._run, name="durable", daemon=True)
 
     def start(self) -> None:
+        """Begin to read the stored state."""
         self.thread.start()
 
-    def submit(self, memory: FrontState) -> int:
-        """Never blocks; the number by which ``keeps`` tells whether it is over."""
+    def submit(self, state: FrontState) -> int:
+        """Have a state written, in place of one that still waits; the number to ask ``is_written`` by."""
         with self._condition:
             self.submitted += 1
-            self._pending = self.submitted, memory
+            self._pending = _PendingWrite(self.submitted, state)
             self._condition.notify()
             return self.submitted
 
     def is_written(self, number: int) -> bool:
+        """Whether this write, or a later one, is durable."""
         return self.written >= number
 
-    def _restore(self) -> None:
-        memory, doubts = self.store.load()
-        found = memory.incarnation > 0
-        memory = replace(memory, incarnation=next_incarnation(memory.incarnation, self.wall_clock()))
-        failed = self.store.save(memory)
-        self.on_restored(RestoredState(memory, found, doubts, failed))
-
-    def _run(self) -> None:
-        self._restore()
-        while True:
-            with self._condition:
-                while self._pending is None and not self._stopping:
-                    self._condition.wait()
-                if self._pending is None:
-                    return
-                (number, memory), self._pending = self._pending, None
-            doubts = self.store.save(memory)
-            with self._condition:
-                self.writes += 1
-                if [doubt.source for doubt in doubts] != [doubt.source for doubt in self.problems]:
-                    self.on_problems_changed(doubts)
-                self.problems = doubts
-                if len(doubts) < 2:  # one file at the least has it
-                    self.written = number
-                else:
-                    self.failures += 1
-                if doubts:
-                    self._pending = self._pending or (number, memory)
-                    if self._stopping:
-                        return
-                    self._condition.wait(RETRY_DELAY)
-
     def stop(self) -> None:
+        """Write what waits and end the thread, or leave it behind after ``FLUSH_TIMEOUT``."""
         with self._condition:
             self._stopping = True
             self._condition.notify()
         self.thread.join(FLUSH_TIMEOUT)
+
+    def _run(self) -> None:
+        self._restore()
+        while (write := self._next_write()) is not None:
+            problems = self.store.save(write.state)
+            if not self._finish_write(write, problems):
+                return
+
+    def _restore(self) -> None:
+        loaded = self.store.load()
+        was_found = loaded.state.boot_number > 0
+        boot_number = next_boot_number(loaded.state.boot_number, self.wall_clock())
+        state = replace(loaded.state, boot_number=boot_number)
+        write_problems = self.store.save(state)
+        self.on_restored(RestoredState(state, was_found, loaded.problems, write_problems))
+
+    def _next_write(self) -> _PendingWrite | None:
+        """Wait for a write; None once the writer stops and none waits."""
+        with self._condition:
+            while self._pending is None and not self._stopping:
+                self._condition.wait()
+            write = self._pending
+            self._pending = None
+            return write
+
+    def _finish_write(self, write: _PendingWrite, problems: list[StorageProblem]) -> bool:
+        """Note how a write ended and, if a file failed, wait before it is repeated; whether to go on."""
+        with self._condition:
+            self.writes += 1
+            if [problem.source for problem in problems] != [problem.source for problem in self.problems]:
+                self.on_problems_changed(problems)
+            self.problems = problems
+            if len(problems) < COPIES:
+                self.written = write.number
+            else:
+                self.failures += 1
+            if problems:
+                self._pending = self._pending or write
+                if self._stopping:
+                    return False
+                self._condition.wait(RETRY_DELAY)
+            return True
--- a/cleatyoke/emulation/durability.py
+++ b/cleatyoke/emulation/durability.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from cleatyoke.coordination.hold_replication import HoldReplication
-from cleatyoke.durability.records import FrontState, Row, decode_state, encode_state, next_incarnation
+from cleatyoke.durability.records import FrontState, Row, decode_state, encode_state, next_boot_number
 from cleatyoke.emulation.fleet import Fleet
 from cleatyoke.emulation.network import Network
 from cleatyoke.membership.members import Membership
@@ -51,8 +51,8 @@
     def build(self, deployment: str, name: str, boot: int, *words: Any, **more: Any) -> Membership:
         """A life that begins by its disk, with a clock that may be an hour off."""
         memory = self.recall(self.disks.get(name, []), name)
-        number = next_incarnation(
-            memory.incarnation, 7200 + self.now + self.rng.choice((-3600.0, 0.0, 3600.0))
+        number = next_boot_number(
+            memory.boot_number, 7200 + self.now + self.rng.choice((-3600.0, 0.0, 3600.0))
         )
         members = Membership(deployment, name, number, *words, **more)
         store = members.store = self.share(lambda: members.id, holds=memory.holds)
--- a/cleatyoke/fleet/restore.py
+++ b/cleatyoke/fleet/restore.py
@@ -1,6 +1,7 @@
-"""A front's memory on its disk, towards the loop: read at the start, written from then on. Thin; imported
-only where it is on. What is believed is in ``durable.records``, what is waited for in
-``fleet.recovery``.
+"""Durable state of a running front: restored at the start, written from then on.
+
+Between the event loop and ``durability.writer``; imported only where durable state is on. What is trusted of
+the files is in ``durability.records``, what a start waits for in ``coordination.staged_start``.
 """
 
 from __future__ import annotations
@@ -19,69 +20,55 @@
 from cleatyoke.durability.writer import RestoredState, StateWriter
 from cleatyoke.process.faults import Faults, Watchdog
 
-SETTLE = 5.0  # seconds between looks whether the peers to ask at a next start have changed
+SAVE_INTERVAL = 5.0  # seconds between checks whether the state has changed; holds are saved at once
 log = structlog.get_logger()
 
 
 class DurableReplicas(Protocol):
-    """What is kept on the disk comes from here, and what the disk said goes here."""
+    """Where the state that is stored comes from, and where restored state goes: the fleet's view."""
 
     recall: DurableState | None
+    """Set once the files have been read; from then on the view calls ``save`` at each change of holds."""
 
-    def remember(self, memory: FrontState) -> None: ...
+    def remember(self, memory: FrontState) -> None:
+        """Take restored state, which may come after the start."""
+        ...
 
     def memory(self, before: FrontState) -> FrontState:
-        """What is worth keeping now; ``before``: what was kept last."""
+        """What is to be stored now. ``before``: what was stored last."""
         ...
 
 
 class DurableState:
-    """What a life of this front keeps: the holds that its view knows, its boot number, and whom it knew."""
+    """The durable state of this incarnation: holds, boot number and the peers it knew.
+
+    To be made on the running event loop; all methods are called there but for ``has_written``. Reading
+    begins at once and never blocks the loop.
+
+    ``folder``: on a disk that lasts. ``front``: "DEPLOYMENT/NAME".
+    """
 
     def __init__(self, folder: Path, front: str, faults: Faults) -> None:
         self.loop = asyncio.get_running_loop()
         self.restored: asyncio.Future[RestoredState] = self.loop.create_future()
         self.view: DurableReplicas | None = None
-        self.state = FrontState()
+        self.state = FrontState()  # as last restored or submitted
         self.writer = StateWriter(
             StateDatabase(folder, front), time.time, self._on_restored, self._on_problems_changed
         )
-        self.watchdog = Watchdog(faults, "durable", SETTLE, self.save)
+        self.watchdog = Watchdog(faults, "durable", SAVE_INTERVAL, self.save)
         self.writer.start()
 
     async def wait_until_restored(self) -> str:
-        """Once the disk has said what it has: what that is, in a few words."""
-        recalled = await asyncio.shield(self.restored)
-        return "found" if recalled.was_found else "nothing found"
-
-    def _on_restored(self, recalled: RestoredState) -> None:
-        """From the writer's thread."""
-        self.loop.call_soon_threadsafe(self._apply_restored, recalled)
-
-    def _apply_restored(self, recalled: RestoredState) -> None:
-        for doubt in recalled.problems:
-            log.warning("durable_doubtful", of=doubt.source, why=doubt.reason)
-        if recalled.write_problems:
-            self._log_problems(recalled.write_problems)
-        self.state = recalled.state
-        self.restored.set_result(recalled)
-        if self.view:  # it began without
-            self.attach(self.view)
-
-    def _on_problems_changed(self, doubts: list[StorageProblem]) -> None:
-        self.loop.call_soon_threadsafe(self._log_problems, doubts)
+        """Wait until the files have been read; what was found, in a few words for the log.
 
-    def _log_problems(self, doubts: list[StorageProblem]) -> None:
-        """Once for each change: writes fail, or do no longer."""
-        if doubts:
-            log.error("durable_failing", why="; ".join(f"{one.source}: {one.reason}" for one in doubts))
-        else:
-            log.info("durable_well")
+        A caller that gives up leaves the reading alone: the state counts once it comes.
+        """
+        restored = await asyncio.shield(self.restored)
+        return "found" if restored.was_found else "nothing found"
 
     def attach(self, view: DurableReplicas) -> None:
-        """Give the view what the disk said, now or once it does, and keep what the view knows from then
-        on.
-        """
+        """Give the view the restored state, now or once it comes, and save the view's state from then on."""
         self.view = view
         if self.restored.done():
             view.recall = self
@@ -89,30 +76,58 @@
             self.watchdog.start()
 
     def save(self) -> None:
-        """Write what is new."""
+        """Have the view's state written if it has changed. Does not wait for the disk."""
         assert self.view
-        memory = self.view.memory(self.state)
-        memory = replace(memory, peers=memory.peers[:MAX_PEERS])
-        if memory != self.state:
-            self.state = memory
-            self.writer.submit(memory)
+        state = self.view.memory(self.state)
+        state = replace(state, peers=state.peers[:MAX_PEERS])
+        if state != self.state:
+            self.state = state
+            self.writer.submit(state)
 
     def has_written(self, holds: HoldSet) -> bool:
-        """From any thread: whether these are on the disk."""
-        given = self.writer.submitted
-        return self.state.holds == holds and self.writer.is_written(given)
+        """Whether these holds are on the disk. From any thread."""
+        submitted = self.writer.submitted
+        return self.state.holds == holds and self.writer.is_written(submitted)
 
     def stop(self) -> None:
+        """Save a last time, and end the writer."""
         self.watchdog.stop()
         self.save()
         self.writer.stop()
 
     def metric_lines(self) -> list[str]:
+        """The metrics of durable state as "NAME=VALUE"."""
         writer = self.writer
-        facts = {
+        values = {
             "writes": writer.writes,
             "failures": writer.failures,
             "behind": writer.submitted - writer.written,
             "failing": len(writer.problems),
         }
-        return [f"durable.{name}={value}" for name, value in facts.items()]
+        return [f"durable.{name}={value}" for name, value in values.items()]
+
+    def _on_restored(self, restored: RestoredState) -> None:
+        """On the writer's thread."""
+        self.loop.call_soon_threadsafe(self._apply_restored, restored)
+
+    def _on_problems_changed(self, problems: list[StorageProblem]) -> None:
+        """On the writer's thread."""
+        self.loop.call_soon_threadsafe(self._log_write_problems, problems)
+
+    def _apply_restored(self, restored: RestoredState) -> None:
+        for problem in restored.problems:
+            log.warning("durable_state_rejected", source=problem.source, reason=problem.reason)
+        if restored.write_problems:
+            self._log_write_problems(restored.write_problems)
+        self.state = restored.state
+        self.restored.set_result(restored)
+        if self.view:  # it was attached before the files were read
+            self.attach(self.view)
+
+    def _log_write_problems(self, problems: list[StorageProblem]) -> None:
+        """Once for each change of the files that fail."""
+        if problems:
+            reason = "; ".join(f"{problem.source}: {problem.reason}" for problem in problems)
+            log.error("durable_write_failing", reason=reason)
+        else:
+            log.info("durable_write_recovered")
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -1,5 +1,7 @@
-"""A process's start where fronts keep a view of one another: what ``fleet.recovery`` waits for, towards the
-loop. Thin; imported only where the view is on.
+"""The staged start of a running front, where fronts keep a view of one another.
+
+Between the event loop and ``coordination.staged_start``, which says when a stage is passed. Imported only
+where the view is on.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 
 from cleatyoke.config.deployment import FleetSettings
 from cleatyoke.coordination.lease_terms import LeaseTerms
-from cleatyoke.coordination.staged_start import Evidence, StagedStart, StartStage
+from cleatyoke.coordination.staged_start import PASSED_BY_BOUND, Evidence, StagedStart, StartStage
 from cleatyoke.fleet.restore import DurableState
 from cleatyoke.fleet.view import FleetView
 from cleatyoke.process.faults import Faults
@@ -20,17 +22,11 @@
 log = structlog.get_logger()
 
 
-async def at_once(what: str) -> str:
-    return what
-
-
-async def once(heard: asyncio.Event, what: str) -> str:
-    await heard.wait()
-    return what
-
-
 class StagedStartRunner:
-    """Each stage waits for its evidence, or its bound."""
+    """Wait in each stage of one incarnation's start for its evidence, or until its bound.
+
+    The process opens its listeners after ``wait_for_endpoint_list``. To be made on the running event loop.
+    """
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -40,23 +36,35 @@
     async def restore_durable_state(
         self, peers: FleetSettings, name: str, faults: Faults
     ) -> DurableState | None:
-        """The own memory; None where none is kept."""
+        """Wait for the front's durable state; None where none is kept.
+
+        After the bound it is returned while it is still being read.
+        """
         if peers.durable is None:
-            await self._wait_for(StartStage.DISK, at_once("none kept"))
+            await self._wait_for(StartStage.DISK, _evidence("none kept"))
             return None
-        recall = DurableState(peers.durable, f"{peers.deployment}/{name}", faults)
-        await self._wait_for(StartStage.DISK, recall.wait_until_restored())
-        return recall
+        durable_state = DurableState(peers.durable, f"{peers.deployment}/{name}", faults)
+        await self._wait_for(StartStage.DISK, durable_state.wait_until_restored())
+        return durable_state
 
     async def wait_for_peers(self, view: FleetView) -> None:
+        """Wait for a peer's full state."""
         await self._wait_for(StartStage.PEERS, view.met())
 
-    async def wait_for_endpoint_list(self, known: bool, heard: asyncio.Event) -> None:
-        """``known``: there is an old list."""
-        word = at_once("an old list") if known and not heard.is_set() else once(heard, "discovery")
-        await self._wait_for(StartStage.ENDPOINT_LIST, word)
+    async def wait_for_endpoint_list(self, *, has_cached_list: bool, received: asyncio.Event) -> None:
+        """Wait for discovery's first endpoint list, unless there is a cached one. ``received``: it came."""
+        if has_cached_list and not received.is_set():
+            evidence = _evidence("an old list")
+        else:
+            evidence = _evidence_after(received, "discovery")
+        await self._wait_for(StartStage.ENDPOINT_LIST, evidence)
+
+    def status_lines(self) -> list[str]:
+        """The answer to ``show-recovery``."""
+        return self.staged_start.status_lines(self.loop.time())
 
     async def _wait_for(self, stage: StartStage, evidence: Awaitable[str]) -> None:
+        """Wait until this stage's evidence comes or its bound is reached; evidence is then dropped."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(self.staged_start.stage_ends_at()):
                 self._step(Evidence(stage, await evidence))
@@ -65,14 +73,20 @@
             self.loop.call_at(self.staged_start.stage_ends_at(), self._step)
 
     def _step(self, *events: Evidence) -> None:
-        for one in self.staged_start.step(self.loop.time(), events):
-            tell = log.warning if one.passed_by == "bound" else log.info
-            tell(
+        for passed in self.staged_start.step(self.loop.time(), events):
+            write = log.warning if passed.passed_by == PASSED_BY_BOUND else log.info
+            write(
                 "recovery_stage",
-                passed=one.stage.value,
-                by=one.passed_by,
-                waited=round(one.waited_seconds, 3),
+                passed=passed.stage.value,
+                by=passed.passed_by,
+                waited=round(passed.waited_seconds, 3),
             )
 
-    def status_lines(self) -> list[str]:
-        return self.staged_start.status_lines(self.loop.time())
+
+async def _evidence(description: str) -> str:
+    return description
+
+
+async def _evidence_after(event: asyncio.Event, description: str) -> str:
+    await event.wait()
+    return description
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -251,7 +251,7 @@
         known = self.members.seeds
         known += [peer for peer in memory.peers if peer not in known][:HINTS]
         if self.transport:  # it is late
-            self.step(IncarnationRemembered(memory.incarnation))
+            self.step(IncarnationRemembered(memory.boot_number))
             self.copies.on_change(self.copies.holds.held_nodes(), frozenset())
 
     def memory(self, before: FrontState) -> FrontState:
@@ -260,7 +260,7 @@
         return dataclasses.replace(
             before,
             holds=self.copies.holds,
-            incarnation=self.members.id.boot,
+            boot_number=self.members.id.boot,
             peers=tuple(there) or before.peers,
         )
 
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -64,7 +64,7 @@
 def save_durable(folder: Path, front: str, facts: Neutral) -> list[list[str]]:
     """Write both files as a front does; what failed, by file."""
     memory = records.FrontState(
-        holds=make_holds(facts["holds"]), incarnation=facts["boot"], peers=tuple(facts["peers"])
+        holds=make_holds(facts["holds"]), boot_number=facts["boot"], peers=tuple(facts["peers"])
     )
     return [[one.source, one.reason] for one in StateDatabase(folder=folder, front=front).save(memory)]
 
@@ -74,7 +74,7 @@
     memory, doubts = StateDatabase(folder=folder, front=front).load()
     return {
         "holds": neutral_holds(memory.holds),
-        "boot": memory.incarnation,
+        "boot": memory.boot_number,
         "peers": list(memory.peers),
         "doubts": [[one.source, one.reason] for one in doubts],
         "files": sorted(path.name for path in folder.iterdir()),
@@ -89,7 +89,7 @@
 
 def next_boot(remembered: int, unix: float) -> int:
     """The boot number of a new life."""
-    return records.next_incarnation(remembered, unix)
+    return records.next_boot_number(remembered, unix)
 
 
 def with_hold_file(folder: Path, act: Callable[[HoldFile, Directory], None]) -> Neutral:
--- a/tests/test_durability.py
+++ b/tests/test_durability.py
@@ -23,11 +23,12 @@
 from cleatyoke.durability.records import (
     SCHEMA_VERSION,
     FrontState,
+    LoadedState,
     StorageProblem,
     decode_state,
     encode_state,
     make_row,
-    next_incarnation,
+    next_boot_number,
 )
 from cleatyoke.durability.store import FILE_NAMES, StateDatabase, read_rows
 from cleatyoke.durability.writer import RestoredState, StateWriter
@@ -87,9 +88,9 @@
 
 
 def test_a_boot_number_only_rises_whatever_the_clock_does() -> None:
-    assert next_incarnation(0, 1000.5) == 1_000_500
-    assert next_incarnation(1_000_500, 1000.0 - 3600) == 1_000_501  # an hour back
-    assert next_incarnation(1_000_500, 1000.0 + 3600) == 4_600_000
+    assert next_boot_number(0, 1000.5) == 1_000_500
+    assert next_boot_number(1_000_500, 1000.0 - 3600) == 1_000_501  # an hour back
+    assert next_boot_number(1_000_500, 1000.0 + 3600) == 4_600_000
 
 
 # Files
@@ -147,8 +148,8 @@
     memory, doubts = other.load()
     assert memory == FrontState()
     assert sum("another front" in doubt.reason for doubt in doubts) >= 2
-    assert other.save(FrontState(incarnation=1)) == []
-    assert other.load() == (FrontState(incarnation=1), [])
+    assert other.save(FrontState(boot_number=1)) == []
+    assert other.load() == (FrontState(boot_number=1), [])
 
 
 def test_a_disk_that_cannot_be_written_is_named_and_costs_nothing_else(tmp_path: Path) -> None:
@@ -183,7 +184,7 @@
 resource.setrlimit(resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
 memory, doubts = disk.load()
 assert (memory, doubts) == (FrontState(holds, 7), []), (memory, doubts)
-assert disk.save(FrontState(holds, 9)) == [] and disk.load()[0].incarnation == 9
+assert disk.save(FrontState(holds, 9)) == [] and disk.load()[0].boot_number == 9
 """
 
 
@@ -198,8 +199,8 @@
     def __init__(self) -> None:
         self.go, self.failing, self.saved = threading.Event(), 0, list[FrontState]()
 
-    def load(self) -> tuple[FrontState, list[StorageProblem]]:
-        return HELD, []
+    def load(self) -> LoadedState:
+        return LoadedState(HELD, [])
 
     def save(self, memory: FrontState) -> list[StorageProblem]:
         assert self.go.wait(10)
@@ -219,23 +220,23 @@
     writer = StateWriter(disk, lambda: 0.0, first.append, told.append)
     writer.start()
     began = time.monotonic()
-    numbers = [writer.submit(FrontState(incarnation=boot)) for boot in range(100, 150)]
+    numbers = [writer.submit(FrontState(boot_number=boot)) for boot in range(100, 150)]
     assert time.monotonic() - began < 0.5
     assert not first
     assert not writer.is_written(numbers[0])
     disk.go.set()
     until(lambda: writer.is_written(numbers[-1]))
-    assert first[0].state.incarnation == HELD.incarnation + 1
+    assert first[0].state.boot_number == HELD.boot_number + 1
     assert first[0].was_found
-    assert [one.incarnation for one in disk.saved] == [
-        HELD.incarnation + 1,
+    assert [one.boot_number for one in disk.saved] == [
+        HELD.boot_number + 1,
         149,
     ]  # the newest of all that waited
     disk.failing = 1
-    number = writer.submit(FrontState(incarnation=200))
+    number = writer.submit(FrontState(boot_number=200))
     until(lambda: writer.is_written(number))  # one of two has it
     disk.failing = 2
-    number = writer.submit(FrontState(incarnation=201))
+    number = writer.submit(FrontState(boot_number=201))
     until(lambda: len(told) == 2)
     assert not writer.is_written(number)
     disk.failing = 0
@@ -257,10 +258,10 @@
 memory, doubts = disk.load()
 assert not doubts, doubts
 for number in range(10000):
-    holds = memory.holds.hold(MemberId("n1", memory.incarnation), f"s-{len(memory.holds.dots_by_node)}")
-    memory = FrontState(holds, memory.incarnation + 1)
+    holds = memory.holds.hold(MemberId("n1", memory.boot_number), f"s-{len(memory.holds.dots_by_node)}")
+    memory = FrontState(holds, memory.boot_number + 1)
     assert not disk.save(memory)
-    print(len(memory.holds.dots_by_node), memory.incarnation, flush=True)
+    print(len(memory.holds.dots_by_node), memory.boot_number, flush=True)
 """
 
 
@@ -280,7 +281,7 @@
         memory, doubts = StateDatabase(tmp_path, FRONT).load()
         assert doubts == []
         assert len(memory.holds.dots_by_node) >= boxes
-        assert memory.incarnation >= boot
+        assert memory.boot_number >= boot
 
 
 # The command
--- a/tests/test_staged_start.py
+++ b/tests/test_staged_start.py
@@ -28,7 +28,7 @@
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.coordination.replicated_holds import HoldSet
 from cleatyoke.coordination.staged_start import STAGE_BOUNDS, STAGE_ORDER, Evidence, StagedStart, StartStage
-from cleatyoke.durability.records import FrontState, Row, StorageProblem
+from cleatyoke.durability.records import FrontState, LoadedState, Row
 from cleatyoke.durability.store import StateDatabase
 from cleatyoke.emulation import durability
 from cleatyoke.emulation.durability import recalls
@@ -127,7 +127,7 @@
 
 
 def reads_nothing(rows: Sequence[Row], name: str) -> FrontState:
-    return FrontState(incarnation=recalls(rows, name).incarnation)
+    return FrontState(boot_number=recalls(rows, name).boot_number)
 
 
 def test_no_hold_that_was_kept_is_lost_in_any_order_of_losses_and_wrong_variants_are_caught() -> None:
@@ -276,13 +276,13 @@
             assert "replica.holds entries=0" in await self.call("show-replica")
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), 10) == 0
-        assert StateDatabase(self.durable, "ours/n1").load()[0].incarnation > 0
+        assert StateDatabase(self.durable, "ours/n1").load()[0].boot_number > 0
 
     async def test_killed_at_any_stage_ten_times_in_a_row_it_goes_on_from_what_it_kept(self) -> None:
         held = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)  # far ahead of any clock
         disk = StateDatabase(self.durable, "ours/n1")
         assert disk.save(held) == []
-        rng, boots = random.Random(4), [held.incarnation]
+        rng, boots = random.Random(4), [held.boot_number]
         for number in range(10):
             async with self.process() as process:
                 passed = ("disk", "peers", "list", "ready")[number % 4]
@@ -291,8 +291,8 @@
                 await asyncio.sleep(rng.uniform(0, 0.05))
             memory, doubts = disk.load()
             assert (doubts, memory.holds) == ([], held.holds)
-            boots.append(memory.incarnation)
-        assert boots == list(range(held.incarnation, held.incarnation + 11))
+            boots.append(memory.boot_number)
+        assert boots == list(range(held.boot_number, held.boot_number + 11))
         async with self.process() as process:
             await self.log(process, "event='ready'")
             assert f"n1 {boots[-1] + 1} " in await self.call("show-fleet")
@@ -303,9 +303,9 @@
         remembered = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)
 
         class Late(StateDatabase):
-            def load(self) -> tuple[FrontState, list[StorageProblem]]:
+            def load(self) -> LoadedState:
                 go.wait(10)
-                return remembered, []
+                return LoadedState(remembered, [])
 
         listen = read_address(f"127.0.0.1:{self.ports[3]}", "listen")
         peers = FleetSettings("ours", listen, listen, [], 0, FLEET_TIMES, durable=self.durable)
@@ -314,13 +314,13 @@
             recall = await startup.restore_durable_state(peers, "n1", faults)
         assert recall
         assert [one.passed_by for one in startup.staged_start.passed] == ["bound"]
-        view = FleetView(peers, "n1", 1, 1, faults, recall.state.incarnation)
+        view = FleetView(peers, "n1", 1, 1, faults, recall.state.boot_number)
         recall.attach(view)
         changed: list[frozenset[str]] = []
         view.copies.on_change = lambda held, released: changed.append(held)
         await view.start()
         await startup.wait_for_peers(view)
-        await startup.wait_for_endpoint_list(True, asyncio.Event())
+        await startup.wait_for_endpoint_list(has_cached_list=True, received=asyncio.Event())
         assert startup.staged_start.stage in (StartStage.OLD_LEASES, StartStage.OPEN)
         go.set()
         async with asyncio.timeout(5):
@@ -329,4 +329,4 @@
         assert (changed, view.members.id.boot) == ([frozenset({"s-003"})], (1 << 52) + 2)
         view.stop()
         assert faults.figures.faults == 0
-        assert StateDatabase(self.durable, "ours/n1").load()[0].incarnation == (1 << 52) + 2
+        assert StateDatabase(self.durable, "ours/n1").load()[0].boot_number == (1 << 52) + 2
