--- a/cleatyoke/coordination/lease_accounts.py
+++ b/cleatyoke/coordination/lease_accounts.py
@@ -91,15 +91,15 @@
             granted = sum(leases.outstanding(now) for leases in self.granted.values())
             borrowed = sum(lease.usable_parts(now) for lease in self.borrowed.values())
             self.cached_parts = max(0, home - granted) + borrowed
-            self.cached_until = self._next_expiry(now)
+            self.cached_until = self.next_expiry(now)
         return self.cached_parts
 
     def has_leases(self) -> bool:
         """Whether anything is granted, borrowed or requested."""
         return bool(self.borrowed) or any(leases.leases for leases in self.granted.values())
 
-    def _next_expiry(self, now: float) -> float:
-        """When the usable parts change next by time alone."""
+    def next_expiry(self, now: float) -> float:
+        """When the usable parts change next by time alone; infinite if never."""
         ends = [self.home_available_at, *(lease.expires_at for lease in self.borrowed.values())]
         ends += [lease.expires_at for leases in self.granted.values() for lease in leases.leases.values()]
         return min((end for end in ends if end > now), default=math.inf)
--- a/cleatyoke/coordination/replicated_holds.py
+++ b/cleatyoke/coordination/replicated_holds.py
@@ -90,7 +90,8 @@
 
         One is dropped where no hold of it is left and each of ``copies``, all that may still be merged,
         knows its dots. Should an older copy come back nevertheless, what was released there is held again,
-        which is the safe side.
+        which is the safe side. No front calls it yet: clocks grow with each incarnation that ever placed a
+        hold, up to ``MAX_ACTORS``.
         """
         holding = {actor for dots in self.dots_by_node.values() for actor, _ in dots}
         dropped = {
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -83,7 +83,7 @@
 
 def sealed_row(kind: str, front: str, data: bytes, form: int) -> tuple[str, int, str, bytes, int]:
     """A row with a sum that fits it."""
-    row = records.make_row(kind=kind, front=front, data=data, form=form)
+    row = records.make_row(kind=kind, front=front, data=data, schema_version=form)
     return row.kind, row.schema_version, row.front, row.data, row.checksum
 
 
