--- a/cleatyoke/fleet/hold_sharing.py
+++ b/cleatyoke/fleet/hold_sharing.py
@@ -42,10 +42,10 @@
     deadline = time.monotonic() + timeout
     while True:
         active = list(view.membership.active_members)
-        is_applied = (node_name in replication.holds.boxes()) == is_held
+        is_applied = (node_name in replication.holds.held_nodes()) == is_held
         confirmed = 0
         if is_applied:
-            confirmed = 1 + sum(not replication.lacks(member) for member in active)
+            confirmed = 1 + sum(not replication.is_behind(member) for member in active)
         is_complete = is_applied and confirmed == len(active) + 1 and view.holds_are_on_disk()
         if is_complete or time.monotonic() >= deadline:
             return HoldSpread(confirmed, max(view.conclusion().front_count, len(active) + 1))
@@ -85,9 +85,9 @@
         self.hold_file.look()  # what an earlier process held
         held = frozenset(self.hold_file.directory.holds.held)
         self.replication.restore(data, held)
-        self.replication.changed = self._apply_remote_change
+        self.replication.on_change = self._apply_remote_change
         self.hold_file.shared = self._apply_local_change
-        if absent := self.replication.holds.boxes() - frozenset(self.hold_file.directory.holds.held):
+        if absent := self.replication.holds.held_nodes() - frozenset(self.hold_file.directory.holds.held):
             self.hold_file.heard(absent, frozenset())
 
     def _apply_remote_change(self, held: frozenset[str], released: frozenset[str]) -> None:
--- a/cleatyoke/fleet/lease_trading.py
+++ b/cleatyoke/fleet/lease_trading.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable, Iterable
 
 from cleatyoke.config.deployment import FleetSettings
-from cleatyoke.coordination.quota_leases import (
+from cleatyoke.coordination.lease_events import (
     DemandChanged,
     LeaseEvent,
     LeaseMessageReceived,
     PeersChanged,
     QuotaFractionChanged,
-    QuotaLeases,
 )
+from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.coordination.rate_limit_leases import RateLimitLeases
 from cleatyoke.coordination.slow_start_leases import SlowStartLeases
 from cleatyoke.core import Core
@@ -54,7 +54,7 @@
             self.slow_start_leases = SlowStartLeases(
                 self.quota_leases, lambda: core.scheduler.settings, node_name
             )
-        self.quota_leases.part = core.scheduler.settings.initial_quota_share
+        self.quota_leases.quota_fraction = core.scheduler.settings.initial_quota_share
         core.before_step = self.before_step
 
     def before_step(self, now: float, events: list[SchedulerEvent]) -> list[SchedulerEvent]:
@@ -65,9 +65,9 @@
         """
         at = self.loop.time()
         if self.rate_limit_leases:
-            self.rate_limit_leases.heard(at, events)
+            self.rate_limit_leases.observe(at, events)
         if self.slow_start_leases:
-            self.slow_start_leases.heard(at, now, events)
+            self.slow_start_leases.observe(at, now, events)
         for event in events:
             if isinstance(event, QuotaShareChanged):
                 self._step_leases(QuotaFractionChanged(event.fraction))
@@ -85,7 +85,7 @@
         now = self.loop.time()
         demand: dict[str, float] = {}
         for leases in self._kinds():
-            demand |= leases.needs(now)
+            demand |= leases.demand(now)
         if demand or self.quota_leases.accounts:
             suspected = self.membership.suspected_members
             alive = [member for member in self.membership.active_members if member not in suspected]
@@ -95,7 +95,7 @@
         return [leases for leases in (self.rate_limit_leases, self.slow_start_leases) if leases]
 
     def _quota_changes(self, now: float) -> list[SchedulerEvent]:
-        return [event for leases in self._kinds() for event in leases.changes(now)]
+        return [event for leases in self._kinds() for event in leases.quota_changes(now)]
 
     def _step_leases(self, *events: LeaseEvent) -> None:
         now = self.loop.time()
--- a/cleatyoke/fleet/status.py
+++ b/cleatyoke/fleet/status.py
@@ -58,17 +58,17 @@
     membership = view.membership
     replication = view.hold_replication
     active = list(membership.active_members)
-    lacking = sorted(member.name for member in active if replication.lacks(member))
+    lacking = sorted(member.name for member in active if replication.is_behind(member))
     differing = membership.fronts_with_other_settings()
     accounts = list(view.quota_leases.accounts.items())
-    loans = sum(len(account.loans) for _, account in accounts)
+    loans = sum(len(account.granted) for _, account in accounts)
     return [
-        f"replica.holds entries={len(replication.holds.held)} numbers={len(replication.holds.clock)} "
-        f"lacking={len(lacking)} of={len(active)} settled={replication.merged} disk={_disk_state(view)}",
+        f"replica.holds entries={len(replication.holds.dots_by_node)} numbers={len(replication.holds.clock)} "
+        f"lacking={len(lacking)} of={len(active)} settled={replication.merges} disk={_disk_state(view)}",
         f"replica.settings {membership.settings_checksum:08x} differ={','.join(differing) or 'none'}",
-        *(f"replica.hold {node}" for node in sorted(replication.holds.held)),
+        *(f"replica.hold {node}" for node in sorted(replication.holds.dots_by_node)),
         *(f"replica.lacks {name}" for name in lacking[:MAX_LACKING_SHOWN]),
-        f"replica.rights resources={len(accounts)} loans={loans} refused={view.quota_leases.refused}",
+        f"replica.rights resources={len(accounts)} loans={loans} refused={view.quota_leases.refused_resources}",
     ]
 
 
@@ -95,13 +95,13 @@
     rejected = dict(counters.rejected)
     metrics |= {f"refused.{reason.replace(' ', '-')}": count for reason, count in rejected.items()}
     metrics |= {f"dropped.{reason}": count for reason, count in dict(view.dropped).items()}
-    metrics["holds"] = len(view.hold_replication.holds.held)
-    metrics["copies_merged"] = view.hold_replication.merged
+    metrics["holds"] = len(view.hold_replication.holds.dots_by_node)
+    metrics["copies_merged"] = view.hold_replication.merges
     accounts = list(view.quota_leases.accounts.values())
-    metrics["lent"] = sum(len(account.loans) for account in accounts)
-    metrics["borrowed"] = sum(len(account.debts) for account in accounts)
+    metrics["lent"] = sum(len(account.granted) for account in accounts)
+    metrics["borrowed"] = sum(len(account.borrowed) for account in accounts)
     return [
         *(f"fleet.{name}={value}" for name, value in metrics.items()),
-        *(view.durable_state.figures() if view.durable_state else []),
+        *(view.durable_state.metric_lines() if view.durable_state else []),
         f"fleet.digest={membership.digest():08x}",
     ]
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -185,7 +185,7 @@
                 self.lease_trading.receive(action)
             case MembershipChanged(change, member, suspected_by):
                 if change is ChangeKind.RENAMED and self.durable_state:
-                    self.durable_state.keep()
+                    self.durable_state.save()
                 log.info(
                     "fleet_change", change=change.value, of=member.name, boot=member.boot, by=suspected_by
                 )
@@ -209,7 +209,7 @@
 
     def _save_state(self) -> None:
         if self.durable_state:
-            self.durable_state.keep()
+            self.durable_state.save()
 
     def restore_state(self, state: FrontState) -> None:
         """Take what the disk says, which may come after the start.
@@ -220,8 +220,8 @@
         seeds = self.membership.seeds
         seeds += [peer for peer in state.peers if peer not in seeds][:MAX_REMEMBERED_PEERS]
         if self.sockets.is_open():  # the disk answered late
-            self.step(BootNumberRecovered(state.boot))
-            self.hold_replication.changed(self.hold_replication.holds.boxes(), frozenset())
+            self.step(BootNumberRecovered(state.boot_number))
+            self.hold_replication.on_change(self.hold_replication.holds.held_nodes(), frozenset())
 
     def state_to_save(self, before: FrontState) -> FrontState:
         """Return what is to outlive a loss of power. ``before``: what was saved last."""
@@ -230,13 +230,13 @@
         return dataclasses.replace(
             before,
             holds=self.hold_replication.holds,
-            boot=self.membership.id.boot,
+            boot_number=self.membership.id.boot,
             peers=tuple(peers) or before.peers,
         )
 
     def holds_are_on_disk(self) -> bool:
         """Whether all holds known here are on the disk, as far as there is one. From any thread."""
-        return self.durable_state is None or self.durable_state.has(self.hold_replication.holds)
+        return self.durable_state is None or self.durable_state.has_written(self.hold_replication.holds)
 
     def wait_until_replicated(self, node_name: str, is_held: bool, timeout: float) -> HoldSpread:
         """Wait until all fronts and the disk have a hold, or its release, that was made here.
--- a/cleatyoke/membership/anti_entropy.py
+++ b/cleatyoke/membership/anti_entropy.py
@@ -142,7 +142,7 @@
         self.last_change_at = self.now
         active = self.active_ids()
         for member in self.rng.sample(active, min(self.timing.gossip_fanout, len(active))):
-            if self.store.lacks(member):
+            if self.store.is_behind(member):
                 self.start_exchange(self.records[member].update.address)
 
     def push_local_change(self) -> None:
@@ -154,7 +154,7 @@
     def push_replicas(self) -> None:
         """Exchange with some members that lack a change made here; ends the push where none is left."""
         assert self.store
-        lacking = [member for member in self.active_members if self.store.lacks(member)]
+        lacking = [member for member in self.active_members if self.store.is_behind(member)]
         if not lacking:
             self.push_deadline = -math.inf
             return
--- a/cleatyoke/membership/replicated_store.py
+++ b/cleatyoke/membership/replicated_store.py
@@ -22,6 +22,6 @@
         """Merge a peer's dump; whether anything was new. Raises ``ValueError`` and changes nothing then."""
         ...
 
-    def lacks(self, member: MemberId) -> bool:
+    def is_behind(self, member: MemberId) -> bool:
         """Whether this member is not known to have all that is known here."""
         ...
--- a/tests/recorded/fleet_cases.py
+++ b/tests/recorded/fleet_cases.py
@@ -1008,13 +1008,13 @@
             sent.append((holds[one], words[one], heights[one]))
         elif what == "merge" and sent:
             mine = rng.choice(sent)
-            record.add(turn, "has", holds[one].has(mine[0]), mine[0].has(holds[one]))
+            record.add(turn, "has", holds[one].includes(mine[0]), mine[0].includes(holds[one]))
             holds[one] = holds[one].merge(mine[0])
             words[one] = words[one].merge(mine[1])
             heights[one] = heights[one].merge(mine[2])
         elif what == "forget":
             stopped = [f"f{other}/{boot}" for other in range(size) for boot in (1, 2) if rng.random() < 0.5]
-            holds[one] = holds[one].forget(stopped, [*holds, *(copy[0] for copy in sent[-2:])])
+            holds[one] = holds[one].forget_actors(stopped, [*holds, *(copy[0] for copy in sent[-2:])])
         elif what == "new":
             name, _, boot = lives[one].partition("/")
             lives[one] = f"{name}/{int(boot) + 1}"
@@ -1022,7 +1022,7 @@
     for one in range(size):
         for other in range(size):
             both = holds[one].merge(holds[other])
-            record.add(60, one, other, both.state(), both.has(holds[one]), holds[one].has(both))
+            record.add(60, one, other, both.state(), both.includes(holds[one]), holds[one].includes(both))
 
 
 def drawn_sharing(record: Record, seed: str, number: int) -> None:
