--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -18,15 +18,10 @@
 # isort: split
 from cleatyoke import BEGAN
 from cleatyoke.admin.control import ControlCommands, ControlListener
-from cleatyoke.config.deployment import (
-    FRONTS,
-    Address,
-    Config,
-    ConfigError,
-    DistributionSettings,
-    FleetSettings,
-    read_config,
-)
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import Config, read_config
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import FRONTS_FILE, DistributionSettings, FleetSettings
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.discovery.listings import read_listing
@@ -74,9 +69,9 @@
         from cleatyoke.sftp.server import SftpServer
         from cleatyoke.vrrp.instance import Carrier
 
-        sessions = config.shares.sessions
+        sessions = config.socket_budget.file_sessions
         boxes = SftpBackends(
-            directory, config.sftp.box_port, config.dial_timeout, config.idle_close, sessions
+            directory, config.sftp.backend_port, config.connect_timeout, config.idle_timeout, sessions
         )
         front = SftpServer(config.sftp, core, boxes, sessions)
         if config.vrrp is None:
@@ -84,7 +79,9 @@
             return cls(front)
 
         async def changed(master: bool) -> None:
-            await (front.open() if master else front.close(config.sftp.deadline if config.sftp else 0.0))
+            await (
+                front.open() if master else front.close(config.sftp.command_timeout if config.sftp else 0.0)
+            )
 
         carrier = Carrier(config.vrrp, changed)
         await carrier.start()
@@ -115,7 +112,11 @@
         self.lives = SiblingProcesses(config.state_dir, settings, self.faults, BEGAN)
         self.core, self.directory = Core(settings), Directory(config.zones)
         self.boxes = BackendPools(
-            self.directory, config.dial_timeout, config.idle_close, config.shares.boxes, self.figures
+            self.directory,
+            config.connect_timeout,
+            config.idle_timeout,
+            config.socket_budget.backends,
+            self.figures,
         )
         self.handed = HoldFile(config.state_dir, self.directory, self.core, self.faults)
         self.discovery = Discovery(
@@ -147,9 +148,9 @@
         config, directory = self.config, self.directory
         if config.settings.load_by_probes:
             self.probes = self.start_probes(config)
-        if config.known:
+        if config.cached_endpoints:
             try:
-                self.discovery.take(read_listing(config.known), UpdateKind.CACHED)
+                self.discovery.take(read_listing(config.cached_endpoints), UpdateKind.CACHED)
             except MessageError as error:
                 log.warning("known_list_skipped", why=str(error))
         # With an old list it serves at once. Guards a fleet that is killed as one: while its hosts waited for
@@ -180,15 +181,15 @@
             raise ConfigError(msg) from error
         if not self.control:
             self.open_control()
-        if config.metrics:
-            self.metrics = self.open_metrics(config.metrics)
+        if config.metrics_address:
+            self.metrics = self.open_metrics(config.metrics_address)
         self.handed.start()
         self.lives.start(self.core.tell)
 
     def open_control(self) -> None:
-        if self.config.ops:
+        if self.config.control_address:
             try:
-                self.control = ControlListener(self.config.ops, self.commands())
+                self.control = ControlListener(self.config.control_address, self.commands())
             except OSError as error:
                 msg = f"ops: {error}"
                 raise ConfigError(msg) from error
@@ -202,7 +203,7 @@
 
         settings = config.settings
         prober = LoadProber(settings.front_count, settings.safety.slow_start_duration, config.seed)
-        probes = LoadProbeRunner(self.core, self.boxes, prober, config.dial_timeout, self.faults)
+        probes = LoadProbeRunner(self.core, self.boxes, prober, config.connect_timeout, self.faults)
         probes.start()
         return probes
 
@@ -222,7 +223,7 @@
             if recall:
                 recall.serve(view)
             view.share(self.handed, config.state_dir)
-            if peers.limits or peers.cold:
+            if peers.leases_rate_limits or peers.leases_slow_start:
                 boxes = directory.boxes
                 view.lend(self.core, lambda node: boxes[node].name if node in boxes else None)
             view.say(config.settings)
@@ -316,25 +317,26 @@
         log.info(
             "reloaded",
             discovery=self.config.discovery,
-            moved=taken.moved,
-            next_start=taken.waiting,
-            retuned=taken.retired is not None,
+            moved=taken.discovery_moved,
+            next_start=taken.needs_restart,
+            retuned=taken.retired_classes is not None,
             classes=list(self.config.classes),
         )
-        if taken.retired is not None:
-            self.core.tell(SettingsReloaded(settings, taken.retired))
+        if taken.retired_classes is not None:
+            self.core.tell(SettingsReloaded(settings, taken.retired_classes))
             self.life.retime(self.notice())
             if self.fleet:
                 self.fleet.say(settings)
         self.discovery.keep_pace(self.config.drain_grace)
-        if taken.moved:
+        if taken.discovery_moved:
             self.discovery.move(self.config.discovery)
         return ""
 
     def notice(self) -> Notice:
         classes = self.config.settings.classes
         return Notice.of(
-            self.config.notice(), [classes[place].latency_objective for place in self.config.classes.values()]
+            self.config.termination_grace_period(),
+            [classes[place].latency_objective for place in self.config.classes.values()],
         )
 
     async def serve(self) -> None:
@@ -393,7 +395,7 @@
                 act()
 
 
-async def run(config: Config, fronts: Path = FRONTS) -> Status:
+async def run(config: Config, fronts: Path = FRONTS_FILE) -> Status:
     """The whole life. A fault at the start is a ``BadConfig``; a later one is told and ends in status 1."""
     daemon = Daemon(config, fronts)
     try:
@@ -416,7 +418,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it, it would end the process
     configure_logging()
     try:
-        fronts = FRONTS
+        fronts = FRONTS_FILE
         if words:
             if len(words) != 2 or words[0] != "--fronts":
                 msg = f"arguments: want none or --fronts FILE, found {' '.join(words)}"
--- a/cleatyoke/admin/control.py
+++ b/cleatyoke/admin/control.py
@@ -16,7 +16,7 @@
 
 import structlog
 
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 
 MOST_LINE = 512  # bytes of a call
 PATIENCE = 4.0  # seconds for the whole line
--- a/cleatyoke/admin/prometheus.py
+++ b/cleatyoke/admin/prometheus.py
@@ -15,7 +15,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 from cleatyoke.process.metrics import OUTCOMES, Metrics
 from cleatyoke.transport.sockets import Listener
 
--- /dev/null
+++ b/cleatyoke/config/settings.py
@@ -0,0 +1,152 @@
+"""The platform's settings, translated into the scheduler's and the front's own.
+
+This module is the one place that knows the keys of the platform's settings page (``Lanes``, ``AimS`` and so
+on). Unknown keys are ignored; an absent or null number is 0 unless a default stands here.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from cleatyoke.config.table import TableReader
+from cleatyoke.scheduling.settings import (
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    SafetyLimits,
+    SchedulerSettings,
+    VolumePlan,
+)
+
+IDEMPOTENCY_NAMES = {  # values of ``Repeat`` on the settings page
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.KEYED,
+    "once": Idempotency.NOT_IDEMPOTENT,
+}
+IDEMPOTENCY_SCOPE_NAMES = {scope.value: scope for scope in IdempotencyScope}  # values of ``DedupScope``
+LOAD_FIELDS = ("util", "cpu")  # names under which a load report may give a node's utilization
+DEFAULT_DRAIN_GRACE = 1.0  # seconds, where the settings have no ``StopSendingWithinS``
+DEFAULT_CONNECT_TIMEOUT = 0.25  # seconds, where they have no ``DialTimeoutS``
+DEFAULT_IDLE_TIMEOUT = 30.0  # seconds, where they have no ``IdleCloseS``
+
+
+@dataclass(slots=True, frozen=True)
+class ClassAndPlanNames:
+    """Request classes and volume plans by name, with the index that the scheduler knows them by."""
+
+    classes: dict[str, int]
+    plans: dict[str, int]
+
+
+@dataclass(slots=True, frozen=True)
+class FrontSettings:
+    """What the settings say to the front itself, beside the scheduler; see ``deployment.Config``."""
+
+    client_timeouts: list[float]
+    changes_data: list[bool | None]
+    shard_count: int
+    zones: dict[str, int]
+    connect_timeout: float
+    idle_timeout: float
+    drain_grace: float
+
+
+def read_names(facts: TableReader) -> ClassAndPlanNames:
+    """Read the names of classes and plans, and check that the tables that other readers use are tables."""
+    facts.table("PolicyLimits")
+    classes = facts.tables("Lanes")
+    facts.table("Extra", {})
+    return ClassAndPlanNames(index_by_name(classes), index_by_name(facts.tables("Contracts")))
+
+
+def index_by_name(tables: list[TableReader]) -> dict[str, int]:
+    """Return the ``Name`` of each table with its index in the list."""
+    return {table.text("Name"): index for index, table in enumerate(tables)}
+
+
+def read_settings(facts: Mapping[str, Any], seed: int) -> SchedulerSettings:
+    """Return the scheduler's settings. Raises ``ConfigError``."""
+    root = TableReader(facts, "settings.")
+    safety = root.table("Safety", {})
+    limits = root.table("PolicyLimits")
+    extra = root.table("Extra", {})
+    classes = [_read_class(table) for table in root.tables("Lanes")]
+    plans = [_read_plan(table) for table in root.tables("Contracts")]
+    report = root.table("Report", {})
+    has_load_probes = limits.boolean("Probes") and report.text("How", "none") == "probe"
+    return SchedulerSettings(
+        classes=classes,
+        plans=plans,
+        safety=_read_safety_limits(safety),
+        seed=seed,
+        front_count=int(root.number("Siblings", 0)),
+        watches_endpoints=facts.get("Discovery") == "subscribe",
+        max_attempts=limits.integer("SendCap", 1, 1000),
+        can_cancel=limits.boolean("Cancel"),
+        slow_start_units=extra.number("ColdUnits", 0.0),
+        max_request_units=extra.number("Largest", 0.0),
+        mean_request_units=extra.number("MeanUnits", 0.0),
+        reports_usage_by_others=extra.boolean("SaysOthers"),
+        unreserved_value=extra.number("WithinShare", 0.0),
+        max_retry_after=limits.number("MaxRetryAfterS", 0.0) if limits.boolean("RetryAfter") else 0.0,
+        load_by_probes=has_load_probes and any(name in report.items("Fields", []) for name in LOAD_FIELDS),
+    )
+
+
+def _read_class(table: TableReader) -> RequestClass:
+    return RequestClass(
+        latency_objective=table.positive("AimS"),
+        priority_weight=table.number("Worth"),
+        late_value=table.number("LateShare", 0.0),
+        idempotency=table.one_of("Repeat", IDEMPOTENCY_NAMES),
+        idempotency_scope=table.one_of("DedupScope", IDEMPOTENCY_SCOPE_NAMES, "all"),
+        idempotency_window=table.number("MemorySpanS", 0.0),
+        ordered=table.boolean("ByArrival"),
+    )
+
+
+def _read_plan(table: TableReader) -> VolumePlan:
+    return VolumePlan(
+        priority_weight=table.number("WorthFactor"),
+        base_rate=table.number("BaseRate", 0.0),
+        reserved_rate=table.number("FloorRate", 0.0),
+        fair_share_weight=table.number("Proportion"),
+        rate_limit=table.number("Limit", 0.0),
+        rate_limit_burst=table.number("LimitBurst", 0.0),
+        rate_limit_slack=table.number("CapSlack", 0.0),
+    )
+
+
+def _read_safety_limits(table: TableReader) -> SafetyLimits:
+    def optional(key: str) -> float | None:
+        return None if table.values.get(key) is None else table.number(key)
+
+    return SafetyLimits(
+        slow_start_initial_fraction=table.number("ColdFrom", 0.0),
+        slow_start_duration=table.number("RampTimeS", 0.0),
+        overload_multiple=table.number("TipMultiple", 0.0),
+        overload_after=table.number("TipAfterS", 0.0),
+        poll_interval=optional("AskEveryS"),
+        ordering_pause=table.number("KeyRestS", 0.0),
+        retry_budget_minimum=optional("FreeResends"),
+        retry_budget_ratio=optional("ExtraRatio"),
+        retry_budget_window=optional("LookBackS"),
+    )
+
+
+def read_front_settings(facts: TableReader) -> FrontSettings:
+    """Return what the settings say to the front itself. Raises ``ConfigError``."""
+    limits = facts.table("PolicyLimits")
+    extra = facts.table("Extra", {})
+    return FrontSettings(
+        client_timeouts=[table.positive("GiveUpS", math.inf) for table in facts.tables("Lanes")],
+        changes_data=[bool(value) for value in extra.items("ChangesData", [])],
+        shard_count=extra.integer("Shards", 0, 1 << 31, 0),
+        zones={str(zone): index for index, zone in enumerate(facts.items("Areas", []))},
+        connect_timeout=limits.number("DialTimeoutS", DEFAULT_CONNECT_TIMEOUT),
+        idle_timeout=limits.number("IdleCloseS", DEFAULT_IDLE_TIMEOUT),
+        drain_grace=facts.table("Safety", {}).number("StopSendingWithinS", DEFAULT_DRAIN_GRACE),
+    )
--- a/cleatyoke/discovery/directory.py
+++ b/cleatyoke/discovery/directory.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from cleatyoke.admin.maintenance import OperatorHolds
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 from cleatyoke.scheduling.events import Endpoint, EndpointState
 
 MOST_GONE = 1024  # boxes that went and whose numbers are kept, as they may return or a call may name them
--- a/cleatyoke/discovery/listings.py
+++ b/cleatyoke/discovery/listings.py
@@ -15,7 +15,8 @@
 
 from aiohttp import StreamReader
 
-from cleatyoke.config.deployment import ConfigError, read_address
+from cleatyoke.config.addresses import read_address
+from cleatyoke.config.errors import ConfigError
 from cleatyoke.discovery.directory import EndpointList, Instance
 from cleatyoke.http.messages import MessageError
 from cleatyoke.scheduling.events import EndpointState
--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -16,7 +16,7 @@
 import aiohttp
 import structlog
 
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 from cleatyoke.discovery.backoff import Backoff
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.discovery.listings import (
--- a/cleatyoke/distribution/__main__.py
+++ b/cleatyoke/distribution/__main__.py
@@ -12,7 +12,8 @@
 import click
 import structlog
 
-from cleatyoke.config.deployment import Address, ConfigError, read_address
+from cleatyoke.config.addresses import Address, read_address
+from cleatyoke.config.errors import ConfigError
 from cleatyoke.distribution.contents import lane_of
 from cleatyoke.distribution.folder import ConfigFolder, EpochError, next_epoch
 from cleatyoke.distribution.network import PollListener, RelayPoller
--- a/cleatyoke/distribution/network.py
+++ b/cleatyoke/distribution/network.py
@@ -14,7 +14,8 @@
 
 import structlog
 
-from cleatyoke.config.deployment import Address, DistributionSettings, read_address
+from cleatyoke.config.addresses import Address, read_address
+from cleatyoke.config.fronts_file import DistributionSettings
 from cleatyoke.discovery.directory import EndpointList
 from cleatyoke.discovery.listings import read_instance
 from cleatyoke.distribution.contents import DistributedSettings, listed_nodes, settings_entries
@@ -128,8 +129,8 @@
         settings: Callable[[DistributedSettings], str],
         nodes: Callable[[EndpointList], None],
     ) -> None:
-        tiers = [[str(one) for one in tier] for tier in (relays.relays, relays.others) if tier]
-        timing = SubscriberTiming(poll=relays.poll, rate=relays.rate)
+        tiers = [[str(one) for one in tier] for tier in (relays.relays, relays.other_relays) if tier]
+        timing = SubscriberTiming(poll=relays.poll_interval, rate=relays.max_bytes_per_second)
         rng = random.Random(f"distribution:{seed}:{name}")
         self.subscriber = Subscriber(relays.deployment, name, tiers, rng, timing)
         self.relays, self.status = relays, SubscriptionStatus(self.subscriber)
@@ -173,7 +174,7 @@
         match action:
             case DeliverChanges(Lane.SETTINGS, entries):
                 self.take_settings(entries)
-            case DeliverChanges(Lane.NODES, entries) if self.relays.nodes:
+            case DeliverChanges(Lane.NODES, entries) if self.relays.watches_nodes:
                 self.take_nodes(entries)
             case EpochRestarted(lane, epoch):
                 log.info("config_restarted", lane=lane.name.lower(), epoch=epoch)
--- a/cleatyoke/emulation/capacity/needs.py
+++ b/cleatyoke/emulation/capacity/needs.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from cleatyoke.config.deployment import SocketBudget
+from cleatyoke.config.socket_budget import SocketBudget
 from cleatyoke.coordination.replicated_holds import MOST_ACTORS
 from cleatyoke.discovery.listings import MOST_LIST
 from cleatyoke.discovery.watch import BEAT, EACH
@@ -216,11 +216,11 @@
     held = results.at("client connections", "bytes") * plan.front_connections / count
     yield Need("client connections, memory of a process", held, plan.memory, "bytes", real, server)
     sockets = plan.front_connections / count
-    bound = SocketBudget.of(1024, False).clients
+    bound = SocketBudget.divide(1024, False).clients
     yield Need("client connections, sockets of a process", sockets, bound, "sockets", paper, server)
     each = plan.front_statements / count / plan.nodes  # a second, of one process at one node
     rested = plan.nodes * (1 - math.exp(-each * KEPT_OPEN))
-    boxes = SocketBudget.of(1024, False).boxes
+    boxes = SocketBudget.divide(1024, False).backends
     yield Need("connections to nodes, of a process", rested, boxes, "sockets", paper, "Boxes (net/boxes.py)")
     at_node = plan.fronts * count * (1 - math.exp(-each * KEPT_OPEN))
     yield Need(
--- a/cleatyoke/emulation/capacity/nodes.py
+++ b/cleatyoke/emulation/capacity/nodes.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from unittest import mock
 
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory, EndpointList
 from cleatyoke.discovery.listings import decode_listing
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -14,7 +14,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cleatyoke.config.deployment import FLEET_TIMES, ConfigError, FleetSettings, read_settings
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import DEFAULT_FLEET_TIMING, FleetSettings
+from cleatyoke.config.settings import read_settings
 from cleatyoke.core import AttemptResult, Core, Failed, Rejected, Served
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.emulation.clock import run
@@ -141,14 +143,14 @@
         settings.idle_since = UNIX + self.loop.time()
         front.core, front.directory = self.make(settings), Directory({})
         if scenario.view:
-            every = scenario.view.period / FLEET_TIMES["period"]
+            every = scenario.view.period / DEFAULT_FLEET_TIMING["period"]
             peers = FleetSettings(
                 "emulated",
                 address_of(front.number),
                 address_of(front.number),
                 [address_of(one) for one in scenario.view.seeds],
                 front.boot,
-                {name: time * every for name, time in FLEET_TIMES.items()},
+                {name: time * every for name, time in DEFAULT_FLEET_TIMING.items()},
                 scenario.view.limits,
                 scenario.view.cold,
             )
--- a/cleatyoke/emulation/view.py
+++ b/cleatyoke/emulation/view.py
@@ -7,7 +7,8 @@
 import asyncio
 from collections.abc import Callable
 
-from cleatyoke.config.deployment import Address, FleetSettings
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.fronts_file import FleetSettings
 from cleatyoke.emulation.network import Network
 from cleatyoke.fleet.view import PATIENCE, FleetView, told
 from cleatyoke.membership.interface import (
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from cleatyoke.config.deployment import FleetSettings
+from cleatyoke.config.fronts_file import FleetSettings
 from cleatyoke.coordination.quota_leases import LeaseTerms
 from cleatyoke.coordination.staged_start import Evidence, StagedStart, StartStage
 from cleatyoke.fleet.restore import DurableState
@@ -39,10 +39,10 @@
 
     async def recall(self, peers: FleetSettings, name: str, faults: Faults) -> DurableState | None:
         """The own memory; None where none is kept."""
-        if peers.durable is None:
+        if peers.durable_folder is None:
             await self.wait(StartStage.DISK, at_once("none kept"))
             return None
-        recall = DurableState(peers.durable, f"{peers.deployment}/{name}", faults)
+        recall = DurableState(peers.durable_folder, f"{peers.deployment}/{name}", faults)
         await self.wait(StartStage.DISK, recall.read())
         return recall
 
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -19,7 +19,9 @@
 
 import structlog
 
-from cleatyoke.config.deployment import Address, ConfigError, FleetSettings, read_address
+from cleatyoke.config.addresses import Address, read_address
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import FleetSettings
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.coordination.quota_leases import (
     DemandChanged,
@@ -308,9 +310,9 @@
         node, the id that all fronts know it by.
         """
         self.core = core
-        if self.peers.limits:
+        if self.peers.leases_rate_limits:
             self.limits = RateLimitLeases(self.rights, lambda: core.policy.settings.plans)
-        if self.peers.cold:
+        if self.peers.leases_slow_start:
             self.cold = SlowStartLeases(self.rights, lambda: core.policy.settings, name)
         self.rights.part = core.policy.settings.initial_quota_share
         core.before = self.before_step
--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 from cleatyoke.core import AttemptResult, MayBegin
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.http.messages import (
--- a/cleatyoke/http/messages.py
+++ b/cleatyoke/http/messages.py
@@ -14,7 +14,8 @@
 from aiohttp.http_exceptions import HttpProcessingError
 from multidict import CIMultiDictProxy
 
-from cleatyoke.config.deployment import Address, Config
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import Config
 from cleatyoke.scheduling.events import AttemptOutcome
 from cleatyoke.scheduling.settings import Idempotency
 
@@ -120,7 +121,7 @@
         msg = "Content-Length: a read has no body"
         raise MessageError(msg)
     index, largest = config.classes[kind], int(config.settings.max_request_units) or 1 << 20
-    said = config.writes[index] if index < len(config.writes) else None
+    said = config.changes_data[index] if index < len(config.changes_data) else None
     if said not in (None, method == "PUT"):
         msg = f"X-Qos: {kind!r} does not go with {method}"
         raise MessageError(msg)
@@ -133,10 +134,10 @@
         plan=config.plans[plan],
         volume=hex16(fields.get("volume"), "X-IO volume"),
         item=hex16(blocks[0], "block"),
-        cell=whole(fields.get("shard"), "X-IO shard", -1, (config.shards or 1 << 31) - 1),
+        cell=whole(fields.get("shard"), "X-IO shard", -1, (config.shard_count or 1 << 31) - 1),
         units=float(whole(fields.get("units"), "X-IO units", 1, largest)),
         hosts=whole(fields.get("hosts"), "X-IO hosts", 1, 1 << 20),
-        wait=min(wait, config.give_up[index]),  # a longer word would hold a box's slot for as long
+        wait=min(wait, config.client_timeouts[index]),  # a longer word would hold a box's slot for as long
         body=body,
         key=read_key(headers, config.settings.classes[index].idempotency),
     )
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -15,7 +15,8 @@
 from aiohttp.web_protocol import RequestHandler
 
 from cleatyoke.admin.maintenance import FrontDrain
-from cleatyoke.config.deployment import Address, Config
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import Config
 from cleatyoke.core import ATTEMPT_MARGIN, AttemptResult, Core, Failed, MayBegin, Rejected, Served
 from cleatyoke.http import body_limits as bodies
 from cleatyoke.http.backends import BackendPools, StreamedBody
@@ -182,9 +183,9 @@
         self.config, self.core, self.boxes, self.ready = config, core, boxes, ready
         self.drain, self.figures = drain or FrontDrain(), boxes.figures
         self.sweeper: asyncio.TimerHandle | None = None
-        self.most_clients = config.shares.clients
+        self.most_clients = config.socket_budget.clients
         self.last_answer, self.closing = math.inf, False
-        self.space = bodies.BodyMemory(config.body_bytes)
+        self.space = bodies.BodyMemory(config.body_memory_bytes)
         self.server = web.Server(
             self.handle, request_factory=self.make_request, handler_cancellation=True
         )  # a client that closes is withdrawn
@@ -308,7 +309,9 @@
         that clients can open, and the next find none. A close that the answer tells of crosses nothing.
         Only idle ones count: amid a storm of repeats, new connections would cost what the answers need.
         """
-        crowded = len(self.idle) - len(self.silent) + 1 > self.config.shares.crowd  # with this one
+        crowded = (
+            len(self.idle) - len(self.silent) + 1 > self.config.socket_budget.max_idle_clients
+        )  # with this one
         leaving = self.closing or self.drain.draining
         return crowded or leaving or not request.content.is_eof() or client.crowded()
 
--- a/cleatyoke/sftp/server.py
+++ b/cleatyoke/sftp/server.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from cleatyoke.config.deployment import SftpSettings, VolumePath
+from cleatyoke.config.fronts_file import SftpSettings, VolumePath
 from cleatyoke.core import Core, Rejected, Served
 from cleatyoke.scheduling.events import RequestArrived
 from cleatyoke.sftp.backends import Command, List, ReadRange, SftpBackends, Simple, Upload, changes
@@ -155,17 +155,17 @@
         """One request through the core: as a read or a write of its volume, by its size in units."""
         volume, settings = self.volume(path), self.core.policy.settings
         units = max(1, -(-size // self.config.unit_bytes))
-        deadline = self.core.now() + self.config.deadline
+        deadline = self.core.now() + self.config.command_timeout
         arrival = RequestArrived(
             request_id=self.core.new_id(),
             class_index=self.config.write_class if changes(command) else self.config.read_class,
             plan_index=volume.plan,
             volume_id=volume.volume,
             item=number(item),
-            shard=volume.cell,
+            shard=volume.shard,
             units=min(float(units), settings.max_request_units or float(units)),
             deadline=deadline,
-            front_count=volume.hosts,
+            front_count=volume.front_count,
         )
         match await self.core.serve(arrival, lambda node, may: self.boxes.attempt(node, command, may)):
             case Served(reply) if reply is not None:
@@ -208,7 +208,7 @@
         """Queue packets until the client closes (False) or sends what is none (True)."""
         while True:
             try:
-                async with asyncio.timeout(self.front.config.idle):
+                async with asyncio.timeout(self.front.config.idle_timeout):
                     size = await read_size(self.reader)
                 async with asyncio.timeout(STALL):
                     raw = await self.reader.readexactly(size)
@@ -272,7 +272,7 @@
                 return await self.open(absolute(path), flags, attrs)
             case Read(_, handle, offset, length):
                 path = self.handle(handle, ReadHandle).path
-                length = min(length, front.config.most_upload)
+                length = min(length, front.config.max_upload_bytes)
                 command = ReadRange(path, offset, length)
                 return await front.schedule(path, f"{path}@{offset}", length, command)
             case Write(_, handle, offset, data):
@@ -332,7 +332,7 @@
         return self.hold(ReadHandle(path)) if isinstance(found, AttrsReply) else found
 
     def gather(self, held: WriteHandle, offset: int, data: bytes) -> Packet:
-        most = self.front.config.most_upload
+        most = self.front.config.max_upload_bytes
         if held.size + len(data) > most:
             held.spoilt = True
             raise PermissionDeniedError(Code.SSH_FX_FAILURE, f"an upload holds at most {most} bytes")
@@ -353,7 +353,7 @@
         return await self.front.schedule(held.path, held.path, held.size, command)
 
     def room(self) -> None:
-        if len(self.handles) >= self.front.config.most_handles:
+        if len(self.handles) >= self.front.config.max_open_files:
             raise PermissionDeniedError(Code.SSH_FX_FAILURE, "too many open handles")
 
     def hold(self, held: ReadHandle | WriteHandle | DirectoryHandle) -> Handle:
--- a/cleatyoke/simulator.py
+++ b/cleatyoke/simulator.py
@@ -7,7 +7,7 @@
 import sys
 from typing import Any, TextIO
 
-from cleatyoke.config.deployment import LOADS, read_settings
+from cleatyoke.config.settings import LOAD_FIELDS, read_settings
 from cleatyoke.scheduling.actions import (
     CancelAttempt,
     FailRequest,
@@ -190,7 +190,7 @@
     def load(self, head: int, event: dict[str, Any]) -> float | None:
         """The part of its power that a node reports in use, by whatever name this site has for it."""
         told = dict(zip(self.fields.get(head, []), event.get("HealthInfo") or []))
-        return next((told[name] for name in LOADS if name in told), None)
+        return next((told[name] for name in LOAD_FIELDS if name in told), None)
 
     def probe(self, head: int, now: float, steps: list[dict[str, Any]]) -> None:
         prober = self.probers[head]
--- a/cleatyoke/testbed/__main__.py
+++ b/cleatyoke/testbed/__main__.py
@@ -6,7 +6,7 @@
 import sys
 from pathlib import Path
 
-from cleatyoke.config.deployment import ConfigError
+from cleatyoke.config.errors import ConfigError
 from cleatyoke.testbed.runner import run_scenario
 from cleatyoke.testbed.scenario import read_scenario
 
--- a/cleatyoke/testbed/generator.py
+++ b/cleatyoke/testbed/generator.py
@@ -13,7 +13,7 @@
 import random
 from typing import Any
 
-from cleatyoke.config.deployment import REPEATS
+from cleatyoke.config.settings import IDEMPOTENCY_NAMES
 from cleatyoke.scheduling.settings import IdempotencyScope
 from cleatyoke.testbed.scenario import BACKEND_FAULTS, FRONT_FAULTS, LIST_FAULTS, REPORTS
 
@@ -91,7 +91,7 @@
                 "deadline_s": round(max(0.2, min(8.0, aim * rng.uniform(1.0, 6.0))), 2),
                 "worth": float(rng.randint(1, 5)),
                 "late": round(rng.uniform(0, 0.3), 2),
-                "repeat": rng.choice(list(REPEATS)) if number else "by_key",
+                "repeat": rng.choice(list(IDEMPOTENCY_NAMES)) if number else "by_key",
                 "scope": rng.choice([scope.value for scope in IdempotencyScope]),
                 "memory_s": round(rng.uniform(0.3, 6.0), 1),
                 "write": not number or rng.random() < 0.5,
--- a/cleatyoke/testbed/scenario.py
+++ b/cleatyoke/testbed/scenario.py
@@ -7,7 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-from cleatyoke.config.deployment import REPEATS, ConfigError, Table
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.settings import IDEMPOTENCY_NAMES
+from cleatyoke.config.table import TableReader
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 
 BACKEND_FAULTS = ("replace", "drain", "restart", "silence", "stall", "reset", "lose_answers", "spoil", "slow")
@@ -17,7 +19,7 @@
 WITHIN = 0.35  # part of its worth that a unit beyond its reserve earns
 KILL = 0.7  # seconds more than the longest deadline, from SIGTERM to SIGKILL
 REPORTS = {one: one for one in ("answers", "probe", "none")}
-NAMES = {repeat: name for name, repeat in REPEATS.items()}
+NAMES = {repeat: name for name, repeat in IDEMPOTENCY_NAMES.items()}
 LIST_FAULTS = ("late_lists", "garble_lists", "empty_lists", "silent_lists")
 
 
@@ -172,19 +174,19 @@
 
 def make_scenario(name: str, values: dict[str, Any]) -> Scenario:
     """Check ``values``, as a file holds them, whole; ``docs/standin.md`` has the form key by key."""
-    root = Table(values, f"{name}: ")
+    root = TableReader(values, f"{name}: ")
     fleet, load, power = root.table("fleet"), root.table("load"), root.table("box", {})
-    fronts, boxes = fleet.whole("fronts", 1, 1024), fleet.whole("boxes", 1, 1024)
-    zones = [str(zone) for zone in fleet.rows("zones", ["basement", "second-floor"])] or ["basement"]
+    fronts, boxes = fleet.integer("fronts", 1, 1024), fleet.integer("boxes", 1, 1024)
+    zones = [str(zone) for zone in fleet.items("zones", ["basement", "second-floor"])] or ["basement"]
     deadline, limit = fleet.positive("deadline_s", 1.5), fleet.number("limit", 0.0)
-    writes, units = load.number("writes", 0.35), load.whole("units", 1, 64, 2)
+    writes, units = load.number("writes", 0.35), load.integer("units", 1, 64, 2)
     kinds = [read_kind(table, deadline) for table in root.tables("class", default_kinds(writes))]
     plans = [read_plan(table, units) for table in root.tables("plan", default_plans(limit))]
     terms, view = root.table("terms", {}), root.table("view", {})
     scenario = Scenario(
         name=name,
         seconds=fleet.positive("seconds"),
-        seed=fleet.whole("seed", 0, 1 << 31, 1),
+        seed=fleet.integer("seed", 0, 1 << 31, 1),
         fronts=fronts,
         boxes=boxes,
         zones=zones,
@@ -194,11 +196,11 @@
         load=LoadProfile(
             rate=load.positive("rate"),
             writes=writes,
-            volumes=load.whole("volumes", 1, 4096, 4 * boxes),
-            hosts=load.whole("hosts", 1, fronts, 1),
+            volumes=load.integer("volumes", 1, 4096, 4 * boxes),
+            hosts=load.integer("hosts", 1, fronts, 1),
             hot=load.number("hot", 0.0),
             units=units,
-            units_most=load.whole("units_most", units, 64, units),
+            units_most=load.integer("units_most", units, 64, units),
             fresh=load.number("fresh", 0.0),
             reread=load.number("reread", 0.0),
             skew=load.number("skew", 0.0),
@@ -206,12 +208,12 @@
             surge_at=load.number("surge_at", 0.0),
             surge_s=load.number("surge_s", 0.0),
             surge=load.positive("surge", 1.0),
-            retries=load.whole("retries", 0, 99, 0),
+            retries=load.integer("retries", 0, 99, 0),
             retry_s=load.positive("retry_s", 0.5),
         ),
         power=BackendCapacity(
             units=power.positive("units", 60.0),
-            queue=power.whole("queue", 1, 4096, 24),
+            queue=power.integer("queue", 1, 4096, 24),
             cold_from=power.positive("cold_from", 0.2),
             ramp=power.positive("ramp_s", 4.0),
             tip_multiple=power.positive("tip_multiple", 2.0),
@@ -223,9 +225,9 @@
     for one in scenario.troubles if scenario.view is None else []:
         if one.kind in (*LINK_FAULTS, *CALL_FAULTS):
             msg = "trouble"
-            raise root.fail(msg, f"{one.kind} wants a view of the fleet")
+            raise root.error(msg, f"{one.kind} wants a view of the fleet")
     for table in (root, fleet, load, power, terms, view):
-        table.nothing_else()
+        table.reject_unknown_keys()
     return scenario
 
 
@@ -239,7 +241,7 @@
     return [{"name": "public", "limit": limit}, {"name": "research"}]
 
 
-def read_kind(table: Table, deadline: float) -> RequestKind:
+def read_kind(table: TableReader, deadline: float) -> RequestKind:
     kind = RequestKind(
         name=table.text("name"),
         share=table.number("share", 1.0),
@@ -247,16 +249,16 @@
         deadline=table.positive("deadline_s", deadline),
         worth=table.positive("worth", 1.0),
         late_share=table.number("late", 0.1),
-        repeat=table.one_of("repeat", REPEATS, "repeatable"),
+        repeat=table.one_of("repeat", IDEMPOTENCY_NAMES, "repeatable"),
         scope=table.one_of("scope", {scope.value: scope for scope in IdempotencyScope}, "all"),
         memory=table.number("memory_s", 5.0),
-        write=table.flag("write"),
+        write=table.boolean("write"),
     )
-    table.nothing_else()
+    table.reject_unknown_keys()
     return kind
 
 
-def read_plan(table: Table, units: int) -> PlanTerms:
+def read_plan(table: TableReader, units: int) -> PlanTerms:
     limit = table.number("limit", 0.0)
     plan = PlanTerms(
         name=table.text("name"),
@@ -268,48 +270,48 @@
         burst=table.number("burst", limit),
         slack=table.number("slack", 2.0 * units),
     )
-    table.nothing_else()
+    table.reject_unknown_keys()
     return plan
 
 
-def read_terms(table: Table) -> DeploymentTerms:
+def read_terms(table: TableReader) -> DeploymentTerms:
     return DeploymentTerms(
-        attempts=table.whole("attempts", 1, 16, 4),
+        attempts=table.integer("attempts", 1, 16, 4),
         drain_grace=table.positive("drain_grace_s", 1.0),
-        cancel=table.flag("cancel", True),
+        cancel=table.boolean("cancel", True),
         report=table.one_of("report", REPORTS, "answers"),
-        probes=table.flag("probes"),
+        probes=table.boolean("probes"),
         dial=table.positive("dial_s", 0.25),
         idle=table.positive("idle_s", 30.0),
         retry_after=table.number("retry_after_s", 5.0),
     )
 
 
-def read_view_terms(table: Table, fronts: int) -> ViewTerms | None:
-    if not table.flag("enabled"):
+def read_view_terms(table: TableReader, fronts: int) -> ViewTerms | None:
+    if not table.boolean("enabled"):
         return None
     return ViewTerms(
         period=table.positive("period_s", 0.2),
         settles=table.positive("settles_s", 10.0),
         seeds=numbers(table, "seeds", fronts, list(range(min(3, fronts)))),
-        limits=table.flag("limits"),
-        cold=table.flag("cold"),
-        durable=table.flag("durable"),
+        limits=table.boolean("limits"),
+        cold=table.boolean("cold"),
+        durable=table.boolean("durable"),
     )
 
 
-def numbers(table: Table, key: str, count: int, default: list[int]) -> list[int]:
-    chosen = table.rows(key, default)
+def numbers(table: TableReader, key: str, count: int, default: list[int]) -> list[int]:
+    chosen = table.items(key, default)
     if not all(isinstance(one, int) and 0 <= one < count for one in chosen):
-        raise table.fail(key, f"want numbers from 0 to {count - 1}, found {chosen!r}")
+        raise table.error(key, f"want numbers from 0 to {count - 1}, found {chosen!r}")
     return chosen
 
 
-def read_links(table: Table, fronts: int, chosen: list[int]) -> LinkFault:
+def read_links(table: TableReader, fronts: int, chosen: list[int]) -> LinkFault:
     return LinkFault(
         to=numbers(table, "to", fronts, [one for one in range(fronts) if one not in chosen]),
-        one_way=table.flag("one_way"),
-        cut=table.flag("cut"),
+        one_way=table.boolean("one_way"),
+        cut=table.boolean("cut"),
         loss=table.number("loss", 0.0),
         doubles=table.number("doubles", 0.0),
         garbles=table.number("garbles", 0.0),
@@ -318,16 +320,16 @@
     )
 
 
-def read_trouble(table: Table, fronts: int, boxes: int, zones: list[str]) -> FaultEvent:
+def read_trouble(table: TableReader, fronts: int, boxes: int, zones: list[str]) -> FaultEvent:
     every = *BACKEND_FAULTS, *FRONT_FAULTS, *LIST_FAULTS, *LINK_FAULTS, *CALL_FAULTS
     kinds = {kind: kind for kind in every}
     kind = table.one_of("kind", kinds)
     count = boxes if kind in BACKEND_FAULTS else fronts
-    chosen = table.rows("of", list(range(count)))
+    chosen = table.items("of", list(range(count)))
     if kind in BACKEND_FAULTS and "zone" in table.values:
         zone = table.one_of("zone", {zone: place for place, zone in enumerate(zones)})
         chosen = [box for box in range(boxes) if box % len(zones) == zone]
-    chosen = numbers(Table({"of": chosen}, table.path), "of", count, [])
+    chosen = numbers(TableReader({"of": chosen}, table.path), "of", count, [])
     trouble = FaultEvent(
         at=table.number("at"),
         kind=kind,
@@ -335,10 +337,10 @@
         over=table.number("over_s", 0.0),
         lasts=table.number("lasts_s", 0.0),
         share=table.number("share", 1.0),
-        box=table.whole("box", 0, boxes - 1, 0) if kind in CALL_FAULTS else 0,
+        box=table.integer("box", 0, boxes - 1, 0) if kind in CALL_FAULTS else 0,
         links=read_links(table, fronts, chosen) if kind in LINK_FAULTS else None,
     )
-    table.nothing_else()
+    table.reject_unknown_keys()
     return trouble
 
 
--- a/cleatyoke/testbed/view_checks.py
+++ b/cleatyoke/testbed/view_checks.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from cleatyoke.config.deployment import ConfigError
+from cleatyoke.config.errors import ConfigError
 
 
 @dataclass(slots=True)
--- a/cleatyoke/vrrp/instance.py
+++ b/cleatyoke/vrrp/instance.py
@@ -16,7 +16,8 @@
 
 import structlog
 
-from cleatyoke.config.deployment import Address, VrrpSettings
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.fronts_file import VrrpSettings
 
 log = structlog.get_logger()
 
@@ -136,7 +137,9 @@
 
     def __init__(self, config: VrrpSettings, changed: Callable[[bool], Awaitable[None]]) -> None:
         self.config, self.changed, self.loop = config, changed, asyncio.get_running_loop()
-        self.router = VirtualRouter(config.priority, config.interval, config.preempt, config.listen.host)
+        self.router = VirtualRouter(
+            config.priority, config.advertisement_interval, config.preempt, config.listen.host
+        )
         self.transport: asyncio.DatagramTransport | None = None
         self.clock: asyncio.TimerHandle | None = None
         self.news: asyncio.Queue[bool] = asyncio.Queue()
@@ -164,7 +167,7 @@
                 msg = "not of a peer"
                 raise AdvertisementError(msg)
             heard = decode(data)
-            if heard.router != self.config.router:
+            if heard.router != self.config.router_id:
                 msg = f"router {heard.router}"
                 raise AdvertisementError(msg)
         except AdvertisementError as error:
@@ -188,12 +191,14 @@
         master = self.router.state is State.MASTER
         if master != self.master:
             self.master = master
-            log.info("vrrp_master" if master else "vrrp_backup", router=self.config.router)
+            log.info("vrrp_master" if master else "vrrp_backup", router=self.config.router_id)
             self.news.put_nowait(master)
 
     def advertise(self, priority: int) -> None:
         config = self.config
-        said = Advertisement(config.router, priority, config.interval, tuple(config.addresses))
+        said = Advertisement(
+            config.router_id, priority, config.advertisement_interval, tuple(config.addresses)
+        )
         for peer in config.peers:
             if self.transport:
                 self.transport.sendto(encode(said), (peer.host, peer.port))
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -48,7 +48,10 @@
 )
 from cleatyoke import simulator as simhost
 from cleatyoke.vrrp import instance as vrrp
-from cleatyoke.config.deployment import Address, Config, FleetSettings, SftpSettings, SocketBudget, VolumePath
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import Config
+from cleatyoke.config.fronts_file import FleetSettings, SftpSettings, VolumePath
+from cleatyoke.config.socket_budget import SocketBudget
 from cleatyoke.core import Core, Failed, Rejected, Served
 from cleatyoke.discovery.directory import Directory, Instance, EndpointList
 from cleatyoke.distribution import contents, records
@@ -805,20 +808,20 @@
         name="n0",
         listen=Address(LOCAL, 0),
         discovery=Address(LOCAL, 1),
-        file_discovery=Address(LOCAL, 1),
+        discovery_in_file=Address(LOCAL, 1),
         seed=1,
-        shares=SocketBudget.of(1024, False),
-        known={},
+        socket_budget=SocketBudget.divide(1024, False),
+        cached_endpoints={},
         settings=all_settings(),
         classes={"tile-read": 0, "record-write": 1, "keyed-write": 2},
         plans={"public": 0},
-        give_up=[20.0, 20.0, 20.0],
-        writes=[False, True, True],
-        body_bytes=36 << 20,
-        shards=9,
+        client_timeouts=[20.0, 20.0, 20.0],
+        changes_data=[False, True, True],
+        body_memory_bytes=36 << 20,
+        shard_count=9,
         zones={"basement": 0},
-        dial_timeout=PATIENCE,
-        idle_close=30.0,
+        connect_timeout=PATIENCE,
+        idle_timeout=30.0,
         drain_grace=1.0,
     )
 
@@ -1289,12 +1292,12 @@
         volumes=[VolumePath("/plats", 7, 0, 0, 1)],
         read_class=0,
         write_class=1,
-        box_port=0,
-        most_upload=65536,
+        backend_port=0,
+        max_upload_bytes=65536,
         unit_bytes=8192,
-        most_handles=4,
-        idle=PATIENCE,
-        deadline=PATIENCE,
+        max_open_files=4,
+        idle_timeout=PATIENCE,
+        command_timeout=PATIENCE,
     )
     front = SftpServer(config, core, nodes, 32)
     await front.open()
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from cleatyoke.admin.maintenance import FrontDrain, OperatorHolds
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 from cleatyoke.config.reload import IndexAllocator, follow_settings, follow_writes, missing, shape
 from cleatyoke.discovery.backoff import Backoff
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
--- a/tests/recorded/settings_adapter.py
+++ b/tests/recorded/settings_adapter.py
@@ -8,20 +8,19 @@
 from typing import Any
 
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope, SchedulerSettings
-from cleatyoke.config.deployment import (
-    FRONTS,
-    Address,
-    ConfigError,
-    Config,
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import Config, read_config
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import (
+    FRONTS_FILE,
     DistributionSettings,
     FleetSettings,
     SftpSettings,
     VrrpSettings,
-    read_config,
 )
 from cleatyoke.testbed.scenario import Scenario, read_scenario, settings_of
 
-SHIPPED_FRONTS = FRONTS
+SHIPPED_FRONTS = FRONTS_FILE
 MODULES = {
     "daemon": "cleatyoke",
     "test fleet": "cleatyoke.testbed",
@@ -61,9 +60,9 @@
     except ConfigError as error:
         raise Refused(str(error)) from error
     return {
-        "discovery moved": taken.moved,
-        "the log names as waiting for a restart": list(taken.waiting),
-        "classes gone": None if taken.retired is None else sorted(taken.retired),
+        "discovery moved": taken.discovery_moved,
+        "the log names as waiting for a restart": list(taken.needs_restart),
+        "classes gone": None if taken.retired_classes is None else sorted(taken.retired_classes),
         "holds": neutral_deployment(config),
     }
 
@@ -108,36 +107,36 @@
         "front name": config.name,
         "listens at": neutral_address(config.listen),
         "discovery at": neutral_address(config.discovery),
-        "discovery in the file": neutral_address(config.file_discovery),
+        "discovery in the file": neutral_address(config.discovery_in_file),
         "random seed": config.seed,
         "connections": {
-            "clients": config.shares.clients,
-            "idle clients": config.shares.crowd,
-            "nodes": config.shares.boxes,
-            "file sessions": config.shares.sessions,
+            "clients": config.socket_budget.clients,
+            "idle clients": config.socket_budget.max_idle_clients,
+            "nodes": config.socket_budget.backends,
+            "file sessions": config.socket_budget.file_sessions,
         },
-        "old list": config.known,
+        "old list": config.cached_endpoints,
         "policy": neutral_policy(config.settings),
         "class places": config.classes,
         "plan places": config.plans,
-        "deadline of class": [number(seconds) for seconds in config.give_up],
-        "bytes for bodies": config.body_bytes,
-        "class changes data": config.writes,
-        "shard count": config.shards,
+        "deadline of class": [number(seconds) for seconds in config.client_timeouts],
+        "bytes for bodies": config.body_memory_bytes,
+        "class changes data": config.changes_data,
+        "shard count": config.shard_count,
         "zone places": config.zones,
-        "connect timeout": config.dial_timeout,
-        "idle timeout": config.idle_close,
+        "connect timeout": config.connect_timeout,
+        "idle timeout": config.idle_timeout,
         "drain seconds": config.drain_grace,
         "file front": neutral_file_front(config.sftp),
         "address takeover": neutral_takeover(config.vrrp),
         "peers": neutral_peers(config.fleet),
         "distributed settings": neutral_distribution(config.distribution),
-        "metrics at": neutral_address(config.metrics),
+        "metrics at": neutral_address(config.metrics_address),
         "inherited descriptor": config.accept_fd,
-        "operators at": neutral_address(config.ops),
+        "operators at": neutral_address(config.control_address),
         "shared folder": config.state_dir.as_posix(),
         "keys in the file": sorted(config.keys),
-        "notice before a kill": number(config.notice()),
+        "notice before a kill": number(config.termination_grace_period()),
     }
 
 
@@ -207,19 +206,19 @@
                 "path": one.prefix,
                 "id": one.volume,
                 "plan place": one.plan,
-                "shard": one.cell,
-                "fronts": one.hosts,
+                "shard": one.shard,
+                "fronts": one.front_count,
             }
             for one in front.volumes
         ],
         "class of reads": front.read_class,
         "class of writes": front.write_class,
-        "node port": front.box_port,
-        "upload bytes": front.most_upload,
+        "node port": front.backend_port,
+        "upload bytes": front.max_upload_bytes,
         "bytes of a unit": front.unit_bytes,
-        "open files": front.most_handles,
-        "idle seconds": front.idle,
-        "command seconds": front.deadline,
+        "open files": front.max_open_files,
+        "idle seconds": front.idle_timeout,
+        "command seconds": front.command_timeout,
     }
 
 
@@ -230,9 +229,9 @@
     return {
         "listens at": neutral_address(peers.listen),
         "peers": [neutral_address(one) for one in peers.peers],
-        "router": peers.router,
+        "router": peers.router_id,
         "priority": peers.priority,
-        "interval seconds": peers.interval,
+        "interval seconds": peers.advertisement_interval,
         "takes back": peers.preempt,
         "addresses": peers.addresses,
     }
@@ -254,9 +253,9 @@
         "exchange period": peers.timing["sync"],
         "period for the dead": peers.timing["departed"],
         "joining period": peers.timing["join"],
-        "lends limits": peers.limits,
-        "lends cold parts": peers.cold,
-        "lasting folder": None if peers.durable is None else peers.durable.as_posix(),
+        "lends limits": peers.leases_rate_limits,
+        "lends cold parts": peers.leases_slow_start,
+        "lasting folder": None if peers.durable_folder is None else peers.durable_folder.as_posix(),
     }
 
 
@@ -267,10 +266,10 @@
     return {
         "deployment": relays.deployment,
         "own region": [neutral_address(one) for one in relays.relays],
-        "other regions": [neutral_address(one) for one in relays.others],
-        "nodes too": relays.nodes,
-        "poll seconds": relays.poll,
-        "bytes a second": relays.rate,
+        "other regions": [neutral_address(one) for one in relays.other_relays],
+        "nodes too": relays.watches_nodes,
+        "poll seconds": relays.poll_interval,
+        "bytes a second": relays.max_bytes_per_second,
     }
 
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -227,7 +227,7 @@
         )
         variables = {"RELAY_CONFIG": str(path), "TMPDIR": self.folder}
         self.enterContext(mock.patch.dict(os.environ, variables))
-        self.daemon = Daemon(read_config(os.environ), daemon_module.FRONTS)
+        self.daemon = Daemon(read_config(os.environ), daemon_module.FRONTS_FILE)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             self.addCleanup(asyncio.get_running_loop().remove_signal_handler, number)
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -21,7 +21,10 @@
 import pytest
 
 from cleatyoke.admin.control import ControlCommands, answer
-from cleatyoke.config.deployment import Address, ConfigError, DistributionSettings, read_config, read_fronts
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import read_config
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import DistributionSettings, read_fronts_file
 from cleatyoke.distribution.__main__ import main
 from cleatyoke.distribution.contents import (
     DistributedSettings,
@@ -423,7 +426,7 @@
     path = tmp_path / "fronts.toml"
     path.write_text(f"[distribution]\nenabled = true\n{line}\n")
     with pytest.raises(ConfigError, match=key):
-        read_fronts(path, {}, {})
+        read_fronts_file(path, {}, {})
 
 
 def test_settings_that_lack_what_the_file_had_change_nothing(tmp_path: Path) -> None:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -301,11 +301,12 @@
 
 @pytest.mark.parametrize("folder", ['"relative"', "7"])
 def test_a_folder_that_cannot_be_one_is_named(folder: str, tmp_path: Path) -> None:
-    from cleatyoke.config.deployment import ConfigError, read_fronts
+    from cleatyoke.config.errors import ConfigError
+    from cleatyoke.config.fronts_file import read_fronts_file
 
     path = tmp_path / "fronts.toml"
     path.write_text(
         f'[fleet]\nenabled = true\ndeployment = "d"\nlisten = "127.0.0.1:7"\nseeds = []\ndurable = {folder}\n'
     )
     with pytest.raises(ConfigError, match=r"^fronts.toml: fleet.durable:"):
-        read_fronts(path, {}, {})
+        read_fronts_file(path, {}, {})
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -17,7 +17,9 @@
 from hypothesis import strategies as st
 
 from cleatyoke import __main__ as daemon
-from cleatyoke.config.deployment import Address, ConfigError, read_config
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import read_config
+from cleatyoke.config.errors import ConfigError
 from cleatyoke.core import AttemptResult, Core, Failed, MayBegin, PendingRequest, Rejected
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.discovery.watch import Discovery
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -20,7 +20,9 @@
 import pytest
 
 from cleatyoke.admin.control import ControlCommands, answer
-from cleatyoke.config.deployment import ConfigError, FleetSettings, read_address, read_fronts
+from cleatyoke.config.addresses import read_address
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import FleetSettings, read_fronts_file
 from cleatyoke.emulation.network import Fault, Network
 from cleatyoke.emulation.traffic import emulate
 from cleatyoke.fleet.view import MOST_HEARD, FleetView
@@ -324,7 +326,7 @@
                 path.write_text("[fleet]\n" + "\n".join(f"{name} = {text}" for name, text in keys.items()))
                 with self.subTest(key=key, value=value):
                     if not key:
-                        assert read_fronts(path, {}, {})[3] is not None
+                        assert read_fronts_file(path, {}, {})[3] is not None
                         continue
                     with pytest.raises(ConfigError, match=f"^fronts.toml: fleet.{key}:"):
-                        read_fronts(path, {}, {})
+                        read_fronts_file(path, {}, {})
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -19,7 +19,10 @@
 import aiohttp
 import pytest
 
-from cleatyoke.config.deployment import Address, ConfigError, read_config, read_fronts
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import read_config
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import read_fronts_file
 from cleatyoke.core import AttemptResult, Core
 from cleatyoke.discovery import directory as directory_module
 from cleatyoke.discovery.directory import Directory
@@ -169,7 +172,7 @@
 
     async def test_a_client_that_says_it_waits_for_minutes_gets_no_longer_than_its_class(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
-        self.front.config.give_up[1] = 0.3
+        self.front.config.client_timeouts[1] = 0.3
         async with asyncio.timeout(5):  # the box would take a minute
             assert (await self.ask("t", "PUT", b"scan", X_Expires_In_Ms="600000"))[0] == 502
 
@@ -240,7 +243,7 @@
             return answer()
 
         await self.begin(script)
-        self.front.config.shares = replace(self.front.config.shares, crowd=2)
+        self.front.config.socket_budget = replace(self.front.config.socket_budget, max_idle_clients=2)
         kept = []
         for trace in "abc":
             kept.append(await self.raw(self.head(trace)))
@@ -854,17 +857,17 @@
     def test_the_fronts_file_is_off_as_shipped_and_checked_when_on(self) -> None:
         shipped = ROOT / "deploy" / "fronts.toml"
         classes, plans = {"tile-read": 0, "record-write": 1}, {"public": 0}
-        assert read_fronts(shipped, classes, plans) == (None,) * 5
+        assert read_fronts_file(shipped, classes, plans) == (None,) * 5
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "fronts.toml"
             path.write_text(shipped.read_text().replace("enabled = false", "enabled = true"))
-            sftp, vrrp, metrics, _, relays = read_fronts(path, classes, plans)
+            sftp, vrrp, metrics, _, relays = read_fronts_file(path, classes, plans)
             assert sftp
             assert vrrp
             assert relays
-            assert (relays.relays, relays.others) == ([Address("127.0.0.2", 7951)], [])
+            assert (relays.relays, relays.other_relays) == ([Address("127.0.0.2", 7951)], [])
             assert metrics == Address("127.0.0.1", 9464)
-            assert (sftp.volumes[0].prefix, vrrp.interval) == ("/plats", 1.0)
+            assert (sftp.volumes[0].prefix, vrrp.advertisement_interval) == ("/plats", 1.0)
             path.write_text(path.read_text().replace("unit_bytes", "unit_byte"))
             with pytest.raises(ConfigError, match=r"^fronts.toml: sftp.unit_byte: unknown key"):
-                read_fronts(path, classes, plans)
+                read_fronts_file(path, classes, plans)
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -16,7 +16,7 @@
 import pytest
 import structlog
 
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 from cleatyoke.core import Core
 from cleatyoke.discovery import listings
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -16,7 +16,7 @@
 from cleatyoke.admin.control import ControlCommands, ControlListener, answer
 from cleatyoke.admin.maintenance import OperatorHolds
 from cleatyoke.admin.prometheus import MetricsListener
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.http.backends import BackendPools
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from cleatyoke import simulator as simhost
-from cleatyoke.config.deployment import read_settings
+from cleatyoke.config.settings import read_settings
 from cleatyoke.core import Core
 from cleatyoke.http.backends import BackendPools
 from cleatyoke.http.load_probes import LoadProbeRunner
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,7 +12,8 @@
 
 import aiohttp
 
-from cleatyoke.config.deployment import ConfigError, read_config
+from cleatyoke.config.deployment import read_config
+from cleatyoke.config.errors import ConfigError
 from cleatyoke.config.reload import IndexAllocator, missing, shape
 from cleatyoke.scheduling.actions import FailRequest, Reject, SendAttempt
 from cleatyoke.scheduling.events import AttemptOutcome, SettingsReloaded
@@ -140,15 +141,15 @@
         new["settings"]["PolicyLimits"]["SendCap"] = 2
         new["settings"]["Extra"] = {"ChangesData": [True, False]}
         taken = config.reload(self.read(new))
-        assert (taken.retired, taken.waiting) == ({1}, [])
+        assert (taken.retired_classes, taken.needs_restart) == ({1}, [])
         assert config.classes == {"scan": 2, "tile-read": 0}
-        assert (config.give_up, config.writes) == ([1.5, 1.5, 2.5], [False, None, True])
+        assert (config.client_timeouts, config.changes_data) == ([1.5, 1.5, 2.5], [False, None, True])
         assert [kind.latency_objective for kind in config.settings.classes] == [0.5, 0.5, 0.7]
-        assert (config.settings.max_attempts, config.notice()) == (2, 3.2)
-        assert config.reload(self.read(new)).retired is None  # the same again is no change
+        assert (config.settings.max_attempts, config.termination_grace_period()) == (2, 3.2)
+        assert config.reload(self.read(new)).retired_classes is None  # the same again is no change
         new["settings"]["Lanes"].append({**scan, "Name": "more"})  # and the list of writes stays behind
         config.reload(self.read(new))
-        assert config.writes == [False, None, True, None]
+        assert config.changes_data == [False, None, True, None]
 
 
 class Story(DaemonCase):
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from cleatyoke.config.deployment import REPEATS
+from cleatyoke.config.settings import IDEMPOTENCY_NAMES
 from cleatyoke.testbed.generator import THEMES, Values, draw, dump
 from cleatyoke.testbed.runner import ROOT, RunReport
 from cleatyoke.testbed.scenario import make_scenario
@@ -33,7 +33,7 @@
         assert {len(one.kinds) for one in drawn} == set(range(1, 7))
         assert {one.terms.attempts for one in drawn} == set(range(1, 7))
         assert {one.terms.report for one in drawn} == {"answers", "probe", "none"}
-        assert {kind.repeat for one in drawn for kind in one.kinds} == set(REPEATS.values())
+        assert {kind.repeat for one in drawn for kind in one.kinds} == set(IDEMPOTENCY_NAMES.values())
         assert len({(kind.repeat, kind.scope) for one in drawn for kind in one.kinds}) == 9
         assert {bool(plan.limit) for one in drawn for plan in one.plans} == {True, False}
         spans = sorted(kind.deadline for one in drawn for kind in one.kinds)
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from cleatyoke.config.deployment import Address, SftpSettings, VolumePath
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.fronts_file import SftpSettings, VolumePath
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.scheduling.events import EndpointState
@@ -153,7 +154,7 @@
         self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "nothing was done")
 
     async def test_a_silent_box_is_given_up_by_the_deadline(self) -> None:
-        client = await self.begin(box := FileBox(silent=True), deadline=0.3)
+        client = await self.begin(box := FileBox(silent=True), command_timeout=0.3)
         began = self.core.now()
         status = await client.put("/plats/t1", b"scan")
         self.failed(status, p.Code.SSH_FX_FAILURE, "the change may have been made")
@@ -164,7 +165,7 @@
         plan = replace(
             PUBLIC, rate_limit=0.01, rate_limit_burst=8.0
         )  # a host that starts has none of it to spare
-        client = await self.begin(box := FileBox(), plan=plan, deadline=0.4)
+        client = await self.begin(box := FileBox(), plan=plan, command_timeout=0.4)
         self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "refused")
         self.core.policy.volumes[7].limit.level = 2.0
         codes = [(await client.put(f"/plats/u{n}", b"scan")).code for n in range(4)]
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cleatyoke.config.deployment import ConfigError
+from cleatyoke.config.errors import ConfigError
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 from cleatyoke.testbed.backend import TestBackend
 from cleatyoke.testbed.backend_model import BackendModel, RequestFate, chance
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -24,7 +24,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.config.deployment import FLEET_TIMES, FleetSettings, read_address
+from cleatyoke.config.addresses import read_address
+from cleatyoke.config.fronts_file import DEFAULT_FLEET_TIMING, FleetSettings
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.coordination.replicated_holds import HoldSet
 from cleatyoke.coordination.staged_start import BOUNDS, ORDER, Evidence, StagedStart, StartStage
@@ -306,7 +307,9 @@
                 return remembered, []
 
         listen = read_address(f"127.0.0.1:{self.ports[3]}", "listen")
-        peers = FleetSettings("ours", listen, listen, [], 0, FLEET_TIMES, durable=self.durable)
+        peers = FleetSettings(
+            "ours", listen, listen, [], 0, DEFAULT_FLEET_TIMING, durable_folder=self.durable
+        )
         faults, startup = Faults(Metrics()), StagedStartRunner()
         with unittest.mock.patch("cleatyoke.fleet.restore.StateDatabase", Late):
             recall = await startup.recall(peers, "n1", faults)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -13,7 +13,7 @@
 import aiohttp
 import pytest
 
-from cleatyoke.config.deployment import Address
+from cleatyoke.config.addresses import Address
 from cleatyoke.discovery import watch as module
 from cleatyoke.discovery.directory import Directory, EndpointList
 from cleatyoke.discovery.watch import Discovery, Watch
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from cleatyoke.config.deployment import Address, VrrpSettings
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.fronts_file import VrrpSettings
 from cleatyoke.vrrp.instance import (
     Advertisement,
     AdvertisementError,
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -9,7 +9,9 @@
 from dataclasses import replace
 from typing import Any
 
-from cleatyoke.config.deployment import Address, Config, SocketBudget
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import Config
+from cleatyoke.config.socket_budget import SocketBudget
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.settings import Idempotency, SchedulerSettings
@@ -41,20 +43,20 @@
         name="n0",
         listen=Address("127.0.0.1", 0),
         discovery=Address("127.0.0.1", 1),
-        file_discovery=Address("127.0.0.1", 1),
+        discovery_in_file=Address("127.0.0.1", 1),
         seed=1,
-        shares=SocketBudget.of(1024, False),
-        known={},
+        socket_budget=SocketBudget.divide(1024, False),
+        cached_endpoints={},
         settings=two_classes(plans=[plan_spec(base_rate=80.0, reserved_rate=80.0)]),
         classes={"tile-read": 0, "record-write": 1},
         plans={"public": 0},
-        give_up=[1.5, 1.5],
-        writes=[False, True],
-        body_bytes=36 << 20,
-        shards=9,
+        client_timeouts=[1.5, 1.5],
+        changes_data=[False, True],
+        body_memory_bytes=36 << 20,
+        shard_count=9,
         zones={"basement": 0},
-        dial_timeout=0.25,
-        idle_close=30.0,
+        connect_timeout=0.25,
+        idle_timeout=30.0,
         drain_grace=1.0,
     )
     return replace(base, **changes)
