--- a/cleatyoke/admin/control.py
+++ b/cleatyoke/admin/control.py
@@ -1,7 +1,7 @@
-"""The operators' control address: one line a connection, answered in a thread of its own.
+"""The operators' control listener: one command a connection, answered in a thread of its own.
 
-Client load on the event loop never delays an answer: the thread needs the interpreter for microseconds.
-It parses, answers and counts; what a call decides is done by the objects that it is given.
+Client load on the event loop never delays an answer, as the thread needs the interpreter for microseconds.
+The module parses commands and words the answers; what a command does is done by the functions it is given.
 """
 
 from __future__ import annotations
@@ -13,183 +13,237 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import structlog
 
 from cleatyoke.config.addresses import Address
 
-MOST_LINE = 512  # bytes of a call
-PATIENCE = 4.0  # seconds for the whole line
-TICK = 0.1  # seconds between looks for callers that ran out of time
-SHOWS = ("show-fleet", "show-replica", "show-recovery")
+MAX_LINE_BYTES = 512  # of a command
+LINE_TIMEOUT = 4.0  # seconds for the whole line of a command
+POLL_INTERVAL = 0.1  # seconds between checks for callers that exceeded it
+MAX_ACCEPTED_AT_ONCE = 16  # connections, before other callers are served
+MAX_UNREAD_CHUNKS = 64  # of 4096 bytes, that are read and dropped before a rejected caller is closed
+SUCCESS = "SUCCESS"
+LAST_LINE = "EOT"  # of an answer of several lines
 log = structlog.get_logger()
 
 
+class FrontsHolding(NamedTuple):
+    """How many of the fleet's fronts have applied a hold or a release."""
+
+    applied: int
+    fronts: int
+
+
 @dataclass(slots=True)
 class ControlCommands:
-    """What each call does; each returns whether it is owed a yes, or the lines of its answer."""
+    """What each command does. Called in the listener's thread.
 
-    ready: Callable[[], bool]
-    figures: Callable[[], list[str]]
+    ``disable`` and ``enable`` return whether the server id is known. ``show_`` functions return the lines of
+    the answer; ``None``: the part that the command shows is off.
+    """
+
+    is_ready: Callable[[], bool]
+    show_stat: Callable[[], list[str]]
     disable: Callable[[str], bool]
     enable: Callable[[str], bool]
     drain: Callable[[], None]
     resume: Callable[[], None]
-    fleet: Callable[[], list[str]] | None = None  # the view, where it is on
-    shared: Callable[[str, bool], tuple[int, int]] | None = None  # fronts that have it
-    replica: Callable[[], list[str]] | None = None  # the copies that fronts keep, where they do
-    recovery: Callable[[], list[str]] | None = None  # what the start waits for, or waited for
-    config: Callable[[], list[str]] | None = None  # what is in force of distributed configuration
+    show_fleet: Callable[[], list[str]] | None = None  # the fleet view
+    fronts_holding: Callable[[str, bool], FrontsHolding] | None = None  # waits for the other fronts
+    show_replica: Callable[[], list[str]] | None = None  # the replicated holds
+    show_recovery: Callable[[], list[str]] | None = None  # what the start waits for, or waited for
+    show_config: Callable[[], list[str]] | None = None  # the distributed configuration in force
 
 
-def answer(commands: ControlCommands, line: str) -> list[str]:
-    """The answer to one call, line by line."""
+def answer_command(commands: ControlCommands, line: str) -> list[str]:
+    """Carry out one command and return the lines of its answer, in the operations page's words."""
     word, _, rest = line.strip().partition(" ")
     argument = rest.strip()
-    if word == "show-stat" and not argument:
-        return [*commands.figures(), "EOT"]
-    if word == "show-config" and not argument:
-        show = commands.config
-        return [*show(), "EOT"] if show else ["FAILURE no distributed configuration is asked for"]
-    shows = dict(zip(SHOWS, (commands.fleet, commands.replica, commands.recovery)))
-    if word in SHOWS and not argument:
-        show = shows[word]
-        return [*show(), "EOT"] if show else ["FAILURE no view of the fleet is kept"]
     if word in ("disable-server", "enable-server"):
-        if not argument or " " in argument:
-            return [f"FAILURE {word} wants one server id"]
-        done = (commands.disable if word == "disable-server" else commands.enable)(argument)
-        if not done:
-            return [f"FAILURE no server {argument}"]
-        if commands.shared:
-            having, fronts = commands.shared(argument, word == "disable-server")
-            return [f"SUCCESS at {having} of {fronts} fronts"]
-        return ["SUCCESS"]
+        return _answer_hold(commands, word, argument)
+    if word in ("show-stat", "show-config", "show-fleet", "show-replica", "show-recovery") and not argument:
+        return _answer_show(commands, word)
     if argument:
         return [f"FAILURE {word} takes nothing more"]
     if word == "ready":
-        return ["SUCCESS" if commands.ready() else "FAILURE not taking clients"]
-    if word == "drain":
-        commands.drain()
-        return ["SUCCESS"]
-    if word == "resume":
-        commands.resume()
-        return ["SUCCESS"]
+        return [SUCCESS if commands.is_ready() else "FAILURE not taking clients"]
+    if word in ("drain", "resume"):
+        act = commands.drain if word == "drain" else commands.resume
+        act()
+        return [SUCCESS]
     return ["FAILURE unknown command"]
 
 
+def _answer_show(commands: ControlCommands, word: str) -> list[str]:
+    show = {
+        "show-stat": commands.show_stat,
+        "show-config": commands.show_config,
+        "show-fleet": commands.show_fleet,
+        "show-replica": commands.show_replica,
+        "show-recovery": commands.show_recovery,
+    }[word]
+    if show:
+        return [*show(), LAST_LINE]
+    if word == "show-config":
+        return ["FAILURE no distributed configuration is asked for"]
+    return ["FAILURE no view of the fleet is kept"]
+
+
+def _answer_hold(commands: ControlCommands, word: str, server_id: str) -> list[str]:
+    if not server_id or " " in server_id:
+        return [f"FAILURE {word} wants one server id"]
+    is_hold = word == "disable-server"
+    act = commands.disable if is_hold else commands.enable
+    if not act(server_id):
+        return [f"FAILURE no server {server_id}"]
+    if commands.fronts_holding:
+        applied, fronts = commands.fronts_holding(server_id, is_hold)
+        return [f"{SUCCESS} at {applied} of {fronts} fronts"]
+    return [SUCCESS]
+
+
 class ControlSession:
-    __slots__ = ("came", "got", "out", "socket")
+    """One caller's connection."""
+
+    __slots__ = ("opened_at", "received", "socket", "unsent")
 
     def __init__(self, connection: socket.socket, now: float) -> None:
-        self.socket, self.came, self.got, self.out = connection, now, b"", b""
+        self.socket = connection
+        self.opened_at = now
+        self.received = b""
+        self.unsent = b""
 
 
 class ControlListener:
-    """A listener with blocking sockets and a selector, in a daemon thread."""
+    """Serves callers with non-blocking sockets and a selector, in a daemon thread.
+
+    Callers that stall or send garbage get ``FAILURE`` and never delay another one.
+    """
 
     def __init__(self, address: Address, commands: ControlCommands) -> None:
+        """Bind the address; raises ``OSError``."""
         self.commands = commands
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         self.socket = socket.create_server((address.host, address.port), family=family, backlog=64)
         self.socket.setblocking(False)
         self.address = Address(*self.socket.getsockname()[:2])
-        self.callers: dict[int, ControlSession] = {}
-        self.stopped = False
-        self.faults = 0
-        self.thread = threading.Thread(target=self.serve, name="ops", daemon=True)
+        self._sessions: dict[int, ControlSession] = {}  # by file descriptor
+        self._stopped = False
+        self._thread = threading.Thread(target=self._serve, name="ops", daemon=True)
 
     def start(self) -> None:
-        self.thread.start()
+        """Serve from now on."""
+        self._thread.start()
 
     def stop(self) -> None:
-        self.stopped = True
-        self.thread.join(1.0)
+        """Close every connection; returns when the thread has ended, or after 1 s."""
+        self._stopped = True
+        self._thread.join(1.0)
 
-    def serve(self) -> None:
+    def _serve(self) -> None:
         with selectors.DefaultSelector() as selector:
             self.selector = selector
             selector.register(self.socket, selectors.EVENT_READ)
-            while not self.stopped:
-                for key, events in selector.select(TICK):
+            while not self._stopped:
+                for key, events in selector.select(POLL_INTERVAL):
                     if key.fileobj is self.socket:
-                        self.accept()
-                    elif caller := self.callers.get(key.fd):
-                        self.turn(caller, events)
-                now = time.monotonic()
-                for caller in [one for one in self.callers.values() if now - one.came > PATIENCE]:
-                    self.fault(caller, "silent", "FAILURE no whole line in time")
-            for caller in list(self.callers.values()):
-                self.close(caller)
+                        self._accept()
+                    elif session := self._sessions.get(key.fd):
+                        self._handle(session, events)
+                self._reject_silent_sessions()
+            for session in list(self._sessions.values()):
+                self._close(session)
         self.socket.close()
 
-    def accept(self) -> None:
-        for _ in range(16):
+    def _reject_silent_sessions(self) -> None:
+        now = time.monotonic()
+        for session in list(self._sessions.values()):
+            if now - session.opened_at > LINE_TIMEOUT:
+                self._reject(session, "silent", "FAILURE no whole line in time")
+
+    def _accept(self) -> None:
+        for _ in range(MAX_ACCEPTED_AT_ONCE):
             try:
                 connection, _ = self.socket.accept()
             except OSError:
                 return
             connection.setblocking(False)
-            caller = ControlSession(connection, time.monotonic())
-            self.callers[connection.fileno()] = caller
+            session = ControlSession(connection, time.monotonic())
+            self._sessions[connection.fileno()] = session
             self.selector.register(connection, selectors.EVENT_READ)
 
-    def turn(self, caller: ControlSession, events: int) -> None:
+    def _handle(self, session: ControlSession, events: int) -> None:
         if events & selectors.EVENT_WRITE:
-            return self.send(caller)
+            self._send(session)
+        else:
+            self._receive(session)
+
+    def _receive(self, session: ControlSession) -> None:
         try:
-            data = caller.socket.recv(MOST_LINE + 1)
+            data = session.socket.recv(MAX_LINE_BYTES + 1)
         except OSError:
-            return self.close(caller)
+            self._close(session)
+            return
         if not data:
-            return self.fault(caller, "half", None)
-        caller.got += data
-        line, newline, _ = caller.got.partition(b"\n")
-        if not newline:
-            if len(caller.got) > MOST_LINE:
-                self.fault(caller, "too_long", "FAILURE line too long")
-            return None
+            self._reject(session, "half", None)
+            return
+        session.received += data
+        line, newline, _ = session.received.partition(b"\n")
+        if newline:
+            self._receive_line(session, line)
+        elif len(session.received) > MAX_LINE_BYTES:
+            self._reject(session, "too_long", "FAILURE line too long")
+
+    def _receive_line(self, session: ControlSession, line: bytes) -> None:
         try:
             text = line.decode("ascii").rstrip("\r")
         except UnicodeDecodeError:
-            return self.fault(caller, "unreadable", "FAILURE unreadable line")
+            self._reject(session, "unreadable", "FAILURE unreadable line")
+            return
+        lines = self._answer(text)
+        session.unsent = "".join(f"{one}\n" for one in lines).encode()
+        self.selector.modify(session.socket, selectors.EVENT_WRITE)
+        self._send(session)
+
+    def _answer(self, text: str) -> list[str]:
         try:
-            lines = answer(self.commands, text)
-        except Exception:  # guards the other callers
+            lines = answer_command(self.commands, text)
+        except Exception:  # an exception in one command must not end the thread that serves the others
             log.exception("ops_fault", call=text[:64])
             lines = ["FAILURE internal fault"]
         if lines[0].startswith("FAILURE"):
             log.info("ops_refused", call=text[:64], answer=lines[0])
-        caller.out = "".join(f"{one}\n" for one in lines).encode()
-        self.selector.modify(caller.socket, selectors.EVENT_WRITE)
-        self.send(caller)
-        return None
+        return lines
 
-    def send(self, caller: ControlSession) -> None:
+    def _send(self, session: ControlSession) -> None:
         try:
-            sent = caller.socket.send(caller.out)
+            sent = session.socket.send(session.unsent)
         except BlockingIOError:
-            return None
+            return
         except OSError:
-            return self.close(caller)
-        caller.out = caller.out[sent:]
-        if not caller.out:
-            self.close(caller)
-
-    def fault(self, caller: ControlSession, why: str, word: str | None) -> None:
-        self.faults += 1
-        log.info("ops_bad_call", why=why)
+            self._close(session)
+            return
+        session.unsent = session.unsent[sent:]
+        if not session.unsent:
+            self._close(session)
+
+    def _reject(self, session: ControlSession, reason: str, answer: str | None) -> None:
+        log.info("ops_bad_call", why=reason)
         with contextlib.suppress(OSError):
-            if word:
-                caller.socket.send(f"{word}\n".encode())
-            caller.socket.shutdown(socket.SHUT_WR)
-            for _ in range(64):  # what is left unread would make the close a reset, and lose the answer
-                if not caller.socket.recv(4096):
+            if answer:
+                session.socket.send(f"{answer}\n".encode())
+            session.socket.shutdown(socket.SHUT_WR)
+            for _ in range(
+                MAX_UNREAD_CHUNKS
+            ):  # unread bytes would make the close a reset and lose the answer
+                if not session.socket.recv(4096):
                     break
-        self.close(caller)
+        self._close(session)
 
-    def close(self, caller: ControlSession) -> None:
-        self.callers.pop(caller.socket.fileno(), None)
+    def _close(self, session: ControlSession) -> None:
+        self._sessions.pop(session.socket.fileno(), None)
         with contextlib.suppress(KeyError, ValueError):
-            self.selector.unregister(caller.socket)
-        caller.socket.close()
+            self.selector.unregister(session.socket)
+        session.socket.close()
--- a/cleatyoke/admin/maintenance.py
+++ b/cleatyoke/admin/maintenance.py
@@ -1,75 +1,95 @@
-"""Boxes held out of service by hand, and what an operator's call is owed. No input, output or clock."""
+"""Nodes and fronts that operators take out of service by hand. No I/O and no clock."""
 
 from __future__ import annotations
 
 import json
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+
+class HoldChanges(NamedTuple):
+    """Nodes whose hold has changed."""
+
+    held: list[str]
+    released: list[str]
 
 
 @dataclass(slots=True)
 class OperatorHolds:
-    """Boxes by instance id that nothing is sent to until they are released. A hold is not counted: two calls
-    to disable need one call back. A released box comes back as one started anew, so it is paced as cold.
+    """Nodes, by instance id, that receive nothing until they are released.
+
+    Holds are not counted: one release ends any number of holds. A released node counts as started anew, as
+    its operators have restarted it meanwhile: it warms up by slow start.
     """
 
-    held: dict[str, None] = field(default_factory=dict)
-    released: dict[str, float] = field(default_factory=dict)  # id: when it was released, in Unix time
+    held: dict[str, None] = field(default_factory=dict)  # in the order of the holds
+    released: dict[str, float] = field(default_factory=dict)  # Unix time of the release
 
     def disable(self, name: str, known: bool) -> bool:
-        """Whether the call is owed a yes: only an id that anybody listed can be held."""
+        """Hold a node; return False where nobody has listed this id, which changes nothing."""
         if not known and name not in self.held:
             return False
         self.held[name] = None
         return True
 
     def enable(self, name: str, known: bool, now: float) -> bool:
+        """Release a node at Unix time ``now``; return whether the id is known."""
         if name in self.held:
             del self.held[name]
             self.released[name] = now
             return True
         return known
 
-    def holds(self, name: str) -> bool:
+    def is_held(self, name: str) -> bool:
+        """Return whether the node is held."""
         return name in self.held
 
-    def started(self, name: str, started: float) -> float:
-        """When the box counts as started: one that was released was restarted by its operators meanwhile."""
+    def effective_start(self, name: str, started: float) -> float:
+        """Return the Unix time at which the node counts as started: its start, or a later release."""
         return max(started, self.released.get(name, 0.0))
 
     def encode(self) -> str:
+        """Return the contents of the hold file, JSON ``{"held": [ID], "released": {ID: TIME}}``."""
         return json.dumps({"held": list(self.held), "released": self.released})
 
-    def adopt(self, text: str, now: float) -> tuple[list[str], list[str]]:
-        """Take the holds that another process of this front wrote; returns the ids newly held and released.
-        Text that cannot be read changes nothing.
+    def merge(self, text: str, now: float) -> HoldChanges:
+        """Apply a hold file that another process of this front wrote; return what changed here.
+
+        Malformed text changes nothing.
         """
         try:
             values = json.loads(text)
             held = [str(name) for name in values["held"]]
             released = {str(name): float(when) for name, when in values["released"].items()}
         except (ValueError, KeyError, TypeError, AttributeError):
-            return [], []
-        taken = [name for name in held if name not in self.held]
-        freed = [name for name in self.held if name not in held]
+            return HoldChanges([], [])
+        newly_held = [name for name in held if name not in self.held]
+        newly_released = [name for name in self.held if name not in held]
         self.held = dict.fromkeys(held)
         for name, when in released.items():
             self.released[name] = max(self.released.get(name, 0.0), when)
-        for name in freed:
+        for name in newly_released:
             self.released[name] = max(self.released.get(name, 0.0), now)
-        return taken, freed
+        return HoldChanges(newly_held, newly_released)
 
 
 @dataclass(slots=True)
 class FrontDrain:
-    """A front that drains says no to ``GET /up``, ends each answer with its connection, keeps no idle one."""
+    """Whether operators drain this front.
+
+    A draining front answers no to ``GET /up`` and closes client connections with their answers.
+    """
 
     draining: bool = False
 
     def start(self) -> None:
+        """Begin to drain."""
         self.draining = True
 
     def resume(self) -> None:
+        """Accept clients again."""
         self.draining = False
 
-    def says_up(self, ready: bool) -> bool:
+    def is_up(self, ready: bool) -> bool:
+        """Return what ``GET /up`` says of a front that is ready otherwise."""
         return ready and not self.draining
--- a/cleatyoke/admin/prometheus.py
+++ b/cleatyoke/admin/prometheus.py
@@ -1,4 +1,4 @@
-"""The front's figures for Prometheus, where the fronts file switches them on: those of ``show-stat``.
+"""The Prometheus exporter: the counters of ``show-stat``, where the fronts file enables them.
 
 ``prometheus-client`` is an optional extra (``metrics``) and is imported here only; nothing else imports this.
 """
@@ -16,74 +16,90 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
 from cleatyoke.config.addresses import Address
-from cleatyoke.process.metrics import OUTCOMES, Metrics
+from cleatyoke.process.metrics import OUTCOMES, Metrics, NodeCounts
 from cleatyoke.transport.sockets import Listener
 
-MOST = 8  # connections at a time: a scraper or two
-IDLE = 5.0  # seconds that one may stand without a request
+MAX_CONNECTIONS = 8  # at a time: a scraper or two
+IDLE_TIMEOUT = 5.0  # seconds that a connection may stand without a request
+PREFIX = "cleatyoke_"
 log = structlog.get_logger()
 
 
 class MetricsCollector:
-    """Reads the one record of figures at each scrape and keeps none of its own."""
+    """Reads the counters at each scrape and keeps none of its own. Here stand the names of all metrics."""
 
     def __init__(
-        self, figures: Metrics, hosts: Callable[[], tuple[int, int]], gauges: Callable[[], dict[str, float]]
+        self,
+        metrics: Metrics,
+        node_counts: Callable[[], NodeCounts],
+        gauges: Callable[[], dict[str, float]],
     ) -> None:
-        self.figures, self.hosts, self.gauges = figures, hosts, gauges
+        self.metrics = metrics
+        self.node_counts = node_counts
+        self.gauges = gauges
 
     def collect(self) -> Iterator[Metric]:
-        figures = self.figures
-        ended = CounterMetricFamily(
-            "cleatyoke_requests", "Requests answered, by class and outcome", labels=["class", "outcome"]
-        )
-        for outcome in OUTCOMES:
-            for name, count in list(figures.ended[outcome].items()):
-                ended.add_metric([name, outcome], count)
-        yield ended
-        listed, down = self.hosts()
-        for name, text, value in (
-            ("backend_calls", "Attempts written whole to boxes", figures.backend_calls),
-            ("reconfig_ok", "Files taken at SIGHUP", figures.reconfig_ok),
-            ("reconfig_failed", "Files turned down at SIGHUP", figures.reconfig_failed),
-            ("faults", "Exceptions that nothing foresaw", figures.faults),
+        """Yield each metric; ``prometheus-client`` calls this at a scrape."""
+        metrics = self.metrics
+        yield self._requests()
+        listed, down = self.node_counts()
+        for name, text, count in (
+            ("backend_calls", "Attempts written whole to boxes", metrics.backend_calls),
+            ("reconfig_ok", "Files taken at SIGHUP", metrics.reloads_applied),
+            ("reconfig_failed", "Files turned down at SIGHUP", metrics.reloads_rejected),
+            ("faults", "Exceptions that nothing foresaw", metrics.faults),
         ):
-            yield CounterMetricFamily(f"cleatyoke_{name}", text, value=value)
-        for name, text, value in (
-            ("inflight", "Requests taken and not yet ended", max(0, figures.inflight)),
+            yield CounterMetricFamily(f"{PREFIX}{name}", text, value=count)
+        for name, text, count in (
+            ("inflight", "Requests taken and not yet ended", max(0, metrics.in_flight)),
             ("hosts_listed", "Boxes in the list", listed),
             ("hosts_down", "Listed boxes that nothing is sent to", down),
         ):
-            yield GaugeMetricFamily(f"cleatyoke_{name}", text, value=value)
-        for name, gauge in self.gauges().items():
-            yield GaugeMetricFamily(f"cleatyoke_{name}", "Distributed configuration", value=gauge)
+            yield GaugeMetricFamily(f"{PREFIX}{name}", text, value=count)
+        for name, value in self.gauges().items():
+            yield GaugeMetricFamily(f"{PREFIX}{name}", "Distributed configuration", value=value)
+
+    def _requests(self) -> Metric:
+        family = CounterMetricFamily(
+            f"{PREFIX}requests", "Requests answered, by class and outcome", labels=["class", "outcome"]
+        )
+        for outcome in OUTCOMES:
+            for class_name, count in list(self.metrics.answers[outcome].items()):
+                family.add_metric([class_name, outcome], count)
+        return family
 
 
 class MetricsListener:
-    """``GET /metrics`` in the text format of Prometheus, on an address of its own; anything else is 404."""
+    """``GET /metrics`` in the text format of Prometheus, on an address of its own; any other path is 404."""
 
     def __init__(
         self,
         address: Address,
-        figures: Metrics,
-        hosts: Callable[[], tuple[int, int]],
+        metrics: Metrics,
+        node_counts: Callable[[], NodeCounts],
         gauges: Callable[[], dict[str, float]] = dict,
     ) -> None:
+        """Bind the address and serve; raises ``OSError``."""
         self.registry = CollectorRegistry(auto_describe=False)
-        self.registry.register(MetricsCollector(figures, hosts, gauges))
-        self.server = web.Server(self.handle)
-        self.listener = Listener(address.host, address.port, self.room, self.make)
+        self.registry.register(MetricsCollector(metrics, node_counts, gauges))
+        self.server = web.Server(self._handle)
+        self.listener = Listener(address.host, address.port, self._has_capacity, self._make_handler)
         self.address = Address(*self.listener.socket.getsockname()[:2])
         log.info("metrics_open", listen=self.address)
 
-    def room(self) -> bool:
-        return len(self.server.connections) < MOST
+    def stop(self) -> None:
+        """Accept no more, and close the idle connections."""
+        self.listener.close()
+        self.server.pre_shutdown()
+
+    def _has_capacity(self) -> bool:
+        return len(self.server.connections) < MAX_CONNECTIONS
 
-    def make(self) -> RequestHandler:
-        settings: dict[str, Any] = {"keepalive_timeout": IDLE, "access_log": None}
+    def _make_handler(self) -> RequestHandler:
+        settings: dict[str, Any] = {"keepalive_timeout": IDLE_TIMEOUT, "access_log": None}
         return RequestHandler(self.server, loop=self.listener.loop, **settings)
 
-    async def handle(self, request: web.BaseRequest) -> web.Response:
+    async def _handle(self, request: web.BaseRequest) -> web.Response:
         if request.path != "/metrics":
             return web.Response(status=404)
         if request.method != "GET":
@@ -91,7 +107,3 @@
         return web.Response(
             body=generate_latest(self.registry), headers={"Content-Type": CONTENT_TYPE_LATEST}
         )
-
-    def stop(self) -> None:
-        self.listener.close()
-        self.server.pre_shutdown()
--- a/cleatyoke/discovery/directory.py
+++ b/cleatyoke/discovery/directory.py
@@ -50,7 +50,7 @@
 
     def serves(self, node: int) -> bool:
         box = self.boxes.get(node)
-        return box is not None and box.state is EndpointState.LIVE and not self.holds.holds(box.name)
+        return box is not None and box.state is EndpointState.LIVE and not self.holds.is_held(box.name)
 
     def knows(self, name: str) -> bool:
         """Whether any list named the box; safe from another thread."""
@@ -63,9 +63,9 @@
 
     def entry(self, node: int, box: Instance) -> Endpoint:
         """A box as the policy sees it: one held by hand drains, one released was started anew."""
-        state = EndpointState.DRAINING if self.holds.holds(box.name) else box.state
+        state = EndpointState.DRAINING if self.holds.is_held(box.name) else box.state
         zone = self.zones.setdefault(box.zone, len(self.zones))
-        return Endpoint(node, box.cell, zone, state, self.holds.started(box.name, box.started))
+        return Endpoint(node, box.cell, zone, state, self.holds.effective_start(box.name, box.started))
 
     def changed(self, names: list[str]) -> list[Endpoint]:
         """Holds were taken or given back: the entries that change for the policy, and the watchers told."""
--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -30,7 +30,7 @@
     read_lines,
 )
 from cleatyoke.http.messages import MessageError
-from cleatyoke.process.faults import Faults, keep_up
+from cleatyoke.process.faults import Faults, run_forever
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, SchedulerEvent, UpdateKind
 
@@ -195,7 +195,7 @@
         self.refused = False  # the latest list was too long, and the log was told
         self.speaker: asyncio.Task[None] | None = None  # the call that was answered, of those that are out
         self.owner = owner
-        self.task = asyncio.create_task(keep_up(owner.faults, "discovery", self.run, self.start_over))
+        self.task = asyncio.create_task(run_forever(owner.faults, "discovery", self.run, self.start_over))
 
     def start_over(self) -> float:
         """After a fault of our own: what it cut short may have held a change, so the whole list is next."""
--- a/cleatyoke/distribution/network.py
+++ b/cleatyoke/distribution/network.py
@@ -32,7 +32,7 @@
     SubscriberTiming,
 )
 from cleatyoke.http.messages import MessageError
-from cleatyoke.process.faults import Faults, keep_up
+from cleatyoke.process.faults import Faults, run_forever
 from cleatyoke.scheduling.events import EndpointState
 from cleatyoke.transport.framing import read_message, write_message
 
@@ -73,7 +73,7 @@
                 self.take(action)
             after = max(0.0, self.machine.due() - self.loop.time())
         except Exception as error:  # guards the timer, which a fault would never set again
-            self.faults.told("distribution_fault", error)
+            self.faults.report("distribution_fault", error)
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(after, self.step)
@@ -142,7 +142,9 @@
 
     def start(self) -> None:
         self.poller.step()
-        self.watch = asyncio.create_task(keep_up(self.faults, "config_age", self.watch_age, lambda: AGAIN))
+        self.watch = asyncio.create_task(
+            run_forever(self.faults, "config_age", self.watch_age, lambda: AGAIN)
+        )
 
     def stop(self) -> None:
         self.poller.stop()
--- a/cleatyoke/emulation/capacity/duties.py
+++ b/cleatyoke/emulation/capacity/duties.py
@@ -157,5 +157,5 @@
 
 
 def metrics_bytes(classes: int) -> int:
-    lines = Metrics().lines([f"class-{number}" for number in range(classes)], PLAN.nodes, 0)
+    lines = Metrics().stat_lines([f"class-{number}" for number in range(classes)], PLAN.nodes, 0)
     return len("\n".join(lines))
--- a/cleatyoke/emulation/view.py
+++ b/cleatyoke/emulation/view.py
@@ -55,7 +55,7 @@
         """As by SIGKILL: no word, and nothing of it is left."""
         if self.ether.views.get(self.address) is self:
             del self.ether.views[self.address]
-        for bell in (self.bell, self.lending.bell, self.alike.bell):
+        for bell in (self.bell, self.lending.timer, self.alike.timer):
             if bell:
                 bell.cancel()
 
--- a/cleatyoke/fleet/restore.py
+++ b/cleatyoke/fleet/restore.py
@@ -17,7 +17,7 @@
 from cleatyoke.durability.records import MOST_PEERS, FrontState, RestoreDoubt
 from cleatyoke.durability.store import StateDatabase
 from cleatyoke.durability.writer import RestoredState, StateWriter
-from cleatyoke.process.faults import Faults, Watchdog
+from cleatyoke.process.faults import Faults, PeriodicCall
 
 SETTLE = 5.0  # seconds between looks whether the peers to ask at a next start have changed
 log = structlog.get_logger()
@@ -44,7 +44,7 @@
         self.view: DurableReplicas | None = None
         self.last = FrontState()
         self.writer = StateWriter(StateDatabase(folder, front), time.time, self.recalled, self.heard)
-        self.beat = Watchdog(faults, "durable", SETTLE, self.keep)
+        self.beat = PeriodicCall(faults, "durable", SETTLE, self.keep)
         self.writer.start()
 
     async def read(self) -> str:
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -54,8 +54,8 @@
 )
 from cleatyoke.membership.members import Membership
 from cleatyoke.membership.wire import MOST_STREAM, MemberState
-from cleatyoke.process.faults import Faults, Watchdog
-from cleatyoke.process.handover import HoldFile
+from cleatyoke.process.faults import Faults, PeriodicCall
+from cleatyoke.process.hold_file import HoldFile
 from cleatyoke.scheduling.events import EndpointUpdate, QuotaShareChanged, SchedulerEvent
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.transport.framing import read_message, write_message
@@ -122,17 +122,17 @@
         self.copies = self.members.store = HoldReplication(lambda: self.members.id)
         self.rights = QuotaLeases(self.loop.time(), random.Random(f"rights:{seed}:{name}:{boot}"))
         self.differ: list[str] = []  # fronts of other settings, as the log was told
-        self.alike = Watchdog(faults, "fleet_settings", ALIKE, self.look_at_settings)
+        self.alike = PeriodicCall(faults, "fleet_settings", ALIKE, self.look_at_settings)
         self.recall: DurableState | None = None
         self.answered = asyncio.Event()  # a peer's whole view has come
         self.core: Core | None = None
         self.limits: RateLimitLeases | None = None
         self.cold: SlowStartLeases | None = None
-        self.lending = Watchdog(faults, "fleet_limits", TRADE, self.look_at_needs)
+        self.lending = PeriodicCall(faults, "fleet_limits", TRADE, self.look_at_needs)
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.bell: asyncio.TimerHandle | None = None
-        self.claims = Watchdog(faults, "fleet_claim", CLAIM, self.claim)
+        self.claims = PeriodicCall(faults, "fleet_claim", CLAIM, self.claim)
         self.claiming: asyncio.Task[None] | None = None
         self.streams: set[asyncio.Task[None]] = set()
         self.waiting: dict[int, asyncio.Future[bytes]] = {}  # token: who waits for our view
@@ -198,13 +198,13 @@
 
     def stop(self) -> None:
         """Say that this life is over: it uses nothing more from here on."""
-        with self.faults.step("fleet_leave"):
+        with self.faults.contain("fleet_leave"):
             self.step(LeaveRequested())
         if self.recall:
             self.recall.stop()
         for bell in (self.bell, self.claims, self.lending, self.alike):
             if bell:
-                bell.stop() if isinstance(bell, Watchdog) else bell.cancel()
+                bell.stop() if isinstance(bell, PeriodicCall) else bell.cancel()
         for task in (*self.streams, *([self.claiming] if self.claiming else [])):
             task.cancel()
         self.close_sockets()
@@ -219,13 +219,13 @@
         data = b""
         with contextlib.suppress(OSError):
             data = kept.read_bytes()
-        file.look()  # what an earlier life held
+        file.poll()  # what an earlier life held
         self.copies.restore(data, frozenset(file.directory.holds.held))
 
         def keep() -> None:
             if self.recall:
                 self.recall.keep()
-            with self.faults.step("fleet_copies"):
+            with self.faults.contain("fleet_copies"):
                 spare = kept.with_suffix(".new")
                 spare.write_bytes(self.copies.dump())
                 spare.replace(kept)
@@ -233,7 +233,7 @@
         def changed(held: frozenset[str], released: frozenset[str]) -> None:
             log.info("fleet_holds", held=sorted(held), released=sorted(released))
             keep()
-            file.heard(held, released)
+            file.apply_remote(held, released)
 
         def called(box: str, hold: bool) -> None:
             (self.copies.hold if hold else self.copies.release)(box)
@@ -241,9 +241,9 @@
             self.members.done_here()
             self.step()
 
-        self.copies.changed, file.shared = changed, called
+        self.copies.changed, file.on_local_change = changed, called
         if absent := self.copies.holds.boxes() - frozenset(file.directory.holds.held):
-            file.heard(absent, frozenset())
+            file.apply_remote(absent, frozenset())
 
     def remember(self, memory: FrontState) -> None:
         """Take what the disk says, which may come after the start. Whom this front knew before is asked
@@ -372,7 +372,7 @@
             for action in self.members.step(self.loop.time(), events):
                 self.act(action)
         except Exception as error:  # guards the timer, which a fault would never set again
-            self.faults.told("fleet_fault", error)
+            self.faults.report("fleet_fault", error)
         if self.bell:
             self.bell.cancel()
         if not self.members.left:
--- a/cleatyoke/http/load_probes.py
+++ b/cleatyoke/http/load_probes.py
@@ -10,7 +10,7 @@
 
 from cleatyoke.core import Core
 from cleatyoke.http.backends import BackendPools
-from cleatyoke.process.faults import Faults, keep_up
+from cleatyoke.process.faults import Faults, run_forever
 from cleatyoke.scheduling.events import UtilizationReported
 from cleatyoke.scheduling.load_probes import LoadProber
 
@@ -30,7 +30,7 @@
 
     def start(self) -> None:
         self.core.listeners.append(self.prober.listed)
-        self.task = asyncio.create_task(keep_up(self.faults, "probes", self.run, lambda: AGAIN))
+        self.task = asyncio.create_task(run_forever(self.faults, "probes", self.run, lambda: AGAIN))
 
     def stop(self) -> None:
         if self.task:
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -286,17 +286,17 @@
         client.take()
         name = request.headers.get("X-Qos", "") if request.path == "/api" else ""
         counted = name in self.config.classes
-        self.figures.inflight += counted
+        self.figures.in_flight += counted
         try:
             response = await self.answer(request, client)
             if counted:
-                self.figures.answered(name, 502 if response.get(CUT) else response.status)
+                self.figures.count_answer(name, 502 if response.get(CUT) else response.status)
         except Exception:  # aiohttp answers it with 500
             if counted:
-                self.figures.answered(name, 500)
+                self.figures.count_answer(name, 500)
             raise
         finally:
-            self.figures.inflight -= counted
+            self.figures.in_flight -= counted
             self.space.leave(client)
         if not response.prepared and self.ends(request, client):
             response.force_close()  # Connection: close
@@ -343,7 +343,7 @@
     async def answer(self, request: web.BaseRequest, client: ClientConnection) -> web.StreamResponse:
         path = request.path
         if path == "/up":
-            return web.Response(status=200 if self.drain.says_up(self.ready()) else 503)
+            return web.Response(status=200 if self.drain.is_up(self.ready()) else 503)
         if path != "/api":
             return web.Response(status=404)
         if request.method not in ("GET", "PUT"):
--- a/cleatyoke/process/command_line.py
+++ b/cleatyoke/process/command_line.py
@@ -1,4 +1,4 @@
-"""How commands of this package end: exit status 2 after one line that begins with a bad option's name."""
+"""The way in which this package's commands end on a bad option: one line that names it, and exit status 2."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 import click
 
 
-def run_command(command: click.Command, words: Sequence[str] | None, program: str) -> int:
-    """Run a command and return its exit status; ``program``: how the usage text names it."""
-    args = None if words is None else list(words)
+def run_command(command: click.Command, arguments: Sequence[str] | None, program: str) -> int:
+    """Run a command and return its exit status; ``program`` is its name in the usage text.
+
+    ``arguments`` of ``None``: those of the process.
+    """
+    args = None if arguments is None else list(arguments)
     try:
         return int(command.main(args, prog_name=program, standalone_mode=False) or 0)
     except click.MissingParameter as error:
-        click.echo(f"{option_of(error)}: missing", err=True)
+        click.echo(f"{_option_name(error)}: missing", err=True)
     except click.BadParameter as error:
-        click.echo(f"{option_of(error)}: {error.message}", err=True)
+        click.echo(f"{_option_name(error)}: {error.message}", err=True)
     except click.NoSuchOption as error:
         click.echo(f"{error.option_name}: no such option", err=True)
     except click.ClickException as error:
@@ -23,5 +26,5 @@
     return 2
 
 
-def option_of(error: click.BadParameter) -> str:
+def _option_name(error: click.BadParameter) -> str:
     return error.param.opts[-1] if error.param else "arguments"
--- a/cleatyoke/process/fast_import.py
+++ b/cleatyoke/process/fast_import.py
@@ -1,23 +1,24 @@
-"""Imported first by the daemon: what makes its start dear is left out.
+"""A cheaper import of aiohttp: the daemon imports this module before anything else that imports aiohttp.
 
-As it is imported, aiohttp makes a TLS context and reads the system's certificates into it: 0.1 s of processor
-time and 2 MB, of a start of 0.4 s (docs/fleet.md). The daemon speaks no TLS, and in a fleet that is killed as
-one, or beside an old process on the same core, every tenth of a second of a start is paid by clients. So the
-certificates are an empty file while it is imported. The library part of the project does not do this.
+On import, aiohttp makes a TLS context and reads the system's certificates into it. That takes 0.1 s of
+processor time and 2 MB, of a start of 0.4 s (docs/fleet.md), and the daemon speaks no TLS. The clients of a
+restarted front pay for each tenth of a second. So the certificates are an empty file during that import.
 
+The garbage collector is off from here until the daemon serves, as the imports leave nothing to collect. The
+library part of the project does not import this module.
 """
 
 import gc
 import os
 
-WHERE = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
+EMPTY_CERTIFICATES = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
 
-before = {name: os.environ.get(name) for name in WHERE}
-gc.disable()  # nothing of what the imports make is garbage; the daemon enables it once it serves
-os.environ.update(WHERE)
+previous = {name: os.environ.get(name) for name in EMPTY_CERTIFICATES}
+gc.disable()
+os.environ.update(EMPTY_CERTIFICATES)
 import aiohttp  # noqa: E402, F401
 
-for name, value in before.items():
+for name, value in previous.items():
     if value is None:
         del os.environ[name]
     else:
--- a/cleatyoke/process/faults.py
+++ b/cleatyoke/process/faults.py
@@ -1,7 +1,7 @@
-"""What keeps a fault in one place from ending the process, or from ending a duty without a word.
+"""Containment of unforeseen exceptions: each is counted and logged, and the process goes on.
 
-asyncio loses both: a task that dies is told when it is collected, a timer that raises is not set again, and
-either goes to the standard logger. Here each is one counted line of the log, and the duty goes on.
+asyncio alone does neither: a task that dies is reported when it is garbage collected, a timer that raises is
+not set again, and both go to the standard logger, where nobody counts them.
 """
 
 from __future__ import annotations
@@ -19,68 +19,76 @@
 
 
 class Faults:
-    """Counts and tells the exceptions that nothing foresaw."""
+    """Counts and logs the exceptions that nothing foresaw."""
 
-    def __init__(self, figures: Metrics) -> None:
-        self.figures = figures
+    def __init__(self, metrics: Metrics) -> None:
+        self.metrics = metrics
 
-    def told(self, event: str, error: BaseException | None, **facts: Any) -> None:
-        self.figures.faults += 1
-        log.error(event, exc_info=error, **facts)
+    def report(self, event: str, error: BaseException | None, **fields: Any) -> None:
+        """Count one fault and log it under this event name, with its trace."""
+        self.metrics.faults += 1
+        log.error(event, exc_info=error, **fields)
 
-    def watch(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Take what the loop itself would hand to the standard logger: callbacks, protocols, lost tasks."""
+    def watch_loop(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Report what the loop would hand to the standard logger: callbacks, protocols, lost tasks."""
+        loop.set_exception_handler(self._report_from_loop)
 
-        def handler(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-            subject = context.get("future") or context.get("handle") or context.get("protocol")
-            self.told(
-                "loop_fault",
-                context.get("exception"),
-                why=context.get("message", ""),
-                subject=type(subject).__name__,
-            )
-
-        loop.set_exception_handler(handler)
+    def _report_from_loop(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        subject = context.get("future") or context.get("handle") or context.get("protocol")
+        self.report(
+            "loop_fault",
+            context.get("exception"),
+            why=context.get("message", ""),
+            subject=type(subject).__name__,
+        )
 
     @contextlib.contextmanager
-    def step(self, name: str) -> Iterator[None]:
-        """One step of several that must all be taken: its fault does not keep the next from being taken."""
+    def contain(self, name: str) -> Iterator[None]:
+        """Run one step of several that must all run: an exception is reported and ends only this step."""
         try:
             yield
-        except Exception as error:
-            self.told("step_fault", error, step=name)
+        except Exception as error:  # noqa: BLE001  containing every exception is its job
+            self.report("step_fault", error, step=name)
+
 
+class PeriodicCall:
+    """Calls ``action`` on the event loop at once and then every ``interval`` seconds until it is stopped.
 
-class Watchdog:
-    """Calls ``act`` every so many seconds on the loop, for good: a call that raises is told and the next one
-    comes all the same. asyncio's timers end with their first exception.
+    A call that raises is reported, and the next one comes all the same: a duty such as reading the other
+    process's holds never stops silently, as it would with a plain timer that is not set again.
     """
 
-    def __init__(self, faults: Faults, name: str, every: float, act: Callable[[], None]) -> None:
-        self.faults, self.name, self.every, self.act = faults, name, every, act
-        self.bell: asyncio.TimerHandle | None = None
+    def __init__(self, faults: Faults, name: str, interval: float, action: Callable[[], None]) -> None:
+        self.faults = faults
+        self.name = name
+        self.interval = interval
+        self.action = action
+        self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        self.bell = asyncio.get_running_loop().call_later(self.every, self.start)
-        with self.faults.step(self.name):
-            self.act()
+        """Call now, and from now on."""
+        self.timer = asyncio.get_running_loop().call_later(self.interval, self.start)
+        with self.faults.contain(self.name):
+            self.action()
 
     def stop(self) -> None:
-        if self.bell:
-            self.bell.cancel()
-            self.bell = None
+        """Call no more."""
+        if self.timer:
+            self.timer.cancel()
+            self.timer = None
 
 
-async def keep_up(
-    faults: Faults, name: str, duty: Callable[[], Awaitable[None]], wait: Callable[[], float]
+async def run_forever(
+    faults: Faults, name: str, duty: Callable[[], Awaitable[None]], delay: Callable[[], float]
 ) -> None:
-    """Take up ``duty`` again for as long as this is not cancelled, after ``wait()`` seconds each time that it
-    ended. Guards the front's knowledge: a watch that died of an exception would leave it serving for ever by
-    the last list, drained boxes included.
+    """Run ``duty`` again, ``delay()`` seconds after each time it ended, until this is cancelled.
+
+    Without it a watch that died of an exception would leave the front serving for ever by the last endpoint
+    list, drained nodes included.
     """
     while True:
         try:
             await duty()
-        except Exception as error:
-            faults.told("duty_fault", error, duty=name)
-        await asyncio.sleep(wait())
+        except Exception as error:  # noqa: BLE001  a duty survives every exception
+            faults.report("duty_fault", error, duty=name)
+        await asyncio.sleep(delay())
--- /dev/null
+++ b/cleatyoke/process/file_service.py
@@ -0,0 +1,59 @@
+"""The file service of a front, where the fronts file enables it."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from cleatyoke.config.deployment import Config
+from cleatyoke.core import Core
+from cleatyoke.discovery.directory import Directory
+
+if TYPE_CHECKING:
+    from cleatyoke.sftp.server import SftpServer
+    from cleatyoke.vrrp.instance import Carrier
+
+
+class FileService:
+    """The SFTP server; with VRRP it is open only while this instance is the master. Off without a server."""
+
+    def __init__(self, server: SftpServer | None = None, carrier: Carrier | None = None) -> None:
+        self.server = server
+        self.carrier = carrier
+
+    @classmethod
+    async def start(cls, config: Config, core: Core, directory: Directory) -> FileService:
+        """Start what the configuration enables; raises ``OSError`` where an address cannot be bound."""
+        if config.sftp is None:
+            return cls()
+        # Imported only where the service is on, as imports cost start time.
+        from cleatyoke.sftp.backends import SftpBackends
+        from cleatyoke.sftp.server import SftpServer
+        from cleatyoke.vrrp.instance import Carrier
+
+        settings = config.sftp
+        sessions = config.socket_budget.file_sessions
+        backends = SftpBackends(
+            directory, settings.backend_port, config.connect_timeout, config.idle_timeout, sessions
+        )
+        server = SftpServer(settings, core, backends, sessions)
+        if config.vrrp is None:
+            await server.open()
+            return cls(server)
+
+        async def on_role_change(is_master: bool) -> None:
+            if is_master:
+                await server.open()
+            else:
+                await server.close(settings.command_timeout)
+
+        carrier = Carrier(config.vrrp, on_role_change)
+        await carrier.start()
+        return cls(server, carrier)
+
+    async def close(self, timeout: float) -> None:  # noqa: ASYNC109  the server ends its sessions by it
+        """Stop accepting sessions, and end those that are open within ``timeout`` seconds."""
+        if self.carrier:
+            await self.carrier.stop()
+        if self.server:
+            await self.server.close(timeout)
+            self.server.boxes.close()
--- a/cleatyoke/process/lifecycle.py
+++ b/cleatyoke/process/lifecycle.py
@@ -1,8 +1,17 @@
-"""The life of the process, from its start to its exit, as a state machine without input, output or clock.
-
-SIGTERM is no end but the start of one: for over 0.7 s new connections keep coming and are served, what was
-taken is answered, and the exit comes before SIGKILL (protocol page, Figures: a planned restart). The caller
-brings the time and what is open, and carries out the orders it gets; it decides nothing.
+"""The life of the process as a state machine, without I/O or a clock.
+
+    stage      leaves it when                                          step given to the caller
+    STARTING   the start has succeeded                                 none
+    SERVING    SIGTERM or SIGINT came                                  none
+    ACCEPTING  ``file_service_closes`` has passed: no new stage        CLOSE_FILE_SERVICE
+    ACCEPTING  ``accepting_ends`` has passed                           STOP_ACCEPTING
+    DRAINING   nothing is open, or ``answers_due`` has passed          REPORT_UNANSWERED, RELEASE_RESOURCES
+    CLOSING    the caller has released everything                      none
+    ENDED      never
+
+A graceful shutdown takes time on purpose: after SIGTERM new connections keep coming for over 0.7 s and are
+served, accepted requests are answered, and the process exits before SIGKILL (protocol page, Figures: a
+planned restart). The caller brings the time and the number of open connections, and carries out the steps.
 """
 
 from __future__ import annotations
@@ -12,117 +21,147 @@
 from dataclasses import dataclass
 from enum import Enum
 
-LINGER = 0.75  # seconds after SIGTERM in which everything is accepted at the least: the page's 0.7, and slack
-ANSWERS = 2.0  # times the shortest aim: what is kept for what is taken last, a first try and another one
-EXIT = 0.15  # seconds kept for the exit itself: the last log line and Python's own end, no setting's
+MIN_ACCEPTING_TIME = (
+    0.75  # seconds after SIGTERM in which all connections are accepted: the page's 0.7, and slack
+)
+ATTEMPTS_FOR_LAST_REQUEST = 2.0  # a first attempt and a retry, of the shortest latency objective each
+EXIT_MARGIN = 0.15  # seconds for the exit itself: the last log line and the end of the interpreter
 
 
 class Stage(Enum):
-    STARTING = "starting"  # a fault here ends the process: nobody was promised anything yet
+    """The stages of the process, in order; the values are logged."""
+
+    STARTING = "starting"  # a fault ends the process: no client has been accepted yet
     SERVING = "serving"
-    ACCEPTING = "accepting"  # SIGTERM was taken: all is served, and new connections too
-    DRAINING = "draining"  # nothing new is accepted; what was taken is being answered
-    CLOSING = "closing"  # all is answered, or the time has run out
+    ACCEPTING = "accepting"  # shutdown was requested; requests and new connections are still served
+    DRAINING = "draining"  # nothing new is accepted; accepted requests are being answered
+    CLOSING = "closing"  # everything is answered, or the grace period has run out
     ENDED = "ended"
 
 
-class Order(Enum):
-    """What the caller is to do, in the order given."""
+class ShutdownStep(Enum):
+    """What the caller is to do next; the values are logged where a step fails."""
 
-    CLOSE_FILES = "close_files"  # the file front: its commands may take longer than the listener's requests
+    CLOSE_FILE_SERVICE = "close_files"  # earlier, as its commands may take longer than HTTP requests
     STOP_ACCEPTING = "stop_accepting"
-    ABANDON = "abandon"  # time ran out with something open: say so
-    RELEASE = "release"  # box connections, discovery, marks; then ``released``
+    REPORT_UNANSWERED = "abandon"  # the grace period ran out with something open
+    RELEASE_RESOURCES = "release"  # backend connections, discovery, markers; then ``finish``
 
 
-class Status(Enum):
-    """Exit statuses of the process."""
+class ExitStatus(Enum):
+    """Exit statuses of the process (``docs/exits.md``)."""
 
-    LEFT = 0  # SIGTERM or SIGINT was taken and carried out
-    FAULT = 1  # an exception that nothing foresaw while the process served: never expected
-    START = 2  # a fault at the start; one line names the key
+    STOPPED = 0  # a graceful shutdown was requested and carried out
+    FAULT = 1  # an unforeseen exception while the process served; never expected
+    START_FAILED = 2  # one line on standard error names the key
 
 
 @dataclass(slots=True, frozen=True)
-class Notice:
-    """When what has to happen, in seconds after SIGTERM."""
+class ShutdownDeadlines:
+    """The deadlines of a graceful shutdown, in seconds after SIGTERM."""
 
-    files: float  # the file front stops accepting
-    accept: float  # the listener does
-    last: float  # everything is answered, or never will be
+    file_service_closes: float  # the file service stops accepting
+    accepting_ends: float  # the HTTP listener stops accepting
+    answers_due: float  # every accepted request is answered, or never will be
 
     @classmethod
-    def of(cls, notice: float, aims: Sequence[float]) -> Notice:
-        """``notice``: seconds from SIGTERM to SIGKILL. ``aims``: of the classes, in seconds. Accepting goes
-        on for as long as the quickest class can still be answered, as clients could come back by no other;
-        what takes longer has its deadline cut to ``last``, and is refused at once where it cannot meet it.
+    def from_grace_period(cls, grace_period: float, latency_objectives: Sequence[float]) -> ShutdownDeadlines:
+        """Derive the deadlines from the seconds between SIGTERM and SIGKILL.
+
+        Connections are accepted for as long as the class with the shortest latency objective (seconds) can
+        still be answered, as clients may have no other front to go to. Slower requests have their deadline
+        cut to ``answers_due``, and are rejected at once where they cannot meet it.
         """
-        last = max(LINGER, notice - EXIT)
-        return cls(LINGER, max(LINGER, last - ANSWERS * min(aims, default=0.0)), last)
+        answers_due = max(MIN_ACCEPTING_TIME, grace_period - EXIT_MARGIN)
+        last_request = ATTEMPTS_FOR_LAST_REQUEST * min(latency_objectives, default=0.0)
+        return cls(
+            file_service_closes=MIN_ACCEPTING_TIME,
+            accepting_ends=max(MIN_ACCEPTING_TIME, answers_due - last_request),
+            answers_due=answers_due,
+        )
 
 
 class Lifecycle:
-    """The one who knows whether the process starts, serves, leaves or is over, and with which status."""
-
-    def __init__(self, notice: Notice) -> None:
-        self.notice, self.stage, self.status = notice, Stage.STARTING, Status.START
-        self.asked_at = math.inf
-        self.files_told = False
-
-    def serves(self) -> None:
-        """The start is over. A SIGTERM that came amid it counts from when it came."""
-        if self.stage is Stage.STARTING:
-            self.stage, self.status = Stage.SERVING, Status.FAULT
-            if self.asked_at < math.inf:
-                self.stage = Stage.ACCEPTING
-
-    def asked(self, now: float) -> bool:
-        """SIGTERM or SIGINT; whether it is the first. A further one neither hastens nor delays anything."""
-        if self.asked_at < math.inf:
+    """The one owner of the stage of the process and of its exit status. Times are seconds of one clock."""
+
+    def __init__(self, deadlines: ShutdownDeadlines) -> None:
+        self.deadlines = deadlines
+        self.stage = Stage.STARTING
+        self.status = ExitStatus.START_FAILED  # if the process ended now
+        self.shutdown_requested_at: float | None = None
+        self.file_service_closed = False
+
+    def start_serving(self) -> None:
+        """The start has succeeded. A signal that came before counts from when it came."""
+        if self.stage is not Stage.STARTING:
+            return
+        self.stage = Stage.SERVING if self.shutdown_requested_at is None else Stage.ACCEPTING
+        self.status = ExitStatus.FAULT
+
+    def request_shutdown(self, now: float) -> bool:
+        """SIGTERM or SIGINT came; return whether it is the first. Further ones change nothing."""
+        if self.shutdown_requested_at is not None:
             return False
-        self.asked_at = now
+        self.shutdown_requested_at = now
         if self.stage is Stage.SERVING:
             self.stage = Stage.ACCEPTING
         return True
 
-    def retime(self, notice: Notice) -> None:
-        """Settings have changed, and with them the notice; a leaving that has begun keeps its own."""
-        if self.asked_at == math.inf:
-            self.notice = notice
-
-    def last_answer(self) -> float:
-        """By when each answer is due, whatever its own deadline; infinite while nobody asked to leave."""
-        return self.asked_at + self.notice.last
-
-    def step(self, now: float, connections: int, files: int) -> list[Order]:
-        """What is due by now, with so many client connections and file sessions open."""
-        orders: list[Order] = []
-        left = now - self.asked_at
-        if self.stage is Stage.ACCEPTING and left >= self.notice.files and not self.files_told:
-            self.files_told = True
-            orders.append(Order.CLOSE_FILES)
-        if self.stage is Stage.ACCEPTING and left >= self.notice.accept:
+    def set_deadlines(self, deadlines: ShutdownDeadlines) -> None:
+        """Use other deadlines after a reload; a shutdown that has begun keeps its own."""
+        if self.shutdown_requested_at is None:
+            self.deadlines = deadlines
+
+    def answers_due_at(self) -> float:
+        """Return when each answer is due, whatever its own deadline; infinite before a shutdown."""
+        if self.shutdown_requested_at is None:
+            return math.inf
+        return self.shutdown_requested_at + self.deadlines.answers_due
+
+    def step(self, now: float, connections: int, files: int) -> list[ShutdownStep]:
+        """Return the steps that are due, each once; the counts are those still open."""
+        if self.shutdown_requested_at is None:
+            return []
+        elapsed = now - self.shutdown_requested_at
+        if self.stage is Stage.ACCEPTING:
+            return self._step_accepting(elapsed)
+        if self.stage is Stage.DRAINING:
+            return self._step_draining(elapsed, connections + files)
+        return []
+
+    def _step_accepting(self, elapsed: float) -> list[ShutdownStep]:
+        steps = []
+        if elapsed >= self.deadlines.file_service_closes and not self.file_service_closed:
+            self.file_service_closed = True
+            steps.append(ShutdownStep.CLOSE_FILE_SERVICE)
+        if elapsed >= self.deadlines.accepting_ends:
             self.stage = Stage.DRAINING
-            orders.append(Order.STOP_ACCEPTING)
-        elif self.stage is Stage.DRAINING and (left >= self.notice.last or not connections + files):
-            if connections + files:
-                orders.append(Order.ABANDON)
-            self.stage = Stage.CLOSING
-            orders.append(Order.RELEASE)
-        return orders
-
-    def next_at(self) -> float:
-        """When a step is due even if nothing ends; infinite while no time decides."""
-        match self.stage:
-            case Stage.ACCEPTING if not self.files_told:
-                return self.asked_at + min(self.notice.files, self.notice.accept)
-            case Stage.ACCEPTING:
-                return self.asked_at + self.notice.accept
-            case Stage.DRAINING:
-                return self.asked_at + self.notice.last
-        return math.inf
-
-    def released(self) -> None:
-        """Everything that was held is given back; the process may exit, with ``status``."""
+            steps.append(ShutdownStep.STOP_ACCEPTING)
+        return steps
+
+    def _step_draining(self, elapsed: float, open_count: int) -> list[ShutdownStep]:
+        if open_count and elapsed < self.deadlines.answers_due:
+            return []
+        self.stage = Stage.CLOSING
+        if open_count:
+            return [ShutdownStep.REPORT_UNANSWERED, ShutdownStep.RELEASE_RESOURCES]
+        return [ShutdownStep.RELEASE_RESOURCES]
+
+    def next_step_at(self) -> float:
+        """Return when a step is due even if nothing is closed by then; infinite while no time decides."""
+        if self.shutdown_requested_at is None:
+            return math.inf
+        if self.stage is Stage.DRAINING:
+            return self.answers_due_at()
+        if self.stage is not Stage.ACCEPTING:
+            return math.inf
+        deadlines = self.deadlines
+        if self.file_service_closed:
+            return self.shutdown_requested_at + deadlines.accepting_ends
+        return self.shutdown_requested_at + min(deadlines.file_service_closes, deadlines.accepting_ends)
+
+    def finish(self) -> None:
+        """Everything is released; the process may exit with ``status``."""
         if self.stage is Stage.CLOSING:
-            self.stage, self.status = Stage.ENDED, Status.LEFT
+            self.stage = Stage.ENDED
+            self.status = ExitStatus.STOPPED
--- a/cleatyoke/process/logs.py
+++ b/cleatyoke/process/logs.py
@@ -1,4 +1,4 @@
-"""The form of the log, the same for every process: one line an event, ``key=value``, on standard error."""
+"""The format of the log, the same for every process: one line an event, ``key=value``, on standard error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def configure_logging() -> None:
-    """Once, before the first line."""
+    """Set the format, once, before the first line."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/cleatyoke/process/metrics.py
+++ b/cleatyoke/process/metrics.py
@@ -1,46 +1,58 @@
-"""The front's one set of counters: ``show-stat``, the log and an exporter read these. No input or output."""
+"""The counters of one front, read by ``show-stat``, the log and the Prometheus exporter. No I/O."""
 
 from __future__ import annotations
 
 from collections import defaultdict
+from typing import NamedTuple
 
 OUTCOMES = ("success", "busy", "failure")
 
 
+class NodeCounts(NamedTuple):
+    """How many nodes are listed, and how many of these receive nothing."""
+
+    listed: int
+    down: int
+
+
 def outcome_of(status: int) -> str:
-    """How the platform counts an answer: served, refused (trying again is harmless), or failed."""
+    """Return the outcome of an HTTP status: success, busy (rejected; a retry is harmless) or failure."""
     if status == 200:
         return "success"
     return "busy" if status in (429, 503) else "failure"
 
 
 class Metrics:
-    """Counted from the start of the process. Written on the loop; read from any thread, as a copy."""
+    """Counted since the start of the process. Written on the event loop; read as a copy from any thread."""
 
     def __init__(self) -> None:
-        self.ended: dict[str, defaultdict[str, int]] = {name: defaultdict(int) for name in OUTCOMES}
-        self.backend_calls = 0  # attempts whose last byte left for a box
-        self.inflight = 0  # requests taken and not yet answered
-        self.reconfig_ok = 0
-        self.reconfig_failed = 0
-        self.faults = 0  # exceptions that nothing foresaw; in the log only
-
-    def answered(self, class_name: str, status: int) -> None:
-        self.ended[outcome_of(status)][class_name] += 1
-
-    def lines(self, classes: list[str], listed: int, down: int) -> list[str]:
-        """``front.NAME=VALUE``, each class named under each outcome, those it had before included."""
-        out = []
+        self.answers: dict[str, defaultdict[str, int]] = {name: defaultdict(int) for name in OUTCOMES}
+        self.backend_calls = 0  # attempts whose last byte was sent to a backend
+        self.in_flight = 0  # accepted requests that are not answered yet
+        self.reloads_applied = 0
+        self.reloads_rejected = 0
+        self.faults = 0  # unforeseen exceptions; not part of ``show-stat``
+
+    def count_answer(self, class_name: str, status: int) -> None:
+        """Count one answer with this HTTP status."""
+        self.answers[outcome_of(status)][class_name] += 1
+
+    def stat_lines(self, classes: list[str], listed: int, down: int) -> list[str]:
+        """Return ``front.NAME=VALUE`` lines, in the words of the operations page's ``show-stat``.
+
+        Each class stands under each outcome, classes that a reload has removed included.
+        """
+        lines = []
         for outcome in OUTCOMES:
-            counts = dict(self.ended[outcome])  # one step: the loop may add a class meanwhile
+            counts = dict(self.answers[outcome])  # one step: the loop may add a class meanwhile
             for name in dict.fromkeys([*classes, *counts]):
-                out.append(f"front.{outcome}.{name}={counts.get(name, 0)}")
-        out += [
+                lines.append(f"front.{outcome}.{name}={counts.get(name, 0)}")
+        lines += [
             f"front.backend_calls={self.backend_calls}",
-            f"front.inflight={max(0, self.inflight)}",
+            f"front.inflight={max(0, self.in_flight)}",
             f"front.hosts_listed={listed}",
             f"front.hosts_down={down}",
-            f"front.reconfig_ok={self.reconfig_ok}",
-            f"front.reconfig_failed={self.reconfig_failed}",
+            f"front.reconfig_ok={self.reloads_applied}",
+            f"front.reconfig_failed={self.reloads_rejected}",
         ]
-        return out
+        return lines
--- /dev/null
+++ b/cleatyoke/process/operator_commands.py
@@ -0,0 +1,50 @@
+"""What the operators' commands do in a daemon."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from cleatyoke.admin.control import ControlCommands, FrontsHolding
+
+if TYPE_CHECKING:
+    from cleatyoke.process.daemon import Daemon
+
+HOLD_REPORT_TIMEOUT = 0.5  # seconds that a command waits for the other fronts to have the hold
+
+
+def operator_commands(daemon: Daemon) -> ControlCommands:
+    """Return the commands of a daemon, which may still be starting."""
+    server = daemon.http_server
+    commands = ControlCommands(
+        is_ready=lambda: bool(server.listener) and not server.closing and server.drain.is_up(server.ready()),
+        show_stat=lambda: _stat_lines(daemon),
+        disable=daemon.hold_file.disable,
+        enable=daemon.hold_file.enable,
+        drain=server.drained,
+        resume=server.drain.resume,
+    )
+    if daemon.config.fleet:
+        commands.fronts_holding = lambda node, hold: _fronts_holding(daemon, node, hold)
+        commands.show_fleet = lambda: daemon.fleet.lines() if daemon.fleet else []
+        commands.show_replica = lambda: daemon.fleet.replica_lines() if daemon.fleet else []
+        commands.show_recovery = lambda: daemon.staged_start.lines() if daemon.staged_start else []
+    if daemon.config.distribution:
+        commands.show_config = lambda: _config_lines(daemon)
+    return commands
+
+
+def _stat_lines(daemon: Daemon) -> list[str]:
+    counts = daemon.node_counts()
+    lines = daemon.metrics.stat_lines(list(daemon.config.classes), counts.listed, counts.down)
+    fleet_lines = daemon.fleet.figures() if daemon.fleet else []
+    return lines + fleet_lines + _config_lines(daemon)
+
+
+def _config_lines(daemon: Daemon) -> list[str]:
+    return daemon.subscription.lines() if daemon.subscription else []
+
+
+def _fronts_holding(daemon: Daemon, node: str, hold: bool) -> FrontsHolding:
+    if daemon.fleet:
+        return FrontsHolding(*daemon.fleet.held_by(node, hold, HOLD_REPORT_TIMEOUT))
+    return FrontsHolding(1, daemon.config.settings.front_count)  # the fleet view is still starting
--- /dev/null
+++ b/cleatyoke/process/optional_parts.py
@@ -0,0 +1,101 @@
+"""Parts of the daemon that a configuration may enable, each imported only where it is on.
+
+Imports cost start time, which the clients of a restarted front pay; some of the parts are optional extras.
+A part that cannot be imported or bound is a ``ConfigError`` that names its table.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import DistributionSettings, FleetSettings
+
+if TYPE_CHECKING:
+    from cleatyoke.admin.prometheus import MetricsListener
+    from cleatyoke.distribution.network import Subscription
+    from cleatyoke.http.load_probes import LoadProbeRunner
+    from cleatyoke.process.daemon import Daemon
+
+
+def start_load_probes(daemon: Daemon) -> LoadProbeRunner:
+    """Start to probe nodes for their load, where they report it to probes only."""
+    from cleatyoke.http.load_probes import LoadProbeRunner
+    from cleatyoke.scheduling.load_probes import LoadProber
+
+    config = daemon.config
+    settings = config.settings
+    prober = LoadProber(settings.front_count, settings.safety.slow_start_duration, config.seed)
+    probes = LoadProbeRunner(daemon.core, daemon.backends, prober, config.connect_timeout, daemon.faults)
+    probes.start()
+    return probes
+
+
+def subscribe(daemon: Daemon, relays: DistributionSettings) -> Subscription:
+    """Start to receive distributed configuration. Serving waits for none of it."""
+    try:
+        from cleatyoke.distribution.network import Subscription
+    except ImportError as error:
+        msg = f"distribution: {error}"
+        raise ConfigError(msg) from error
+    config = daemon.config
+    subscription = Subscription(
+        relays,
+        config.name,
+        config.seed,
+        daemon.faults,
+        daemon.reloader.apply_distributed,
+        daemon.discovery.take,
+    )
+    subscription.start()
+    return subscription
+
+
+def open_metrics_listener(daemon: Daemon, address: Address) -> MetricsListener:
+    """Start to serve the metrics to Prometheus."""
+    try:
+        from cleatyoke.admin.prometheus import MetricsListener
+
+        return MetricsListener(
+            address,
+            daemon.metrics,
+            daemon.node_counts,
+            lambda: daemon.subscription.gauges() if daemon.subscription else {},
+        )
+    except (ImportError, OSError) as error:
+        msg = f"metrics: {error}"
+        raise ConfigError(msg) from error
+
+
+async def start_fleet_view(daemon: Daemon, peers: FleetSettings) -> None:
+    """Go through what a front of a fleet waits for before it accepts clients, each within a bound.
+
+    These are its own durable state, the view of its peers, and the endpoint list
+    (``coordination.staged_start``). Sets the daemon's ``staged_start`` at once, and ``fleet`` once the view
+    has started, so that operators can ask how far the start has come.
+    """
+    try:
+        from cleatyoke.fleet.startup import StagedStartRunner
+        from cleatyoke.fleet.view import FleetView
+
+        config = daemon.config
+        nodes = daemon.directory.boxes
+        staged_start = StagedStartRunner()
+        daemon.staged_start = staged_start
+        state = await staged_start.recall(peers, config.name, daemon.faults)
+        boot = state.last.boot if state else 0
+        view = FleetView(peers, config.name, config.settings.front_count, config.seed, daemon.faults, boot)
+        if state:
+            state.serve(view)
+        view.share(daemon.hold_file, config.state_dir)
+        if peers.leases_rate_limits or peers.leases_slow_start:
+            view.lend(daemon.core, lambda node: nodes[node].name if node in nodes else None)
+        view.say(config.settings)
+        await view.start()
+    except (ImportError, OSError) as error:
+        msg = f"fleet: {error}"
+        raise ConfigError(msg) from error
+    daemon.fleet = view
+    await staged_start.meet(view)
+    await staged_start.hear_of_boxes(bool(nodes), daemon.discovery.heard)
--- /dev/null
+++ b/cleatyoke/process/reloading.py
@@ -0,0 +1,69 @@
+"""Reload of the configuration while the process runs: by SIGHUP, or when distributed settings arrive."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import structlog
+
+from cleatyoke.config.deployment import Config, ReloadResult, read_config
+from cleatyoke.process.metrics import Metrics
+
+if TYPE_CHECKING:
+    from cleatyoke.distribution.contents import DistributedSettings
+
+log = structlog.get_logger()
+
+
+class Reloader:
+    """Reads the configuration again and applies it as a whole, or not at all where it has any fault.
+
+    ``on_reloaded`` is called after each reload that was applied. Distributed settings win over the file's,
+    also at every later SIGHUP.
+    """
+
+    def __init__(
+        self, config: Config, fronts: Path, metrics: Metrics, on_reloaded: Callable[[ReloadResult], None]
+    ) -> None:
+        self.config = config
+        self.fronts = fronts
+        self.metrics = metrics
+        self.on_reloaded = on_reloaded
+        self._settings_in_force: Callable[[Any], Any] = _keep_own  # given the file's settings
+
+    def reload(self) -> None:
+        """Read the file again, at SIGHUP."""
+        if reason := self._apply(self._settings_in_force):
+            log.error("reload_failed", why=reason)
+
+    def apply_distributed(self, settings: DistributedSettings) -> str:
+        """Apply distributed settings; return why they were rejected, or an empty text."""
+        reason = self._apply(settings.merged)
+        if not reason:
+            self._settings_in_force = settings.merged
+        return reason
+
+    def _apply(self, settings: Callable[[Any], Any]) -> str:
+        try:
+            result = self.config.reload(read_config(os.environ, self.fronts, settings))
+        except Exception as error:  # noqa: BLE001  the file can contain anything, and must not end the front
+            self.metrics.reloads_rejected += 1
+            return str(error) or type(error).__name__
+        self.metrics.reloads_applied += 1
+        log.info(
+            "reloaded",
+            discovery=self.config.discovery,
+            moved=result.discovery_moved,
+            next_start=result.needs_restart,
+            retuned=result.retired_classes is not None,
+            classes=list(self.config.classes),
+        )
+        self.on_reloaded(result)
+        return ""
+
+
+def _keep_own(settings: Any) -> Any:
+    return settings
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -1160,9 +1160,9 @@
         ("retired", 200, 1),
     ):
         for _ in range(times):
-            figures.answered(name, status)
-    figures.backend_calls, figures.inflight = 17, 4
-    figures.reconfig_ok, figures.reconfig_failed, figures.faults = 7, 8, 9
+            figures.count_answer(name, status)
+    figures.backend_calls, figures.in_flight = 17, 4
+    figures.reloads_applied, figures.reloads_rejected, figures.faults = 7, 8, 9
     return figures
 
 
@@ -1200,21 +1200,21 @@
     figures = counted_figures()
 
     def stat() -> list[str]:
-        lines = figures.lines(["tile-read", "record-write"], 6, 2)
+        lines = figures.stat_lines(["tile-read", "record-write"], 6, 2)
         return [*lines, *(view.figures() if value["fleet"] else []), *config_status().lines(100.0)]
 
     commands = ControlCommands(
-        ready=lambda: value.get("ready", True),
-        figures=stat,
+        is_ready=lambda: value.get("ready", True),
+        show_stat=stat,
         disable=lambda name: name == "s-a",
         enable=lambda name: name == "s-a",
         drain=lambda: None,
         resume=lambda: None,
-        fleet=view.lines if value["fleet"] else None,
-        shared=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
-        replica=view.replica_lines if value["fleet"] else None,
-        recovery=(lambda: recovery_lines(value)) if value["fleet"] else None,
-        config=(lambda: config_status().lines(100.0)) if value["fleet"] else None,
+        show_fleet=view.lines if value["fleet"] else None,
+        fronts_holding=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
+        show_replica=view.replica_lines if value["fleet"] else None,
+        show_recovery=(lambda: recovery_lines(value)) if value["fleet"] else None,
+        show_config=(lambda: config_status().lines(100.0)) if value["fleet"] else None,
     )
     listener = ControlListener(Address(LOCAL, 0), commands)
     listener.start()
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -44,8 +44,7 @@
 )
 from cleatyoke.http.body_limits import BodyMemory, patience
 from cleatyoke.membership.wire import WireError
-from cleatyoke.process.lifecycle import Lifecycle, Notice, Order, Stage
-from cleatyoke.process.lifecycle import Status as ExitStatus
+from cleatyoke.process.lifecycle import ExitStatus, Lifecycle, ShutdownDeadlines, ShutdownStep, Stage
 from cleatyoke.scheduling.events import Endpoint, EndpointState
 from cleatyoke.scheduling.settings import (
     Idempotency,
@@ -503,36 +502,36 @@
     Stage.ENDED: "ended",
 }
 ORDERS = {
-    Order.CLOSE_FILES: "end file front",
-    Order.STOP_ACCEPTING: "end accepting",
-    Order.ABANDON: "give up open ones",
-    Order.RELEASE: "give back",
+    ShutdownStep.CLOSE_FILE_SERVICE: "end file front",
+    ShutdownStep.STOP_ACCEPTING: "end accepting",
+    ShutdownStep.REPORT_UNANSWERED: "give up open ones",
+    ShutdownStep.RELEASE_RESOURCES: "give back",
 }
-EXITS = {ExitStatus.LEFT: 0, ExitStatus.FAULT: 1, ExitStatus.START: 2}
+EXITS = {ExitStatus.STOPPED: 0, ExitStatus.FAULT: 1, ExitStatus.START_FAILED: 2}
 
 
-def make_notice(seconds: float, aims: Sequence[float]) -> Notice:
+def make_notice(seconds: float, aims: Sequence[float]) -> ShutdownDeadlines:
     """The times after SIGTERM."""
-    return Notice.of(seconds, aims)
+    return ShutdownDeadlines.from_grace_period(seconds, aims)
 
 
 class PlainLife:
     """The life of the process."""
 
     def __init__(self, seconds: float, aims: Sequence[float]) -> None:
-        self.life = Lifecycle(notice=make_notice(seconds, aims))
+        self.life = Lifecycle(deadlines=make_notice(seconds, aims))
 
     def serves(self) -> None:
         """The start is over."""
-        self.life.serves()
+        self.life.start_serving()
 
     def signal(self, now: float) -> bool:
         """SIGTERM came."""
-        return self.life.asked(now)
+        return self.life.request_shutdown(now)
 
     def retime(self, seconds: float, aims: Sequence[float]) -> None:
         """Settings changed."""
-        self.life.retime(make_notice(seconds, aims))
+        self.life.set_deadlines(make_notice(seconds, aims))
 
     def step(self, now: float, connections: int, files: int) -> Neutral:
         """What is to be done."""
@@ -540,17 +539,23 @@
 
     def released(self) -> None:
         """Everything is given back."""
-        self.life.released()
+        self.life.finish()
 
     def next_at(self) -> float:
         """When a step is due."""
-        return self.life.next_at()
+        return self.life.next_step_at()
 
     def state(self) -> Neutral:
         """Stage, exit status, and times."""
-        life, notice = self.life, self.life.notice
+        life, notice = self.life, self.life.deadlines
         assert int(life.status.value) == EXITS[life.status]
-        times = [life.next_at(), life.last_answer(), notice.files, notice.accept, notice.last]
+        times = [
+            life.next_step_at(),
+            life.answers_due_at(),
+            notice.file_service_closes,
+            notice.accepting_ends,
+            notice.answers_due,
+        ]
         return [STAGES[life.stage], EXITS[life.status], *(number(value) for value in times)]
 
 
@@ -819,7 +824,7 @@
 
     def adopt(self, text: str, now: float) -> Neutral:
         """Take the holds of another process."""
-        taken, freed = self.holds.adopt(text, now)
+        taken, freed = self.holds.merge(text, now)
         return [taken, freed]
 
     def encode(self) -> str:
@@ -828,7 +833,10 @@
 
     def state(self, names: Sequence[str], started: float) -> Neutral:
         """Of each name: whether it is held, and when it counts as started."""
-        return [[self.holds.holds(name), number(self.holds.started(name, started))] for name in names]
+        return [
+            [self.holds.is_held(name), number(self.holds.effective_start(name, started))]
+            for name in names
+        ]
 
     def drain(self, begins: bool) -> Neutral:
         """Drain or resume; what is said when ready and when not."""
@@ -836,7 +844,7 @@
             self.front.start()
         else:
             self.front.resume()
-        return [self.front.says_up(True), self.front.says_up(False)]
+        return [self.front.is_up(True), self.front.is_up(False)]
 
 
 # Bodies
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -23,7 +23,8 @@
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.membership.wire import MemberId
 from cleatyoke.fleet.view import COPIES
-from cleatyoke.process.handover import HoldFile, SiblingProcesses
+from cleatyoke.process.hold_file import HoldFile
+from cleatyoke.process.sibling_processes import SiblingProcesses
 from tests import host
 
 CHECK_MODULE = "cleatyoke.durability"
@@ -117,21 +118,21 @@
             directory.holds.disable(name, known=True)
         for name, when in released.items():
             directory.holds.enable(name, known=True, now=when)
-        file.write()
+        file._write()
 
     return with_hold_file(folder, act)
 
 
 def read_hold_file(folder: Path) -> Neutral:
     """What another process of the front takes from the file."""
-    return with_hold_file(folder, lambda file, directory: file.look())
+    return with_hold_file(folder, lambda file, directory: file.poll())
 
 
 def hold_again(folder: Path, name: str) -> Neutral:
     """An operator holds a node that the file holds already: all is written anew, under the lock."""
 
     def act(file: HoldFile, directory: Directory) -> None:
-        file.look()
+        file.poll()
         file.disable(name)
 
     return with_hold_file(folder, act)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -124,8 +124,8 @@
                 await reader.readexactly(len(self.body))
         writer.close()
         figures = self.boxes.figures
-        await self.until(lambda: figures.ended["failure"]["tile-read"] == 1)
-        assert (figures.ended["success"]["tile-read"], self.box.counts["t"]) == (0, 1)
+        await self.until(lambda: figures.answers["failure"]["tile-read"] == 1)
+        assert (figures.answers["success"]["tile-read"], self.box.counts["t"]) == (0, 1)
         await self.until(lambda: self.boxes.open == 0)
 
     async def test_a_client_that_leaves_or_reads_slowly_holds_no_more_than_a_bound(self) -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -19,14 +19,15 @@
 
 import pytest
 
-from cleatyoke import __main__ as daemon_module
-from cleatyoke.__main__ import Daemon
 from cleatyoke.config.deployment import read_config
+from cleatyoke.config.fronts_file import FRONTS_FILE
 from cleatyoke.core import AttemptResult
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.http.backends import BackendPools
 from cleatyoke.http.server import HttpServer
-from cleatyoke.process.lifecycle import Status
+from cleatyoke.process import reloading
+from cleatyoke.process.daemon import Daemon
+from cleatyoke.process.lifecycle import ExitStatus
 from cleatyoke.scheduling.events import AttemptOutcome
 from tests.test_http_front import HEADERS, ROOT, TARGET, DaemonCase, FrontCase, ask, entry
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer, instance, listed
@@ -227,12 +228,12 @@
         )
         variables = {"RELAY_CONFIG": str(path), "TMPDIR": self.folder}
         self.enterContext(mock.patch.dict(os.environ, variables))
-        self.daemon = Daemon(read_config(os.environ), daemon_module.FRONTS_FILE)
+        self.daemon = Daemon(read_config(os.environ), FRONTS_FILE)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             self.addCleanup(asyncio.get_running_loop().remove_signal_handler, number)
 
     async def served(self) -> None:
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.daemon.front.address.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.daemon.http_server.address.port)
         writer.write(head("t"))
         async with asyncio.timeout(5):
             assert b" 200 " in await reader.readline()
@@ -247,8 +248,8 @@
         await self.served()
         async with asyncio.timeout(10):
             await serving
-        assert self.daemon.life.status is Status.LEFT
-        assert self.daemon.figures.faults == 0
+        assert self.daemon.lifecycle.status is ExitStatus.STOPPED
+        assert self.daemon.metrics.faults == 0
         return loop.time() - begun
 
     async def test_amid_the_start(self) -> None:
@@ -261,7 +262,7 @@
         with mock.patch.object(HttpServer, "listen", crossing):
             await self.daemon.start()
         await asyncio.sleep(0.01)
-        assert self.daemon.signalled.is_set()
+        assert self.daemon.shutdown_requested.is_set()
         assert await self.leave() > 0.7
 
     async def test_amid_a_reload(self) -> None:
@@ -271,21 +272,21 @@
             os.kill(os.getpid(), signal.SIGTERM)
             return read_config(*words)
 
-        with mock.patch.object(daemon_module, "read_config", crossing):
-            self.daemon.reload()
-        assert self.daemon.figures.reconfig_ok == 1
+        with mock.patch.object(reloading, "read_config", crossing):
+            self.daemon.reloader.reload()
+        assert self.daemon.metrics.reloads_applied == 1
         assert await self.leave() > 0.7
 
     async def test_amid_a_leaving_and_with_a_reload_amid_it(self) -> None:
         await self.daemon.start()
-        self.daemon.asked()
-        due = self.daemon.life.last_answer()
+        self.daemon.request_shutdown()
+        due = self.daemon.lifecycle.answers_due_at()
         loop = asyncio.get_running_loop()
         for place, number in enumerate((signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)):
             loop.call_later(0.1 * place, os.kill, os.getpid(), number)
         assert await self.leave() > 0.7
-        assert self.daemon.life.last_answer() == due, "the first one counts"
-        assert self.daemon.figures.reconfig_ok == 1
+        assert self.daemon.lifecycle.answers_due_at() == due, "the first one counts"
+        assert self.daemon.metrics.reloads_applied == 1
 
 
 class BoxStories(FrontCase):
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from cleatyoke.admin.control import ControlCommands, answer
+from cleatyoke.admin.control import ControlCommands, answer_command
 from cleatyoke.config.addresses import Address
 from cleatyoke.config.deployment import read_config
 from cleatyoke.config.errors import ConfigError
@@ -403,9 +403,9 @@
 
 def test_show_config_without_a_distribution_is_a_failure() -> None:
     commands = ControlCommands(
-        ready=bool, figures=list, disable=bool, enable=bool, drain=lambda: None, resume=lambda: None
+        is_ready=bool, show_stat=list, disable=bool, enable=bool, drain=lambda: None, resume=lambda: None
     )
-    assert answer(commands, "show-config")[0].startswith("FAILURE")
+    assert answer_command(commands, "show-config")[0].startswith("FAILURE")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_exits.py
+++ b/tests/test_exits.py
@@ -16,15 +16,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatyoke import __main__ as daemon
 from cleatyoke.config.addresses import Address
 from cleatyoke.config.deployment import read_config
 from cleatyoke.config.errors import ConfigError
 from cleatyoke.core import AttemptResult, Core, Failed, MayBegin, PendingRequest, Rejected
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.discovery.watch import Discovery
-from cleatyoke.process.faults import Faults, Watchdog
-from cleatyoke.process.lifecycle import Lifecycle, Notice, Order, Stage, Status
+from cleatyoke.process import daemon
+from cleatyoke.process.faults import Faults, PeriodicCall
+from cleatyoke.process.lifecycle import ExitStatus, Lifecycle, ShutdownDeadlines, ShutdownStep, Stage
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.actions import CancelAttempt, FailRequest
 from cleatyoke.scheduling.events import (
@@ -42,9 +42,9 @@
 
 
 def leaving(now: float = 100.0, notice: float = 2.2) -> Lifecycle:
-    life = Lifecycle(Notice.of(notice, [0.2, 0.2]))
-    life.serves()
-    life.asked(now)
+    life = Lifecycle(ShutdownDeadlines.from_grace_period(notice, [0.2, 0.2]))
+    life.start_serving()
+    life.request_shutdown(now)
     return life
 
 
@@ -52,37 +52,37 @@
     def test_it_accepts_for_over_the_page_s_0_7_s_and_is_over_before_the_kill(self) -> None:
         life = leaving()
         assert life.step(100.74, 3, 0) == []
-        assert life.step(100.76, 3, 1) == [Order.CLOSE_FILES]
+        assert life.step(100.76, 3, 1) == [ShutdownStep.CLOSE_FILE_SERVICE]
         assert (life.step(100.8, 3, 1), life.stage) == ([], Stage.ACCEPTING)
-        self.assertAlmostEqual(life.next_at(), 101.65)
-        assert life.step(101.65, 3, 1) == [Order.STOP_ACCEPTING]
+        self.assertAlmostEqual(life.next_step_at(), 101.65)
+        assert life.step(101.65, 3, 1) == [ShutdownStep.STOP_ACCEPTING]
         assert life.step(101.8, 0, 1) == []  # a file command is still at work
-        assert life.step(102.06, 2, 0) == [Order.ABANDON, Order.RELEASE]
-        life.released()
-        assert (life.stage, life.status) == (Stage.ENDED, Status.LEFT)
+        assert life.step(102.06, 2, 0) == [ShutdownStep.REPORT_UNANSWERED, ShutdownStep.RELEASE_RESOURCES]
+        life.finish()
+        assert (life.stage, life.status) == (Stage.ENDED, ExitStatus.STOPPED)
 
     def test_the_quickest_class_says_how_long_it_accepts(self) -> None:
         """One class that may take long must not shut the door on the others for as long."""
-        notice = Notice.of(2.74, [0.11, 0.21, 0.61])
-        self.assertAlmostEqual(notice.accept, 2.74 - 0.15 - 2 * 0.11)
-        assert Notice.of(0.8, [0.5, 5.0]).accept == 0.75
+        notice = ShutdownDeadlines.from_grace_period(2.74, [0.11, 0.21, 0.61])
+        self.assertAlmostEqual(notice.accepting_ends, 2.74 - 0.15 - 2 * 0.11)
+        assert ShutdownDeadlines.from_grace_period(0.8, [0.5, 5.0]).accepting_ends == 0.75
 
     def test_it_ends_with_the_last_answer_and_not_before_accepting_has_ended(self) -> None:
         life = leaving()
-        assert life.step(101.0, 0, 0) == [Order.CLOSE_FILES]
+        assert life.step(101.0, 0, 0) == [ShutdownStep.CLOSE_FILE_SERVICE]
         assert life.step(101.6, 0, 0) == []  # nothing is open, and new connections may still come
-        assert life.step(101.66, 0, 0) == [Order.STOP_ACCEPTING]
-        assert life.step(101.67, 0, 0) == [Order.RELEASE]
+        assert life.step(101.66, 0, 0) == [ShutdownStep.STOP_ACCEPTING]
+        assert life.step(101.67, 0, 0) == [ShutdownStep.RELEASE_RESOURCES]
 
     def test_a_second_signal_changes_nothing_and_one_amid_the_start_counts_from_when_it_came(self) -> None:
         life = leaving()
-        assert not life.asked(101.5)
-        self.assertAlmostEqual(life.last_answer(), 102.05)
-        early = Lifecycle(Notice.of(2.2, [0.2]))
-        assert early.asked(50.0)
-        assert (early.step(50.9, 0, 0), early.status) == ([], Status.START)
-        early.serves()
-        assert early.step(51.0, 0, 0) == [Order.CLOSE_FILES]
+        assert not life.request_shutdown(101.5)
+        self.assertAlmostEqual(life.answers_due_at(), 102.05)
+        early = Lifecycle(ShutdownDeadlines.from_grace_period(2.2, [0.2]))
+        assert early.request_shutdown(50.0)
+        assert (early.step(50.9, 0, 0), early.status) == ([], ExitStatus.START_FAILED)
+        early.start_serving()
+        assert early.step(51.0, 0, 0) == [ShutdownStep.CLOSE_FILE_SERVICE]
 
     @given(
         st.lists(st.tuples(st.floats(0.0, 1.0), st.integers(0, 2), st.integers(0, 1)), max_size=40),
@@ -92,24 +92,24 @@
     def test_whatever_comes_each_order_is_given_once_in_turn_and_all_by_the_last_moment(
         self, moments: list[tuple[float, int, int]], notice: float, aim: float
     ) -> None:
-        life = Lifecycle(Notice.of(notice, [aim]))
-        life.serves()
-        life.asked(0.0)
+        life = Lifecycle(ShutdownDeadlines.from_grace_period(notice, [aim]))
+        life.start_serving()
+        life.request_shutdown(0.0)
         now, orders = 0.0, []
         for wait, connections, files in [*moments, (notice + 1.0, 1, 1), (0.0, 1, 1), (0.0, 1, 1)]:
             now += wait
             given_now = life.step(now, connections, files)
-            if Order.STOP_ACCEPTING in given_now:
+            if ShutdownStep.STOP_ACCEPTING in given_now:
                 assert now >= 0.75
-            if Order.RELEASE in given_now:
-                assert now >= life.notice.last or not connections + files
+            if ShutdownStep.RELEASE_RESOURCES in given_now:
+                assert now >= life.deadlines.answers_due or not connections + files
             orders += given_now
             if life.stage is not Stage.CLOSING:
-                assert life.next_at() < float("inf")  # it never waits for what may not come
-        assert [one for one in orders if one is not Order.ABANDON] == [
-            Order.CLOSE_FILES,
-            Order.STOP_ACCEPTING,
-            Order.RELEASE,
+                assert life.next_step_at() < float("inf")  # it never waits for what may not come
+        assert [one for one in orders if one is not ShutdownStep.REPORT_UNANSWERED] == [
+            ShutdownStep.CLOSE_FILE_SERVICE,
+            ShutdownStep.STOP_ACCEPTING,
+            ShutdownStep.RELEASE_RESOURCES,
         ]
 
 
@@ -163,7 +163,7 @@
             if len(calls) == 1:
                 raise RuntimeError("once")
 
-        beat = Watchdog(Faults(figures), "test", 0.01, act)
+        beat = PeriodicCall(Faults(figures), "test", 0.01, act)
         beat.start()
         await asyncio.sleep(0.06)
         beat.stop()
@@ -172,7 +172,7 @@
 
     async def test_a_lost_task_and_a_callback_that_raises_are_counted_and_end_nothing(self) -> None:
         figures, loop = Metrics(), asyncio.get_running_loop()
-        Faults(figures).watch(loop)
+        Faults(figures).watch_loop(loop)
         loop.call_soon(lambda: [][0])
 
         async def dies() -> None:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -19,7 +19,7 @@
 
 import pytest
 
-from cleatyoke.admin.control import ControlCommands, answer
+from cleatyoke.admin.control import ControlCommands, answer_command
 from cleatyoke.config.addresses import read_address
 from cleatyoke.config.errors import ConfigError
 from cleatyoke.config.fronts_file import FleetSettings, read_fronts_file
@@ -242,7 +242,7 @@
         writer.write(b"\xff\xff\xff\xffgarbage")  # a stream of four gigabytes
         assert await reader.read() == b""
         writer.close()
-        assert one.faults.figures.faults == 0
+        assert one.faults.metrics.faults == 0
 
     async def test_what_comes_while_its_sockets_are_opened_is_no_fault(self) -> None:
         """A front that comes back is pinged at its old address before its listener is there."""
@@ -257,7 +257,7 @@
 
         with late, unittest.mock.patch("asyncio.start_server", slow):
             view = await self.start(1)
-        assert (view.faults.figures.faults, view.dropped["early"]) == (0, 1)
+        assert (view.faults.metrics.faults, view.dropped["early"]) == (0, 1)
 
     async def test_fronts_of_other_settings_are_told_of_and_each_keeps_to_its_own(self) -> None:
         ours, theirs = settings(front_count=3, seed=1), settings(front_count=4)
@@ -269,7 +269,7 @@
             while one.differ != ["n3"] or other.differ != ["n1", "n2"]:
                 await asyncio.sleep(0.02)
         assert one.replica_lines()[1].endswith("differ=n3")
-        assert [view.faults.figures.faults for view in self.views] == [0] * 3
+        assert [view.faults.metrics.faults for view in self.views] == [0] * 3
         other.say(ours)
         async with asyncio.timeout(5):
             while one.differ or other.differ:
@@ -301,7 +301,7 @@
         )
         assert subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode == 0
         off = ControlCommands(lambda: True, list, bool, bool, lambda: None, lambda: None)
-        assert answer(off, "show-fleet") == ["FAILURE no view of the fleet is kept"]
+        assert answer_command(off, "show-fleet") == ["FAILURE no view of the fleet is kept"]
 
     def test_each_key_is_checked_and_named(self) -> None:
         good = {"enabled": "true", "deployment": '"d"', "listen": '"127.0.0.1:7"', "seeds": "[]"}
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from cleatyoke.admin.control import ControlCommands, ControlListener, answer
+from cleatyoke.admin.control import ControlCommands, ControlListener, answer_command
 from cleatyoke.admin.maintenance import OperatorHolds
 from cleatyoke.admin.prometheus import MetricsListener
 from cleatyoke.config.addresses import Address
@@ -22,8 +22,8 @@
 from cleatyoke.http.backends import BackendPools
 from cleatyoke.http.server import HttpServer
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.handover import HoldFile
-from cleatyoke.process.metrics import Metrics
+from cleatyoke.process.hold_file import HoldFile
+from cleatyoke.process.metrics import Metrics, NodeCounts
 from cleatyoke.scheduling.events import EndpointState
 from tests.wire import HttpBox, config, instance, listed
 from tests.wire import answer as box_answer
@@ -44,22 +44,22 @@
         assert not holds.disable("s-x", known=False)
         assert holds.disable("s-a", known=True)
         assert holds.disable("s-a", known=True)
-        assert holds.holds("s-a")
+        assert holds.is_held("s-a")
         assert holds.enable("s-a", known=True, now=50.0)
-        assert not holds.holds("s-a")  # one call back for two calls
+        assert not holds.is_held("s-a")  # one call back for two calls
         assert not holds.enable("s-x", known=False, now=51.0)
-        assert holds.started("s-a", 0.0) == 50.0  # it comes back cold
+        assert holds.effective_start("s-a", 0.0) == 50.0  # it comes back cold
 
     def test_holds_written_by_another_process_are_taken_and_noise_changes_nothing(self) -> None:
         one, two = OperatorHolds(), OperatorHolds()
         one.disable("s-a", True)
         one.disable("s-b", True)
-        assert two.adopt(one.encode(), 10.0) == (["s-a", "s-b"], [])
+        assert two.merge(one.encode(), 10.0) == (["s-a", "s-b"], [])
         one.enable("s-a", True, 11.0)
-        assert two.adopt(one.encode(), 12.0) == ([], ["s-a"])
-        assert two.started("s-a", 0.0) == 12.0
-        assert two.adopt("{", 13.0) == ([], [])
-        assert two.holds("s-b")
+        assert two.merge(one.encode(), 12.0) == ([], ["s-a"])
+        assert two.effective_start("s-a", 0.0) == 12.0
+        assert two.merge("{", 13.0) == ([], [])
+        assert two.is_held("s-b")
 
 
 class DirectoryCase(unittest.TestCase):
@@ -82,8 +82,8 @@
     def test_each_class_is_named_under_each_outcome_and_refusals_are_busy(self) -> None:
         figures = Metrics()
         for status in (200, 200, 503, 429, 502, 400):
-            figures.answered("tile-read", status)
-        lines = figures.lines(["tile-read", "record-write"], 3, 1)
+            figures.count_answer("tile-read", status)
+        lines = figures.stat_lines(["tile-read", "record-write"], 3, 1)
         for line in (
             "front.success.tile-read=2",
             "front.busy.tile-read=2",
@@ -97,8 +97,8 @@
 def commands(**changes: object) -> ControlCommands:
     held: set[str] = set()
     base = {
-        "ready": lambda: True,
-        "figures": lambda: ["front.inflight=0"],
+        "is_ready": lambda: True,
+        "show_stat": lambda: ["front.inflight=0"],
         "disable": lambda name: name == "s-a" and not held.add(name),
         "enable": lambda name: name == "s-a",
         "drain": lambda: None,
@@ -110,14 +110,14 @@
 class CallsCase(unittest.TestCase):
     def test_each_call_has_its_answer(self) -> None:
         given = commands()
-        assert answer(given, "ready") == ["SUCCESS"]
-        assert answer(given, "show-stat\r") == ["front.inflight=0", "EOT"]
-        assert answer(given, "disable-server s-a") == ["SUCCESS"]
-        assert answer(given, "disable-server s-zz")[0].startswith("FAILURE")
-        assert answer(given, "disable-server")[0].startswith("FAILURE")
-        assert answer(given, "ready now")[0].startswith("FAILURE")
-        assert answer(given, "reboot")[0].startswith("FAILURE")
-        assert answer(commands(ready=lambda: False), "ready")[0][:7] == "FAILURE"
+        assert answer_command(given, "ready") == ["SUCCESS"]
+        assert answer_command(given, "show-stat\r") == ["front.inflight=0", "EOT"]
+        assert answer_command(given, "disable-server s-a") == ["SUCCESS"]
+        assert answer_command(given, "disable-server s-zz")[0].startswith("FAILURE")
+        assert answer_command(given, "disable-server")[0].startswith("FAILURE")
+        assert answer_command(given, "ready now")[0].startswith("FAILURE")
+        assert answer_command(given, "reboot")[0].startswith("FAILURE")
+        assert answer_command(commands(is_ready=lambda: False), "ready")[0][:7] == "FAILURE"
 
 
 def call(port: int, data: bytes, patience: float = 6.0) -> bytes:
@@ -194,7 +194,7 @@
                 assert response.status == 200
 
     async def test_a_scrape_tells_the_same_figures_as_the_control_address(self) -> None:
-        listener = MetricsListener(Address("127.0.0.1", 0), self.boxes.figures, lambda: (3, 1))
+        listener = MetricsListener(Address("127.0.0.1", 0), self.boxes.figures, lambda: NodeCounts(3, 1))
         url = f"http://127.0.0.1:{listener.address.port}"
         async with aiohttp.ClientSession() as client:
             for trace, plan in (("a", "public"), ("b", "gold")):  # served, and turned down
@@ -232,8 +232,8 @@
             assert len(self.box.heads) == 1
             other = Directory({})
             listed(other, instance("s-a", self.box.port), whole=True)
-            HoldFile(Path(self.folder.name), other, self.core, self.handed.beat.faults).look()
-            assert other.holds.holds("s-a")
+            HoldFile(Path(self.folder.name), other, self.core, self.handed.poll_timer.faults).poll()
+            assert other.holds.is_held("s-a")
             assert await asyncio.to_thread(self.handed.enable, "s-a")
             await asyncio.sleep(0.01)
             assert self.directory.serves(1)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -329,5 +329,5 @@
                 await asyncio.sleep(0.01)
         assert (changed, view.members.id.boot) == ([frozenset({"s-003"})], (1 << 52) + 2)
         view.stop()
-        assert faults.figures.faults == 0
+        assert faults.metrics.faults == 0
         assert StateDatabase(self.durable, "ours/n1").load()[0].boot == (1 << 52) + 2
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,8 +16,8 @@
 import pytest
 
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.handover import HEARD, MARK, SiblingProcesses
 from cleatyoke.process.metrics import Metrics
+from cleatyoke.process.sibling_processes import MARKER_PREFIX, TAKEOVER_DELAY, SiblingProcesses
 from cleatyoke.scheduling.actions import SendAttempt
 from cleatyoke.scheduling.events import (
     AttemptFinished,
@@ -113,11 +113,11 @@
     async def test_while_another_process_of_the_front_lives_each_has_half_of_every_limit(self) -> None:
         settings, told = config().settings, []
         with tempfile.TemporaryDirectory() as folder:
-            (Path(folder) / f"{MARK}{2**22 + 7}").write_text("")  # a process that died
+            (Path(folder) / f"{MARKER_PREFIX}{2**22 + 7}").write_text("")  # a process that died
             lives = SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0)
             assert (settings.initial_quota_share, settings.replaces_process) == (1.0, False)
             assert settings.idle_since == 50.0
-            other = Path(folder) / f"{MARK}{os.getppid()}"
+            other = Path(folder) / f"{MARKER_PREFIX}{os.getppid()}"
             other.write_text("")  # one that lives
             lives.start(told.append)
             assert told == [QuotaShareChanged(0.5)]
@@ -125,9 +125,9 @@
             await asyncio.sleep(0.12)
             assert told == [QuotaShareChanged(0.5), QuotaShareChanged(1.0)]
             lives.stop()
-            assert not lives.mark.exists()
+            assert not lives.marker.exists()
             other.write_text("")
-            SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0).mark.unlink()
+            SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0).marker.unlink()
             assert (settings.initial_quota_share, settings.replaces_process) == (0.5, True)
             assert (settings.idle_since or 0.0) > time.time()  # not before the other has heard
 
@@ -183,7 +183,7 @@
         self.asked = 0
         old = self.policy(0.0, 1.0, False)
         started = 10.0  # its mark; what it imported before counts for nothing
-        new = self.policy(started + HEARD, 0.5, True)
+        new = self.policy(started + TAKEOVER_DELAY, 0.5, True)
         level, least, now = self.burst, self.burst, 5.0
         told = ended = False
         while now < 25.0:
