--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -834,8 +834,7 @@
     def state(self, names: Sequence[str], started: float) -> Neutral:
         """Of each name: whether it is held, and when it counts as started."""
         return [
-            [self.holds.is_held(name), number(self.holds.effective_start(name, started))]
-            for name in names
+            [self.holds.is_held(name), number(self.holds.effective_start(name, started))] for name in names
         ]
 
     def drain(self, begins: bool) -> Neutral:
--- /dev/null
+++ b/tests/test_control.py
@@ -0,0 +1,65 @@
+"""The control listener: commands, answers, and callers that stall or send garbage."""
+
+from __future__ import annotations
+
+import socket
+import time
+
+from cleatyoke.admin.control import ControlCommands, ControlListener, answer_command
+from cleatyoke.config.addresses import Address
+
+
+def commands(**changes: object) -> ControlCommands:
+    held: set[str] = set()
+    base = {
+        "is_ready": lambda: True,
+        "show_stat": lambda: ["front.inflight=0"],
+        "disable": lambda name: name == "s-a" and not held.add(name),
+        "enable": lambda name: name == "s-a",
+        "drain": lambda: None,
+        "resume": lambda: None,
+    }
+    return ControlCommands(**{**base, **changes})  # type: ignore[arg-type]
+
+
+def test_each_command_has_its_answer() -> None:
+    given = commands()
+    assert answer_command(given, "ready") == ["SUCCESS"]
+    assert answer_command(given, "show-stat\r") == ["front.inflight=0", "EOT"]
+    assert answer_command(given, "disable-server s-a") == ["SUCCESS"]
+    assert answer_command(given, "disable-server s-zz")[0].startswith("FAILURE")
+    assert answer_command(given, "disable-server")[0].startswith("FAILURE")
+    assert answer_command(given, "ready now")[0].startswith("FAILURE")
+    assert answer_command(given, "reboot")[0].startswith("FAILURE")
+    assert answer_command(commands(is_ready=lambda: False), "ready")[0][:7] == "FAILURE"
+
+
+def call(port: int, data: bytes, patience: float = 6.0) -> bytes:
+    with socket.create_connection(("127.0.0.1", port), timeout=patience) as connection:
+        connection.sendall(data)
+        got = b""
+        while chunk := connection.recv(4096):
+            got += chunk
+        return got
+
+
+def test_callers_that_stall_or_send_garbage_never_delay_another() -> None:
+    listener = ControlListener(Address("127.0.0.1", 0), commands())
+    listener.start()
+    port = listener.address.port
+    try:
+        stalled = [socket.create_connection(("127.0.0.1", port)) for _ in range(20)]
+        stalled[0].sendall(b"read")  # half a call
+        began = time.monotonic()
+        assert call(port, b"ready\n") == b"SUCCESS\n"
+        assert call(port, b"show-stat\n") == b"front.inflight=0\nEOT\n"
+        assert call(port, b"x" * 600).startswith(b"FAILURE")
+        assert call(port, b"\xff\xfe\n").startswith(b"FAILURE")
+        assert time.monotonic() - began < 1.0
+        stalled[1].settimeout(6.0)
+        assert stalled[1].recv(100).startswith(b"FAILURE")  # after 4 s without a line
+        assert time.monotonic() - began > 3.9
+        for one in stalled:
+            one.close()
+    finally:
+        listener.stop()
--- a/tests/test_upgrade.py
+++ b/tests/test_sibling_processes.py
@@ -1,20 +1,14 @@
-"""An upgrade: the listening socket is handed down, never bound again, and a bad one stops the start."""
+"""Two processes of one front share every rate limit while both run."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import os
-import socket
-import sys
 import tempfile
 import time
 import unittest
 from pathlib import Path
 
-import aiohttp
-import pytest
-
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.process.sibling_processes import MARKER_PREFIX, TAKEOVER_DELAY, SiblingProcesses
@@ -29,84 +23,8 @@
 )
 from cleatyoke.scheduling.records import QuotaClock
 from cleatyoke.scheduling.scheduler import Scheduler
-from cleatyoke.transport.sockets import NotListeningError, take_listening
 from tests.host import class_spec, entry, plan_spec, settings
-from tests.wire import FACTS, config
-
-ROOT = Path(__file__).resolve().parent.parent
-
-
-async def start(
-    folder: str, variables: dict[str, str], fds: tuple[int, ...], listen: str = "127.0.0.1:0"
-) -> asyncio.subprocess.Process:
-    path = Path(folder) / "config.json"
-    values = {"name": "n0", "listen": listen, "discovery": "127.0.0.1:1", "seed": "ff", "settings": FACTS}
-    path.write_text(json.dumps(values))
-    kept = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-    return await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "cleatyoke",
-        cwd=ROOT,
-        stderr=asyncio.subprocess.PIPE,
-        pass_fds=fds,
-        env={**kept, **variables, "RELAY_CONFIG": str(path)},
-    )
-
-
-class Inherited(unittest.TestCase):
-    def test_only_a_listening_tcp_socket_is_taken_and_nothing_else_is_closed(self) -> None:
-        with tempfile.TemporaryFile() as plain, socket.socket() as unbound:
-            for descriptor in (plain.fileno(), unbound.fileno()):
-                with pytest.raises(NotListeningError):
-                    take_listening(descriptor)
-                os.fstat(descriptor)  # still open
-        with pytest.raises(NotListeningError):
-            take_listening(999)
-
-
-class Upgrade(unittest.IsolatedAsyncioTestCase):
-    async def test_two_processes_serve_from_one_socket_that_neither_binds(self) -> None:
-        shared = socket.create_server(("127.0.0.1", 0), backlog=64)
-        port = shared.getsockname()[1]
-        variables = {"RELAY_ACCEPT_FD": str(shared.fileno())}
-        with tempfile.TemporaryDirectory() as folder:
-            # RELAY_LISTEN names the port that is taken: a process that bound it would fail to start
-            listen = f"127.0.0.1:{port}"
-            old = await start(folder, variables, (shared.fileno(),), listen)
-            new = await start(folder, variables, (shared.fileno(),), listen)
-            try:
-                for daemon in (old, new):
-                    assert daemon.stderr
-                    async with asyncio.timeout(10):
-                        while b"event='ready'" not in (line := await daemon.stderr.readline()):
-                            assert line, "the daemon ended"
-                await asyncio.sleep(1.1)  # without discovery or an old list, /up says yes after 1 s
-                async with aiohttp.ClientSession() as client:
-                    for _ in range(20):
-                        async with client.get(f"http://127.0.0.1:{port}/up") as response:
-                            assert response.status == 200
-                old.terminate()
-                assert await old.wait() == 0
-                async with aiohttp.ClientSession() as client:
-                    for _ in range(20):
-                        async with client.get(f"http://127.0.0.1:{port}/up") as response:
-                            assert response.status == 200
-            finally:
-                for daemon in (old, new):
-                    if daemon.returncode is None:
-                        daemon.kill()
-                        await daemon.wait()
-                shared.close()
-
-    async def test_a_descriptor_that_is_no_listening_socket_stops_the_start_by_name(self) -> None:
-        with tempfile.TemporaryDirectory() as folder, tempfile.TemporaryFile() as plain:
-            for text, fds in (("four", ()), (str(plain.fileno()), (plain.fileno(),))):
-                daemon = await start(folder, {"RELAY_ACCEPT_FD": text}, fds)
-                assert daemon.stderr
-                rest = await daemon.stderr.read()
-                assert await daemon.wait() == 2
-                assert b"cleatyoke: RELAY_ACCEPT_FD:" in rest
+from tests.wire import config
 
 
 class SharedLimits(unittest.IsolatedAsyncioTestCase):
@@ -133,7 +51,7 @@
 
 
 class Overlap(unittest.TestCase):
-    """Two processes of one host over an upgrade, asked for far more than the limit, as a meter sees it."""
+    """Two processes of one front during an upgrade, asked for far more than the limit, as a meter sees it."""
 
     limit, burst, slack = 30.0, 55.0, 8.0
 
@@ -178,8 +96,11 @@
         return sent
 
     def play(self, overlap: float, lag: float, quiet: float) -> float:
-        """The least that the meter's store came to. The old process hears ``lag`` after the new one's mark;
-        the new one is asked for nothing in the first ``quiet`` seconds."""
+        """Return the lowest level that the meter's token bucket came to.
+
+        The old process sees the new one ``lag`` seconds after its marker; the new one is asked for nothing in
+        the first ``quiet`` seconds.
+        """
         self.asked = 0
         old = self.policy(0.0, 1.0, False)
         started = 10.0  # its mark; what it imported before counts for nothing
