--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -34,8 +34,8 @@
     assert answer_command(commands(is_ready=lambda: False), "ready")[0][:7] == "FAILURE"
 
 
-def call(port: int, data: bytes, patience: float = 6.0) -> bytes:
-    with socket.create_connection(("127.0.0.1", port), timeout=patience) as connection:
+def send_command(port: int, data: bytes, timeout: float = 6.0) -> bytes:
+    with socket.create_connection(("127.0.0.1", port), timeout=timeout) as connection:
         connection.sendall(data)
         got = b""
         while chunk := connection.recv(4096):
@@ -44,17 +44,21 @@
 
 
 def test_callers_that_stall_or_send_garbage_never_delay_another() -> None:
+    """20 callers connect and say nothing, one sends garbage, another a line without an end.
+
+    Others must be answered within 1 s meanwhile, and the silent ones get ``FAILURE`` after 4 s.
+    """
     listener = ControlListener(Address("127.0.0.1", 0), commands())
     listener.start()
     port = listener.address.port
     try:
         stalled = [socket.create_connection(("127.0.0.1", port)) for _ in range(20)]
-        stalled[0].sendall(b"read")  # half a call
+        stalled[0].sendall(b"read")  # half a command
         began = time.monotonic()
-        assert call(port, b"ready\n") == b"SUCCESS\n"
-        assert call(port, b"show-stat\n") == b"front.inflight=0\nEOT\n"
-        assert call(port, b"x" * 600).startswith(b"FAILURE")
-        assert call(port, b"\xff\xfe\n").startswith(b"FAILURE")
+        assert send_command(port, b"ready\n") == b"SUCCESS\n"
+        assert send_command(port, b"show-stat\n") == b"front.inflight=0\nEOT\n"
+        assert send_command(port, b"x" * 600).startswith(b"FAILURE")
+        assert send_command(port, b"\xff\xfe\n").startswith(b"FAILURE")
         assert time.monotonic() - began < 1.0
         stalled[1].settimeout(6.0)
         assert stalled[1].recv(100).startswith(b"FAILURE")  # after 4 s without a line
--- a/tests/test_exit_status.py
+++ b/tests/test_exit_status.py
@@ -22,7 +22,7 @@
 class ExitStatuses(unittest.IsolatedAsyncioTestCase):
     """The daemon as a process: its exit status and what its log says."""
 
-    async def ended(self, folder: str, signals: list[int], broken: str = "") -> tuple[int, bytes]:
+    async def run_daemon(self, folder: str, signals: list[int], broken: str = "") -> tuple[int, bytes]:
         """Start it, break the named file of TMPDIR once it serves, send the signals; status and log."""
         process = await start_daemon(folder, {"TMPDIR": folder}, ())
         assert process.stderr
@@ -37,7 +37,7 @@
                 path = Path(folder) / broken.replace("PID", str(process.pid))
                 path.unlink(missing_ok=True)
                 path.mkdir()
-                await asyncio.sleep(0.4)  # looks at it meanwhile
+                await asyncio.sleep(0.4)  # it is polled meanwhile
             for number in signals:
                 process.send_signal(number)
                 await asyncio.sleep(0.1)
@@ -45,7 +45,7 @@
             return await process.wait(), log
 
     def remove_marker(self, folder: str) -> None:
-        """The marker that the test has made a directory."""
+        """Remove the marker that the test has made a directory."""
         next(Path(folder).glob("cleatyoke-life-*")).rmdir()
 
     async def test_several_signals_cause_one_shutdown_with_status_0(self) -> None:
@@ -54,7 +54,7 @@
         The shutdown must neither begin again nor be cut short, and must end with status 0.
         """
         with tempfile.TemporaryDirectory() as folder:
-            status, log = await self.ended(
+            status, log = await self.run_daemon(
                 folder, [signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGINT]
             )
         assert status == 0, log
@@ -67,7 +67,7 @@
         0.
         """
         with tempfile.TemporaryDirectory() as folder:
-            status, log = await self.ended(folder, [signal.SIGTERM], broken="cleatyoke-life-PID")
+            status, log = await self.run_daemon(folder, [signal.SIGTERM], broken="cleatyoke-life-PID")
             self.remove_marker(folder)
         assert status == 0, log
         assert b"event='step_fault'" in log
@@ -77,7 +77,7 @@
         """The hold file contains garbage. The front starts, serves and stops as if there were no holds."""
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "cleatyoke-holds.json").write_bytes(b"\xff\xfe\x00")
-            status, log = await self.ended(folder, [signal.SIGTERM])
+            status, log = await self.run_daemon(folder, [signal.SIGTERM])
         assert status == 0, log
         assert b"fault'" not in log
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,7 +17,7 @@
 class ContainedFaults(unittest.IsolatedAsyncioTestCase):
     async def test_a_periodic_call_goes_on_after_one_that_raises(self) -> None:
         """The first call raises. It is counted as one fault, and the next calls come all the same."""
-        figures, calls = Metrics(), []
+        metrics, calls = Metrics(), []
 
         def act() -> None:
             calls.append(0)
@@ -25,17 +25,17 @@
                 msg = "once"
                 raise RuntimeError(msg)
 
-        beat = PeriodicCall(Faults(figures), "test", 0.01, act)
-        beat.start()
+        periodic = PeriodicCall(Faults(metrics), "test", 0.01, act)
+        periodic.start()
         await asyncio.sleep(0.06)
-        beat.stop()
+        periodic.stop()
         assert len(calls) > 2
-        assert figures.faults == 1
+        assert metrics.faults == 1
 
     async def test_a_lost_task_and_a_callback_that_raises_are_counted_and_end_nothing(self) -> None:
         """A callback raises, and so does a task that nobody awaits. asyncio would only log both."""
-        figures, loop = Metrics(), asyncio.get_running_loop()
-        Faults(figures).watch_loop(loop)
+        metrics, loop = Metrics(), asyncio.get_running_loop()
+        Faults(metrics).watch_loop(loop)
         loop.call_soon(lambda: [][0])
 
         async def dies() -> None:
@@ -45,7 +45,7 @@
         task = asyncio.create_task(dies())
         await asyncio.sleep(0.01)
         del task
-        assert figures.faults == 2
+        assert metrics.faults == 2
 
     async def test_a_discovery_watch_that_raises_is_started_again_with_the_complete_list(self) -> None:
         """An IndexError of ours ends the discovery watch.
@@ -55,16 +55,16 @@
         """
         whole = {"generation": 4, "reset": True, "instances": []}
         agent = await DiscoveryAgent(whole, []).start()
-        figures, directory, took = Metrics(), Directory({}), []
+        metrics, directory, updates = Metrics(), Directory({}), []
         discovery = Discovery(
-            Address("127.0.0.1", agent.port), directory, took.append, faults=Faults(figures)
+            Address("127.0.0.1", agent.port), directory, updates.append, faults=Faults(metrics)
         )
         with mock.patch.object(directory, "apply", side_effect=[IndexError("a fault of ours"), []]):
             discovery.start()
             async with asyncio.timeout(5):
-                while not took:
+                while not updates:
                     await asyncio.sleep(0.01)
-        assert figures.faults == 1
+        assert metrics.faults == 1
         assert agent.asked[:2] == ["/discovery/hosts", "/discovery/hosts"]
         discovery.stop()
         agent.stop()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,10 +6,10 @@
 
 
 def test_each_class_stands_under_each_outcome_and_rejections_are_busy() -> None:
-    figures = Metrics()
+    metrics = Metrics()
     for status in (200, 200, 503, 429, 502, 400):
-        figures.count_answer("tile-read", status)
-    lines = figures.stat_lines(["tile-read", "record-write"], 3, 1)
+        metrics.count_answer("tile-read", status)
+    lines = metrics.stat_lines(["tile-read", "record-write"], 3, 1)
     for line in (
         "front.success.tile-read=2",
         "front.busy.tile-read=2",
--- a/tests/test_operated_front.py
+++ b/tests/test_operated_front.py
@@ -39,47 +39,48 @@
         async def script(_trace: str) -> bytes:
             return box_answer()
 
-        self.box: HttpBox = await HttpBox(script).start()
+        self.backend: HttpBox = await HttpBox(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
-        self.boxes = BackendPools(self.directory, 0.25, 30.0, 32)
-        self.front = HttpServer(config(), self.core, self.boxes, lambda: True)
+        self.pools = BackendPools(self.directory, 0.25, 30.0, 32)
+        self.front = HttpServer(config(), self.core, self.pools, lambda: True)
         self.front.listen()
         self.url = f"http://127.0.0.1:{self.front.address.port}"
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
+        self.core.tell(listed(self.directory, instance("s-a", self.backend.port), whole=True))
         self.folder = tempfile.TemporaryDirectory()
-        self.handed = HoldFile(Path(self.folder.name), self.directory, self.core, Faults(self.boxes.figures))
-        self.handed.start()
+        self.hold_file = HoldFile(
+            Path(self.folder.name), self.directory, self.core, Faults(self.pools.figures)
+        )
+        self.hold_file.start()
 
     async def asyncTearDown(self) -> None:
-        self.handed.stop()
+        self.hold_file.stop()
         await self.front.close()
-        self.boxes.close()
-        self.box.stop()
+        self.pools.close()
+        self.backend.stop()
         self.folder.cleanup()
 
     async def test_a_drain_says_no_at_once_closes_idle_connections_and_resume_says_yes(self) -> None:
         async with aiohttp.ClientSession() as client:
             async with client.get(self.url + "/up") as response:
                 assert response.status == 200
-            kept = list(self.front.clients)
-            assert kept
+            assert self.front.clients
             self.front.drained()
             async with client.get(self.url + "/up") as response:
                 assert response.status == 503
                 assert response.headers.get("Connection") == "close"
             idle = socket.create_connection(("127.0.0.1", self.front.address.port))
             await asyncio.sleep(0.45)
-            assert not self.front.clients  # neither the kept one nor the one that never spoke
+            assert not self.front.clients  # neither the idle one nor the one that never spoke
             idle.close()
             self.front.drain.resume()
             async with client.get(self.url + "/up") as response:
                 assert response.status == 200
 
     async def test_a_scrape_has_the_counters_of_the_control_listener(self) -> None:
-        listener = MetricsListener(Address("127.0.0.1", 0), self.boxes.figures, lambda: NodeCounts(3, 1))
+        listener = MetricsListener(Address("127.0.0.1", 0), self.pools.figures, lambda: NodeCounts(3, 1))
         url = f"http://127.0.0.1:{listener.address.port}"
         async with aiohttp.ClientSession() as client:
-            for trace, plan in (("a", "public"), ("b", "gold")):  # served, and turned down
+            for trace, plan in (("a", "public"), ("b", "gold")):  # served, and rejected for its plan
                 headers = {**HEADERS, "X-Trace-Id": trace, "X-Plan": plan}
                 async with client.get(self.url + TARGET, headers=headers):
                     pass
@@ -98,24 +99,24 @@
             assert line + "\n" in text
 
     def test_the_exporter_is_not_imported_where_it_is_off(self) -> None:
-        look = "import sys, cleatyoke.__main__; sys.exit('prometheus_client' in sys.modules)"
-        assert subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode == 0
+        program = "import sys, cleatyoke.__main__; sys.exit('prometheus_client' in sys.modules)"
+        assert subprocess.run([sys.executable, "-c", program], cwd=ROOT).returncode == 0
 
     async def test_a_held_node_receives_nothing_at_once_and_a_second_process_holds_it_too(self) -> None:
         async with aiohttp.ClientSession() as client:
             headers = {**HEADERS, "X-Trace-Id": "a"}
             async with client.get(self.url + TARGET, headers=headers) as response:
                 assert response.status == 200
-            assert self.boxes.figures.backend_calls == 1
-            assert not await asyncio.to_thread(self.handed.disable, "s-zz")
-            assert await asyncio.to_thread(self.handed.disable, "s-a")
+            assert self.pools.figures.backend_calls == 1
+            assert not await asyncio.to_thread(self.hold_file.disable, "s-zz")
+            assert await asyncio.to_thread(self.hold_file.disable, "s-a")
             async with client.get(self.url + TARGET, headers={**headers, "X-Trace-Id": "b"}) as response:
-                assert response.status == 503  # the only box is held
-            assert len(self.box.heads) == 1
+                assert response.status == 503  # the only node is held
+            assert len(self.backend.heads) == 1
             other = Directory({})
-            listed(other, instance("s-a", self.box.port), whole=True)
-            HoldFile(Path(self.folder.name), other, self.core, self.handed.poll_timer.faults).poll()
+            listed(other, instance("s-a", self.backend.port), whole=True)
+            HoldFile(Path(self.folder.name), other, self.core, self.hold_file.poll_timer.faults).poll()
             assert other.holds.is_held("s-a")
-            assert await asyncio.to_thread(self.handed.enable, "s-a")
+            assert await asyncio.to_thread(self.hold_file.enable, "s-a")
             await asyncio.sleep(0.01)
             assert self.directory.serves(1)
--- a/tests/test_operator_holds.py
+++ b/tests/test_operator_holds.py
@@ -8,16 +8,16 @@
 from tests.wire import instance, listed
 
 
-def test_a_hold_is_not_counted_and_an_unknown_id_is_refused() -> None:
+def test_a_hold_is_not_counted_and_an_unknown_id_is_rejected() -> None:
     holds = OperatorHolds()
     assert not holds.disable("s-x", known=False)
     assert holds.disable("s-a", known=True)
     assert holds.disable("s-a", known=True)
     assert holds.is_held("s-a")
     assert holds.enable("s-a", known=True, now=50.0)
-    assert not holds.is_held("s-a")  # one call back for two calls
+    assert not holds.is_held("s-a")  # one release for two holds
     assert not holds.enable("s-x", known=False, now=51.0)
-    assert holds.effective_start("s-a", 0.0) == 50.0  # it comes back cold
+    assert holds.effective_start("s-a", 0.0) == 50.0  # it warms up again
 
 
 def test_holds_written_by_another_process_are_merged_and_garbage_changes_nothing() -> None:
--- a/tests/test_shutdown_of_requests.py
+++ b/tests/test_shutdown_of_requests.py
@@ -29,8 +29,8 @@
         was never sent is rejected.
         """
         core = Core(host_settings([class_spec(), class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)]))
-        boxes = [entry(1, 1), entry(2, 2, state=EndpointState.DRAINING)]
-        core.tell(EndpointUpdate(UpdateKind.SNAPSHOT, boxes))
+        nodes = [entry(1, 1), entry(2, 2, state=EndpointState.DRAINING)]
+        core.tell(EndpointUpdate(UpdateKind.SNAPSHOT, nodes))
         sent: list[str] = []
 
         def ask(name: str, kind: int, cell: int) -> asyncio.Task[object]:
@@ -47,8 +47,8 @@
         assert sent == ["read", "write"]
         core.hurry(core.now() + 0.3)
         async with asyncio.timeout(1.0):
-            told = {name: type(await call) for name, call in calls.items()}
-        assert told == {"read": Failed, "write": Failed, "held": Rejected}
+            answers = {name: type(await call) for name, call in calls.items()}
+        assert answers == {"read": Failed, "write": Failed, "held": Rejected}
         assert sent == ["read", "write"]  # nothing is sent for which no answer could come
 
     async def test_an_attempt_cancelled_at_its_timeout_costs_no_other_request_its_decision(self) -> None:
@@ -59,8 +59,11 @@
         """
         core = Core(host_settings())
         core.calls |= {name: PendingRequest() for name in ("late", "other")}
-        said = [CancelAttempt("late", 0), FailRequest("other")]
-        with mock.patch.object(core.policy, "step", return_value=said), contextlib.suppress(TimeoutError):
+        decisions = [CancelAttempt("late", 0), FailRequest("other")]
+        with (
+            mock.patch.object(core.policy, "step", return_value=decisions),
+            contextlib.suppress(TimeoutError),
+        ):
             async with asyncio.timeout(0) as core.calls["late"].out:
                 try:
                     await asyncio.sleep(1)
--- a/tests/test_sibling_processes.py
+++ b/tests/test_sibling_processes.py
@@ -28,26 +28,29 @@
 
 
 class SharedLimits(unittest.IsolatedAsyncioTestCase):
-    async def test_while_another_process_of_the_front_lives_each_has_half_of_every_limit(self) -> None:
-        settings, told = config().settings, []
+    async def test_while_another_process_of_the_front_runs_each_has_half_of_every_limit(self) -> None:
+        settings = config().settings
+        events: list[object] = []
         with tempfile.TemporaryDirectory() as folder:
-            (Path(folder) / f"{MARKER_PREFIX}{2**22 + 7}").write_text("")  # a process that died
-            lives = SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0)
+            (Path(folder) / f"{MARKER_PREFIX}{2**22 + 7}").write_text("")  # its process is gone
+            siblings = SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0)
             assert (settings.initial_quota_share, settings.replaces_process) == (1.0, False)
             assert settings.idle_since == 50.0
             other = Path(folder) / f"{MARKER_PREFIX}{os.getppid()}"
-            other.write_text("")  # one that lives
-            lives.start(told.append)
-            assert told == [QuotaShareChanged(0.5)]
+            other.write_text("")  # a running one
+            siblings.start(events.append)
+            assert events == [QuotaShareChanged(0.5)]
             other.unlink()
             await asyncio.sleep(0.12)
-            assert told == [QuotaShareChanged(0.5), QuotaShareChanged(1.0)]
-            lives.stop()
-            assert not lives.marker.exists()
+            assert events == [QuotaShareChanged(0.5), QuotaShareChanged(1.0)]
+            siblings.stop()
+            assert not siblings.marker.exists()
             other.write_text("")
             SiblingProcesses(Path(folder), settings, Faults(Metrics()), 50.0).marker.unlink()
             assert (settings.initial_quota_share, settings.replaces_process) == (0.5, True)
-            assert (settings.idle_since or 0.0) > time.time()  # not before the other has heard
+            assert (
+                settings.idle_since or 0.0
+            ) > time.time()  # not before the other process has seen its marker
 
 
 class Overlap(unittest.TestCase):
@@ -55,7 +58,7 @@
 
     limit, burst, slack = 30.0, 55.0, 8.0
 
-    def policy(self, since: float, part: float, taken_over: bool) -> Scheduler:
+    def scheduler(self, since: float, quota_share: float, *, replaces_process: bool) -> Scheduler:
         plan = plan_spec(
             reserved_rate=0.0, rate_limit=self.limit, rate_limit_burst=self.burst, rate_limit_slack=self.slack
         )
@@ -64,15 +67,15 @@
             [plan],
             front_count=1,
             idle_since=since,
-            initial_quota_share=part,
-            replaces_process=taken_over,
+            initial_quota_share=quota_share,
+            replaces_process=replaces_process,
             max_attempts=4,
         )
-        policy = Scheduler(made)
-        policy.step(since + 0.3, [EndpointUpdate(UpdateKind.SNAPSHOT, [entry(11, 0)])])
-        return policy
+        scheduler = Scheduler(made)
+        scheduler.step(since + 0.3, [EndpointUpdate(UpdateKind.SNAPSHOT, [entry(11, 0)])])
+        return scheduler
 
-    def ask(self, policy: Scheduler, now: float, units: float) -> float:
+    def ask(self, scheduler: Scheduler, now: float, units: float) -> float:
         """Units that go out for a request made now, which a node answers at once."""
         self.asked += 1
         arrival = RequestArrived(
@@ -87,24 +90,24 @@
             front_count=1,
         )
         sent = 0.0
-        for action in policy.step(now, [arrival]):
+        for action in scheduler.step(now, [arrival]):
             if isinstance(action, SendAttempt):
                 sent += units
-                policy.step(
+                scheduler.step(
                     now, [AttemptFinished(action.request_id, 0, 11, AttemptOutcome.SERVED, 0.001, True)]
                 )
         return sent
 
-    def play(self, overlap: float, lag: float, quiet: float) -> float:
+    def run_upgrade(self, overlap: float, lag: float, quiet: float) -> float:
         """Return the lowest level that the meter's token bucket came to.
 
         The old process sees the new one ``lag`` seconds after its marker; the new one is asked for nothing in
         the first ``quiet`` seconds.
         """
         self.asked = 0
-        old = self.policy(0.0, 1.0, False)
-        started = 10.0  # its mark; what it imported before counts for nothing
-        new = self.policy(started + TAKEOVER_DELAY, 0.5, True)
+        old = self.scheduler(0.0, 1.0, replaces_process=False)
+        started = 10.0  # its marker stands; the imports before do not count
+        new = self.scheduler(started + TAKEOVER_DELAY, 0.5, replaces_process=True)
         level, least, now = self.burst, self.burst, 5.0
         told = ended = False
         while now < 25.0:
@@ -124,9 +127,14 @@
         return least
 
     def test_the_limit_holds_over_an_upgrade_whenever_the_new_process_is_first_asked(self) -> None:
+        """Clients ask both processes of an upgrade for more than the volume's rate limit.
+
+        The platform's meter allows ``slack`` units beyond its token bucket. Whenever the new process gets its
+        first request, both together must not exceed that.
+        """
         for overlap in (1.0, 3.0, 6.0):
             for quiet in (0.0, overlap - 0.1, overlap + 0.1, 12.0):
-                least = self.play(overlap, 0.1, quiet)
+                least = self.run_upgrade(overlap, 0.1, quiet)
                 assert least >= -self.slack, (overlap, quiet)
                 assert least < self.burst / 2  # it was asked for more than it could give
 
