--- a/cleatyoke/distribution/network.py
+++ b/cleatyoke/distribution/network.py
@@ -14,7 +14,8 @@
 
 import structlog
 
-from cleatyoke.config.deployment import Address, DistributionSettings, read_address
+from cleatyoke.config.addresses import Address, read_address
+from cleatyoke.config.fronts_file import DistributionSettings
 from cleatyoke.discovery.directory import EndpointList
 from cleatyoke.discovery.listings import read_instance
 from cleatyoke.distribution.contents import DistributedSettings, listed_nodes, settings_entries
@@ -31,7 +32,7 @@
     SubscriberTiming,
 )
 from cleatyoke.http.messages import MessageError
-from cleatyoke.process.faults import Faults, keep_up
+from cleatyoke.process.faults import Faults, run_forever
 from cleatyoke.scheduling.events import EndpointState
 from cleatyoke.transport.framing import read_message, write_message
 
@@ -72,7 +73,7 @@
                 self.take(action)
             after = max(0.0, self.machine.due() - self.loop.time())
         except Exception as error:  # guards the timer, which a fault would never set again
-            self.faults.told("distribution_fault", error)
+            self.faults.report("distribution_fault", error)
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(after, self.step)
@@ -128,8 +129,8 @@
         settings: Callable[[DistributedSettings], str],
         nodes: Callable[[EndpointList], None],
     ) -> None:
-        tiers = [[str(one) for one in tier] for tier in (relays.relays, relays.others) if tier]
-        timing = SubscriberTiming(poll=relays.poll, rate=relays.rate)
+        tiers = [[str(one) for one in tier] for tier in (relays.relays, relays.other_relays) if tier]
+        timing = SubscriberTiming(poll=relays.poll_interval, rate=relays.max_bytes_per_second)
         rng = random.Random(f"distribution:{seed}:{name}")
         self.subscriber = Subscriber(relays.deployment, name, tiers, rng, timing)
         self.relays, self.status = relays, SubscriptionStatus(self.subscriber)
@@ -141,7 +142,9 @@
 
     def start(self) -> None:
         self.poller.step()
-        self.watch = asyncio.create_task(keep_up(self.faults, "config_age", self.watch_age, lambda: AGAIN))
+        self.watch = asyncio.create_task(
+            run_forever(self.faults, "config_age", self.watch_age, lambda: AGAIN)
+        )
 
     def stop(self) -> None:
         self.poller.stop()
@@ -173,7 +176,7 @@
         match action:
             case DeliverChanges(Lane.SETTINGS, entries):
                 self.take_settings(entries)
-            case DeliverChanges(Lane.NODES, entries) if self.relays.nodes:
+            case DeliverChanges(Lane.NODES, entries) if self.relays.watches_nodes:
                 self.take_nodes(entries)
             case EpochRestarted(lane, epoch):
                 log.info("config_restarted", lane=lane.name.lower(), epoch=epoch)
--- a/cleatyoke/emulation/view.py
+++ b/cleatyoke/emulation/view.py
@@ -7,7 +7,8 @@
 import asyncio
 from collections.abc import Callable
 
-from cleatyoke.config.deployment import Address, FleetSettings
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.fronts_file import FleetSettings
 from cleatyoke.emulation.network import Network
 from cleatyoke.fleet.sockets import format_address
 from cleatyoke.fleet.streams import EXCHANGE_TIMEOUT
@@ -49,7 +50,7 @@
         """As by SIGKILL: no word, and nothing of it is left."""
         if self.ether.views.get(self.address) is self:
             del self.ether.views[self.address]
-        for bell in (self.step_timer, self.lease_timer.bell, self.settings_timer.bell):
+        for bell in (self.step_timer, self.lease_timer.timer, self.settings_timer.timer):
             if bell:
                 bell.cancel()
 
--- a/cleatyoke/fleet/hold_sharing.py
+++ b/cleatyoke/fleet/hold_sharing.py
@@ -16,7 +16,7 @@
 
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.process.faults import Faults
-from cleatyoke.process.handover import HoldFile
+from cleatyoke.process.hold_file import HoldFile
 
 if TYPE_CHECKING:
     from cleatyoke.fleet.view import FleetView
@@ -82,18 +82,18 @@
         data = b""
         with contextlib.suppress(OSError):
             data = self.path.read_bytes()
-        self.hold_file.look()  # what an earlier process held
+        self.hold_file.poll()  # what an earlier process held
         held = frozenset(self.hold_file.directory.holds.held)
         self.replication.restore(data, held)
         self.replication.on_change = self._apply_remote_change
-        self.hold_file.shared = self._apply_local_change
+        self.hold_file.on_local_change = self._apply_local_change
         if absent := self.replication.holds.held_nodes() - frozenset(self.hold_file.directory.holds.held):
-            self.hold_file.heard(absent, frozenset())
+            self.hold_file.apply_remote(absent, frozenset())
 
     def _apply_remote_change(self, held: frozenset[str], released: frozenset[str]) -> None:
         log.info("fleet_holds", held=sorted(held), released=sorted(released))
         self._save()
-        self.hold_file.heard(held, released)
+        self.hold_file.apply_remote(held, released)
 
     def _apply_local_change(self, node_name: str, is_held: bool) -> None:  # called by position by HoldFile
         if is_held:
@@ -105,7 +105,7 @@
 
     def _save(self) -> None:
         self.save_state()
-        with self.faults.step("fleet_copies"):
+        with self.faults.contain("fleet_copies"):
             new = self.path.with_suffix(".new")
             new.write_bytes(self.replication.dump())
             new.replace(self.path)
--- a/cleatyoke/fleet/lease_trading.py
+++ b/cleatyoke/fleet/lease_trading.py
@@ -9,7 +9,7 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from cleatyoke.config.deployment import FleetSettings
+from cleatyoke.config.fronts_file import FleetSettings
 from cleatyoke.coordination.lease_events import (
     DemandChanged,
     LeaseEvent,
@@ -48,9 +48,9 @@
     def start(self, settings: FleetSettings, core: Core, node_name: Callable[[int], str | None]) -> None:
         """Lease from now on, as far as the settings say. ``node_name``: id that all fronts know a node by."""
         self.core = core
-        if settings.limits:
+        if settings.leases_rate_limits:
             self.rate_limit_leases = RateLimitLeases(self.quota_leases, lambda: core.scheduler.settings.plans)
-        if settings.cold:
+        if settings.leases_slow_start:
             self.slow_start_leases = SlowStartLeases(
                 self.quota_leases, lambda: core.scheduler.settings, node_name
             )
--- a/cleatyoke/fleet/restore.py
+++ b/cleatyoke/fleet/restore.py
@@ -18,7 +18,7 @@
 from cleatyoke.durability.records import MAX_PEERS, FrontState, StorageProblem
 from cleatyoke.durability.store import StateDatabase
 from cleatyoke.durability.writer import RestoredState, StateWriter
-from cleatyoke.process.faults import Faults, Watchdog
+from cleatyoke.process.faults import Faults, PeriodicCall
 
 SAVE_INTERVAL = 5.0  # seconds between checks whether the state has changed; holds are saved at once
 log = structlog.get_logger()
@@ -56,7 +56,7 @@
         self.writer = StateWriter(
             StateDatabase(folder, front), time.time, self._on_restored, self._on_problems_changed
         )
-        self.watchdog = Watchdog(faults, "durable", SAVE_INTERVAL, self.save)
+        self.watchdog = PeriodicCall(faults, "durable", SAVE_INTERVAL, self.save)
         self.writer.start()
 
     async def wait_until_restored(self) -> str:
--- a/cleatyoke/fleet/sockets.py
+++ b/cleatyoke/fleet/sockets.py
@@ -12,8 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cleatyoke.config.deployment import Address, ConfigError, read_address
-from cleatyoke.process.faults import Faults, Watchdog
+from cleatyoke.config.addresses import Address, read_address
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.process.faults import Faults, PeriodicCall
 
 MAX_DATAGRAMS_PER_SECOND = 2000  # more are dropped, so that a flood costs no request its time
 BIND_ATTEMPTS = 8  # at a free port that both sockets can have
@@ -124,7 +125,7 @@
         self.loop = asyncio.get_running_loop()
         self.pair: SocketPair | None = None
         self.datagram_limit = DatagramLimit()
-        self._claim_timer = Watchdog(faults, "fleet_claim", CLAIM_INTERVAL, self._claim)
+        self._claim_timer = PeriodicCall(faults, "fleet_claim", CLAIM_INTERVAL, self._claim)
         self._claim_task: asyncio.Task[None] | None = None
 
     async def open(self) -> bool:
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from cleatyoke.config.deployment import FleetSettings
+from cleatyoke.config.fronts_file import FleetSettings
 from cleatyoke.coordination.lease_terms import LeaseTerms
 from cleatyoke.coordination.staged_start import PASSED_BY_BOUND, Evidence, StagedStart, StartStage
 from cleatyoke.fleet.restore import DurableState
@@ -40,10 +40,10 @@
 
         After the bound it is returned while it is still being read.
         """
-        if peers.durable is None:
+        if peers.durable_folder is None:
             await self._wait_for(StartStage.DISK, _evidence("none kept"))
             return None
-        durable_state = DurableState(peers.durable, f"{peers.deployment}/{name}", faults)
+        durable_state = DurableState(peers.durable_folder, f"{peers.deployment}/{name}", faults)
         await self._wait_for(StartStage.DISK, durable_state.wait_until_restored())
         return durable_state
 
--- a/cleatyoke/fleet/streams.py
+++ b/cleatyoke/fleet/streams.py
@@ -12,7 +12,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from cleatyoke.config.deployment import ConfigError, read_address
+from cleatyoke.config.addresses import read_address
+from cleatyoke.config.errors import ConfigError
 from cleatyoke.membership.events import ExchangeAnswered, ExchangeRequested
 from cleatyoke.membership.wire import MAX_STREAM_BYTES
 from cleatyoke.transport.framing import read_message, write_message
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -18,7 +18,7 @@
 
 import structlog
 
-from cleatyoke.config.deployment import FleetSettings
+from cleatyoke.config.fronts_file import FleetSettings
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.coordination.settings_digest import settings_digest
@@ -47,8 +47,8 @@
 )
 from cleatyoke.membership.members import Membership
 from cleatyoke.membership.timing import MembershipTiming
-from cleatyoke.process.faults import Faults, Watchdog
-from cleatyoke.process.handover import HoldFile
+from cleatyoke.process.faults import Faults, PeriodicCall
+from cleatyoke.process.hold_file import HoldFile
 from cleatyoke.scheduling.settings import SchedulerSettings
 
 if TYPE_CHECKING:
@@ -96,8 +96,10 @@
             on_claimed=self._move_to_stated_address,
         )
         self.step_timer: asyncio.TimerHandle | None = None
-        self.settings_timer = Watchdog(faults, "fleet_settings", SETTINGS_INTERVAL, self.check_settings)
-        self.lease_timer = Watchdog(faults, "fleet_limits", LEASE_INTERVAL, self.lease_trading.update_demand)
+        self.settings_timer = PeriodicCall(faults, "fleet_settings", SETTINGS_INTERVAL, self.check_settings)
+        self.lease_timer = PeriodicCall(
+            faults, "fleet_limits", LEASE_INTERVAL, self.lease_trading.update_demand
+        )
         self.differing_fronts: list[str] = []  # that run with other settings, as last logged
         self.durable_state: DurableState | None = None  # set once the disk has been read
         self.peer_state_received = asyncio.Event()
@@ -119,7 +121,7 @@
 
     def stop(self) -> None:
         """Tell the others that this process leaves, and end everything: it uses nothing more from here on."""
-        with self.faults.step("fleet_leave"):
+        with self.faults.contain("fleet_leave"):
             self.step(LeaveRequested())
         if self.durable_state:
             self.durable_state.stop()
@@ -166,7 +168,7 @@
             for action in self.membership.step(self.loop.time(), events):
                 self.perform(action)
         except Exception as error:  # noqa: BLE001 - guards the timer, which a fault would never set again
-            self.faults.told("fleet_fault", error)
+            self.faults.report("fleet_fault", error)
         if self.step_timer:
             self.step_timer.cancel()
         if not self.membership.has_left:
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -15,7 +15,8 @@
 from aiohttp.web_protocol import RequestHandler
 
 from cleatyoke.admin.maintenance import FrontDrain
-from cleatyoke.config.deployment import Address, Config
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import Config
 from cleatyoke.core import ATTEMPT_MARGIN, AttemptResult, Core, Failed, MayBegin, Rejected, Served
 from cleatyoke.http import body_limits as bodies
 from cleatyoke.http.backends import BackendPools, StreamedBody
@@ -182,9 +183,9 @@
         self.config, self.core, self.boxes, self.ready = config, core, boxes, ready
         self.drain, self.figures = drain or FrontDrain(), boxes.figures
         self.sweeper: asyncio.TimerHandle | None = None
-        self.most_clients = config.shares.clients
+        self.most_clients = config.socket_budget.clients
         self.last_answer, self.closing = math.inf, False
-        self.space = bodies.BodyMemory(config.body_bytes)
+        self.space = bodies.BodyMemory(config.body_memory_bytes)
         self.server = web.Server(
             self.handle, request_factory=self.make_request, handler_cancellation=True
         )  # a client that closes is withdrawn
@@ -285,17 +286,17 @@
         client.take()
         name = request.headers.get("X-Qos", "") if request.path == "/api" else ""
         counted = name in self.config.classes
-        self.figures.inflight += counted
+        self.figures.in_flight += counted
         try:
             response = await self.answer(request, client)
             if counted:
-                self.figures.answered(name, 502 if response.get(CUT) else response.status)
+                self.figures.count_answer(name, 502 if response.get(CUT) else response.status)
         except Exception:  # aiohttp answers it with 500
             if counted:
-                self.figures.answered(name, 500)
+                self.figures.count_answer(name, 500)
             raise
         finally:
-            self.figures.inflight -= counted
+            self.figures.in_flight -= counted
             self.space.leave(client)
         if not response.prepared and self.ends(request, client):
             response.force_close()  # Connection: close
@@ -308,7 +309,9 @@
         that clients can open, and the next find none. A close that the answer tells of crosses nothing.
         Only idle ones count: amid a storm of repeats, new connections would cost what the answers need.
         """
-        crowded = len(self.idle) - len(self.silent) + 1 > self.config.shares.crowd  # with this one
+        crowded = (
+            len(self.idle) - len(self.silent) + 1 > self.config.socket_budget.max_idle_clients
+        )  # with this one
         leaving = self.closing or self.drain.draining
         return crowded or leaving or not request.content.is_eof() or client.crowded()
 
@@ -340,7 +343,7 @@
     async def answer(self, request: web.BaseRequest, client: ClientConnection) -> web.StreamResponse:
         path = request.path
         if path == "/up":
-            return web.Response(status=200 if self.drain.says_up(self.ready()) else 503)
+            return web.Response(status=200 if self.drain.is_up(self.ready()) else 503)
         if path != "/api":
             return web.Response(status=404)
         if request.method not in ("GET", "PUT"):
--- a/cleatyoke/simulator.py
+++ b/cleatyoke/simulator.py
@@ -10,7 +10,7 @@
 import sys
 from typing import Any, TextIO
 
-from cleatyoke.config.deployment import LOADS, read_settings
+from cleatyoke.config.settings import LOAD_FIELDS, read_settings
 from cleatyoke.scheduling.actions import (
     CancelAttempt,
     FailRequest,
@@ -210,7 +210,7 @@
     def _utilization(self, head: int, event: dict[str, Any]) -> float | None:
         """Fraction of its capacity in use that a node reports, by whatever name this site has for it."""
         report = dict(zip(self.load_fields.get(head, []), event.get("HealthInfo") or []))
-        return next((report[name] for name in LOADS if name in report), None)
+        return next((report[name] for name in LOAD_FIELDS if name in report), None)
 
     def _step(self, head: int, events: list[SchedulerEvent], steps: list[dict[str, Any]]) -> None:
         """Let one instance decide on its events of the batch."""
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -48,7 +48,10 @@
 )
 from cleatyoke import simulator as simhost
 from cleatyoke.vrrp import instance as vrrp
-from cleatyoke.config.deployment import Address, Config, FleetSettings, SftpSettings, SocketBudget, VolumePath
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import Config
+from cleatyoke.config.fronts_file import FleetSettings, SftpSettings, VolumePath
+from cleatyoke.config.socket_budget import SocketBudget
 from cleatyoke.core import Core, Failed, Rejected, Served
 from cleatyoke.discovery.directory import Directory, Instance, EndpointList
 from cleatyoke.distribution import contents, records
@@ -827,20 +830,20 @@
         name="n0",
         listen=Address(LOCAL, 0),
         discovery=Address(LOCAL, 1),
-        file_discovery=Address(LOCAL, 1),
+        discovery_in_file=Address(LOCAL, 1),
         seed=1,
-        shares=SocketBudget.of(1024, False),
-        known={},
+        socket_budget=SocketBudget.divide(1024, False),
+        cached_endpoints={},
         settings=all_settings(),
         classes={"tile-read": 0, "record-write": 1, "keyed-write": 2},
         plans={"public": 0},
-        give_up=[20.0, 20.0, 20.0],
-        writes=[False, True, True],
-        body_bytes=36 << 20,
-        shards=9,
+        client_timeouts=[20.0, 20.0, 20.0],
+        changes_data=[False, True, True],
+        body_memory_bytes=36 << 20,
+        shard_count=9,
         zones={"basement": 0},
-        dial_timeout=PATIENCE,
-        idle_close=30.0,
+        connect_timeout=PATIENCE,
+        idle_timeout=30.0,
         drain_grace=1.0,
     )
 
@@ -1179,9 +1182,9 @@
         ("retired", 200, 1),
     ):
         for _ in range(times):
-            figures.answered(name, status)
-    figures.backend_calls, figures.inflight = 17, 4
-    figures.reconfig_ok, figures.reconfig_failed, figures.faults = 7, 8, 9
+            figures.count_answer(name, status)
+    figures.backend_calls, figures.in_flight = 17, 4
+    figures.reloads_applied, figures.reloads_rejected, figures.faults = 7, 8, 9
     return figures
 
 
@@ -1219,21 +1222,21 @@
     figures = counted_figures()
 
     def stat() -> list[str]:
-        lines = figures.lines(["tile-read", "record-write"], 6, 2)
+        lines = figures.stat_lines(["tile-read", "record-write"], 6, 2)
         return [*lines, *(view.metric_lines() if value["fleet"] else []), *config_status().lines(100.0)]
 
     commands = ControlCommands(
-        ready=lambda: value.get("ready", True),
-        figures=stat,
+        is_ready=lambda: value.get("ready", True),
+        show_stat=stat,
         disable=lambda name: name == "s-a",
         enable=lambda name: name == "s-a",
         drain=lambda: None,
         resume=lambda: None,
-        fleet=view.status_lines if value["fleet"] else None,
-        shared=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
-        replica=view.replica_lines if value["fleet"] else None,
-        recovery=(lambda: recovery_lines(value)) if value["fleet"] else None,
-        config=(lambda: config_status().lines(100.0)) if value["fleet"] else None,
+        show_fleet=view.status_lines if value["fleet"] else None,
+        fronts_holding=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
+        show_replica=view.replica_lines if value["fleet"] else None,
+        show_recovery=(lambda: recovery_lines(value)) if value["fleet"] else None,
+        show_config=(lambda: config_status().lines(100.0)) if value["fleet"] else None,
     )
     listener = ControlListener(Address(LOCAL, 0), commands)
     listener.start()
@@ -1311,12 +1314,12 @@
         volumes=[VolumePath("/plats", 7, 0, 0, 1)],
         read_class=0,
         write_class=1,
-        box_port=0,
-        most_upload=65536,
+        backend_port=0,
+        max_upload_bytes=65536,
         unit_bytes=8192,
-        most_handles=4,
-        idle=PATIENCE,
-        deadline=PATIENCE,
+        max_open_files=4,
+        idle_timeout=PATIENCE,
+        command_timeout=PATIENCE,
     )
     front = SftpServer(config, core, nodes, 32)
     await front.open()
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -20,8 +20,11 @@
 
 import pytest
 
-from cleatyoke.admin.control import ControlCommands, answer
-from cleatyoke.config.deployment import Address, ConfigError, DistributionSettings, read_config, read_fronts
+from cleatyoke.admin.control import ControlCommands, answer_command
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.deployment import read_config
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import DistributionSettings, read_fronts_file
 from cleatyoke.distribution.__main__ import main
 from cleatyoke.distribution.contents import (
     DistributedSettings,
@@ -400,9 +403,9 @@
 
 def test_show_config_without_a_distribution_is_a_failure() -> None:
     commands = ControlCommands(
-        ready=bool, figures=list, disable=bool, enable=bool, drain=lambda: None, resume=lambda: None
+        is_ready=bool, show_stat=list, disable=bool, enable=bool, drain=lambda: None, resume=lambda: None
     )
-    assert answer(commands, "show-config")[0].startswith("FAILURE")
+    assert answer_command(commands, "show-config")[0].startswith("FAILURE")
 
 
 @pytest.mark.parametrize(
@@ -423,7 +426,7 @@
     path = tmp_path / "fronts.toml"
     path.write_text(f"[distribution]\nenabled = true\n{line}\n")
     with pytest.raises(ConfigError, match=key):
-        read_fronts(path, {}, {})
+        read_fronts_file(path, {}, {})
 
 
 def test_settings_that_lack_what_the_file_had_change_nothing(tmp_path: Path) -> None:
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from cleatyoke.admin.control import ControlCommands, answer
-from cleatyoke.config.deployment import ConfigError, read_fronts
+from cleatyoke.admin.control import ControlCommands, answer_command
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.config.fronts_file import read_fronts_file
 
 ROOT = Path(__file__).resolve().parent.parent
 GOOD = {"enabled": "true", "deployment": '"d"', "listen": '"127.0.0.1:7"', "seeds": "[]"}
@@ -28,7 +29,7 @@
     )
     assert subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode == 0
     off = ControlCommands(lambda: True, list, bool, bool, lambda: None, lambda: None)
-    assert answer(off, "show-fleet") == ["FAILURE no view of the fleet is kept"]
+    assert answer_command(off, "show-fleet") == ["FAILURE no view of the fleet is kept"]
 
 
 @pytest.mark.parametrize(
@@ -51,8 +52,8 @@
 def test_a_key_with_a_bad_value_is_named(tmp_path: Path, key: str, value: str) -> None:
     path = write_fronts(tmp_path / "fronts.toml", {**GOOD, key: value})
     with pytest.raises(ConfigError, match=f"^fronts.toml: fleet.{key}:"):
-        read_fronts(path, {}, {})
+        read_fronts_file(path, {}, {})
 
 
 def test_good_keys_are_accepted(tmp_path: Path) -> None:
-    assert read_fronts(write_fronts(tmp_path / "fronts.toml", GOOD), {}, {})[3] is not None
+    assert read_fronts_file(write_fronts(tmp_path / "fronts.toml", GOOD), {}, {})[3] is not None
--- a/tests/test_fleet_testbed.py
+++ b/tests/test_fleet_testbed.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cleatyoke.config.deployment import ConfigError
+from cleatyoke.config.errors import ConfigError
 from cleatyoke.emulation.network import Fault, Network
 from cleatyoke.testbed.search import rules
 from cleatyoke.testbed.view_checks import MembershipChecker, MembershipView, read_view
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -10,7 +10,8 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from cleatyoke.config.deployment import FleetSettings, read_address
+from cleatyoke.config.addresses import read_address
+from cleatyoke.config.fronts_file import FleetSettings
 from cleatyoke.fleet.sockets import MAX_DATAGRAMS_PER_SECOND
 from cleatyoke.fleet.view import FleetView
 from cleatyoke.membership import wire
@@ -105,7 +106,7 @@
         writer.write(b"\xff\xff\xff\xffgarbage")  # a stream of four gigabytes
         assert await reader.read() == b""
         writer.close()
-        assert one.faults.figures.faults == 0
+        assert one.faults.metrics.faults == 0
 
 
 def test_a_datagram_that_comes_while_sockets_are_opened_is_no_fault() -> None:
@@ -127,7 +128,7 @@
 
         with early, unittest.mock.patch("asyncio.start_server", slow):
             view = await fleet.start(1)
-        assert (view.faults.figures.faults, view.dropped["early"]) == (0, 1)
+        assert (view.faults.metrics.faults, view.dropped["early"]) == (0, 1)
 
 
 def test_fronts_with_other_settings_are_reported_and_each_keeps_its_own() -> None:
@@ -150,7 +151,7 @@
             while one.differing_fronts != ["n3"] or other.differing_fronts != ["n1", "n2"]:
                 await asyncio.sleep(0.02)
         assert one.replica_lines()[1].endswith("differ=n3")
-        assert [view.faults.figures.faults for view in fleet.views] == [0] * 3
+        assert [view.faults.metrics.faults for view in fleet.views] == [0] * 3
         other.announce_settings(ours)
         async with asyncio.timeout(5):
             while one.differing_fronts or other.differing_fronts:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,7 +14,8 @@
 import aiohttp
 import pytest
 
-from cleatyoke.config.deployment import ConfigError, read_config
+from cleatyoke.config.deployment import read_config
+from cleatyoke.config.errors import ConfigError
 from cleatyoke.config.reload import IndexAllocator, first_missing_key, key_paths
 from cleatyoke.scheduling.actions import FailRequest, Reject, SendAttempt
 from cleatyoke.scheduling.events import AttemptOutcome, SettingsReloaded
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from cleatyoke.config.deployment import Address, SftpSettings, VolumePath
+from cleatyoke.config.addresses import Address
+from cleatyoke.config.fronts_file import SftpSettings, VolumePath
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.scheduling.events import EndpointState
--- a/tests/test_staged_start.py
+++ b/tests/test_staged_start.py
@@ -12,7 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatyoke.config.deployment import FLEET_TIMES, FleetSettings, read_address
+from cleatyoke.config.addresses import read_address
+from cleatyoke.config.fronts_file import DEFAULT_FLEET_TIMING, FleetSettings
 from cleatyoke.coordination.replicated_holds import HoldSet
 from cleatyoke.coordination.staged_start import (
     STAGE_BOUNDS,
@@ -133,7 +134,7 @@
             return LoadedState(stored, [])
 
     listen = read_address(f"127.0.0.1:{free_port()}", "listen")
-    peers = FleetSettings("ours", listen, listen, [], 0, FLEET_TIMES, durable=folder)
+    peers = FleetSettings("ours", listen, listen, [], 0, DEFAULT_FLEET_TIMING, durable_folder=folder)
     faults = Faults(Metrics())
     startup = StagedStartRunner()
     with mock.patch("cleatyoke.fleet.restore.StateDatabase", HangingDatabase):
@@ -154,5 +155,5 @@
             await asyncio.sleep(0.01)
     assert (changed, view.membership.id.boot) == ([frozenset({"s-003"})], (1 << 52) + 2)
     view.stop()
-    assert faults.figures.faults == 0
+    assert faults.metrics.faults == 0
     assert StateDatabase(folder, "ours/n1").load().state.boot_number == (1 << 52) + 2
