--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -279,11 +279,11 @@
 
         kept = bool(self.config.fleet)
         return ControlCommands(
-            ready=lambda: bool(front.listener) and not front.closing and front.drain.says_up(front.ready()),
+            ready=lambda: bool(front.listener) and not front.is_closing and front.drain.says_up(front.ready()),
             figures=figures,
             disable=self.handed.disable,
             enable=self.handed.enable,
-            drain=front.drained,
+            drain=front.begin_drain,
             resume=front.drain.resume,
             fleet=(lambda: self.fleet.lines() if self.fleet else []) if kept else None,
             shared=held if kept else None,
@@ -346,11 +346,11 @@
         log.info("ready", name=self.config.name, listen=self.front.address, nodes=len(self.directory.boxes))
         await self.signalled.wait()
         log.info("leaving", open=len(self.core.calls))
-        self.front.leave(self.life.last_answer() - self.loop.time())
+        self.front.begin_shutdown(self.life.last_answer() - self.loop.time())
         closing: asyncio.Task[None] | None = None
         while True:
             sessions = 0 if closing is None else int(not closing.done())
-            for order in self.life.step(self.loop.time(), self.front.open(), sessions):
+            for order in self.life.step(self.loop.time(), self.front.open_connections(), sessions):
                 with self.faults.step(order.value):
                     match order:
                         case Order.CLOSE_FILES:
--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from cleatyoke.config.reload import IndexAllocator, follow_settings, follow_writes, missing, shape
-from cleatyoke.http.body_limits import MOST_UPLOAD
+from cleatyoke.http.body_limits import MAX_UPLOAD_BYTES
 from cleatyoke.scheduling.settings import (
     Idempotency,
     IdempotencyScope,
@@ -470,7 +470,7 @@
 def body_bytes(memory_mb: float) -> int:
     """What bodies may hold of a front's memory: the process itself takes some 30 MB."""
     if not memory_mb:
-        return LEAST_BODIES + MOST_UPLOAD
+        return LEAST_BODIES + MAX_UPLOAD_BYTES
     return max(LEAST_BODIES, int(memory_mb * BODY_SHARE * 1024 * 1024))
 
 
--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -21,16 +21,16 @@
     BackendAnswer,
     ClientRequest,
     MalformedAnswerError,
-    decode_busy,
-    decode_elsewhere,
+    decode_utilization,
+    decode_served_elsewhere,
     decode_outcome,
-    decode_probe,
+    decode_load_probe,
     encode_attempt,
-    encode_probe,
+    encode_load_probe,
 )
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import AttemptOutcome
-from cleatyoke.transport.sockets import unread
+from cleatyoke.transport.sockets import has_unread_bytes
 
 IDLE_SHARE = 0.5  # of the boxes' idle limit (settings), after which a pooled connection is dropped
 REST = 0.02  # seconds that a connection rests after an answer: a second one comes "some milliseconds" later
@@ -49,14 +49,14 @@
         self.transport: asyncio.Transport | None = None
         self.reader: AnswerReader | None = None  # of the answer that is awaited
         self.answer: asyncio.Future[BackendAnswer] | None = None
-        self.gap: asyncio.TimerHandle | None = None
-        self.expiry: asyncio.TimerHandle | None = None
+        self.answer_timer: asyncio.TimerHandle | None = None
+        self.idle_timer: asyncio.TimerHandle | None = None
         self.unwritten = False  # a part of the request is still here
-        self.rested_at = 0.0
-        self.left: Callable[[], None] | None = None  # while it is pooled: what to do when it ends
-        self.written: Callable[[], None] | None = None  # once the request's last byte has left
-        self.rest: list[bytes] = []  # pieces of the request not yet with the transport, the last first
-        self.body: StreamedBody | None = None  # of the answer, where it passes on as it comes
+        self.reusable_at = 0.0
+        self.on_lost: Callable[[], None] | None = None  # while it is pooled: what to do when it ends
+        self.on_request_written: Callable[[], None] | None = None  # once the request's last byte has left
+        self.unsent_pieces: list[bytes] = []  # pieces of the request not yet with the transport, the last first
+        self.streamed_body: StreamedBody | None = None  # of the answer, where it passes on as it comes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -72,24 +72,24 @@
 
     def write_on(self) -> None:
         """Piece by piece, so that no copy of a long body stands in the transport's buffer."""
-        while self.rest and not self.unwritten and self.transport:
-            self.transport.write(self.rest.pop())
-        if not self.rest and not self.unwritten and self.written:
-            self.written()
-            self.written = None
+        while self.unsent_pieces and not self.unwritten and self.transport:
+            self.transport.write(self.unsent_pieces.pop())
+        if not self.unsent_pieces and not self.unwritten and self.on_request_written:
+            self.on_request_written()
+            self.on_request_written = None
 
-    def sending(self) -> bool:
+    def is_sending(self) -> bool:
         """The request's last byte has not left."""
-        return self.unwritten or bool(self.rest)
+        return self.unwritten or bool(self.unsent_pieces)
 
     def data_received(self, data: bytes) -> None:
-        if self.body and self.reader:
+        if self.streamed_body and self.reader:
             try:
-                self.body.put(self.reader.more(data))
-                if self.reader.ended:
-                    self.body.end(self.reader.reusable())
+                self.streamed_body.append(self.reader.feed_body(data))
+                if self.reader.is_complete:
+                    self.streamed_body.end(self.reader.is_connection_reusable())
             except MalformedAnswerError as error:
-                self.body.broke(error)
+                self.streamed_body.fail(error)
             return
         if self.reader is None or self.answer is None or self.answer.done():
             self.abort()  # nothing is awaited: these bytes must never become the next request's answer
@@ -100,30 +100,30 @@
             self.fail(error)
             return
         if answer:
-            if answer.long:
-                self.body = StreamedBody(self, answer)
-                if self.reader.ended:
-                    self.body.end(self.reader.reusable())
+            if answer.is_streamed:
+                self.streamed_body = StreamedBody(self, answer)
+                if self.reader.is_complete:
+                    self.streamed_body.end(self.reader.is_connection_reusable())
             self.answer.set_result(answer)
-        elif self.gap is None or self.reader.message:
-            if self.gap:
-                self.gap.cancel()
-            self.gap = self.loop.call_later(GAP, self.fail, MalformedAnswerError("it does not end"))
+        elif self.answer_timer is None or self.reader.message:
+            if self.answer_timer:
+                self.answer_timer.cancel()
+            self.answer_timer = self.loop.call_later(GAP, self.fail, MalformedAnswerError("it does not end"))
 
     def eof_received(self) -> None:
-        whole = self.reader.at_close() if self.reader else None
-        if self.body:
+        whole = self.reader.feed_eof() if self.reader else None
+        if self.streamed_body:
             if whole:
-                self.body.end(False)
-            self.body.broke(MalformedAnswerError("the connection ended"))
+                self.streamed_body.end(False)
+            self.streamed_body.fail(MalformedAnswerError("the connection ended"))
         elif whole and self.answer and not self.answer.done():
             self.answer.set_result(whole)
         self.fail(MalformedAnswerError("the connection ended"))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        if self.body:
-            self.body.broke(MalformedAnswerError("the connection broke"))
+        if self.streamed_body:
+            self.streamed_body.fail(MalformedAnswerError("the connection broke"))
         self.fail(MalformedAnswerError("the connection broke"))
 
     def fail(self, error: MalformedAnswerError) -> None:
@@ -133,33 +133,33 @@
 
     def abort(self) -> None:
         """At once: close() would first write what is still buffered."""
-        if self.left:
-            self.left()
+        if self.on_lost:
+            self.on_lost()
         if self.transport:
             self.transport.abort()
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Open, and nothing has come that the loop has not read yet."""
         if self.transport is None or self.transport.is_closing():
             return False
-        return not unread(self.transport)
+        return not has_unread_bytes(self.transport)
 
     async def exchange(self, request: list[bytes], written: Callable[[], None]) -> BackendAnswer:
         if self.transport is None or self.transport.is_closing():
             msg = "it ended before the first byte"
             raise ConnectionError(msg)  # so nothing ran
         self.reader, self.answer = AnswerReader(), self.loop.create_future()
-        self.rest, self.written = request[::-1], written
+        self.unsent_pieces, self.on_request_written = request[::-1], written
         self.write_on()
         try:
             return await self.answer
         finally:
-            self.answer = self.written = None
-            if self.body is None:
+            self.answer = self.on_request_written = None
+            if self.streamed_body is None:
                 self.reader = None
-            if self.gap:
-                self.gap.cancel()
-                self.gap = None
+            if self.answer_timer:
+                self.answer_timer.cancel()
+                self.answer_timer = None
 
 
 class StreamedBody:
@@ -168,72 +168,72 @@
     """
 
     def __init__(self, line: BackendConnection, answer: BackendAnswer) -> None:
-        self.line, self.length = line, answer.length
+        self.connection, self.length = line, answer.length
         self.pieces: deque[bytes] = deque()
-        self.size = 0
-        self.ended, self.reusable = False, False
+        self.buffered_bytes = 0
+        self.is_complete, self.reusable = False, False
         self.error: MalformedAnswerError | None = None
-        self.news = asyncio.Event()
+        self.progress = asyncio.Event()
         self.release: Callable[[bool], None] | None = None  # of the connection: whether it can be used again
         self.paused = False
-        self.watch = line.loop.call_later(STALL, self.stalled)
-        self.put(answer.body)
+        self.idle_timer = line.loop.call_later(STALL, self.stalled)
+        self.append(answer.body)
 
-    def put(self, piece: bytes) -> None:
+    def append(self, piece: bytes) -> None:
         if piece:
             self.pieces.append(piece)
-            self.size += len(piece)
-        if self.size > HIGH and not self.paused and self.line.transport:
+            self.buffered_bytes += len(piece)
+        if self.buffered_bytes > HIGH and not self.paused and self.connection.transport:
             self.paused = True
-            self.line.transport.pause_reading()
+            self.connection.transport.pause_reading()
         self.moved()
 
     def end(self, reusable: bool) -> None:
-        self.ended, self.reusable = True, reusable
+        self.is_complete, self.reusable = True, reusable
         self.moved()
 
-    def broke(self, error: MalformedAnswerError) -> None:
-        if not self.ended:
+    def fail(self, error: MalformedAnswerError) -> None:
+        if not self.is_complete:
             self.error = self.error or error
         self.moved()
 
     def moved(self) -> None:
-        self.news.set()
-        self.watch.cancel()
-        if self.release or not self.ended:
-            self.watch = self.line.loop.call_later(STALL, self.stalled)
+        self.progress.set()
+        self.idle_timer.cancel()
+        if self.release or not self.is_complete:
+            self.idle_timer = self.connection.loop.call_later(STALL, self.stalled)
 
     def stalled(self) -> None:
         """Guards the connection: a box that holds back the rest, or nobody who reads."""
-        self.broke(MalformedAnswerError("it does not go on"))
+        self.fail(MalformedAnswerError("it does not go on"))
         self.close()
 
     async def read(self) -> bytes:
         """The next bytes, or none at the end. A ``SpoiltAnswer``: what the box gave ends here, unwhole."""
         while not self.pieces:
-            if self.ended:
+            if self.is_complete:
                 return b""
             if self.error:
                 raise self.error
-            self.news.clear()
-            await self.news.wait()
+            self.progress.clear()
+            await self.progress.wait()
         piece = self.pieces.popleft()
-        self.size -= len(piece)
+        self.buffered_bytes -= len(piece)
         self.moved()
-        if self.paused and self.size < LOW and self.line.transport:
+        if self.paused and self.buffered_bytes < LOW and self.connection.transport:
             self.paused = False
-            self.line.transport.resume_reading()
+            self.connection.transport.resume_reading()
         return piece
 
     def close(self) -> None:
         """Give the connection back where the answer was whole, or end it."""
-        self.watch.cancel()
-        self.line.body = self.line.reader = None
-        if self.paused and self.line.transport:
-            self.line.transport.resume_reading()
+        self.idle_timer.cancel()
+        self.connection.streamed_body = self.connection.reader = None
+        if self.paused and self.connection.transport:
+            self.connection.transport.resume_reading()
         release, self.release = self.release, None
         if release:
-            release(self.ended and self.reusable)
+            release(self.is_complete and self.reusable)
 
 
 class ConnectionPool:
@@ -255,14 +255,14 @@
         most: int,
         figures: Metrics | None = None,
     ) -> None:
-        self.directory, self.dial_timeout, self.most = directory, dial_timeout, most
-        self.figures = figures or Metrics()
-        self.keep = idle_close * IDLE_SHARE
+        self.directory, self.connect_timeout, self.max_connections = directory, dial_timeout, most
+        self.metrics = figures or Metrics()
+        self.idle_timeout = idle_close * IDLE_SHARE
         self.pools: dict[int, ConnectionPool] = {}
-        self.open = 0  # connections, those that come up included
-        directory.watchers.append(self.changed)
+        self.open_connections = 0  # connections, those that come up included
+        directory.watchers.append(self.retire_pool)
 
-    def changed(self, node: int) -> None:
+    def retire_pool(self, node: int) -> None:
         """The box drains, went or started anew: no connection to the old one is used again."""
         if pool := self.pools.pop(node, None):
             pool.retired = True
@@ -276,10 +276,10 @@
 
     def take_out(self, pool: ConnectionPool, line: BackendConnection) -> None:
         pool.idle.remove(line)
-        self.open -= 1
-        line.left = None
-        if line.expiry:
-            line.expiry.cancel()
+        self.open_connections -= 1
+        line.on_lost = None
+        if line.idle_timer:
+            line.idle_timer.cancel()
 
     async def attempt(
         self, node: int, ask: ClientRequest, until: float, may: MayBegin
@@ -292,9 +292,9 @@
         if not self.directory.serves(node):
             return AttemptResult(AttemptOutcome.NOT_SENT)
         pool, line, answer, unused = self.pool(node), None, None, False
-        self.open += 1
+        self.open_connections += 1
         try:
-            line = self.rested(pool) or await self.dial(pool)
+            line = self.take_idle(pool) or await self.connect(pool)
             wait = until - asyncio.get_running_loop().time()
             if pool.retired or not self.directory.serves(node) or not may():  # directly before the first byte
                 unused = True
@@ -303,40 +303,40 @@
                 answer = await line.exchange(encode_attempt(ask, pool.address, wait), self.counted)
             except MalformedAnswerError:
                 return AttemptResult(
-                    AttemptOutcome.CONNECTION_FAILED if line.sending() else AttemptOutcome.CONNECTION_RESET
+                    AttemptOutcome.CONNECTION_FAILED if line.is_sending() else AttemptOutcome.CONNECTION_RESET
                 )
             outcome = decode_outcome(answer.status, answer.headers)
             if outcome is not AttemptOutcome.SERVED:
                 return AttemptResult(outcome)
-            elsewhere, busy = decode_elsewhere(answer.headers), decode_busy(answer.headers)
-            return AttemptResult(outcome, line.body or answer.body, elsewhere, busy)
+            elsewhere, busy = decode_served_elsewhere(answer.headers), decode_utilization(answer.headers)
+            return AttemptResult(outcome, line.streamed_body or answer.body, elsewhere, busy)
         except (OSError, TimeoutError):
             return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
         finally:
-            if line and line.body and answer and answer.status == 200:
-                line.body.release = partial(self.settle, pool, line)
+            if line and line.streamed_body and answer and answer.status == 200:
+                line.streamed_body.release = partial(self.settle, pool, line)
             else:
-                self.settle(pool, line, unused or (answer is not None and answer.reusable))
+                self.settle(pool, line, unused or (answer is not None and answer.connection_reusable))
 
-    async def probe(self, node: int, within: float) -> float | None:
+    async def probe_load(self, node: int, within: float) -> float | None:
         """Ask a box for its load report, by a connection that rests where there is one: the part of its power
         in use, or None where no report came within so many seconds.
         """
-        if not self.directory.serves(node) or self.open >= self.most:
+        if not self.directory.serves(node) or self.open_connections >= self.max_connections:
             return None  # the places left are for requests
         pool, line, answer = self.pool(node), None, None
-        self.open += 1
+        self.open_connections += 1
         try:
             async with asyncio.timeout(within):
-                line = self.rested(pool) or await self.dial(pool)
-                answer = await line.exchange([encode_probe(pool.address)], lambda: None)
-            return decode_probe(answer)
+                line = self.take_idle(pool) or await self.connect(pool)
+                answer = await line.exchange([encode_load_probe(pool.address)], lambda: None)
+            return decode_load_probe(answer)
         except (OSError, TimeoutError, MalformedAnswerError):
             return None
         finally:
-            if line and line.body:  # far more than a report
-                line.body.close()
-            self.settle(pool, line, answer is not None and answer.reusable)
+            if line and line.streamed_body:  # far more than a report
+                line.streamed_body.close()
+            self.settle(pool, line, answer is not None and answer.connection_reusable)
 
     def pool(self, node: int) -> ConnectionPool:
         if node not in self.pools:
@@ -348,42 +348,42 @@
         if line and reusable and line.transport and not pool.retired:
             self.give_back(pool, line)
         else:
-            self.open -= 1
+            self.open_connections -= 1
             if line:
                 line.abort()
 
     def counted(self) -> None:
-        self.figures.backend_calls += 1
+        self.metrics.backend_calls += 1
 
-    def rested(self, pool: ConnectionPool) -> BackendConnection | None:
+    def take_idle(self, pool: ConnectionPool) -> BackendConnection | None:
         """An idle connection. One with bytes that nobody awaits, seen by the loop or not yet, is none."""
         now = asyncio.get_running_loop().time()
-        while pool.idle and pool.idle[0].rested_at <= now:
+        while pool.idle and pool.idle[0].reusable_at <= now:
             line = pool.idle[0]
             self.take_out(pool, line)
-            if line.usable():
+            if line.is_usable():
                 return line
             line.abort()
         return None
 
-    async def dial(self, pool: ConnectionPool) -> BackendConnection:
-        if self.open > self.most:  # as many are kept as clients can have requests: an idle one is in the way
+    async def connect(self, pool: ConnectionPool) -> BackendConnection:
+        if self.open_connections > self.max_connections:  # as many are kept as clients can have requests: an idle one is in the way
             for other in self.pools.values():
                 if other.idle:
                     self.drop(other, other.idle[0])
                     break
-        async with asyncio.timeout(self.dial_timeout):
+        async with asyncio.timeout(self.connect_timeout):
             loop = asyncio.get_running_loop()
             _, line = await loop.create_connection(BackendConnection, pool.address.host, pool.address.port)
         return line
 
     def give_back(self, pool: ConnectionPool, line: BackendConnection) -> None:
         loop = asyncio.get_running_loop()
-        line.rested_at = loop.time() + REST
-        line.expiry = loop.call_later(self.keep, self.drop, pool, line)
-        line.left = partial(self.take_out, pool, line)
+        line.reusable_at = loop.time() + REST
+        line.idle_timer = loop.call_later(self.idle_timeout, self.drop, pool, line)
+        line.on_lost = partial(self.take_out, pool, line)
         pool.idle.append(line)
 
     def close(self) -> None:
         for node in list(self.pools):
-            self.changed(node)
+            self.retire_pool(node)
--- a/cleatyoke/http/load_probes.py
+++ b/cleatyoke/http/load_probes.py
@@ -24,7 +24,7 @@
     def __init__(
         self, core: Core, boxes: BackendPools, prober: LoadProber, within: float, faults: Faults
     ) -> None:
-        self.core, self.boxes, self.prober, self.within, self.faults = core, boxes, prober, within, faults
+        self.core, self.backends, self.prober, self.within, self.faults = core, boxes, prober, within, faults
         self.told = 1.0
         self.task: asyncio.Task[None] | None = None
 
@@ -43,7 +43,7 @@
             if node is None:
                 await asyncio.sleep(min(SLEEP, max(0.0, self.prober.next_at(now) - now) or SLEEP))
                 continue
-            self.prober.told(node, now, await self.boxes.probe(node, self.within))
+            self.prober.told(node, now, await self.backends.probe_load(node, self.within))
             busy = self.prober.busy(self.core.now())
             if not math.isclose(busy, self.told):
                 self.told = busy
--- a/cleatyoke/http/messages.py
+++ b/cleatyoke/http/messages.py
@@ -45,19 +45,19 @@
 class ClientRequest:
     """A client's request."""
 
-    trace: str
+    trace_id: str
     method: str
     target: str  # path and query as they came
     class_index: int
-    plan: int
-    volume: int
+    plan_index: int
+    volume_id: int
     item: int
-    cell: int
+    shard: int
     units: float
-    hosts: int
-    wait: float  # seconds that the client waits, from the last byte of its request
+    front_count: int
+    max_wait: float  # seconds that the client waits, from the last byte of its request
     body: list[bytes]  # in pieces as they came, never joined: a long one would be in memory twice
-    key: str | None = None  # by which boxes drop a repeat
+    idempotency_key: str | None = None  # by which boxes drop a repeat
 
 
 def whole(text: str | None, name: str, least: int, most: int, base: int = 10) -> int:
@@ -84,7 +84,7 @@
     return whole(text, name, 0, (1 << 64) - 1, 16)
 
 
-def decode_ask(
+def decode_request(
     config: Config, method: str, target: str, headers: CIMultiDictProxy[str], body: list[bytes]
 ) -> ClientRequest:
     """Strictly: of what could be read in two ways, a box may read another one."""
@@ -126,19 +126,19 @@
         raise MessageError(msg)
     wait = whole(headers.get("X-Expires-In-Ms"), "X-Expires-In-Ms", 0, LONGEST_WAIT_MS) / 1000
     return ClientRequest(
-        trace=trace,
+        trace_id=trace,
         method=method,
         target=target,
         class_index=index,
-        plan=config.plans[plan],
-        volume=hex16(fields.get("volume"), "X-IO volume"),
+        plan_index=config.plans[plan],
+        volume_id=hex16(fields.get("volume"), "X-IO volume"),
         item=hex16(blocks[0], "block"),
-        cell=whole(fields.get("shard"), "X-IO shard", -1, (config.shards or 1 << 31) - 1),
+        shard=whole(fields.get("shard"), "X-IO shard", -1, (config.shards or 1 << 31) - 1),
         units=float(whole(fields.get("units"), "X-IO units", 1, largest)),
-        hosts=whole(fields.get("hosts"), "X-IO hosts", 1, 1 << 20),
-        wait=min(wait, config.give_up[index]),  # a longer word would hold a box's slot for as long
+        front_count=whole(fields.get("hosts"), "X-IO hosts", 1, 1 << 20),
+        max_wait=min(wait, config.give_up[index]),  # a longer word would hold a box's slot for as long
         body=body,
-        key=read_key(headers, config.settings.classes[index].idempotency),
+        idempotency_key=read_key(headers, config.settings.classes[index].idempotency),
     )
 
 
@@ -174,9 +174,9 @@
     host = f"[{box.host}]" if ":" in box.host else box.host
     size = sum(map(len, ask.body))
     length = f"Content-Length: {size}\r\n" if size or ask.method != "GET" else ""
-    key = f"{KEY}: {ask.key}\r\n" if ask.key is not None else ""
+    key = f"{KEY}: {ask.idempotency_key}\r\n" if ask.idempotency_key is not None else ""
     head = (
-        f"{ask.method} {ask.target} HTTP/1.1\r\nHost: {host}:{box.port}\r\nX-Trace-Id: {ask.trace}\r\n"
+        f"{ask.method} {ask.target} HTTP/1.1\r\nHost: {host}:{box.port}\r\nX-Trace-Id: {ask.trace_id}\r\n"
         f"{key}X-Expires-In-Ms: {max(0, int(wait * 1000))}\r\n{length}\r\n"
     ).encode("ascii")
     return [head + b"".join(ask.body)] if size <= MOST_WHOLE else [head, *ask.body]
@@ -193,9 +193,9 @@
     status: int
     headers: Mapping[str, str]
     body: bytes
-    reusable: bool  # the connection may carry the next request: all that came belonged to this one
+    connection_reusable: bool  # the connection may carry the next request: all that came belonged to this one
     length: int | None = None  # of the body; None: in chunks, of a length that only its end tells
-    long: bool = False  # more of the body is to come, by ``AnswerReader.more``
+    is_streamed: bool = False  # more of the body is to come, by ``AnswerReader.more``
 
 
 class AnswerReader:
@@ -212,7 +212,7 @@
         self.chunk_bytes = 0
         self.until_close = False  # the end of the connection is the end of the body
         self.left = 0  # bytes of a long body of a known length that are still to come
-        self.ended = self.clean = False  # the body is whole; and nothing came behind it
+        self.is_complete = self.is_last_byte = False  # the body is whole; and nothing came behind it
 
     def feed(self, data: bytes) -> BackendAnswer | None:
         """Take in bytes; returns the answer once it is whole."""
@@ -248,10 +248,10 @@
         if self.message.code != 200:  # its head says all
             return BackendAnswer(self.message.code, self.message.headers, b"", False)
         return BackendAnswer(
-            self.message.code, self.message.headers, self.more(data), False, self.length, True
+            self.message.code, self.message.headers, self.feed_body(data), False, self.length, True
         )
 
-    def more(self, data: bytes) -> bytes:
+    def feed_body(self, data: bytes) -> bytes:
         """The next bytes of a long body; ``ended`` tells when it is whole, ``clean`` that nothing follows."""
         if self.until_close:
             self.chunk_bytes += len(data)
@@ -262,21 +262,21 @@
         if self.length is None:
             self.parse_chunks(data)
             assert self.chunks is not None
-            self.ended = self.chunks.is_eof()
+            self.is_complete = self.chunks.is_eof()
             return self.chunks.read_nowait()
         part = data[: self.left]
         self.left -= len(part)
-        self.ended, self.clean = not self.left, len(data) == len(part)
+        self.is_complete, self.is_last_byte = not self.left, len(data) == len(part)
         return part
 
-    def at_close(self) -> BackendAnswer | None:
+    def feed_eof(self) -> BackendAnswer | None:
         """The connection has ended in order: the whole of an answer that ends with it, if it is one."""
         if not self.until_close or self.message is None:
             return None
         return self.whole(bytes(self.buffer), False)
 
-    def reusable(self) -> bool:
-        return self.clean and self.message is not None and not self.message.should_close
+    def is_connection_reusable(self) -> bool:
+        return self.is_last_byte and self.message is not None and not self.message.should_close
 
     def read_head(self, head: bytes) -> None:
         parser = HttpResponseParser(
@@ -322,18 +322,18 @@
         self.buffer.clear()
         self.parse_chunks(data)
         if self.chunks.is_eof():
-            return self.whole(self.chunks.read_nowait(), self.clean)
+            return self.whole(self.chunks.read_nowait(), self.is_last_byte)
         return self.begin_long() if self.chunks.total_bytes > MOST_WHOLE else None
 
     def parse_chunks(self, data: bytes) -> None:
         assert self.chunks is not None
         self.chunk_bytes += len(data)
-        self.clean = True
+        self.is_last_byte = True
         try:
             messages, _, _ = self.parser.feed_data(data)
-            self.clean = not messages
+            self.is_last_byte = not messages
         except (HttpProcessingError, ValueError) as error:
-            self.clean = False  # spoilt, or noise behind the whole answer
+            self.is_last_byte = False  # spoilt, or noise behind the whole answer
             if not self.chunks.is_eof() or self.chunks.exception():
                 msg = "its chunks cannot be read"
                 raise MalformedAnswerError(msg) from error
@@ -343,8 +343,8 @@
 
     def whole(self, body: bytes, clean: bool) -> BackendAnswer:
         assert self.message
-        self.ended, self.clean = True, clean
-        return BackendAnswer(self.message.code, self.message.headers, body, self.reusable(), len(body))
+        self.is_complete, self.is_last_byte = True, clean
+        return BackendAnswer(self.message.code, self.message.headers, body, self.is_connection_reusable(), len(body))
 
 
 def decode_outcome(status: int, headers: Mapping[str, str]) -> AttemptOutcome:
@@ -356,7 +356,7 @@
     return AttemptOutcome.ERROR
 
 
-def decode_elsewhere(headers: Mapping[str, str]) -> float:
+def decode_served_elsewhere(headers: Mapping[str, str]) -> float:
     """The units that the shard served the volume through other fronts. A good answer may bring an odd figure:
     that counts as none, and never spoils the answer.
     """
@@ -364,7 +364,7 @@
     return float(text) if PLAIN.fullmatch(text) else 0.0
 
 
-def decode_busy(headers: Mapping[str, str]) -> float | None:
+def decode_utilization(headers: Mapping[str, str]) -> float | None:
     """The part of its power that a box reports in use, by all fronts; None where no report can be read."""
     return decode_report(headers.get("Endpoint-Load-Metrics", ""))
 
@@ -374,12 +374,12 @@
     return min(1.0, float(found[1])) if found else None
 
 
-def encode_probe(box: Address) -> bytes:
+def encode_load_probe(box: Address) -> bytes:
     """A probe that brings the load report (protocol page, Fronts to chunk servers)."""
     host = f"[{box.host}]" if ":" in box.host else box.host
     return f"GET /metrics/load HTTP/1.1\r\nHost: {host}:{box.port}\r\n\r\n".encode("ascii")
 
 
-def decode_probe(answer: BackendAnswer) -> float | None:
+def decode_load_probe(answer: BackendAnswer) -> float | None:
     """The part of its power that a probed box reports in use; None where no report can be read."""
     return decode_report(answer.body[:MOST_REPORT].decode("latin-1")) if answer.status == 200 else None
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -24,10 +24,10 @@
     IdempotencyKeyError,
     MalformedAnswerError,
     MessageError,
-    decode_ask,
+    decode_request,
 )
 from cleatyoke.scheduling.events import RequestArrived
-from cleatyoke.transport.sockets import ClosingTransport, Listener, ended, unread
+from cleatyoke.transport.sockets import ClosingTransport, Listener, is_ended, has_unread_bytes
 
 # Of clients the settings tell only how long they wait for an answer, and the protocol page nothing of how
 # long they keep a connection: these times are about descriptors and bad clients, and cost no request taken.
@@ -58,9 +58,9 @@
     def __init__(self, front: HttpServer, **settings: Any) -> None:
         super().__init__(front.server, loop=front.core.loop, **settings)
         self.front = front
-        self.came = self._loop.time()
-        self.began = 0.0  # when the first byte of a message came whose head is not whole yet; 0: none has
-        self.busy = self.whole = False  # a message is in hand; and nothing of it is still to come
+        self.opened_at = self._loop.time()
+        self.head_started_at = 0.0  # when the first byte of a message came whose head is not whole yet; 0: none has
+        self.is_busy = self.is_request_complete = False  # a message is in hand; and nothing of it is still to come
         self.turn: asyncio.Timeout | None = None  # the request's, while it waits for its answer
         self.spared = False  # bytes that nobody had read kept it from being closed once
 
@@ -68,7 +68,7 @@
         assert isinstance(transport, asyncio.Transport)
         parting = ClosingTransport(transport, self, self.front.parts, self.front.parted)
         super().connection_made(parting)
-        self.front.idle[self] = self.came
+        self.front.idle[self] = self.opened_at
 
     def connection_lost(self, exc: BaseException | None) -> None:
         self.front.forget(self)
@@ -76,18 +76,18 @@
 
     def evictable(self) -> bool:
         """No request is on its way here as far as anyone can see."""
-        return not self.began and self.transport is not None and not unread(self.transport)
+        return not self.head_started_at and self.transport is not None and not has_unread_bytes(self.transport)
 
     def gone(self) -> bool:
         """The client has closed, whether or not the loop has heard of it: no attempt may begin for it, and
         its request is withdrawn.
         """
-        if self.transport is not None and ended(self.transport):
+        if self.transport is not None and is_ended(self.transport):
             self.transport.abort()
         return self.transport is None or self.transport.is_closing()
 
     def data_received(self, data: bytes) -> None:
-        if self.whole:
+        if self.is_request_complete:
             # Guards the box and the next request: what comes behind a request before its answer is no
             # message of this protocol, and may be hidden in a length that is wrong. Such a client is owed an
             # error or a close, and never an answer as though its request had run.
@@ -99,18 +99,18 @@
         super().data_received(data)
         if self._messages:
             self.front.spoke(self)
-        elif not self.busy:
-            self.began = self.began or self._loop.time()
+        elif not self.is_busy:
+            self.head_started_at = self.head_started_at or self._loop.time()
 
     def crowded(self) -> bool:
         """More than the message in hand has come."""
         return bool(self._messages)
 
     def take(self) -> None:
-        self.busy, self.began, self.spared = True, 0.0, False
+        self.is_busy, self.head_started_at, self.spared = True, 0.0, False
 
     def give_back(self) -> None:
-        self.busy = self.whole = False
+        self.is_busy = self.is_request_complete = False
         if self.transport is not None:
             self.front.idle[self] = self._loop.time()
 
@@ -130,7 +130,7 @@
         self.front.forget(self)
         transport = self.transport
         self.force_close()
-        if isinstance(transport, ClosingTransport) and transport.flushed():
+        if isinstance(transport, ClosingTransport) and transport.is_flushed():
             transport.end()
             self.front.parted(transport)
 
@@ -145,8 +145,8 @@
         """Close an idle connection, but let a head that has begun to come be read to its end, and bytes that
         have come in the turn of the loop in which it is due be read first.
         """
-        rest = self.began + HEAD - self._loop.time() if self.began else 0.0
-        if rest <= 0 and not self.spared and self.transport is not None and unread(self.transport):
+        rest = self.head_started_at + HEAD - self._loop.time() if self.head_started_at else 0.0
+        if rest <= 0 and not self.spared and self.transport is not None and has_unread_bytes(self.transport):
             self.spared, rest = True, READ
         if rest > 0:
             self._keepalive_handle = self._loop.call_later(rest, self._process_keepalive)
@@ -179,12 +179,12 @@
         ready: Callable[[], bool],
         drain: FrontDrain | None = None,
     ) -> None:
-        self.config, self.core, self.boxes, self.ready = config, core, boxes, ready
-        self.drain, self.figures = drain or FrontDrain(), boxes.figures
+        self.config, self.core, self.backends, self.ready = config, core, boxes, ready
+        self.drain, self.metrics = drain or FrontDrain(), boxes.metrics
         self.sweeper: asyncio.TimerHandle | None = None
-        self.most_clients = config.shares.clients
-        self.last_answer, self.closing = math.inf, False
-        self.space = bodies.BodyMemory(config.body_bytes)
+        self.max_clients = config.shares.clients
+        self.last_answer_at, self.is_closing = math.inf, False
+        self.body_memory = bodies.BodyMemory(config.body_bytes)
         self.server = web.Server(
             self.handle, request_factory=self.make_request, handler_cancellation=True
         )  # a client that closes is withdrawn
@@ -193,8 +193,8 @@
         self.idle: dict[
             ClientConnection, float
         ] = {}  # without a message in hand: since when, the longest first
-        self.parting: dict[ClosingTransport, float] = {}  # answered, not closed yet: since when
-        self.taken: set[str] = set()  # ids of open requests, and of those just over
+        self.closing_transports: dict[ClosingTransport, float] = {}  # answered, not closed yet: since when
+        self.trace_ids: set[str] = set()  # ids of open requests, and of those just over
         self.over: deque[tuple[float, str]] = deque()  # when to forget which of them
         self.listener: Listener | None = None
         self.address = config.listen
@@ -208,39 +208,39 @@
         task: asyncio.Task[None],
     ) -> web.BaseRequest:
         return web.BaseRequest(
-            message, payload, protocol, writer, task, self.core.loop, client_max_size=bodies.WHOLE
+            message, payload, protocol, writer, task, self.core.loop, client_max_size=bodies.UNRESERVED_BYTES
         )
 
     def listen(self) -> None:
         self.listener = Listener(
-            self.address.host, self.address.port, self.room, self.admit, self.config.accept_fd
+            self.address.host, self.address.port, self.has_capacity, self.make_connection, self.config.accept_fd
         )
         self.address = Address(*self.listener.socket.getsockname()[:2])  # where the port was 0
 
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more connection has a place. At the bound the oldest that never spoke makes room, or
         else the longest idle; where a flood has just filled it, the kernel holds newcomers for an instant.
         """
-        if len(self.clients) + len(self.parting) < self.most_clients:
+        if len(self.clients) + len(self.closing_transports) < self.max_clients:
             return True
         before = self.core.loop.time() - SILENT
-        for parting, since in self.parting.items():
-            if since <= before and parting.flushed():
+        for parting, since in self.closing_transports.items():
+            if since <= before and parting.is_flushed():
                 parting.end()
                 self.parted(parting)
                 return True
         for one in [*self.silent, *self.idle]:
-            if self.idle.get(one, one.came) <= before and one.evictable():
+            if self.idle.get(one, one.opened_at) <= before and one.evictable():
                 one.evict()
                 return True
         slow = self.core.loop.time() - SLOW_HEAD
         for one in self.idle:  # a head may take its time while there is room
-            if 0 < one.began <= slow and one.transport is not None and not unread(one.transport):
+            if 0 < one.head_started_at <= slow and one.transport is not None and not has_unread_bytes(one.transport):
                 one.evict()
                 return True
         return False
 
-    def admit(self) -> ClientConnection:
+    def make_connection(self) -> ClientConnection:
         client = ClientConnection(
             self,
             keepalive_timeout=IDLE,
@@ -265,18 +265,18 @@
         self.spoke(client)
 
     def parts(self, transport: ClosingTransport) -> None:
-        self.parting[transport] = self.core.loop.time()
+        self.closing_transports[transport] = self.core.loop.time()
 
     def parted(self, transport: ClosingTransport) -> None:
-        self.parting.pop(transport, None)
+        self.closing_transports.pop(transport, None)
 
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """Connections on which something may still be owed, and those whose answer may not be read yet: it
         has not left, or so lately that its reader had no time. Others hold up no exit.
         """
         late = self.core.loop.time() - READ_BY
         return len(self.clients) + sum(
-            since > late or not parting.flushed() for parting, since in self.parting.items()
+            since > late or not parting.is_flushed() for parting, since in self.closing_transports.items()
         )
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -285,18 +285,18 @@
         client.take()
         name = request.headers.get("X-Qos", "") if request.path == "/api" else ""
         counted = name in self.config.classes
-        self.figures.inflight += counted
+        self.metrics.inflight += counted
         try:
             response = await self.answer(request, client)
             if counted:
-                self.figures.answered(name, 502 if response.get(CUT) else response.status)
+                self.metrics.answered(name, 502 if response.get(CUT) else response.status)
         except Exception:  # aiohttp answers it with 500
             if counted:
-                self.figures.answered(name, 500)
+                self.metrics.answered(name, 500)
             raise
         finally:
-            self.figures.inflight -= counted
-            self.space.leave(client)
+            self.metrics.inflight -= counted
+            self.body_memory.release(client)
         if not response.prepared and self.ends(request, client):
             response.force_close()  # Connection: close
         return response
@@ -309,7 +309,7 @@
         Only idle ones count: amid a storm of repeats, new connections would cost what the answers need.
         """
         crowded = len(self.idle) - len(self.silent) + 1 > self.config.shares.crowd  # with this one
-        leaving = self.closing or self.drain.draining
+        leaving = self.is_closing or self.drain.draining
         return crowded or leaving or not request.content.is_eof() or client.crowded()
 
     async def gather(self, request: web.BaseRequest, client: ClientConnection) -> list[bytes]:
@@ -317,7 +317,7 @@
         pieces: list[bytes] = []
         size, began, waited, spared = 0, self.core.loop.time(), 0.0, False
         while True:
-            limit = began + waited + bodies.patience(size, BODY)
+            limit = began + waited + bodies.body_timeout(size, BODY)
             try:
                 async with asyncio.timeout_at(limit):
                     piece = await request.content.readany()
@@ -330,10 +330,10 @@
             if not piece:
                 return pieces
             size += len(piece)
-            if size > self.space.most:
+            if size > self.body_memory.max_body:
                 raise HeadTooLongError
             pieces.append(piece)
-            while not self.space.take(client, size):  # the client is held up meanwhile, and loses nothing
+            while not self.body_memory.reserve(client, size):  # the client is held up meanwhile, and loses nothing
                 await asyncio.sleep(LOOK)
                 waited += LOOK
 
@@ -345,13 +345,13 @@
             return web.Response(status=404)
         if request.method not in ("GET", "PUT"):
             return web.Response(status=405)
-        if (request.content_length or 0) > self.space.most:
+        if (request.content_length or 0) > self.body_memory.max_body:
             return web.Response(status=413)  # at once: none of it is read
         expects = request.headers.get("Expect", "").lower()
         if expects not in ("", "100-continue"):
             return web.Response(status=417)
         try:
-            ask = decode_ask(self.config, request.method, request.raw_path, request.headers, [])
+            ask = decode_request(self.config, request.method, request.raw_path, request.headers, [])
             if request.body_exists:
                 if expects:
                     await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -372,17 +372,17 @@
             return web.Response(status=400, text=f"{error}\n")
         if client.crowded():
             return web.Response(status=400, text="one request at a time\n")
-        client.whole = True
+        client.is_request_complete = True
         came = self.core.now()  # the time of a request counts from its last byte
         while self.over and self.over[0][0] <= came:
-            self.taken.discard(self.over.popleft()[1])
-        if ask.trace in self.taken:  # passed on, it would run a request twice that is open, or just was
+            self.trace_ids.discard(self.over.popleft()[1])
+        if ask.trace_id in self.trace_ids:  # passed on, it would run a request twice that is open, or just was
             return web.Response(status=400, text="X-Trace-Id: taken\n")
-        self.taken.add(ask.trace)
+        self.trace_ids.add(ask.trace_id)
         try:
-            return await self.schedule(ask, min(came + ask.wait, self.last_answer), request, client)
+            return await self.schedule(ask, min(came + ask.max_wait, self.last_answer_at), request, client)
         finally:
-            self.over.append((self.core.now() + REMEMBERED, ask.trace))
+            self.over.append((self.core.now() + REMEMBERED, ask.trace_id))
 
     async def schedule(
         self, ask: ClientRequest, deadline: float, request: web.BaseRequest, client: ClientConnection
@@ -391,18 +391,18 @@
 
         async def attempt(node: int, may: MayBegin) -> AttemptResult[bytes | StreamedBody]:
             until = deadline - ATTEMPT_MARGIN - self.core.offset
-            return await self.boxes.attempt(node, ask, until, lambda: may() and not client.gone())
+            return await self.backends.attempt(node, ask, until, lambda: may() and not client.gone())
 
         arrival = RequestArrived(
             request_id=self.core.new_id(),
             class_index=ask.class_index,
-            plan_index=ask.plan,
-            volume_id=ask.volume,
+            plan_index=ask.plan_index,
+            volume_id=ask.volume_id,
             item=ask.item,
-            shard=ask.cell,
+            shard=ask.shard,
             units=ask.units,
             deadline=deadline,
-            front_count=ask.hosts,
+            front_count=ask.front_count,
         )
         try:
             async with asyncio.timeout(None) as client.turn:
@@ -451,41 +451,41 @@
             body.close()
         return response
 
-    def sweep(self) -> None:
+    def close_idle_connections(self) -> None:
         """While the front drains or leaves: no connection is kept idle, nor one that has not sent a request
         in time.
         """
         self.sweeper = None
-        if not (self.drain.draining or self.closing):
+        if not (self.drain.draining or self.is_closing):
             return
         before = self.core.loop.time() - DRAIN_SILENT
         for client in [*self.idle]:
-            if (client not in self.silent or client.came <= before) and client.evictable():
+            if (client not in self.silent or client.opened_at <= before) and client.evictable():
                 client.part()
-        self.sweeper = self.core.loop.call_later(SWEEP, self.sweep)
+        self.sweeper = self.core.loop.call_later(SWEEP, self.close_idle_connections)
 
-    def drained(self) -> None:
+    def begin_drain(self) -> None:
         """The operators' drain: told from any thread, it acts on the loop."""
         self.drain.start()
         self.core.loop.call_soon_threadsafe(self.begin_sweep)
 
     def begin_sweep(self) -> None:
         if self.sweeper is None:
-            self.sweep()
+            self.close_idle_connections()
 
-    def leave(self, last: float) -> None:
+    def begin_shutdown(self, last: float) -> None:
         """The process is to end: all that is open, and what is taken from now on, is answered within so many
         seconds. Connections are kept while it still serves, as their clients could come back by no other.
         """
-        self.last_answer = self.core.now() + last
-        self.core.hurry(self.last_answer)
+        self.last_answer_at = self.core.now() + last
+        self.core.hurry(self.last_answer_at)
 
     def stop_accepting(self) -> None:
         """No new connections, no idle ones; what was taken is answered, each answer with its close. A message
         that has begun to come, or that nobody has read yet, is taken too. Not by ``web.Server.pre_shutdown``:
         after that the rest of a body that is on its way is never read.
         """
-        self.closing = True  # from now on each answer says that its connection ends
+        self.is_closing = True  # from now on each answer says that its connection ends
         if self.listener:
             self.listener.close()
         self.begin_sweep()
@@ -493,5 +493,5 @@
     async def close(self) -> None:
         """Stop accepting, and wait for the last answer."""
         self.stop_accepting()
-        while self.open():
+        while self.open_connections():
             await asyncio.sleep(0.02)
--- a/cleatyoke/transport/sockets.py
+++ b/cleatyoke/transport/sockets.py
@@ -14,24 +14,24 @@
 ACCEPTED = 32  # connections accepted in one turn of the loop: so long others wait for theirs
 BACKLOG = 512  # connections that the kernel holds until they are accepted: half of the most descriptors
 PAUSE = 0.01  # seconds until the next look for room: none ends sooner than a round trip and an answer
-PART = 1.0  # seconds for which a peer is read on after the sending side was shut: many round trips, and no
+CLOSE_TIMEOUT = 1.0  # seconds for which a peer is read on after the sending side was shut: many round trips, and no
 # setting tells how long a client takes to read an answer that has come
-MOST_PART = 1 << 20  # bytes that are read and thrown away then: more than the kernel holds on the way
+MAX_DISCARDED_BYTES = 1 << 20  # bytes that are read and thrown away then: more than the kernel holds on the way
 MOST_LOOKS = 10  # times ``PART`` for a peer that does not read what was written
 
 
-def unread(transport: asyncio.Transport) -> bool:
+def has_unread_bytes(transport: asyncio.Transport) -> bool:
     """Something has come, or the end, that the loop has not read yet."""
-    return readable(transport.get_extra_info("socket").fileno())
+    return is_readable(transport.get_extra_info("socket").fileno())
 
 
-def readable(descriptor: int) -> bool:
+def is_readable(descriptor: int) -> bool:
     look = select.poll()
     look.register(descriptor, select.POLLIN)
     return bool(look.poll(0))
 
 
-def ended(transport: asyncio.BaseTransport) -> bool:
+def is_ended(transport: asyncio.BaseTransport) -> bool:
     """The peer has closed or reset the connection, or shut its sending side, whether or not the loop has read
     that yet; or it is closed on this side.
     """
@@ -73,12 +73,12 @@
     ) -> None:
         super().__init__()
         self.inner, self.protocol, self.parts, self.parted = inner, protocol, parts, parted
-        self.parting = False
+        self.is_shut_down = False
 
     def close(self) -> None:
-        if self.parting or self.inner.is_closing():
+        if self.is_shut_down or self.inner.is_closing():
             return
-        self.parting = True
+        self.is_shut_down = True
         self.inner.set_protocol(ClosingProtocol(self))
         asyncio.get_running_loop().call_soon(self.protocol.connection_lost, None)
         self.parts(self)
@@ -88,7 +88,7 @@
         except (OSError, RuntimeError):  # the peer has reset it
             self.inner.abort()
 
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """All that was written is with the kernel."""
         return not self.inner.get_write_buffer_size()
 
@@ -97,14 +97,14 @@
         self.inner.abort()
 
     def is_closing(self) -> bool:
-        return self.parting or self.inner.is_closing()
+        return self.is_shut_down or self.inner.is_closing()
 
     def write(self, data: Any) -> None:
-        if not self.parting:
+        if not self.is_shut_down:
             self.inner.write(data)
 
     def writelines(self, list_of_data: Any) -> None:
-        if not self.parting:
+        if not self.is_shut_down:
             self.inner.writelines(list_of_data)
 
     def write_eof(self) -> None:
@@ -117,11 +117,11 @@
         self.inner.abort()
 
     def pause_reading(self) -> None:
-        if not self.parting:
+        if not self.is_shut_down:
             self.inner.pause_reading()
 
     def resume_reading(self) -> None:
-        if not self.parting:
+        if not self.is_shut_down:
             self.inner.resume_reading()
 
     def is_reading(self) -> bool:
@@ -150,17 +150,17 @@
     """What is left of a connection whose sending side is shut: it reads and throws away."""
 
     def __init__(self, transport: ClosingTransport) -> None:
-        self.transport, self.left, self.looks = transport, MOST_PART, 0
+        self.transport, self.left, self.looks = transport, MAX_DISCARDED_BYTES, 0
         self.loop = asyncio.get_running_loop()
-        self.timer = self.loop.call_later(PART, self.look)
+        self.timer = self.loop.call_later(CLOSE_TIMEOUT, self.look)
 
     def look(self) -> None:
         """A peer that reads slowly has the rest of its answer first."""
         self.looks += 1
-        if self.transport.flushed() or self.looks >= MOST_LOOKS:
+        if self.transport.is_flushed() or self.looks >= MOST_LOOKS:
             self.transport.inner.abort()
         else:
-            self.timer = self.loop.call_later(PART, self.look)
+            self.timer = self.loop.call_later(CLOSE_TIMEOUT, self.look)
 
     def data_received(self, data: bytes) -> None:
         self.left -= len(data)
@@ -176,7 +176,7 @@
     """A descriptor that was handed down is no listening TCP socket."""
 
 
-def take_listening(descriptor: int) -> socket.socket:
+def adopt_listening_socket(descriptor: int) -> socket.socket:
     """A listening socket that the platform holds and hands to each process, never bound here again."""
     try:
         taken = socket.socket(fileno=descriptor)
@@ -205,12 +205,12 @@
         make: Callable[[], asyncio.Protocol],
         inherited: int | None = None,
     ) -> None:
-        self.loop, self.room, self.make = asyncio.get_running_loop(), room, make
+        self.loop, self.has_capacity, self.make_protocol = asyncio.get_running_loop(), room, make
         if inherited is None:
             family = socket.AF_INET6 if ":" in host else socket.AF_INET
             self.socket = socket.create_server((host, port), family=family, backlog=BACKLOG)
         else:
-            self.socket = take_listening(inherited)
+            self.socket = adopt_listening_socket(inherited)
         self.socket.setblocking(False)
         self.shared = inherited is not None
         self.tasks: set[asyncio.Task[None]] = set()
@@ -223,9 +223,9 @@
 
     def accept(self) -> None:
         for _ in range(ACCEPTED):
-            if not readable(self.socket.fileno()):
+            if not is_readable(self.socket.fileno()):
                 return None
-            if not self.room():
+            if not self.has_capacity():
                 return self.wait()
             try:
                 self.take()
@@ -236,7 +236,7 @@
 
     def take(self) -> None:
         connection, _ = self.socket.accept()
-        task = self.loop.create_task(self.connect(self.make(), connection))
+        task = self.loop.create_task(self.connect(self.make_protocol(), connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -265,7 +265,7 @@
         if not self.shared:
             with contextlib.suppress(OSError):  # no descriptor left, or nobody waits any more
                 for _ in range(BACKLOG):
-                    if not readable(self.socket.fileno()) or not self.room():
+                    if not is_readable(self.socket.fileno()) or not self.has_capacity():
                         break
                     self.take()
         self.socket.close()
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -828,42 +828,42 @@
     headers = CIMultiDictProxy(CIMultiDict([(name, text) for name, text in value["headers"]]))
     body = [unpack(one) for one in value.get("body", [])]
     try:
-        request = messages.decode_ask(front_config(), value["method"], value["target"], headers, body)
+        request = messages.decode_request(front_config(), value["method"], value["target"], headers, body)
     except messages.MessageError as error:
         return {"refused": str(error), "for its key": isinstance(error, messages.IdempotencyKeyError)}
     return {
-        "trace": request.trace,
+        "trace": request.trace_id,
         "method": request.method,
         "target": request.target,
         "class": request.class_index,
-        "plan": request.plan,
-        "volume": request.volume,
+        "plan": request.plan_index,
+        "volume": request.volume_id,
         "item": request.item,
-        "shard": request.cell,
+        "shard": request.shard,
         "units": request.units,
-        "hosts": request.hosts,
-        "seconds": request.wait,
+        "hosts": request.front_count,
+        "seconds": request.max_wait,
         "body": [pack(one) for one in request.body],
-        "key": request.key,
+        "key": request.idempotency_key,
     }
 
 
 def encode_node_request(value: Plain) -> bytes:
     """An attempt as it is written to a node."""
     request = messages.ClientRequest(
-        trace=value["trace"],
+        trace_id=value["trace"],
         method=value["method"],
         target=value["target"],
         class_index=0,
-        plan=0,
-        volume=1,
+        plan_index=0,
+        volume_id=1,
         item=1,
-        cell=0,
+        shard=0,
         units=1.0,
-        hosts=1,
-        wait=1.0,
+        front_count=1,
+        max_wait=1.0,
         body=[unpack(one) for one in value["body"]],
-        key=value.get("key"),
+        idempotency_key=value.get("key"),
     )
     address = Address(value["node"][0], value["node"][1])
     return b"".join(messages.encode_attempt(request, address, value["seconds"]))
@@ -871,7 +871,7 @@
 
 def encode_node_probe(value: Plain) -> bytes:
     """A probe of a node's load as it is written."""
-    return messages.encode_probe(Address(value["node"][0], value["node"][1]))
+    return messages.encode_load_probe(Address(value["node"][0], value["node"][1]))
 
 
 OUTCOMES = {
@@ -890,9 +890,9 @@
             if answer is None:
                 answer = reader.feed(unpack(piece))
             else:
-                rest.append(pack(reader.more(unpack(piece))))
+                rest.append(pack(reader.feed_body(unpack(piece))))
         if answer is None and value.get("closed"):
-            answer = reader.at_close()
+            answer = reader.feed_eof()
     except messages.MalformedAnswerError as error:
         return {"spoilt": str(error)}
     if answer is None:
@@ -901,15 +901,15 @@
         "status": answer.status,
         "headers": [[name, text] for name, text in answer.headers.items()],
         "body": pack(answer.body),
-        "reusable": answer.reusable,
+        "reusable": answer.connection_reusable,
         "length": answer.length,
-        "long": answer.long,
+        "long": answer.is_streamed,
         "rest": rest,
-        "whole": reader.ended,
+        "whole": reader.is_complete,
         "means": OUTCOMES[messages.decode_outcome(answer.status, answer.headers)],
-        "served by other fronts": messages.decode_elsewhere(answer.headers),
-        "load in the head": messages.decode_busy(answer.headers),
-        "load in the body": messages.decode_probe(answer),
+        "served by other fronts": messages.decode_served_elsewhere(answer.headers),
+        "load in the head": messages.decode_utilization(answer.headers),
+        "load in the body": messages.decode_load_probe(answer),
     }
 
 
@@ -1051,7 +1051,7 @@
         directory = Directory({"basement": 0})
         directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
         nodes = BackendPools(directory, PATIENCE, 30.0, 32)
-        load = await nodes.probe(1, PATIENCE)
+        load = await nodes.probe_load(1, PATIENCE)
         nodes.close()
     return {"to nodes": [blank(one) for one in heard], "load": load}
 
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -42,7 +42,7 @@
     Subscriber,
     SubscriberTiming,
 )
-from cleatyoke.http.body_limits import BodyMemory, patience
+from cleatyoke.http.body_limits import BodyMemory, body_timeout
 from cleatyoke.membership.wire import WireError
 from cleatyoke.process.lifecycle import Lifecycle, Notice, Order, Stage
 from cleatyoke.process.lifecycle import Status as ExitStatus
@@ -850,17 +850,17 @@
 
     def take(self, body: str, size: int) -> bool:
         """Whether the body may hold so many bytes."""
-        return self.room.take(body, size)
+        return self.room.reserve(body, size)
 
     def leave(self, body: str) -> None:
         """The body is over."""
-        self.room.leave(body)
+        self.room.release(body)
 
     def state(self) -> Neutral:
         """What is held, and who waits."""
-        return [[[body, size] for body, size in self.room.held.items()], list(self.room.waiting)]
+        return [[[body, size] for body, size in self.room.reserved.items()], list(self.room.waiting)]
 
 
 def body_patience(size: int, grace: float | None) -> str:
     """Seconds for so many bytes."""
-    return number(patience(size) if grace is None else patience(size, grace=grace))
+    return number(body_timeout(size) if grace is None else body_timeout(size, grace=grace))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cleatyoke.http.body_limits import MOST_UPLOAD, WHOLE, BodyMemory, patience
+from cleatyoke.http.body_limits import MAX_UPLOAD_BYTES, UNRESERVED_BYTES, BodyMemory, body_timeout
 from tests.test_http_front import TARGET, FrontCase
 from tests.wire import answer
 
@@ -25,29 +25,29 @@
             while left:
                 moved = False
                 for body in rng.sample(list(left), len(left)):
-                    wanted = min(left[body], got[body] + rng.randint(1, 8) * WHOLE)
-                    if room.take(body, wanted):
+                    wanted = min(left[body], got[body] + rng.randint(1, 8) * UNRESERVED_BYTES)
+                    if room.reserve(body, wanted):
                         moved, got[body] = True, wanted
                         if wanted == left[body]:
-                            room.leave(body)
+                            room.release(body)
                             del left[body]
-                    assert sum(room.held.values()) <= room.total
-                assert moved, (seed, room.held)
+                    assert sum(room.reserved.values()) <= room.total
+                assert moved, (seed, room.reserved)
 
     def test_short_bodies_never_wait_and_one_that_cannot_fit_is_never_favoured(self) -> None:
         room = BodyMemory(MEGABYTE)
-        assert not room.take("huge", 3 * MEGABYTE)
-        assert room.take("long", MEGABYTE)
-        assert not room.take("next", MEGABYTE)
-        assert room.take("short", WHOLE)
-        room.leave("long")
-        room.leave("huge")
-        assert room.take("next", MEGABYTE)
+        assert not room.reserve("huge", 3 * MEGABYTE)
+        assert room.reserve("long", MEGABYTE)
+        assert not room.reserve("next", MEGABYTE)
+        assert room.reserve("short", UNRESERVED_BYTES)
+        room.release("long")
+        room.release("huge")
+        assert room.reserve("next", MEGABYTE)
 
     def test_the_slowest_client_is_within_its_patience_and_one_that_stalls_is_not(self) -> None:
-        for size in (1, 64_000, 640_000, MOST_UPLOAD):
-            assert 2.0 + size / 64000 < patience(size)  # 64 kB a second, after a stall of 2 s
-        assert patience(0) < 3.0
+        for size in (1, 64_000, 640_000, MAX_UPLOAD_BYTES):
+            assert 2.0 + size / 64000 < body_timeout(size)  # 64 kB a second, after a stall of 2 s
+        assert body_timeout(0) < 3.0
 
 
 class LongAnswers(FrontCase):
@@ -80,7 +80,7 @@
         for trace in ("a", "chunked", "b", "c"):
             assert await self.ask(trace) == (200, body), trace
             await asyncio.sleep(0.05)  # a connection rests before it is used again
-        assert (self.box.accepted, self.boxes.open) == (1, 1)
+        assert (self.box.accepted, self.boxes.open_connections) == (1, 1)
         assert await self.ask("closes") == (200, body)
         assert await self.ask("closes-short") == (200, body[:9])
 
@@ -123,10 +123,10 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await reader.readexactly(len(self.body))
         writer.close()
-        figures = self.boxes.figures
+        figures = self.boxes.metrics
         await self.until(lambda: figures.ended["failure"]["tile-read"] == 1)
         assert (figures.ended["success"]["tile-read"], self.box.counts["t"]) == (0, 1)
-        await self.until(lambda: self.boxes.open == 0)
+        await self.until(lambda: self.boxes.open_connections == 0)
 
     async def test_a_client_that_leaves_or_reads_slowly_holds_no_more_than_a_bound(self) -> None:
         sent = 0
@@ -147,7 +147,7 @@
         await asyncio.sleep(0.5)  # it reads nothing
         assert sent < 24 * MEGABYTE  # what the kernel's buffers take, and no more
         writer.transport.abort()
-        await self.until(lambda: self.boxes.open == 0 and not self.front.clients)
+        await self.until(lambda: self.boxes.open_connections == 0 and not self.front.clients)
 
 
 class LongUploads(FrontCase):
@@ -193,9 +193,9 @@
 
     async def test_uploads_beyond_the_room_wait_for_each_other_and_all_are_served(self) -> None:
         await self.started()
-        self.front.space = BodyMemory(3 * MEGABYTE, 2 * MEGABYTE)
+        self.front.body_memory = BodyMemory(3 * MEGABYTE, 2 * MEGABYTE)
         body = bytes(2 * MEGABYTE)
-        most, held = 0, self.front.space.held
+        most, held = 0, self.front.body_memory.reserved
 
         async def watch() -> None:
             nonlocal most
@@ -212,7 +212,7 @@
         assert [status[9:12] for status in found] == [b"200"] * 5
         assert most <= 3 * MEGABYTE
         assert most > MEGABYTE
-        assert (held, self.front.space.waiting) == ({}, {})
+        assert (held, self.front.body_memory.waiting) == ({}, {})
 
     async def test_a_target_in_absolute_form_and_an_unknown_expectation(self) -> None:
         await self.started()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -306,7 +306,7 @@
             assert await self.attempt(2, ask("t", "PUT", b"scan")) == AttemptResult(
                 AttemptOutcome.CONNECTION_FAILED
             )
-            assert self.boxes.open == 0
+            assert self.boxes.open_connections == 0
             loop, heard = asyncio.get_running_loop(), []
             until = loop.time() + 1.5
             while loop.time() < until:
@@ -345,7 +345,7 @@
             await ended.wait()
         server.close()
         assert len(got) < 16 << 20
-        assert (self.boxes.open, self.boxes.figures.backend_calls) == (0, 0)
+        assert (self.boxes.open_connections, self.boxes.metrics.backend_calls) == (0, 0)
 
     async def test_an_answer_without_an_end_that_is_reset_is_none_and_one_that_ends_is_served(self) -> None:
         async def play(reset: bool) -> AttemptResult[Any]:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,7 +18,7 @@
 from cleatyoke.scheduling.events import AttemptOutcome, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.settings import Idempotency
 from cleatyoke.transport import sockets
-from cleatyoke.transport.sockets import ClosingTransport, ended, unread
+from cleatyoke.transport.sockets import ClosingTransport, is_ended, has_unread_bytes
 from tests.host import Host, class_spec, entry, settings
 from tests.test_http_front import FrontCase, ask
 from tests.wire import answer, config, instance, listed
@@ -53,7 +53,7 @@
         transport = self.transport(client)
         transport.pause_reading()
         streams[1].write(b"".join(parts))
-        await self.until(lambda: unread(transport))
+        await self.until(lambda: has_unread_bytes(transport))
         return transport
 
     async def served_and_closed(self, streams: Streams) -> None:
@@ -76,7 +76,7 @@
 
     async def test_a_head_of_which_a_part_has_come_as_accepting_ends_is_read_on(self) -> None:
         client, streams = await self.meet(at_once, self.head("t")[:20])
-        await self.until(lambda: client.began)
+        await self.until(lambda: client.head_started_at)
         self.front.stop_accepting()
         streams[1].write(self.head("t")[20:])
         await self.served_and_closed(streams)
@@ -84,7 +84,7 @@
     async def test_a_body_that_is_on_its_way_as_accepting_ends_is_read_to_its_end(self) -> None:
         head = self.head("t", "Content-Length: 9", method="PUT").replace(b"tile-read", b"record-write")
         client, streams = await self.meet(at_once, head + b"half")
-        await self.until(lambda: client.busy)
+        await self.until(lambda: client.is_busy)
         self.front.stop_accepting()
         await asyncio.sleep(0)
         streams[1].write(b"there")
@@ -110,39 +110,39 @@
         await self.begin(at_once)
         other = socket.create_server(("127.0.0.1", 0))
         with other, socket.create_connection(other.getsockname()):
-            listener = sockets.Listener("", 0, lambda: True, self.front.admit, other.dup().detach())
+            listener = sockets.Listener("", 0, lambda: True, self.front.make_connection, other.dup().detach())
             listener.close()
-            assert sockets.readable(other.fileno())
+            assert sockets.is_readable(other.fileno())
         assert len(self.front.clients) == 0
 
     async def test_a_connection_that_never_speaks_does_not_hold_up_the_exit(self) -> None:
         client, streams = await self.meet()
-        client.came -= server_module.DRAIN_SILENT
+        client.opened_at -= server_module.DRAIN_SILENT
         self.front.stop_accepting()
         async with asyncio.timeout(1):
             assert await streams[0].read() == b""
         streams[1].close()
-        await self.until(lambda: not self.front.open())
+        await self.until(lambda: not self.front.open_connections())
 
     async def test_the_exit_waits_until_an_answer_has_left_and_its_reader_has_ended(self) -> None:
         client, streams = await self.meet(at_once, self.head("t"))
-        self.front.closing = True
-        await self.until(lambda: self.front.parting)
-        assert self.front.open() == 1
+        self.front.is_closing = True
+        await self.until(lambda: self.front.closing_transports)
+        assert self.front.open_connections() == 1
         assert client not in self.front.clients
         await self.served_and_closed(streams)
         streams[1].close()
-        await self.until(lambda: not self.front.open())
+        await self.until(lambda: not self.front.open_connections())
 
     async def test_a_peer_that_does_not_end_its_connection_does_not_hold_up_the_exit(self) -> None:
         _, streams = await self.meet(at_once, self.head("t"))
-        self.front.closing = True
-        await self.until(lambda: self.front.parting)
-        assert self.front.open() == 1
-        async with asyncio.timeout(0.5 * sockets.PART):
-            while self.front.open():
+        self.front.is_closing = True
+        await self.until(lambda: self.front.closing_transports)
+        assert self.front.open_connections() == 1
+        async with asyncio.timeout(0.5 * sockets.CLOSE_TIMEOUT):
+            while self.front.open_connections():
                 await asyncio.sleep(0.005)
-        assert len(self.front.parting) == 1
+        assert len(self.front.closing_transports) == 1
         await self.served_and_closed(streams)
 
 
@@ -176,10 +176,10 @@
 
         client, streams = await self.meet(script, self.head("t"))
         await self.until(lambda: self.box.counts["t"])
-        self.front.closing = True
+        self.front.is_closing = True
         await self.unread(client, streams, self.head("next"))
         release.set()
-        await self.until(lambda: self.front.parting)
+        await self.until(lambda: self.front.closing_transports)
         await self.served_and_closed(streams)
         assert self.box.counts["next"] == 0, "read after the shutdown, it must not be sent on"
 
@@ -191,12 +191,12 @@
         assert heard[9:12] == b"413"
 
     async def given_up(self, behind: bytes, part: float) -> None:
-        with mock.patch.multiple(sockets, PART=part, MOST_PART=1 << 16):
+        with mock.patch.multiple(sockets, CLOSE_TIMEOUT=part, MAX_DISCARDED_BYTES=1 << 16):
             _, streams = await self.meet(at_once, self.head("t"))
-            self.front.closing = True
-            await self.until(lambda: self.front.parting)
+            self.front.is_closing = True
+            await self.until(lambda: self.front.closing_transports)
             streams[1].write(behind)
-            await self.until(lambda: not self.front.parting)
+            await self.until(lambda: not self.front.closing_transports)
 
     async def test_a_peer_that_never_ends_is_given_up(self) -> None:
         await self.given_up(b"", 0.1)
@@ -230,7 +230,7 @@
         await self.until(lambda: client in self.front.idle)
         transport = await self.unread(client, streams, self.head("u"))
         self.front.drain.start()
-        self.front.sweep()
+        self.front.close_idle_connections()
         assert not transport.is_closing()
         transport.resume_reading()
         await self.served_and_closed(streams)
@@ -239,23 +239,23 @@
         client, streams = await self.meet(at_once, self.head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
         await self.until(lambda: client in self.front.idle)
-        self.front.most_clients = 1
-        client.came = 0.0
+        self.front.max_clients = 1
+        client.opened_at = 0.0
         self.front.idle[client] = self.core.loop.time() + 60
-        assert not self.front.room(), "its reader has had no time for the answer"
+        assert not self.front.has_capacity(), "its reader has had no time for the answer"
         self.front.idle[client] = 0.0
         transport = await self.unread(client, streams, self.head("u"))
-        assert not self.front.room()
+        assert not self.front.has_capacity()
         transport.resume_reading()
         assert b" 200 " in await streams[0].readline()
 
     async def test_room_is_not_made_by_a_slow_head_whose_last_byte_has_come(self) -> None:
         client, streams = await self.meet(at_once, self.head("t")[:30])
-        await self.until(lambda: client.began)
-        self.front.most_clients = 1
-        client.began = client.came = 0.001
+        await self.until(lambda: client.head_started_at)
+        self.front.max_clients = 1
+        client.head_started_at = client.opened_at = 0.001
         transport = await self.unread(client, streams, self.head("t")[30:])
-        assert not self.front.room()
+        assert not self.front.has_capacity()
         transport.resume_reading()
         assert b" 200 " in await streams[0].readline()
 
@@ -263,7 +263,7 @@
         """The last bytes of a body come in the turn in which its time is up, or are unread then."""
         head = self.head("t", "Content-Length: 9", method="PUT").replace(b"tile-read", b"record-write")
         client, streams = await self.meet(at_once, head + b"half")
-        await self.until(lambda: client.busy)
+        await self.until(lambda: client.is_busy)
         await asyncio.sleep(0.02)  # it waits for the rest
         loop: Any = asyncio.get_running_loop()
         timers = [one for one in loop._scheduled if "Timeout" in repr(one) and not one.cancelled()]
@@ -313,20 +313,20 @@
         """A client that goes while its attempt is dialled, its end not yet read by the loop."""
         dialling, up = asyncio.Event(), asyncio.Event()
         client, streams = await self.meet()
-        dial = self.boxes.dial
+        dial = self.boxes.connect
 
         async def late(pool: Any) -> BackendConnection:
             dialling.set()
             await up.wait()
             return await dial(pool)
 
-        with mock.patch.object(self.boxes, "dial", late):
+        with mock.patch.object(self.boxes, "connect", late):
             streams[1].write(self.head("t"))
             await dialling.wait()
             transport = self.transport(client)
             transport.pause_reading()
             leave(streams[1])
-            await self.until(lambda: ended(transport))
+            await self.until(lambda: is_ended(transport))
             up.set()
             await self.until(lambda: not self.core.calls)
         await asyncio.sleep(0.05)
@@ -348,7 +348,7 @@
             transport = self.transport(client)
             transport.pause_reading()
             streams[1].close()
-            await self.until(lambda: ended(transport))
+            await self.until(lambda: is_ended(transport))
             turned_away.set()
             return answer(503, b"", "X-Never-Ran: 1")
 
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -29,7 +29,7 @@
 from cleatyoke.http import server as server_module
 from cleatyoke.http.backends import BackendPools, StreamedBody
 from cleatyoke.http.body_limits import BodyMemory
-from cleatyoke.http.messages import ClientRequest, decode_busy
+from cleatyoke.http.messages import ClientRequest, decode_utilization
 from cleatyoke.http.server import HttpServer
 from cleatyoke.scheduling.events import (
     AttemptOutcome,
@@ -133,7 +133,7 @@
 
         await self.begin(script)
         await self.ask("warm")
-        self.boxes.pools[1].idle[0].rested_at = 0.0
+        self.boxes.pools[1].idle[0].reusable_at = 0.0
         status, _ = await self.ask("broken", "PUT", b"scan")
         assert (status, self.box.counts["broken"]) == (502, 1)
         assert self.box.accepted == 1, "the broken one was the pooled connection"
@@ -208,7 +208,7 @@
             status, text = await self.ask("t", **{name: value})
             assert status == 400
             assert name.replace("_", "-") in text.decode()
-        self.front.space = BodyMemory(1 << 20)
+        self.front.body_memory = BodyMemory(1 << 20)
         assert (await self.ask("t", "PUT", bytes(2 << 20)))[0] == 413
         async with self.client.get(self.url + "/tea") as response:
             assert response.status == 404
@@ -223,7 +223,7 @@
             return answer()
 
         await self.begin(script)
-        self.front.most_clients = 3
+        self.front.max_clients = 3
         silent = [await self.raw() for _ in range(3)]
         await self.until(lambda: len(self.front.clients) == 3)
         assert (await self.ask("t"))[0] == 200
@@ -258,7 +258,7 @@
             return answer()
 
         await self.begin(script)
-        self.front.most_clients = 2
+        self.front.max_clients = 2
         with mock.patch.object(server_module, "SILENT", 60):
             young = [await self.raw() for _ in range(2)]
             await self.until(lambda: len(self.front.clients) == 2)
@@ -266,7 +266,7 @@
             listener = self.front.listener
             await self.until(lambda: listener and listener.pause_timer)  # it waits for room
         for one in self.front.silent:
-            one.came = 0.0
+            one.opened_at = 0.0
         for place, (_, writer) in enumerate(young):
             writer.write(self.head(f"y{place}")[:9] if place else self.head("y0"))
         assert b" 200 " in await waiting[0].readline()  # where the one that was answered had been
@@ -298,7 +298,7 @@
         await self.begin(script)
         with mock.patch.object(server_module, "IDLE", 0.2):
             reader, writer = await self.raw(self.head("t")[:9])
-            (client,) = await self.found(lambda: [one for one in self.front.clients if one.began])
+            (client,) = await self.found(lambda: [one for one in self.front.clients if one.head_started_at])
             client.began += 60  # as if the first byte had come just now, however late the loop runs
             await asyncio.sleep(0.3)
             writer.write(self.head("t")[9:])
@@ -352,7 +352,7 @@
         assert self.box.counts["t"] == 1
         with mock.patch.object(self.core, "offset", self.core.offset + 60):
             await self.ask("u")
-        assert self.front.taken == {"u"}, "ids are forgotten in the end"
+        assert self.front.trace_ids == {"u"}, "ids are forgotten in the end"
 
     async def test_up_says_when_the_front_is_ready(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
@@ -384,14 +384,14 @@
             return answer()
 
         await self.begin(script)
-        real = self.boxes.dial
+        real = self.boxes.connect
 
         async def late(pool: Any) -> Any:
             line = await real(pool)
             listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING))
             return line
 
-        with mock.patch.object(self.boxes, "dial", late):
+        with mock.patch.object(self.boxes, "connect", late):
             outcome = (await self.attempt(1, ask("t"))).outcome
         assert (outcome, self.box.counts["t"]) == (AttemptOutcome.NOT_SENT, 0)
 
@@ -414,17 +414,17 @@
             return answer()
 
         await self.begin(script)
-        real = self.boxes.dial
+        real = self.boxes.connect
 
         async def short(pool: Any) -> Any:
             line = await real(pool)
             line.abort()
             return line
 
-        with mock.patch.object(self.boxes, "dial", short):
+        with mock.patch.object(self.boxes, "connect", short):
             found = await self.attempt(1, ask("t", "PUT", b"scan"))
         assert found == AttemptResult(AttemptOutcome.CONNECTION_FAILED)
-        assert (self.box.counts["t"], self.boxes.open) == (0, 0)
+        assert (self.box.counts["t"], self.boxes.open_connections) == (0, 0)
 
     async def test_a_spoilt_answer_is_a_reset_that_may_have_run_and_ends_its_connection(self) -> None:
         good = answer()
@@ -453,7 +453,7 @@
                 found = await self.attempt(1, ask(str(place), "PUT", b"scan"))
                 assert found == AttemptResult(AttemptOutcome.CONNECTION_RESET), text[:80]
         assert set(self.box.counts.values()) == {1}
-        assert (self.box.accepted, self.boxes.open) == (len(spoilt), 0)
+        assert (self.box.accepted, self.boxes.open_connections) == (len(spoilt), 0)
 
     async def test_a_good_answer_is_served_whatever_comes_with_it_and_only_that(self) -> None:
         good = answer(200, b"tile", "Endpoint-Load-Metrics: \x01 queue=\x7f", "X-Served-Elsewhere: -1e999")
@@ -474,7 +474,7 @@
                     body = b"".join([piece async for piece in iterate(found.value)])
                     found = replace(found, value=body)
                 assert found == AttemptResult(AttemptOutcome.SERVED, b"tile" * (70000 if place == 2 else 1))
-                assert self.boxes.open == int(place < 3), "what brought more is not used again"
+                assert self.boxes.open_connections == int(place < 3), "what brought more is not used again"
 
     async def test_bytes_that_come_while_a_connection_is_pooled_are_not_the_next_answer(self) -> None:
         async def script(trace: str) -> bytes:
@@ -485,14 +485,14 @@
             found = await self.attempt(1, ask(trace))
             assert found == AttemptResult(AttemptOutcome.SERVED, trace.encode())
             (line,) = self.boxes.pools[1].idle
-            line.rested_at = 0.0
+            line.reusable_at = 0.0
             (writer,) = self.box.writers
             # It goes to the kernel at once; without a turn of the loop, nobody has read it yet.
             writer.write(answer(200, b"stale"))
             if read:
-                await self.until(lambda: self.boxes.open == 0)
+                await self.until(lambda: self.boxes.open_connections == 0)
             else:
-                assert not line.usable()
+                assert not line.is_usable()
         assert self.box.accepted == 3
 
     async def test_a_connection_rests_after_an_answer_and_idle_ones_make_room_at_the_bound(self) -> None:
@@ -504,14 +504,14 @@
         with mock.patch.object(boxes_module, "REST", 60):
             for trace in "ab":  # the first one rests, so that the second takes another
                 await self.attempt(1, ask(trace))
-            assert (self.box.accepted, self.boxes.open) == (2, 2)
+            assert (self.box.accepted, self.boxes.open_connections) == (2, 2)
             await self.attempt(2, ask("c"))
-            assert (self.boxes.open, len(self.boxes.pools[1].idle)) == (2, 1)
-        self.boxes.pools[1].idle[0].rested_at = 0.0
+            assert (self.boxes.open_connections, len(self.boxes.pools[1].idle)) == (2, 1)
+        self.boxes.pools[1].idle[0].reusable_at = 0.0
         await self.attempt(1, ask("d"))
-        assert (self.box.accepted, self.boxes.open) == (3, 2)
+        assert (self.box.accepted, self.boxes.open_connections) == (3, 2)
         self.box.stop()  # the boxes close their idle connections
-        await self.until(lambda: self.boxes.open == 0)
+        await self.until(lambda: self.boxes.open_connections == 0)
 
 
 def entry(state: str, port: int = 9) -> dict[str, Any]:
@@ -557,8 +557,8 @@
             ("TEXT util=0.1.2", None),
             ("\x01 queue=", None),
         ):
-            assert decode_busy({"Endpoint-Load-Metrics": text}) == busy, text
-        assert decode_busy({}) is None
+            assert decode_utilization({"Endpoint-Load-Metrics": text}) == busy, text
+        assert decode_utilization({}) is None
 
 
 class DiscoveryStory(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -165,7 +165,7 @@
         self.url = f"http://127.0.0.1:{self.front.address.port}"
         self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
         self.folder = tempfile.TemporaryDirectory()
-        self.handed = HoldFile(Path(self.folder.name), self.directory, self.core, Faults(self.boxes.figures))
+        self.handed = HoldFile(Path(self.folder.name), self.directory, self.core, Faults(self.boxes.metrics))
         self.handed.start()
 
     async def asyncTearDown(self) -> None:
@@ -181,7 +181,7 @@
                 assert response.status == 200
             kept = list(self.front.clients)
             assert kept
-            self.front.drained()
+            self.front.begin_drain()
             async with client.get(self.url + "/up") as response:
                 assert response.status == 503
                 assert response.headers.get("Connection") == "close"
@@ -194,7 +194,7 @@
                 assert response.status == 200
 
     async def test_a_scrape_tells_the_same_figures_as_the_control_address(self) -> None:
-        listener = MetricsListener(Address("127.0.0.1", 0), self.boxes.figures, lambda: (3, 1))
+        listener = MetricsListener(Address("127.0.0.1", 0), self.boxes.metrics, lambda: (3, 1))
         url = f"http://127.0.0.1:{listener.address.port}"
         async with aiohttp.ClientSession() as client:
             for trace, plan in (("a", "public"), ("b", "gold")):  # served, and turned down
@@ -224,7 +224,7 @@
             headers = {**HEADERS, "X-Trace-Id": "a"}
             async with client.get(self.url + TARGET, headers=headers) as response:
                 assert response.status == 200
-            assert self.boxes.figures.backend_calls == 1
+            assert self.boxes.metrics.backend_calls == 1
             assert not await asyncio.to_thread(self.handed.disable, "s-zz")
             assert await asyncio.to_thread(self.handed.disable, "s-a")
             async with client.get(self.url + TARGET, headers={**headers, "X-Trace-Id": "b"}) as response:
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -17,7 +17,7 @@
 from cleatyoke.core import Core
 from cleatyoke.http.backends import BackendPools
 from cleatyoke.http.load_probes import LoadProbeRunner
-from cleatyoke.http.messages import BackendAnswer, decode_probe
+from cleatyoke.http.messages import BackendAnswer, decode_load_probe
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
@@ -98,8 +98,8 @@
             (b"\xff\x00util", None),
             (b" " * 2000 + b"util=0.5", None),
         ):
-            assert decode_probe(BackendAnswer(200, {}, body, True)) == told, body
-        assert decode_probe(BackendAnswer(404, {}, b"util=0.5", True)) is None
+            assert decode_load_probe(BackendAnswer(200, {}, body, True)) == told, body
+        assert decode_load_probe(BackendAnswer(404, {}, b"util=0.5", True)) is None
 
 
 class SettingsCase(unittest.TestCase):
@@ -191,4 +191,4 @@
         assert box.heads[0].startswith("GET /metrics/load HTTP/1.1\r\n")
         assert box.accepted == 1  # it rests between probes
         await asyncio.sleep(0.2)
-        assert boxes.open <= 1
+        assert boxes.open_connections <= 1
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -29,7 +29,7 @@
 )
 from cleatyoke.scheduling.records import QuotaClock
 from cleatyoke.scheduling.scheduler import Scheduler
-from cleatyoke.transport.sockets import NotListeningError, take_listening
+from cleatyoke.transport.sockets import NotListeningError, adopt_listening_socket
 from tests.host import class_spec, entry, plan_spec, settings
 from tests.wire import FACTS, config
 
@@ -59,10 +59,10 @@
         with tempfile.TemporaryFile() as plain, socket.socket() as unbound:
             for descriptor in (plain.fileno(), unbound.fileno()):
                 with pytest.raises(NotListeningError):
-                    take_listening(descriptor)
+                    adopt_listening_socket(descriptor)
                 os.fstat(descriptor)  # still open
         with pytest.raises(NotListeningError):
-            take_listening(999)
+            adopt_listening_socket(999)
 
 
 class Upgrade(unittest.IsolatedAsyncioTestCase):
