--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -40,7 +40,7 @@
 from cleatyoke.process.logs import configure_logging
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import SettingsReloaded, UpdateKind
-from cleatyoke.transport.sockets import NotListeningError
+from cleatyoke.transport.listener import NotListeningError
 
 if TYPE_CHECKING:
     from cleatyoke.admin.prometheus import MetricsListener
@@ -279,7 +279,9 @@
 
         kept = bool(self.config.fleet)
         return ControlCommands(
-            ready=lambda: bool(front.listener) and not front.is_closing and front.drain.says_up(front.ready()),
+            ready=lambda: (
+                bool(front.listener) and not front.is_closing and front.drain.says_up(front.ready())
+            ),
             figures=figures,
             disable=self.handed.disable,
             enable=self.handed.enable,
--- a/cleatyoke/admin/prometheus.py
+++ b/cleatyoke/admin/prometheus.py
@@ -17,7 +17,7 @@
 
 from cleatyoke.config.deployment import Address
 from cleatyoke.process.metrics import OUTCOMES, Metrics
-from cleatyoke.transport.sockets import Listener
+from cleatyoke.transport.listener import Listener
 
 MOST = 8  # connections at a time: a scraper or two
 IDLE = 5.0  # seconds that one may stand without a request
--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -21,10 +21,10 @@
     BackendAnswer,
     ClientRequest,
     MalformedAnswerError,
-    decode_utilization,
-    decode_served_elsewhere,
-    decode_outcome,
     decode_load_probe,
+    decode_outcome,
+    decode_served_elsewhere,
+    decode_utilization,
     encode_attempt,
     encode_load_probe,
 )
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -27,7 +27,9 @@
     decode_request,
 )
 from cleatyoke.scheduling.events import RequestArrived
-from cleatyoke.transport.sockets import ClosingTransport, Listener, is_ended, has_unread_bytes
+from cleatyoke.transport.closing import ClosingTransport
+from cleatyoke.transport.listener import Listener
+from cleatyoke.transport.sockets import has_unread_bytes, is_ended
 
 # Of clients the settings tell only how long they wait for an answer, and the protocol page nothing of how
 # long they keep a connection: these times are about descriptors and bad clients, and cost no request taken.
@@ -131,7 +133,7 @@
         transport = self.transport
         self.force_close()
         if isinstance(transport, ClosingTransport) and transport.is_flushed():
-            transport.end()
+            transport.abort()
             self.front.parted(transport)
 
     def part(self) -> None:
@@ -226,7 +228,7 @@
         before = self.core.loop.time() - SILENT
         for parting, since in self.closing_transports.items():
             if since <= before and parting.is_flushed():
-                parting.end()
+                parting.abort()
                 self.parted(parting)
                 return True
         for one in [*self.silent, *self.idle]:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,8 +17,10 @@
 from cleatyoke.scheduling.actions import SendAttempt
 from cleatyoke.scheduling.events import AttemptOutcome, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.settings import Idempotency
-from cleatyoke.transport import sockets
-from cleatyoke.transport.sockets import ClosingTransport, is_ended, has_unread_bytes
+from cleatyoke.transport import closing as closing_module
+from cleatyoke.transport.closing import ClosingTransport
+from cleatyoke.transport.listener import Listener
+from cleatyoke.transport.sockets import has_unread_bytes, is_ended, is_readable
 from tests.host import Host, class_spec, entry, settings
 from tests.test_http_front import FrontCase, ask
 from tests.wire import answer, config, instance, listed
@@ -110,9 +112,9 @@
         await self.begin(at_once)
         other = socket.create_server(("127.0.0.1", 0))
         with other, socket.create_connection(other.getsockname()):
-            listener = sockets.Listener("", 0, lambda: True, self.front.make_connection, other.dup().detach())
+            listener = Listener("", 0, lambda: True, self.front.make_connection, other.dup().detach())
             listener.close()
-            assert sockets.is_readable(other.fileno())
+            assert is_readable(other.fileno())
         assert len(self.front.clients) == 0
 
     async def test_a_connection_that_never_speaks_does_not_hold_up_the_exit(self) -> None:
@@ -139,7 +141,7 @@
         self.front.is_closing = True
         await self.until(lambda: self.front.closing_transports)
         assert self.front.open_connections() == 1
-        async with asyncio.timeout(0.5 * sockets.CLOSE_TIMEOUT):
+        async with asyncio.timeout(0.5 * closing_module.CLOSE_TIMEOUT):
             while self.front.open_connections():
                 await asyncio.sleep(0.005)
         assert len(self.front.closing_transports) == 1
@@ -191,7 +193,7 @@
         assert heard[9:12] == b"413"
 
     async def given_up(self, behind: bytes, part: float) -> None:
-        with mock.patch.multiple(sockets, CLOSE_TIMEOUT=part, MAX_DISCARDED_BYTES=1 << 16):
+        with mock.patch.multiple(closing_module, CLOSE_TIMEOUT=part, MAX_DISCARDED_BYTES=1 << 16):
             _, streams = await self.meet(at_once, self.head("t"))
             self.front.is_closing = True
             await self.until(lambda: self.front.closing_transports)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -29,7 +29,7 @@
 )
 from cleatyoke.scheduling.records import QuotaClock
 from cleatyoke.scheduling.scheduler import Scheduler
-from cleatyoke.transport.sockets import NotListeningError, adopt_listening_socket
+from cleatyoke.transport.listener import NotListeningError, adopt_listening_socket
 from tests.host import class_spec, entry, plan_spec, settings
 from tests.wire import FACTS, config
 
