--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -280,7 +280,7 @@
         kept = bool(self.config.fleet)
         return ControlCommands(
             ready=lambda: (
-                bool(front.listener) and not front.is_closing and front.drain.says_up(front.ready())
+                bool(front.listener) and not front.is_closing and front.drain.says_up(front.is_ready())
             ),
             figures=figures,
             disable=self.handed.disable,
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -59,21 +59,21 @@
 
     def __init__(self, front: HttpServer, **settings: Any) -> None:
         super().__init__(front.server, loop=front.core.loop, **settings)
-        self.front = front
+        self.connections = front
         self.opened_at = self._loop.time()
         self.head_started_at = 0.0  # when the first byte of a message came whose head is not whole yet; 0: none has
         self.is_busy = self.is_request_complete = False  # a message is in hand; and nothing of it is still to come
-        self.turn: asyncio.Timeout | None = None  # the request's, while it waits for its answer
+        self.answer_timeout: asyncio.Timeout | None = None  # the request's, while it waits for its answer
         self.spared = False  # bytes that nobody had read kept it from being closed once
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        parting = ClosingTransport(transport, self, self.front.parts, self.front.parted)
+        parting = ClosingTransport(transport, self, self.connections.parts, self.connections.parted)
         super().connection_made(parting)
-        self.front.idle[self] = self.opened_at
+        self.connections.idle[self] = self.opened_at
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        self.front.forget(self)
+        self.connections.forget(self)
         super().connection_lost(exc)
 
     def evictable(self) -> bool:
@@ -93,14 +93,14 @@
             # Guards the box and the next request: what comes behind a request before its answer is no
             # message of this protocol, and may be hidden in a length that is wrong. Such a client is owed an
             # error or a close, and never an answer as though its request had run.
-            if self.turn is None:  # an answer is passing on, or written
+            if self.answer_timeout is None:  # an answer is passing on, or written
                 self.force_close()
-            elif not self.turn.expired():
-                self.turn.reschedule(self._loop.time())
+            elif not self.answer_timeout.expired():
+                self.answer_timeout.reschedule(self._loop.time())
             return
         super().data_received(data)
         if self._messages:
-            self.front.spoke(self)
+            self.connections.spoke(self)
         elif not self.is_busy:
             self.head_started_at = self.head_started_at or self._loop.time()
 
@@ -114,7 +114,7 @@
     def give_back(self) -> None:
         self.is_busy = self.is_request_complete = False
         if self.transport is not None:
-            self.front.idle[self] = self._loop.time()
+            self.connections.idle[self] = self._loop.time()
 
     async def finish_response(
         self, request: web.BaseRequest, resp: web.StreamResponse, start_time: float | None
@@ -129,18 +129,18 @@
 
     def evict(self) -> None:
         """End an idle connection cleanly. Its descriptor is wanted at once, and nothing of it is unread."""
-        self.front.forget(self)
+        self.connections.forget(self)
         transport = self.transport
         self.force_close()
         if isinstance(transport, ClosingTransport) and transport.is_flushed():
             transport.abort()
-            self.front.parted(transport)
+            self.connections.parted(transport)
 
     def part(self) -> None:
         """End an idle connection cleanly, whatever crosses the end: a client whose request does sees an end
         in order and no answer, and sends it again elsewhere (protocol page, Clients to fronts).
         """
-        self.front.forget(self)
+        self.connections.forget(self)
         self.force_close()
 
     def _process_keepalive(self) -> None:
@@ -181,7 +181,7 @@
         ready: Callable[[], bool],
         drain: FrontDrain | None = None,
     ) -> None:
-        self.config, self.core, self.backends, self.ready = config, core, boxes, ready
+        self.config, self.core, self.backends, self.is_ready = config, core, boxes, ready
         self.drain, self.metrics = drain or FrontDrain(), boxes.metrics
         self.sweeper: asyncio.TimerHandle | None = None
         self.max_clients = config.shares.clients
@@ -342,7 +342,7 @@
     async def answer(self, request: web.BaseRequest, client: ClientConnection) -> web.StreamResponse:
         path = request.path
         if path == "/up":
-            return web.Response(status=200 if self.drain.says_up(self.ready()) else 503)
+            return web.Response(status=200 if self.drain.says_up(self.is_ready()) else 503)
         if path != "/api":
             return web.Response(status=404)
         if request.method not in ("GET", "PUT"):
@@ -407,14 +407,14 @@
             front_count=ask.front_count,
         )
         try:
-            async with asyncio.timeout(None) as client.turn:
+            async with asyncio.timeout(None) as client.answer_timeout:
                 served = await self.core.serve(arrival, attempt)
         except TimeoutError:  # more came behind it
             response = web.Response(status=400, text="one request at a time\n")
             response.force_close()
             return response
         finally:
-            client.turn = None
+            client.answer_timeout = None
         match served:
             case Served(StreamedBody() as body):
                 return await self.pass_on(body, request, client)
