--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -1,389 +1,225 @@
-"""Attempts over HTTP: a pool of connections for each box, and what each ending proves.
-
-The connections are asyncio protocols of our own, read by aiohttp's parser. aiohttp's client could not keep
-the rule that a client gets the answer made for its request: bytes that come while a connection is pooled it
-keeps and reads as the next request's answer, and noise in one piece with a good answer costs that answer. It
-also resends by itself, and knows no bound for idle connections over all boxes.
-"""
+"""Attempts at backends over HTTP: a pool of connections for each backend, and what each ending proves."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import deque
-from collections.abc import Callable
 from functools import partial
 
 from cleatyoke.config.deployment import Address
 from cleatyoke.core import AttemptResult, MayBegin
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.http.messages import (
-    AnswerReader,
+from cleatyoke.http.answers import (
     BackendAnswer,
-    ClientRequest,
-    MalformedAnswerError,
     decode_load_probe,
     decode_outcome,
     decode_served_elsewhere,
     decode_utilization,
-    encode_attempt,
-    encode_load_probe,
 )
+from cleatyoke.http.backend_connection import BackendConnection, StreamedBody
+from cleatyoke.http.messages import MalformedAnswerError
+from cleatyoke.http.requests import ClientRequest, encode_attempt, encode_load_probe
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import AttemptOutcome
-from cleatyoke.transport.sockets import has_unread_bytes
-
-IDLE_SHARE = 0.5  # of the boxes' idle limit (settings), after which a pooled connection is dropped
-REST = 0.02  # seconds that a connection rests after an answer: a second one comes "some milliseconds" later
-# (standing test, join), and must be noticed before the next request goes out
-GAP = 0.05  # seconds for the head of an answer, once it has begun, and between the pieces of its body: what
-# the protocol page grants every time limit; a box has its answer whole before it writes
-STALL = 10.0  # seconds without a byte, or without a reader, after which a long answer is given up
-HIGH, LOW = 256 * 1024, 64 * 1024  # bytes of a long answer held here: none more is read, it is read again
-
-
-class BackendConnection(asyncio.Protocol):
-    """A connection to a box; it carries one exchange at a time."""
-
-    def __init__(self) -> None:
-        self.loop = asyncio.get_running_loop()
-        self.transport: asyncio.Transport | None = None
-        self.reader: AnswerReader | None = None  # of the answer that is awaited
-        self.answer: asyncio.Future[BackendAnswer] | None = None
-        self.answer_timer: asyncio.TimerHandle | None = None
-        self.idle_timer: asyncio.TimerHandle | None = None
-        self.unwritten = False  # a part of the request is still here
-        self.reusable_at = 0.0
-        self.on_lost: Callable[[], None] | None = None  # while it is pooled: what to do when it ends
-        self.on_request_written: Callable[[], None] | None = None  # once the request's last byte has left
-        self.unsent_pieces: list[bytes] = []  # pieces of the request not yet with the transport, the last first
-        self.streamed_body: StreamedBody | None = None  # of the answer, where it passes on as it comes
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-        transport.set_write_buffer_limits(0)  # pause_writing then says that the last byte has not left
-
-    def pause_writing(self) -> None:
-        self.unwritten = True
-
-    def resume_writing(self) -> None:
-        self.unwritten = False
-        self.write_on()
-
-    def write_on(self) -> None:
-        """Piece by piece, so that no copy of a long body stands in the transport's buffer."""
-        while self.unsent_pieces and not self.unwritten and self.transport:
-            self.transport.write(self.unsent_pieces.pop())
-        if not self.unsent_pieces and not self.unwritten and self.on_request_written:
-            self.on_request_written()
-            self.on_request_written = None
-
-    def is_sending(self) -> bool:
-        """The request's last byte has not left."""
-        return self.unwritten or bool(self.unsent_pieces)
-
-    def data_received(self, data: bytes) -> None:
-        if self.streamed_body and self.reader:
-            try:
-                self.streamed_body.append(self.reader.feed_body(data))
-                if self.reader.is_complete:
-                    self.streamed_body.end(self.reader.is_connection_reusable())
-            except MalformedAnswerError as error:
-                self.streamed_body.fail(error)
-            return
-        if self.reader is None or self.answer is None or self.answer.done():
-            self.abort()  # nothing is awaited: these bytes must never become the next request's answer
-            return
-        try:
-            answer = self.reader.feed(data)
-        except MalformedAnswerError as error:
-            self.fail(error)
-            return
-        if answer:
-            if answer.is_streamed:
-                self.streamed_body = StreamedBody(self, answer)
-                if self.reader.is_complete:
-                    self.streamed_body.end(self.reader.is_connection_reusable())
-            self.answer.set_result(answer)
-        elif self.answer_timer is None or self.reader.message:
-            if self.answer_timer:
-                self.answer_timer.cancel()
-            self.answer_timer = self.loop.call_later(GAP, self.fail, MalformedAnswerError("it does not end"))
-
-    def eof_received(self) -> None:
-        whole = self.reader.feed_eof() if self.reader else None
-        if self.streamed_body:
-            if whole:
-                self.streamed_body.end(False)
-            self.streamed_body.fail(MalformedAnswerError("the connection ended"))
-        elif whole and self.answer and not self.answer.done():
-            self.answer.set_result(whole)
-        self.fail(MalformedAnswerError("the connection ended"))
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
-        if self.streamed_body:
-            self.streamed_body.fail(MalformedAnswerError("the connection broke"))
-        self.fail(MalformedAnswerError("the connection broke"))
-
-    def fail(self, error: MalformedAnswerError) -> None:
-        if self.answer and not self.answer.done():
-            self.answer.set_exception(error)
-        self.abort()
-
-    def abort(self) -> None:
-        """At once: close() would first write what is still buffered."""
-        if self.on_lost:
-            self.on_lost()
-        if self.transport:
-            self.transport.abort()
 
-    def is_usable(self) -> bool:
-        """Open, and nothing has come that the loop has not read yet."""
-        if self.transport is None or self.transport.is_closing():
-            return False
-        return not has_unread_bytes(self.transport)
-
-    async def exchange(self, request: list[bytes], written: Callable[[], None]) -> BackendAnswer:
-        if self.transport is None or self.transport.is_closing():
-            msg = "it ended before the first byte"
-            raise ConnectionError(msg)  # so nothing ran
-        self.reader, self.answer = AnswerReader(), self.loop.create_future()
-        self.unsent_pieces, self.on_request_written = request[::-1], written
-        self.write_on()
-        try:
-            return await self.answer
-        finally:
-            self.answer = self.on_request_written = None
-            if self.streamed_body is None:
-                self.reader = None
-            if self.answer_timer:
-                self.answer_timer.cancel()
-                self.answer_timer = None
-
-
-class StreamedBody:
-    """A long answer's body on its way from the box to the client. It has an owner who reads it and closes it;
-    should none turn up, it ends by itself.
-    """
-
-    def __init__(self, line: BackendConnection, answer: BackendAnswer) -> None:
-        self.connection, self.length = line, answer.length
-        self.pieces: deque[bytes] = deque()
-        self.buffered_bytes = 0
-        self.is_complete, self.reusable = False, False
-        self.error: MalformedAnswerError | None = None
-        self.progress = asyncio.Event()
-        self.release: Callable[[bool], None] | None = None  # of the connection: whether it can be used again
-        self.paused = False
-        self.idle_timer = line.loop.call_later(STALL, self.stalled)
-        self.append(answer.body)
-
-    def append(self, piece: bytes) -> None:
-        if piece:
-            self.pieces.append(piece)
-            self.buffered_bytes += len(piece)
-        if self.buffered_bytes > HIGH and not self.paused and self.connection.transport:
-            self.paused = True
-            self.connection.transport.pause_reading()
-        self.moved()
-
-    def end(self, reusable: bool) -> None:
-        self.is_complete, self.reusable = True, reusable
-        self.moved()
-
-    def fail(self, error: MalformedAnswerError) -> None:
-        if not self.is_complete:
-            self.error = self.error or error
-        self.moved()
-
-    def moved(self) -> None:
-        self.progress.set()
-        self.idle_timer.cancel()
-        if self.release or not self.is_complete:
-            self.idle_timer = self.connection.loop.call_later(STALL, self.stalled)
-
-    def stalled(self) -> None:
-        """Guards the connection: a box that holds back the rest, or nobody who reads."""
-        self.fail(MalformedAnswerError("it does not go on"))
-        self.close()
-
-    async def read(self) -> bytes:
-        """The next bytes, or none at the end. A ``SpoiltAnswer``: what the box gave ends here, unwhole."""
-        while not self.pieces:
-            if self.is_complete:
-                return b""
-            if self.error:
-                raise self.error
-            self.progress.clear()
-            await self.progress.wait()
-        piece = self.pieces.popleft()
-        self.buffered_bytes -= len(piece)
-        self.moved()
-        if self.paused and self.buffered_bytes < LOW and self.connection.transport:
-            self.paused = False
-            self.connection.transport.resume_reading()
-        return piece
-
-    def close(self) -> None:
-        """Give the connection back where the answer was whole, or end it."""
-        self.idle_timer.cancel()
-        self.connection.streamed_body = self.connection.reader = None
-        if self.paused and self.connection.transport:
-            self.connection.transport.resume_reading()
-        release, self.release = self.release, None
-        if release:
-            release(self.is_complete and self.reusable)
+IDLE_FRACTION = 0.5  # of the backends' idle timeout (settings), after which a pooled connection is closed
+REUSE_DELAY = (
+    0.02  # seconds for which a connection is not used after an answer: a second answer that a faulty
+)
+# backend sends some milliseconds later must be noticed before the next request goes out
 
 
 class ConnectionPool:
-    """The idle connections to one life of one box, the longest rested first."""
+    """The idle connections to one incarnation of one backend, the longest idle first."""
 
     def __init__(self, address: Address) -> None:
-        self.address, self.retired = address, False
+        self.address = address
+        self.is_retired = False  # the backend drains, went or restarted: no connection is used again
         self.idle: deque[BackendConnection] = deque()
 
 
 class BackendPools:
-    """Attempts at the boxes of the directory. ``most`` bounds the connections to all of them."""
+    """Attempts at the backends of the directory.
+
+    ``connect_timeout``: seconds for a new connection; ``idle_close``: seconds after which backends close an
+    idle one; ``most``: bound of the connections to all backends, new ones that come up included.
+
+    Prevents requests that are lost to a connection the backend is just closing: a pooled connection is closed
+    here first, at ``IDLE_FRACTION`` of the backends' idle timeout.
+    """
 
     def __init__(
         self,
         directory: Directory,
-        dial_timeout: float,
+        connect_timeout: float,
         idle_close: float,
         most: int,
-        figures: Metrics | None = None,
+        metrics: Metrics | None = None,
     ) -> None:
-        self.directory, self.connect_timeout, self.max_connections = directory, dial_timeout, most
-        self.metrics = figures or Metrics()
-        self.idle_timeout = idle_close * IDLE_SHARE
+        self.directory = directory
+        self.connect_timeout = connect_timeout
+        self.max_connections = most
+        self.metrics = metrics or Metrics()
+        self.idle_timeout = idle_close * IDLE_FRACTION
         self.pools: dict[int, ConnectionPool] = {}
-        self.open_connections = 0  # connections, those that come up included
+        self.open_connections = 0
         directory.watchers.append(self.retire_pool)
 
-    def retire_pool(self, node: int) -> None:
-        """The box drains, went or started anew: no connection to the old one is used again."""
-        if pool := self.pools.pop(node, None):
-            pool.retired = True
-            while pool.idle:
-                self.drop(pool, pool.idle[0])
-
-    def drop(self, pool: ConnectionPool, line: BackendConnection) -> None:
-        """An idle connection has been so for long, or is in the way."""
-        self.take_out(pool, line)
-        line.abort()
-
-    def take_out(self, pool: ConnectionPool, line: BackendConnection) -> None:
-        pool.idle.remove(line)
-        self.open_connections -= 1
-        line.on_lost = None
-        if line.idle_timer:
-            line.idle_timer.cancel()
-
     async def attempt(
-        self, node: int, ask: ClientRequest, until: float, may: MayBegin
+        self, node: int, request: ClientRequest, not_after: float, may_begin: MayBegin
     ) -> AttemptResult[bytes | StreamedBody]:
-        """Send the request to the box, once; any ending that is not proven harmless may have run. A long
-        answer counts as served with its first bytes; whoever gets its body closes it. ``until``: when the
-        attempt is given up, by the loop's clock, which the box is told; ``may``: whether it may still begin,
-        asked directly before its first byte, as is whether the box still serves.
+        """Send the request to the backend, once.
+
+        ``not_after``: when the attempt is given up, by the loop's clock, which the backend is told.
+        ``may_begin`` is asked directly before the first byte, as is whether the backend still serves: a
+        connection may take long to come up, and a request that is not sent has proven no effect. Any other
+        ending that is not proven harmless may have run. A long answer counts as served with its first bytes;
+        whoever gets its ``StreamedBody`` closes it.
         """
         if not self.directory.serves(node):
             return AttemptResult(AttemptOutcome.NOT_SENT)
-        pool, line, answer, unused = self.pool(node), None, None, False
+        pool = self._pool(node)
+        connection: BackendConnection | None = None
+        answer: BackendAnswer | None = None
+        is_unused = False
         self.open_connections += 1
         try:
-            line = self.take_idle(pool) or await self.connect(pool)
-            wait = until - asyncio.get_running_loop().time()
-            if pool.retired or not self.directory.serves(node) or not may():  # directly before the first byte
-                unused = True
+            connection = self.take_idle(pool) or await self.connect(pool)
+            max_wait = not_after - asyncio.get_running_loop().time()
+            if pool.is_retired or not self.directory.serves(node) or not may_begin():
+                is_unused = True
                 return AttemptResult(AttemptOutcome.NOT_SENT)
+            pieces = encode_attempt(request, pool.address, max_wait)
             try:
-                answer = await line.exchange(encode_attempt(ask, pool.address, wait), self.counted)
+                answer = await connection.exchange(pieces, self._count_call)
             except MalformedAnswerError:
-                return AttemptResult(
-                    AttemptOutcome.CONNECTION_FAILED if line.is_sending() else AttemptOutcome.CONNECTION_RESET
-                )
-            outcome = decode_outcome(answer.status, answer.headers)
-            if outcome is not AttemptOutcome.SERVED:
-                return AttemptResult(outcome)
-            elsewhere, busy = decode_served_elsewhere(answer.headers), decode_utilization(answer.headers)
-            return AttemptResult(outcome, line.streamed_body or answer.body, elsewhere, busy)
+                if connection.is_sending():
+                    return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
+                return AttemptResult(AttemptOutcome.CONNECTION_RESET)
+            return _result_of(answer, connection)
         except (OSError, TimeoutError):
             return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
         finally:
-            if line and line.streamed_body and answer and answer.status == 200:
-                line.streamed_body.release = partial(self.settle, pool, line)
+            if connection and connection.streamed_body and answer and answer.status == 200:
+                connection.streamed_body.on_close = partial(self._settle, pool, connection)
             else:
-                self.settle(pool, line, unused or (answer is not None and answer.connection_reusable))
+                reusable = is_unused or (answer is not None and answer.connection_reusable)
+                self._settle(pool, connection, reusable)
+
+    async def probe_load(self, node: int, timeout: float) -> float | None:  # noqa: ASYNC109  not to be raised
+        """Ask a backend for its load report, within so many seconds.
 
-    async def probe_load(self, node: int, within: float) -> float | None:
-        """Ask a box for its load report, by a connection that rests where there is one: the part of its power
-        in use, or None where no report came within so many seconds.
+        Returns the fraction of its power in use, or None where no report came or all connections are taken:
+        those left are for requests.
         """
         if not self.directory.serves(node) or self.open_connections >= self.max_connections:
-            return None  # the places left are for requests
-        pool, line, answer = self.pool(node), None, None
+            return None
+        pool = self._pool(node)
+        connection: BackendConnection | None = None
+        answer: BackendAnswer | None = None
         self.open_connections += 1
         try:
-            async with asyncio.timeout(within):
-                line = self.take_idle(pool) or await self.connect(pool)
-                answer = await line.exchange([encode_load_probe(pool.address)], lambda: None)
+            async with asyncio.timeout(timeout):
+                connection = self.take_idle(pool) or await self.connect(pool)
+                answer = await connection.exchange([encode_load_probe(pool.address)], lambda: None)
             return decode_load_probe(answer)
         except (OSError, TimeoutError, MalformedAnswerError):
             return None
         finally:
-            if line and line.streamed_body:  # far more than a report
-                line.streamed_body.close()
-            self.settle(pool, line, answer is not None and answer.connection_reusable)
-
-    def pool(self, node: int) -> ConnectionPool:
-        if node not in self.pools:
-            self.pools[node] = ConnectionPool(self.directory.boxes[node].address)
-        return self.pools[node]
-
-    def settle(self, pool: ConnectionPool, line: BackendConnection | None, reusable: bool) -> None:
-        """A connection, or the place of one that did not come up, is free again."""
-        if line and reusable and line.transport and not pool.retired:
-            self.give_back(pool, line)
-        else:
-            self.open_connections -= 1
-            if line:
-                line.abort()
-
-    def counted(self) -> None:
-        self.metrics.backend_calls += 1
+            if connection and connection.streamed_body:  # far more than a report
+                connection.streamed_body.close()
+            self._settle(pool, connection, answer is not None and answer.connection_reusable)
 
     def take_idle(self, pool: ConnectionPool) -> BackendConnection | None:
-        """An idle connection. One with bytes that nobody awaits, seen by the loop or not yet, is none."""
+        """Take a connection out of the pool, if one may be used.
+
+        One on which bytes have come that no request awaits, read by the loop or not yet, is closed: they
+        would become the next request's answer.
+        """
         now = asyncio.get_running_loop().time()
         while pool.idle and pool.idle[0].reusable_at <= now:
-            line = pool.idle[0]
-            self.take_out(pool, line)
-            if line.is_usable():
-                return line
-            line.abort()
+            connection = pool.idle[0]
+            self._take_out(pool, connection)
+            if connection.is_usable():
+                return connection
+            connection.abort()
         return None
 
     async def connect(self, pool: ConnectionPool) -> BackendConnection:
-        if self.open_connections > self.max_connections:  # as many are kept as clients can have requests: an idle one is in the way
-            for other in self.pools.values():
-                if other.idle:
-                    self.drop(other, other.idle[0])
-                    break
+        """Open a connection; where the bound is passed, an idle one is closed to make room.
+
+        As many are allowed as clients can have requests, so at the bound at least one is idle.
+        """
+        if self.open_connections > self.max_connections:
+            self._drop_any_idle()
         async with asyncio.timeout(self.connect_timeout):
             loop = asyncio.get_running_loop()
-            _, line = await loop.create_connection(BackendConnection, pool.address.host, pool.address.port)
-        return line
+            _, connection = await loop.create_connection(
+                BackendConnection, pool.address.host, pool.address.port
+            )
+        return connection
 
-    def give_back(self, pool: ConnectionPool, line: BackendConnection) -> None:
-        loop = asyncio.get_running_loop()
-        line.reusable_at = loop.time() + REST
-        line.idle_timer = loop.call_later(self.idle_timeout, self.drop, pool, line)
-        line.on_lost = partial(self.take_out, pool, line)
-        pool.idle.append(line)
+    def retire_pool(self, node: int) -> None:
+        """Use no connection to the backend again, as it drains, went or restarted."""
+        if pool := self.pools.pop(node, None):
+            pool.is_retired = True
+            while pool.idle:
+                self._drop(pool, pool.idle[0])
 
     def close(self) -> None:
+        """Close all idle connections; those in use are closed after their answers."""
         for node in list(self.pools):
             self.retire_pool(node)
+
+    def _pool(self, node: int) -> ConnectionPool:
+        if node not in self.pools:
+            self.pools[node] = ConnectionPool(self.directory.boxes[node].address)
+        return self.pools[node]
+
+    def _settle(
+        self, pool: ConnectionPool, connection: BackendConnection | None, connection_reusable: bool
+    ) -> None:
+        """Give back a connection, or the place of one that did not come up."""
+        if connection and connection_reusable and connection.transport and not pool.is_retired:
+            self._give_back(pool, connection)
+            return
+        self.open_connections -= 1
+        if connection:
+            connection.abort()
+
+    def _give_back(self, pool: ConnectionPool, connection: BackendConnection) -> None:
+        loop = asyncio.get_running_loop()
+        connection.reusable_at = loop.time() + REUSE_DELAY
+        connection.idle_timer = loop.call_later(self.idle_timeout, self._drop, pool, connection)
+        connection.on_lost = partial(self._take_out, pool, connection)
+        pool.idle.append(connection)
+
+    def _take_out(self, pool: ConnectionPool, connection: BackendConnection) -> None:
+        pool.idle.remove(connection)
+        self.open_connections -= 1
+        connection.on_lost = None
+        if connection.idle_timer:
+            connection.idle_timer.cancel()
+
+    def _drop(self, pool: ConnectionPool, connection: BackendConnection) -> None:
+        """Close a connection that has been idle for long, or is in the way."""
+        self._take_out(pool, connection)
+        connection.abort()
+
+    def _drop_any_idle(self) -> None:
+        for pool in self.pools.values():
+            if pool.idle:
+                self._drop(pool, pool.idle[0])
+                return
+
+    def _count_call(self) -> None:
+        self.metrics.backend_calls += 1
+
+
+def _result_of(answer: BackendAnswer, connection: BackendConnection) -> AttemptResult[bytes | StreamedBody]:
+    outcome = decode_outcome(answer.status, answer.headers)
+    if outcome is not AttemptOutcome.SERVED:
+        return AttemptResult(outcome)
+    elsewhere = decode_served_elsewhere(answer.headers)
+    utilization = decode_utilization(answer.headers)
+    return AttemptResult(outcome, connection.streamed_body or answer.body, elsewhere, utilization)
--- a/cleatyoke/http/load_probes.py
+++ b/cleatyoke/http/load_probes.py
@@ -1,6 +1,6 @@
-"""The probes on the wire: asks the boxes that ``load.probes`` names, one at a time, and tells the policy.
+"""Load probes on the wire: asks the backends that ``LoadProber`` names, one at a time, for their load.
 
-Thin: it decides nothing. Imported only where the settings let load be told by probes alone.
+It decides nothing. It is imported only where the settings let load be told by probes alone.
 """
 
 from __future__ import annotations
@@ -14,37 +14,44 @@
 from cleatyoke.scheduling.events import UtilizationReported
 from cleatyoke.scheduling.load_probes import LoadProber
 
-SLEEP = 0.5  # seconds between looks while there is nothing to ask
-AGAIN = 1.0  # seconds until the duty is taken up again after a fault of our own
+POLL_INTERVAL = 0.5  # seconds between checks while there is nothing to ask
+RESTART_DELAY = 1.0  # seconds until the probes begin again after a fault of the front's own
 
 
 class LoadProbeRunner:
-    """The duty of one front. ``within``: seconds for one probe, its connection included."""
+    """The load probes of one front. ``timeout``: seconds for one probe, its connection included."""
 
     def __init__(
-        self, core: Core, boxes: BackendPools, prober: LoadProber, within: float, faults: Faults
+        self, core: Core, backends: BackendPools, prober: LoadProber, timeout: float, faults: Faults
     ) -> None:
-        self.core, self.backends, self.prober, self.within, self.faults = core, boxes, prober, within, faults
-        self.told = 1.0
-        self.task: asyncio.Task[None] | None = None
+        self.core = core
+        self.backends = backends
+        self.prober = prober
+        self.timeout = timeout
+        self.faults = faults
+        self._reported = 1.0  # the utilization that the scheduler was told last
+        self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Follow the endpoint list, and probe in a task of its own."""
         self.core.listeners.append(self.prober.listed)
-        self.task = asyncio.create_task(keep_up(self.faults, "probes", self.run, lambda: AGAIN))
+        self._task = asyncio.create_task(keep_up(self.faults, "probes", self._run, lambda: RESTART_DELAY))
 
     def stop(self) -> None:
-        if self.task:
-            self.task.cancel()
+        """Probe no more."""
+        if self._task:
+            self._task.cancel()
 
-    async def run(self) -> None:
+    async def _run(self) -> None:
         while True:
             now = self.core.now()
             node = self.prober.step(now)
             if node is None:
-                await asyncio.sleep(min(SLEEP, max(0.0, self.prober.next_at(now) - now) or SLEEP))
+                until_next = max(0.0, self.prober.next_at(now) - now)
+                await asyncio.sleep(min(POLL_INTERVAL, until_next or POLL_INTERVAL))
                 continue
-            self.prober.told(node, now, await self.backends.probe_load(node, self.within))
-            busy = self.prober.busy(self.core.now())
-            if not math.isclose(busy, self.told):
-                self.told = busy
-                self.core.tell(UtilizationReported(busy))
+            self.prober.told(node, now, await self.backends.probe_load(node, self.timeout))
+            utilization = self.prober.busy(self.core.now())
+            if not math.isclose(utilization, self._reported):
+                self._reported = utilization
+                self.core.tell(UtilizationReported(utilization))
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -64,7 +64,7 @@
 from cleatyoke.coordination.staged_start import Evidence, StagedStart, StartStage
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.admin.maintenance import FrontDrain
-from cleatyoke.http import messages
+from cleatyoke.http import answers, messages, requests
 from cleatyoke.http.backends import BackendPools
 from cleatyoke.discovery.watch import Discovery
 from cleatyoke.fleet.view import FleetView
@@ -828,7 +828,7 @@
     headers = CIMultiDictProxy(CIMultiDict([(name, text) for name, text in value["headers"]]))
     body = [unpack(one) for one in value.get("body", [])]
     try:
-        request = messages.decode_request(front_config(), value["method"], value["target"], headers, body)
+        request = requests.decode_request(front_config(), value["method"], value["target"], headers, body)
     except messages.MessageError as error:
         return {"refused": str(error), "for its key": isinstance(error, messages.IdempotencyKeyError)}
     return {
@@ -850,7 +850,7 @@
 
 def encode_node_request(value: Plain) -> bytes:
     """An attempt as it is written to a node."""
-    request = messages.ClientRequest(
+    request = requests.ClientRequest(
         trace_id=value["trace"],
         method=value["method"],
         target=value["target"],
@@ -866,12 +866,12 @@
         idempotency_key=value.get("key"),
     )
     address = Address(value["node"][0], value["node"][1])
-    return b"".join(messages.encode_attempt(request, address, value["seconds"]))
+    return b"".join(requests.encode_attempt(request, address, value["seconds"]))
 
 
 def encode_node_probe(value: Plain) -> bytes:
     """A probe of a node's load as it is written."""
-    return messages.encode_load_probe(Address(value["node"][0], value["node"][1]))
+    return requests.encode_load_probe(Address(value["node"][0], value["node"][1]))
 
 
 OUTCOMES = {
@@ -883,7 +883,7 @@
 
 async def capture_node_answer(value: Plain) -> Plain:
     """What is understood of a node's answer, which comes in pieces; ``closed``: then its connection ends."""
-    reader, answer = messages.AnswerReader(), None
+    reader, answer = answers.AnswerReader(), None
     rest: list[Plain] = []
     try:
         for piece in value["pieces"]:
@@ -906,10 +906,10 @@
         "long": answer.is_streamed,
         "rest": rest,
         "whole": reader.is_complete,
-        "means": OUTCOMES[messages.decode_outcome(answer.status, answer.headers)],
-        "served by other fronts": messages.decode_served_elsewhere(answer.headers),
-        "load in the head": messages.decode_utilization(answer.headers),
-        "load in the body": messages.decode_load_probe(answer),
+        "means": OUTCOMES[answers.decode_outcome(answer.status, answer.headers)],
+        "served by other fronts": answers.decode_served_elsewhere(answer.headers),
+        "load in the head": answers.decode_utilization(answer.headers),
+        "load in the body": answers.decode_load_probe(answer),
     }
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -147,7 +147,7 @@
         await asyncio.sleep(0.5)  # it reads nothing
         assert sent < 24 * MEGABYTE  # what the kernel's buffers take, and no more
         writer.transport.abort()
-        await self.until(lambda: self.boxes.open_connections == 0 and not self.front.clients)
+        await self.until(lambda: self.boxes.open_connections == 0 and not self.front.connections.clients)
 
 
 class LongUploads(FrontCase):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,11 +9,14 @@
 from typing import Any
 from unittest import mock
 
+from aiohttp.web_protocol import RequestHandler
+
 from cleatyoke.core import AttemptResult, Core, MayBegin, Served
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.http import server as server_module
-from cleatyoke.http.backends import BackendConnection
-from cleatyoke.http.server import ClientConnection
+from cleatyoke.http import client_connection as client_connection_module
+from cleatyoke.http import client_connections as client_connections_module
+from cleatyoke.http.backend_connection import BackendConnection
+from cleatyoke.http.client_connection import ClientConnection
 from cleatyoke.scheduling.actions import SendAttempt
 from cleatyoke.scheduling.events import AttemptOutcome, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.settings import Idempotency
@@ -38,8 +41,8 @@
     async def meet(self, script: Any = at_once, *parts: bytes) -> tuple[ClientConnection, Streams]:
         await self.begin(script)
         streams = await self.raw(*parts)
-        await self.until(lambda: self.front.clients)
-        (client,) = self.front.clients
+        await self.until(lambda: self.front.connections.clients)
+        (client,) = self.front.connections.clients
         self.addAsyncCleanup(self.hang_up, streams[1])
         return client, streams
 
@@ -69,7 +72,7 @@
 class LeavingStories(EndingCase):
     async def test_a_request_that_has_come_and_is_unread_as_accepting_ends_is_answered(self) -> None:
         client, streams = await self.meet()
-        await self.until(lambda: client in self.front.idle)
+        await self.until(lambda: client in self.front.connections.idle)
         transport = await self.unread(client, streams, self.head("t"))
         self.front.stop_accepting()
         await asyncio.sleep(0)
@@ -98,7 +101,7 @@
         with socket.create_connection(("127.0.0.1", self.front.address.port)) as first:
             first.sendall(self.head("t"))  # the loop has had no turn since: the kernel holds it
             assert self.front.listener
-            assert not self.front.clients
+            assert not self.front.connections.clients
             self.front.stop_accepting()
             first.setblocking(False)
             async with asyncio.timeout(5):
@@ -115,11 +118,11 @@
             listener = Listener("", 0, lambda: True, self.front.make_connection, other.dup().detach())
             listener.close()
             assert is_readable(other.fileno())
-        assert len(self.front.clients) == 0
+        assert len(self.front.connections.clients) == 0
 
     async def test_a_connection_that_never_speaks_does_not_hold_up_the_exit(self) -> None:
         client, streams = await self.meet()
-        client.opened_at -= server_module.DRAIN_SILENT
+        client.opened_at -= client_connections_module.DRAIN_SILENCE_TIMEOUT
         self.front.stop_accepting()
         async with asyncio.timeout(1):
             assert await streams[0].read() == b""
@@ -129,9 +132,9 @@
     async def test_the_exit_waits_until_an_answer_has_left_and_its_reader_has_ended(self) -> None:
         client, streams = await self.meet(at_once, self.head("t"))
         self.front.is_closing = True
-        await self.until(lambda: self.front.closing_transports)
+        await self.until(lambda: self.front.connections.closing)
         assert self.front.open_connections() == 1
-        assert client not in self.front.clients
+        assert client not in self.front.connections.clients
         await self.served_and_closed(streams)
         streams[1].close()
         await self.until(lambda: not self.front.open_connections())
@@ -139,12 +142,12 @@
     async def test_a_peer_that_does_not_end_its_connection_does_not_hold_up_the_exit(self) -> None:
         _, streams = await self.meet(at_once, self.head("t"))
         self.front.is_closing = True
-        await self.until(lambda: self.front.closing_transports)
+        await self.until(lambda: self.front.connections.closing)
         assert self.front.open_connections() == 1
         async with asyncio.timeout(0.5 * closing_module.CLOSE_TIMEOUT):
             while self.front.open_connections():
                 await asyncio.sleep(0.005)
-        assert len(self.front.closing_transports) == 1
+        assert len(self.front.connections.closing) == 1
         await self.served_and_closed(streams)
 
 
@@ -165,7 +168,7 @@
         await begun.wait()
         await streams[0].readuntil(b"\r\n\r\n")
         streams[1].write(self.head("next"))
-        async with asyncio.timeout(0.5 * server_module.IDLE):  # not by the idle limit
+        async with asyncio.timeout(0.5 * client_connection_module.IDLE_TIMEOUT):  # not by the idle limit
             assert len(await streams[0].read()) < 200000
         assert self.box.counts["next"] == 0
 
@@ -181,7 +184,7 @@
         self.front.is_closing = True
         await self.unread(client, streams, self.head("next"))
         release.set()
-        await self.until(lambda: self.front.closing_transports)
+        await self.until(lambda: self.front.connections.closing)
         await self.served_and_closed(streams)
         assert self.box.counts["next"] == 0, "read after the shutdown, it must not be sent on"
 
@@ -196,9 +199,9 @@
         with mock.patch.multiple(closing_module, CLOSE_TIMEOUT=part, MAX_DISCARDED_BYTES=1 << 16):
             _, streams = await self.meet(at_once, self.head("t"))
             self.front.is_closing = True
-            await self.until(lambda: self.front.closing_transports)
+            await self.until(lambda: self.front.connections.closing)
             streams[1].write(behind)
-            await self.until(lambda: not self.front.closing_transports)
+            await self.until(lambda: not self.front.connections.closing)
 
     async def test_a_peer_that_never_ends_is_given_up(self) -> None:
         await self.given_up(b"", 0.1)
@@ -208,7 +211,7 @@
 
     async def idle_limit(self, read_first: bool) -> None:
         client, streams = await self.meet()
-        await self.until(lambda: client in self.front.idle)
+        await self.until(lambda: client in self.front.connections.idle)
         transport = await self.unread(client, streams, self.head("t"))
         client._next_keepalive_close_time = 0.0
         if read_first:  # the loop reads, then its timer is due
@@ -229,7 +232,7 @@
     async def test_a_drain_by_hand_ends_no_connection_on_which_something_has_come(self) -> None:
         client, streams = await self.meet(at_once, self.head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
-        await self.until(lambda: client in self.front.idle)
+        await self.until(lambda: client in self.front.connections.idle)
         transport = await self.unread(client, streams, self.head("u"))
         self.front.drain.start()
         self.front.close_idle_connections()
@@ -240,24 +243,24 @@
     async def test_room_is_made_neither_by_what_is_unread_nor_by_what_was_answered_just_now(self) -> None:
         client, streams = await self.meet(at_once, self.head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
-        await self.until(lambda: client in self.front.idle)
-        self.front.max_clients = 1
+        await self.until(lambda: client in self.front.connections.idle)
+        self.front.connections.max_clients = 1
         client.opened_at = 0.0
-        self.front.idle[client] = self.core.loop.time() + 60
-        assert not self.front.has_capacity(), "its reader has had no time for the answer"
-        self.front.idle[client] = 0.0
+        self.front.connections.idle[client] = self.core.loop.time() + 60
+        assert not self.front.connections.has_capacity(), "its reader has had no time for the answer"
+        self.front.connections.idle[client] = 0.0
         transport = await self.unread(client, streams, self.head("u"))
-        assert not self.front.has_capacity()
+        assert not self.front.connections.has_capacity()
         transport.resume_reading()
         assert b" 200 " in await streams[0].readline()
 
     async def test_room_is_not_made_by_a_slow_head_whose_last_byte_has_come(self) -> None:
         client, streams = await self.meet(at_once, self.head("t")[:30])
         await self.until(lambda: client.head_started_at)
-        self.front.max_clients = 1
+        self.front.connections.max_clients = 1
         client.head_started_at = client.opened_at = 0.001
         transport = await self.unread(client, streams, self.head("t")[30:])
-        assert not self.front.has_capacity()
+        assert not self.front.connections.has_capacity()
         transport.resume_reading()
         assert b" 200 " in await streams[0].readline()
 
@@ -297,16 +300,16 @@
     async def test_a_connection_is_idle_only_once_its_answer_is_written(self) -> None:
         seen: list[bool] = []
         client, streams = await self.meet()
-        finish = server_module.RequestHandler.finish_response
+        finish = RequestHandler.finish_response
 
         async def look(one: ClientConnection, *words: Any) -> Any:
-            seen.append(one in self.front.idle)
+            seen.append(one in self.front.connections.idle)
             return await finish(one, *words)
 
-        with mock.patch.object(server_module.RequestHandler, "finish_response", look):
+        with mock.patch.object(RequestHandler, "finish_response", look):
             streams[1].write(self.head("t"))
             await streams[0].readuntil(b"tile")
-        await self.until(lambda: client in self.front.idle)
+        await self.until(lambda: client in self.front.connections.idle)
         assert seen == [False]
 
 
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -25,11 +25,16 @@
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.discovery.listings import read_listing
 from cleatyoke.discovery.watch import Discovery
-from cleatyoke.http import backends as boxes_module
-from cleatyoke.http import server as server_module
-from cleatyoke.http.backends import BackendPools, StreamedBody
+from cleatyoke.http import backend_connection as backend_connection_module
+from cleatyoke.http import backends as backends_module
+from cleatyoke.http import body_reader as body_reader_module
+from cleatyoke.http import client_connection as client_connection_module
+from cleatyoke.http import client_connections as client_connections_module
+from cleatyoke.http.answers import decode_utilization
+from cleatyoke.http.backend_connection import StreamedBody
+from cleatyoke.http.backends import BackendPools
 from cleatyoke.http.body_limits import BodyMemory
-from cleatyoke.http.messages import ClientRequest, decode_utilization
+from cleatyoke.http.requests import ClientRequest
 from cleatyoke.http.server import HttpServer
 from cleatyoke.scheduling.events import (
     AttemptOutcome,
@@ -223,15 +228,15 @@
             return answer()
 
         await self.begin(script)
-        self.front.max_clients = 3
+        self.front.connections.max_clients = 3
         silent = [await self.raw() for _ in range(3)]
-        await self.until(lambda: len(self.front.clients) == 3)
+        await self.until(lambda: len(self.front.connections.clients) == 3)
         assert (await self.ask("t"))[0] == 200
         assert await silent[0][0].read() == b""  # the oldest has ended
         more = [await self.raw() for _ in range(3)]  # the client's own idle connection outlives them
         assert await more[0][0].read() == b""
         assert (await self.ask("u"))[0] == 200
-        assert len(self.front.clients) <= 3
+        assert len(self.front.connections.clients) <= 3
         for _, writer in [*silent, *more]:
             writer.close()
 
@@ -246,10 +251,10 @@
             kept.append(await self.raw(self.head(trace)))
             assert b" 200 " in await kept[-1][0].readuntil(b"tile")
         assert await kept[2][0].read() == b""
-        await self.until(lambda: len(self.front.clients) == 2)
+        await self.until(lambda: len(self.front.connections.clients) == 2)
         kept[0][1].write(self.head("d"))
         assert b" 200 " in await kept[0][0].readuntil(b"tile")  # those before it are kept
-        assert len(self.front.clients) == 2
+        assert len(self.front.connections.clients) == 2
         for _, writer in kept:
             writer.close()
 
@@ -258,14 +263,14 @@
             return answer()
 
         await self.begin(script)
-        self.front.max_clients = 2
-        with mock.patch.object(server_module, "SILENT", 60):
+        self.front.connections.max_clients = 2
+        with mock.patch.object(client_connections_module, "MIN_EVICTION_AGE", 60):
             young = [await self.raw() for _ in range(2)]
-            await self.until(lambda: len(self.front.clients) == 2)
+            await self.until(lambda: len(self.front.connections.clients) == 2)
             waiting = await self.raw(self.head("t"))
             listener = self.front.listener
             await self.until(lambda: listener and listener.pause_timer)  # it waits for room
-        for one in self.front.silent:
+        for one in self.front.connections.silent:
             one.opened_at = 0.0
         for place, (_, writer) in enumerate(young):
             writer.write(self.head(f"y{place}")[:9] if place else self.head("y0"))
@@ -283,7 +288,10 @@
         slow = slow.replace(b"tile-read", b"record-write")
         huge = self.head("u", "Content-Length: 60000000", method="PUT")
         cases = [b"", self.head("t")[:-2], b"GET / HTTP/1.1\r\nX: " + bytes(100_000), slow, huge]
-        with mock.patch.multiple(server_module, IDLE=0.2, HEAD=0.4, BODY=0.2):
+        with (
+            mock.patch.multiple(client_connection_module, IDLE_TIMEOUT=0.2, HEAD_TIMEOUT=0.4),
+            mock.patch.object(body_reader_module, "BODY_TIMEOUT", 0.2),
+        ):
             peers = [await self.raw(case) for case in cases]
             async with asyncio.timeout(2):
                 found = [await reader.read() for reader, _ in peers]
@@ -296,10 +304,12 @@
             return answer()
 
         await self.begin(script)
-        with mock.patch.object(server_module, "IDLE", 0.2):
+        with mock.patch.object(client_connection_module, "IDLE_TIMEOUT", 0.2):
             reader, writer = await self.raw(self.head("t")[:9])
-            (client,) = await self.found(lambda: [one for one in self.front.clients if one.head_started_at])
-            client.began += 60  # as if the first byte had come just now, however late the loop runs
+            (client,) = await self.found(
+                lambda: [one for one in self.front.connections.clients if one.head_started_at]
+            )
+            client.head_started_at += 60  # as if the first byte had come just now, however late the loop runs
             await asyncio.sleep(0.3)
             writer.write(self.head("t")[9:])
             assert b" 200 " in await reader.readline()
@@ -352,7 +362,7 @@
         assert self.box.counts["t"] == 1
         with mock.patch.object(self.core, "offset", self.core.offset + 60):
             await self.ask("u")
-        assert self.front.trace_ids == {"u"}, "ids are forgotten in the end"
+        assert self.front.trace_ids.known == {"u"}, "ids are forgotten in the end"
 
     async def test_up_says_when_the_front_is_ready(self) -> None:
         await self.begin(lambda trace: asyncio.sleep(60))
@@ -448,7 +458,7 @@
             return spoilt[int(trace)]
 
         await self.begin(script)
-        with mock.patch.object(boxes_module, "GAP", 0.05):
+        with mock.patch.object(backend_connection_module, "ANSWER_TIMEOUT", 0.05):
             for place, text in enumerate(spoilt):
                 found = await self.attempt(1, ask(str(place), "PUT", b"scan"))
                 assert found == AttemptResult(AttemptOutcome.CONNECTION_RESET), text[:80]
@@ -467,7 +477,7 @@
             return cases[int(trace)]
 
         await self.begin(script)
-        with mock.patch.object(boxes_module, "REST", 0.0):
+        with mock.patch.object(backends_module, "REUSE_DELAY", 0.0):
             for place in range(len(cases)):
                 found = await self.attempt(1, ask(str(place)))
                 if isinstance(found.value, StreamedBody):
@@ -501,7 +511,7 @@
 
         await self.begin(script, most=2)
         listed(self.directory, instance("s-a", self.box.port), instance("s-b", self.box.port, cell=1))
-        with mock.patch.object(boxes_module, "REST", 60):
+        with mock.patch.object(backends_module, "REUSE_DELAY", 60):
             for trace in "ab":  # the first one rests, so that the second takes another
                 await self.attempt(1, ask(trace))
             assert (self.box.accepted, self.boxes.open_connections) == (2, 2)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -179,7 +179,7 @@
         async with aiohttp.ClientSession() as client:
             async with client.get(self.url + "/up") as response:
                 assert response.status == 200
-            kept = list(self.front.clients)
+            kept = list(self.front.connections.clients)
             assert kept
             self.front.begin_drain()
             async with client.get(self.url + "/up") as response:
@@ -187,7 +187,7 @@
                 assert response.headers.get("Connection") == "close"
             idle = socket.create_connection(("127.0.0.1", self.front.address.port))
             await asyncio.sleep(0.45)
-            assert not self.front.clients  # neither the kept one nor the one that never spoke
+            assert not self.front.connections.clients  # neither the kept one nor the one that never spoke
             idle.close()
             self.front.drain.resume()
             async with client.get(self.url + "/up") as response:
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -15,9 +15,9 @@
 from cleatyoke import simulator as simhost
 from cleatyoke.config.deployment import read_settings
 from cleatyoke.core import Core
+from cleatyoke.http.answers import BackendAnswer, decode_load_probe
 from cleatyoke.http.backends import BackendPools
 from cleatyoke.http.load_probes import LoadProbeRunner
-from cleatyoke.http.messages import BackendAnswer, decode_load_probe
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -78,7 +78,13 @@
     def test_wrong_programs_are_caught(self) -> None:
         """One line is wrong in each, and the draw named says so by its rule."""
         wrong = {
-            "mangled": ("http/messages.py", "if ask.key is not None", "if not ask.key", "settings", 1),
+            "mangled": (
+                "http/requests.py",
+                "if request.idempotency_key is not None",
+                "if not request.idempotency_key",
+                "settings",
+                1,
+            ),
             "key": (
                 "scheduling/scheduler.py",
                 "if not request.ran or request.kind.idempotency is Idempotency.IDEMPOTENT:",
