--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -50,7 +50,7 @@
     from cleatyoke.fleet.view import FleetView
     from cleatyoke.http.load_probes import LoadProbeRunner
     from cleatyoke.sftp.server import SftpServer
-    from cleatyoke.vrrp.instance import Carrier
+    from cleatyoke.vrrp.instance import VrrpCarrier
 
 FIRST_WORD = 1.0  # seconds for discovery's first word where there is no old list to serve by
 HELD_BY = 0.5  # seconds that an operator's call waits at the most for the other fronts to have it
@@ -61,7 +61,7 @@
 class FileService:
     """The front for file commands, where it is on; with VRRP it is open while this instance is master."""
 
-    def __init__(self, front: SftpServer | None = None, carrier: Carrier | None = None) -> None:
+    def __init__(self, front: SftpServer | None = None, carrier: VrrpCarrier | None = None) -> None:
         self.front, self.carrier = front, carrier
 
     @classmethod
@@ -72,7 +72,7 @@
             SftpBackends,  # imported only where the front is on: a start is dear
         )
         from cleatyoke.sftp.server import SftpServer
-        from cleatyoke.vrrp.instance import Carrier
+        from cleatyoke.vrrp.instance import VrrpCarrier
 
         sessions = config.shares.sessions
         boxes = SftpBackends(
@@ -86,7 +86,7 @@
         async def changed(master: bool) -> None:
             await (front.open() if master else front.close(config.sftp.deadline if config.sftp else 0.0))
 
-        carrier = Carrier(config.vrrp, changed)
+        carrier = VrrpCarrier(config.vrrp, changed)
         await carrier.start()
         return cls(front, carrier)
 
@@ -95,7 +95,7 @@
             await self.carrier.stop()
         if self.front:
             await self.front.close(patience)
-            self.front.boxes.close()
+            self.front.backends.close()
 
 
 class Daemon:
--- a/cleatyoke/sftp/backends.py
+++ b/cleatyoke/sftp/backends.py
@@ -13,9 +13,9 @@
     VERSION,
     Attrs,
     Close,
-    Code,
+    StatusCode,
     Data,
-    Flags,
+    OpenFlags,
     Handle,
     Init,
     Name,
@@ -154,7 +154,7 @@
         finally:
             if line and not (done and self.put_back(node, line)):
                 line.abort()  # nothing of a given-up attempt stays open while the next goes out
-        if isinstance(reply, Status) and reply.code == Code.SSH_FX_FAILURE:
+        if isinstance(reply, Status) and reply.code == StatusCode.SSH_FX_FAILURE:
             return AttemptResult(AttemptOutcome.ERROR)
         return AttemptResult(
             AttemptOutcome.SERVED, reply
@@ -214,7 +214,7 @@
         case Simple(packet, _):
             return await line.ask(packet)
         case ReadRange(path, offset, length):
-            opened = await line.ask(Open(0, path, Flags.READ, Attrs()))
+            opened = await line.ask(Open(0, path, OpenFlags.READ, Attrs()))
             if not isinstance(opened, Handle):
                 return opened
             found = await line.ask(Read(0, opened.handle, offset, length))
@@ -231,7 +231,7 @@
                     msg = "too long a listing"
                     raise PacketError(msg)
             await line.ask(Close(0, opened.handle))
-            ended = isinstance(found, Names) or (isinstance(found, Status) and found.code == Code.SSH_FX_EOF)
+            ended = isinstance(found, Names) or (isinstance(found, Status) and found.code == StatusCode.SSH_FX_EOF)
             return Names(0, names) if ended else found
         case Upload(path, flags, attrs, pieces):
             opened = await line.ask(Open(0, path, flags, attrs))
@@ -244,7 +244,7 @@
                     await line.send(Write(0, opened.handle, offset + start, part))
             await line.send(Close(0, opened.handle))
             replies = [await line.receive(request) for request in range(first, line.last + 1)]
-            faults = [one for one in replies if not isinstance(one, Status) or one.code != Code.SSH_FX_OK]
+            faults = [one for one in replies if not isinstance(one, Status) or one.code != StatusCode.SSH_FX_OK]
             return (faults or replies)[-1 if not faults else 0]
 
 
--- a/cleatyoke/sftp/packets.py
+++ b/cleatyoke/sftp/packets.py
@@ -15,7 +15,7 @@
 Layout = tuple[str, ...]
 
 
-class Code(IntEnum):
+class StatusCode(IntEnum):
     SSH_FX_OK = 0
     SSH_FX_EOF = 1
     SSH_FX_NO_SUCH_FILE = 2
@@ -27,7 +27,7 @@
     SSH_FX_OP_UNSUPPORTED = 8
 
 
-class Flags(IntFlag):
+class OpenFlags(IntFlag):
     """pflags of SSH_FXP_OPEN."""
 
     READ = 1
@@ -43,7 +43,7 @@
 
     def __init__(self, why: str, request: int | None = None) -> None:
         super().__init__(why)
-        self.request = request
+        self.request_id = request
 
 
 @dataclass(slots=True)
@@ -292,7 +292,7 @@
         self.at += size
         return self.raw[self.at - size : self.at]
 
-    def u32(self) -> int:
+    def encode_u32(self) -> int:
         return int.from_bytes(self.take(4), "big")
 
     def u64(self) -> int:
@@ -351,12 +351,12 @@
     return made
 
 
-def u32(value: int) -> bytes:
+def encode_u32(value: int) -> bytes:
     return struct.pack(">I", value)
 
 
 def put_bytes(value: bytes) -> bytes:
-    return u32(len(value)) + value
+    return encode_u32(len(value)) + value
 
 
 def put_text(value: str) -> bytes:
@@ -371,24 +371,24 @@
     for bit, pair in ((2, attrs.owner), (8, attrs.times)):
         if bit == 8 and attrs.permissions is not None:
             flags |= 4
-            parts.append(u32(attrs.permissions))
+            parts.append(encode_u32(attrs.permissions))
         if pair is not None:
             flags |= bit
-            parts.append(u32(pair[0]) + u32(pair[1]))
+            parts.append(encode_u32(pair[0]) + encode_u32(pair[1]))
     if attrs.extended:
         flags |= 0x80000000
-        parts.append(u32(len(attrs.extended)))
+        parts.append(encode_u32(len(attrs.extended)))
         parts += [put_bytes(name) + put_bytes(value) for name, value in attrs.extended]
-    return u32(flags) + b"".join(parts)
+    return encode_u32(flags) + b"".join(parts)
 
 
 def put_names(names: list[Name]) -> bytes:
     parts = [put_text(one.filename) + put_text(one.longname) + put_attrs(one.attrs) for one in names]
-    return u32(len(names)) + b"".join(parts)
+    return encode_u32(len(names)) + b"".join(parts)
 
 
 WRITERS: dict[str, Any] = {
-    "u32": u32,
+    "u32": encode_u32,
     "u64": lambda value: struct.pack(">Q", value),
     "string": put_bytes,
     "text": put_text,
@@ -402,7 +402,7 @@
     """A packet with its length."""
     values = list(vars(message).values())[1:]
     body = b"".join(WRITERS[kind](value) for kind, value in zip(message.layout, values))
-    return u32(5 + len(body)) + bytes([message.type]) + u32(message.id) + body
+    return encode_u32(5 + len(body)) + bytes([message.type]) + encode_u32(message.id) + body
 
 
 async def read_size(reader: asyncio.StreamReader) -> int:
--- a/cleatyoke/sftp/server.py
+++ b/cleatyoke/sftp/server.py
@@ -19,8 +19,8 @@
     Attrs,
     AttrsReply,
     Close,
-    Code,
-    Flags,
+    StatusCode,
+    OpenFlags,
     Fstat,
     Handle,
     Init,
@@ -83,7 +83,7 @@
 class PermissionDeniedError(Exception):
     """A command answered without a box."""
 
-    def __init__(self, code: Code, message: str) -> None:
+    def __init__(self, code: StatusCode, message: str) -> None:
         super().__init__(message)
         self.code, self.message = code, message
 
@@ -92,7 +92,7 @@
     """The listener. ``open`` and ``close`` it as often as mastership comes and goes."""
 
     def __init__(self, config: SftpSettings, core: Core, boxes: SftpBackends, most_sessions: int) -> None:
-        self.config, self.core, self.boxes, self.most_sessions = config, core, boxes, most_sessions
+        self.config, self.core, self.backends, self.most_sessions = config, core, boxes, most_sessions
         self.sessions: set[Session] = set()
         self.listener: asyncio.Server | None = None
 
@@ -134,7 +134,7 @@
         for volume in self.config.volumes:
             if path == volume.prefix or path.startswith(volume.prefix.rstrip("/") + "/"):
                 return volume
-        raise PermissionDeniedError(Code.SSH_FX_NO_SUCH_FILE, f"{path}: below no volume")
+        raise PermissionDeniedError(StatusCode.SSH_FX_NO_SUCH_FILE, f"{path}: below no volume")
 
     def above(self, path: str) -> list[Name]:
         """The entries of a folder that holds volumes and belongs to none: it is listed without a box."""
@@ -167,15 +167,15 @@
             deadline=deadline,
             front_count=volume.hosts,
         )
-        match await self.core.serve(arrival, lambda node, may: self.boxes.attempt(node, command, may)):
+        match await self.core.serve(arrival, lambda node, may: self.backends.attempt(node, command, may)):
             case Served(reply) if reply is not None:
                 return reply
             case Rejected(wait):
                 again = f"try again after {max(0.0, wait):.3f} s"
-                raise PermissionDeniedError(Code.SSH_FX_FAILURE, f"refused, nothing was done: {again}")
+                raise PermissionDeniedError(StatusCode.SSH_FX_FAILURE, f"refused, nothing was done: {again}")
             case _:
                 doubt = "the change may have been made" if changes(command) else "no answer"
-                raise PermissionDeniedError(Code.SSH_FX_FAILURE, f"failed: {doubt}")
+                raise PermissionDeniedError(StatusCode.SSH_FX_FAILURE, f"failed: {doubt}")
 
 
 class Session:
@@ -235,7 +235,7 @@
             except (TimeoutError, OSError):
                 return
             self.busy = False
-            if isinstance(reply, Status) and reply.id == 0 and reply.code == Code.SSH_FX_BAD_MESSAGE:
+            if isinstance(reply, Status) and reply.id == 0 and reply.code == StatusCode.SSH_FX_BAD_MESSAGE:
                 return
 
     def leave(self) -> None:
@@ -248,9 +248,9 @@
         try:
             packet = decode(raw)
         except PacketError as error:
-            return Status(error.request or 0, Code.SSH_FX_BAD_MESSAGE, str(error))
+            return Status(error.request_id or 0, StatusCode.SSH_FX_BAD_MESSAGE, str(error))
         if isinstance(packet, Init) != first:
-            return Status(0, Code.SSH_FX_BAD_MESSAGE, "INIT comes first, and once")
+            return Status(0, StatusCode.SSH_FX_BAD_MESSAGE, "INIT comes first, and once")
         if isinstance(packet, Init):
             return Version(VERSION)
         try:
@@ -259,7 +259,7 @@
             reply = Status(0, denied.code, denied.message)
         except Exception:
             log.exception("sftp_fault")
-            reply = Status(0, Code.SSH_FX_FAILURE, "internal error")
+            reply = Status(0, StatusCode.SSH_FX_FAILURE, "internal error")
         return replace(reply, id=packet.id)
 
     async def command(self, packet: Packet) -> Packet:
@@ -281,26 +281,26 @@
                 held = self.handles.pop(handle, None)
                 if isinstance(held, WriteHandle):
                     return await self.upload(held)
-                return ok() if held else Status(0, Code.SSH_FX_FAILURE, "unknown handle")
+                return ok() if held else Status(0, StatusCode.SSH_FX_FAILURE, "unknown handle")
             case Opendir(_, path):
                 path = absolute(path)
                 self.room()
                 if above := front.above(path):
                     return self.hold(DirectoryHandle(path, above))
                 if front.listed() > MOST_LISTED:
-                    raise PermissionDeniedError(Code.SSH_FX_FAILURE, "too many listings are open")
+                    raise PermissionDeniedError(StatusCode.SSH_FX_FAILURE, "too many listings are open")
                 found = await front.schedule(path, path, 0, List(path))
                 return self.hold(DirectoryHandle(path, found.names)) if isinstance(found, Names) else found
             case Readdir(_, handle):
                 listed = self.handle(handle, DirectoryHandle)
                 part, listed.names = listed.names[:NAMES_A_REPLY], listed.names[NAMES_A_REPLY:]
-                return Names(0, part) if part else Status(0, Code.SSH_FX_EOF, "end of listing")
+                return Names(0, part) if part else Status(0, StatusCode.SSH_FX_EOF, "end of listing")
             case Fstat(_, handle):
                 held = self.handles.get(handle)
                 if isinstance(held, WriteHandle):
                     return AttrsReply(0, replace(held.attrs, size=held.size))
                 if held is None:
-                    raise PermissionDeniedError(Code.SSH_FX_FAILURE, "unknown handle")
+                    raise PermissionDeniedError(StatusCode.SSH_FX_FAILURE, "unknown handle")
                 return await front.schedule(held.path, held.path, 0, Simple(Stat(0, held.path), False))
             case Stat(_, path) | Lstat(_, path):
                 path = absolute(path)
@@ -313,20 +313,20 @@
             case Rename(_, path, target):
                 path, target = absolute(path), absolute(target)
                 if front.volume(path) != front.volume(target):
-                    raise PermissionDeniedError(Code.SSH_FX_FAILURE, "a rename stays within its volume")
+                    raise PermissionDeniedError(StatusCode.SSH_FX_FAILURE, "a rename stays within its volume")
                 return await front.schedule(path, path, 0, Simple(Rename(0, path, target), True))
             case _:
-                return Status(0, Code.SSH_FX_OP_UNSUPPORTED, "unsupported command")
+                return Status(0, StatusCode.SSH_FX_OP_UNSUPPORTED, "unsupported command")
 
     async def open(self, path: str, flags: int, attrs: Attrs) -> Packet:
         self.front.volume(path)
         self.room()
-        wanted = flags & (Flags.READ | Flags.WRITE)
-        if wanted == Flags.WRITE:
+        wanted = flags & (OpenFlags.READ | OpenFlags.WRITE)
+        if wanted == OpenFlags.WRITE:
             return self.hold(WriteHandle(path, flags, attrs))
-        if wanted != Flags.READ:
+        if wanted != OpenFlags.READ:
             raise PermissionDeniedError(
-                Code.SSH_FX_OP_UNSUPPORTED, "open for reading or for writing, not both"
+                StatusCode.SSH_FX_OP_UNSUPPORTED, "open for reading or for writing, not both"
             )
         found = await self.front.schedule(path, path, 0, Simple(Stat(0, path), False))
         return self.hold(ReadHandle(path)) if isinstance(found, AttrsReply) else found
@@ -335,7 +335,7 @@
         most = self.front.config.most_upload
         if held.size + len(data) > most:
             held.spoilt = True
-            raise PermissionDeniedError(Code.SSH_FX_FAILURE, f"an upload holds at most {most} bytes")
+            raise PermissionDeniedError(StatusCode.SSH_FX_FAILURE, f"an upload holds at most {most} bytes")
         held.size += len(data)
         if held.pieces and sum((held.pieces[-1][0], len(held.pieces[-1][1]))) == offset:
             start, before = held.pieces.pop()
@@ -347,14 +347,14 @@
         """The one write of an upload; the status of CLOSE is its outcome."""
         if held.spoilt:
             raise PermissionDeniedError(
-                Code.SSH_FX_FAILURE, "not stored: a write to this handle was turned down"
+                StatusCode.SSH_FX_FAILURE, "not stored: a write to this handle was turned down"
             )
         command = Upload(held.path, held.flags, held.attrs, held.pieces)
         return await self.front.schedule(held.path, held.path, held.size, command)
 
     def room(self) -> None:
         if len(self.handles) >= self.front.config.most_handles:
-            raise PermissionDeniedError(Code.SSH_FX_FAILURE, "too many open handles")
+            raise PermissionDeniedError(StatusCode.SSH_FX_FAILURE, "too many open handles")
 
     def hold(self, held: ReadHandle | WriteHandle | DirectoryHandle) -> Handle:
         self.numbered += 1
@@ -365,7 +365,7 @@
     def handle(self, handle: bytes, kind: type[H]) -> H:
         held = self.handles.get(handle)
         if not isinstance(held, kind):
-            raise PermissionDeniedError(Code.SSH_FX_FAILURE, "unknown handle, or of another kind")
+            raise PermissionDeniedError(StatusCode.SSH_FX_FAILURE, "unknown handle, or of another kind")
         return held
 
 
@@ -379,4 +379,4 @@
 
 
 def ok() -> Status:
-    return Status(0, Code.SSH_FX_OK, "ok")
+    return Status(0, StatusCode.SSH_FX_OK, "ok")
--- a/cleatyoke/vrrp/instance.py
+++ b/cleatyoke/vrrp/instance.py
@@ -25,7 +25,7 @@
     """A datagram that is no advertisement for this router."""
 
 
-class State(Enum):
+class RouterState(Enum):
     INITIALIZE = "initialize"
     BACKUP = "backup"
     MASTER = "master"
@@ -82,43 +82,43 @@
     def __init__(self, priority: int, interval: float, preempt: bool, address: str) -> None:
         self.priority, self.interval, self.preempt = priority, interval, preempt
         self.address = ipaddress.ip_address(address)  # the primary one, which breaks ties
-        self.state, self.due = State.INITIALIZE, math.inf
+        self.state, self.timer_at = RouterState.INITIALIZE, math.inf
         self.master_interval = interval
 
     @property
-    def skew(self) -> float:
+    def skew_time(self) -> float:
         return (256 - self.priority) * self.master_interval / 256
 
     @property
-    def master_down(self) -> float:
-        return 3 * self.master_interval + self.skew
+    def master_down_interval(self) -> float:
+        return 3 * self.master_interval + self.skew_time
 
     def startup(self, now: float) -> list[int]:
         if self.priority == 255:
             return self.become_master(now)
-        self.state, self.master_interval = State.BACKUP, self.interval
-        self.due = now + self.master_down
+        self.state, self.master_interval = RouterState.BACKUP, self.interval
+        self.timer_at = now + self.master_down_interval
         return []
 
     def shutdown(self) -> list[int]:
-        was, self.state, self.due = self.state, State.INITIALIZE, math.inf
-        return [0] if was is State.MASTER else []
+        was, self.state, self.timer_at = self.state, RouterState.INITIALIZE, math.inf
+        return [0] if was is RouterState.MASTER else []
 
-    def timer(self, now: float) -> list[int]:
-        return [] if now < self.due else self.become_master(now)
+    def on_timer(self, now: float) -> list[int]:
+        return [] if now < self.timer_at else self.become_master(now)
 
     def become_master(self, now: float) -> list[int]:
         """Also each further advertisement of a master."""
-        self.state, self.due = State.MASTER, now + self.interval
+        self.state, self.timer_at = RouterState.MASTER, now + self.interval
         return [self.priority]
 
-    def received(self, heard: Advertisement, source: str, now: float) -> list[int]:
-        if self.state is State.BACKUP:
+    def receive(self, heard: Advertisement, source: str, now: float) -> list[int]:
+        if self.state is RouterState.BACKUP:
             if heard.priority == 0:
-                self.due = now + self.skew
+                self.timer_at = now + self.skew_time
             elif not self.preempt or heard.priority >= self.priority:
                 self.follow(heard, now)
-        elif self.state is State.MASTER:
+        elif self.state is RouterState.MASTER:
             if heard.priority == 0:
                 return self.become_master(now)
             rank = ipaddress.ip_address(source).packed > self.address.packed
@@ -127,11 +127,11 @@
         return []
 
     def follow(self, master: Advertisement, now: float) -> None:
-        self.state, self.master_interval = State.BACKUP, master.interval or self.interval
-        self.due = now + self.master_down
+        self.state, self.master_interval = RouterState.BACKUP, master.interval or self.interval
+        self.timer_at = now + self.master_down_interval
 
 
-class Carrier(asyncio.DatagramProtocol):
+class VrrpCarrier(asyncio.DatagramProtocol):
     """A router on UDP. ``changed`` hears, in their order, of each gain (True) and loss of mastership."""
 
     def __init__(self, config: VrrpSettings, changed: Callable[[bool], Awaitable[None]]) -> None:
@@ -170,13 +170,13 @@
         except AdvertisementError as error:
             log.warning("vrrp_skipped", why=str(error), source=addr[0])
             return
-        self.after(self.router.received(heard, addr[0], self.loop.time()))
+        self.after(self.router.receive(heard, addr[0], self.loop.time()))
 
     def error_received(self, exc: Exception) -> None:
         log.warning("vrrp_unreachable", why=str(exc))  # a peer that is down; its silence is what counts
 
     def on_timer(self) -> None:
-        self.after(self.router.timer(self.loop.time()))
+        self.after(self.router.on_timer(self.loop.time()))
 
     def after(self, priorities: list[int]) -> None:
         """Send what an event asks for, set the next timer, and pass on a change of mastership."""
@@ -184,8 +184,8 @@
             self.advertise(priority)
         if self.clock:
             self.clock.cancel()
-        self.clock = self.loop.call_at(self.router.due, self.on_timer) if self.router.due < math.inf else None
-        master = self.router.state is State.MASTER
+        self.clock = self.loop.call_at(self.router.timer_at, self.on_timer) if self.router.timer_at < math.inf else None
+        master = self.router.state is RouterState.MASTER
         if master != self.master:
             self.master = master
             log.info("vrrp_master" if master else "vrrp_backup", router=self.config.router)
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -733,7 +733,7 @@
     try:
         return plain_sftp_packet(sftp.decode(data[4:]))
     except sftp.PacketError as error:
-        return {"refused": str(error), "id": error.request}
+        return {"refused": str(error), "id": error.request_id}
 
 
 # HTTP
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -55,7 +55,7 @@
     SchedulerSettings,
     VolumePlan,
 )
-from cleatyoke.vrrp.instance import Advertisement, AdvertisementError, State, VirtualRouter
+from cleatyoke.vrrp.instance import Advertisement, AdvertisementError, RouterState, VirtualRouter
 from cleatyoke.vrrp.instance import decode as decode_advertisement
 from cleatyoke.vrrp.instance import encode as encode_advertisement
 
@@ -437,7 +437,7 @@
 
 # VRRP
 
-VRRP_STATES = {State.INITIALIZE: "initialize", State.BACKUP: "backup", State.MASTER: "master"}
+VRRP_STATES = {RouterState.INITIALIZE: "initialize", RouterState.BACKUP: "backup", RouterState.MASTER: "master"}
 
 
 def advertisement_bytes(router: int, priority: int, interval: float, addresses: Sequence[str]) -> bytes:
@@ -471,7 +471,7 @@
 
     def timer(self, now: float) -> list[int]:
         """Priorities to advertise."""
-        return self.router.timer(now)
+        return self.router.on_timer(now)
 
     def received(self, data: bytes, source: str, now: float) -> list[int]:
         """Priorities to advertise after a message."""
@@ -479,16 +479,16 @@
             heard = decode_advertisement(data)
         except AdvertisementError:
             return []
-        return self.router.received(heard, source, now)
+        return self.router.receive(heard, source, now)
 
     def due(self) -> float:
         """When the timer is due."""
-        return self.router.due
+        return self.router.timer_at
 
     def state(self) -> Neutral:
         """State, due time, and the intervals that follow from it."""
         router = self.router
-        times = [router.due, router.master_interval, router.skew, router.master_down]
+        times = [router.timer_at, router.master_interval, router.skew_time, router.master_down_interval]
         return [VRRP_STATES[router.state], *(number(value) for value in times)]
 
 
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -21,7 +21,7 @@
 from tests.wire import FileBox, instance, listed, two_classes
 
 NONE = p.Attrs()
-STORE = p.Flags.WRITE | p.Flags.CREAT | p.Flags.TRUNC
+STORE = p.OpenFlags.WRITE | p.OpenFlags.CREAT | p.OpenFlags.TRUNC
 PUBLIC = plan_spec(base_rate=80.0, reserved_rate=80.0)
 
 
@@ -89,7 +89,7 @@
         for box in self.boxes:
             box.stop()
 
-    def failed(self, status: Any, code: p.Code, said: str) -> None:
+    def failed(self, status: Any, code: p.StatusCode, said: str) -> None:
         assert isinstance(status, p.Status)
         assert status.code == code, status
         assert said in status.message
@@ -97,25 +97,25 @@
     async def test_an_upload_is_stored_once_and_read_and_listed_and_renamed(self) -> None:
         client = await self.begin(box := FileBox())
         scan = bytes(range(256)) * 200
-        assert (await client.put("/plats/t1", scan)).code == p.Code.SSH_FX_OK
+        assert (await client.put("/plats/t1", scan)).code == p.StatusCode.SSH_FX_OK
         assert (box.files["/plats/t1"], box.stored["/plats/t1"]) == (scan, 1)
         assert box.commands == ["Open", "Write", "Write", "Close"]
-        handle = (await client.ask(p.Open(0, "/plats/../plats/t1", p.Flags.READ, NONE))).handle
+        handle = (await client.ask(p.Open(0, "/plats/../plats/t1", p.OpenFlags.READ, NONE))).handle
         assert (await client.ask(p.Read(0, handle, 250, 10))).data == scan[250:260]
         assert (await client.ask(p.Fstat(0, handle))).attrs.size == len(scan)
         assert await client.list("/plats") == ["/plats/t1"]
         renamed = await client.ask(p.Rename(0, "/plats/t1", "/plats/t2"))
-        assert renamed.code == p.Code.SSH_FX_OK
+        assert renamed.code == p.StatusCode.SSH_FX_OK
         assert await client.list("/") == ["plats"]
         assert (await client.ask(p.Stat(0, "/"))).attrs.permissions == 16877
-        self.failed(await client.ask(p.Rename(0, "/plats/t1", "/else")), p.Code.SSH_FX_NO_SUCH_FILE, "volume")
-        missing = await client.ask(p.Open(0, "/plats/none", p.Flags.READ, NONE))
-        self.failed(missing, p.Code.SSH_FX_NO_SUCH_FILE, "no such file")
+        self.failed(await client.ask(p.Rename(0, "/plats/t1", "/else")), p.StatusCode.SSH_FX_NO_SUCH_FILE, "volume")
+        missing = await client.ask(p.Open(0, "/plats/none", p.OpenFlags.READ, NONE))
+        self.failed(missing, p.StatusCode.SSH_FX_NO_SUCH_FILE, "no such file")
 
     async def test_an_upload_that_broke_after_it_may_have_been_stored_is_never_sent_again(self) -> None:
         client = await self.begin(box := FileBox(breaks=True))
         status = await client.put("/plats/t1", b"scan")
-        self.failed(status, p.Code.SSH_FX_FAILURE, "the change may have been made")
+        self.failed(status, p.StatusCode.SSH_FX_FAILURE, "the change may have been made")
         assert (box.stored["/plats/t1"], box.commands.count("Open"), box.accepted) == (1, 1, 1)
 
     async def test_a_listing_repeated_after_a_drain_does_not_reach_the_draining_box(self) -> None:
@@ -145,18 +145,18 @@
             return real(packet, handles)
 
         box.reply = reply  # type: ignore[method-assign]
-        self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "refused")
+        self.failed(await client.put("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "refused")
         assert box.commands == []
 
     async def test_without_a_box_a_command_is_refused_and_nothing_was_done(self) -> None:
         client = await self.begin()
-        self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "nothing was done")
+        self.failed(await client.put("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "nothing was done")
 
     async def test_a_silent_box_is_given_up_by_the_deadline(self) -> None:
         client = await self.begin(box := FileBox(silent=True), deadline=0.3)
         began = self.core.now()
         status = await client.put("/plats/t1", b"scan")
-        self.failed(status, p.Code.SSH_FX_FAILURE, "the change may have been made")
+        self.failed(status, p.StatusCode.SSH_FX_FAILURE, "the change may have been made")
         assert self.core.now() - began < 2.0
         assert box.commands == ["Open"]
 
@@ -165,38 +165,38 @@
             PUBLIC, rate_limit=0.01, rate_limit_burst=8.0
         )  # a host that starts has none of it to spare
         client = await self.begin(box := FileBox(), plan=plan, deadline=0.4)
-        self.failed(await client.put("/plats/t1", b"scan"), p.Code.SSH_FX_FAILURE, "refused")
+        self.failed(await client.put("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "refused")
         self.core.policy.volumes[7].limit.level = 2.0
         codes = [(await client.put(f"/plats/u{n}", b"scan")).code for n in range(4)]
-        assert (codes.count(p.Code.SSH_FX_OK), sum(box.stored.values())) == (2, 2)
+        assert (codes.count(p.StatusCode.SSH_FX_OK), sum(box.stored.values())) == (2, 2)
 
     async def test_an_upload_beyond_the_bound_is_not_stored_in_part(self) -> None:
         client = await self.begin(box := FileBox())
         status = await client.put("/plats/t1", bytes(65537))
-        self.failed(status, p.Code.SSH_FX_FAILURE, "not stored")
+        self.failed(status, p.StatusCode.SSH_FX_FAILURE, "not stored")
         assert box.accepted == 0
 
     async def test_bad_packets_handles_and_commands_are_told_apart(self) -> None:
         client = await self.begin(FileBox())
-        self.failed(await client.ask(p.Close(0, b"99")), p.Code.SSH_FX_FAILURE, "unknown handle")
-        self.failed(await client.ask(p.Read(0, b"99", 0, 1)), p.Code.SSH_FX_FAILURE, "unknown handle")
-        both = p.Open(0, "/plats/a", p.Flags.READ | p.Flags.WRITE, NONE)
-        self.failed(await client.ask(both), p.Code.SSH_FX_OP_UNSUPPORTED, "not both")
+        self.failed(await client.ask(p.Close(0, b"99")), p.StatusCode.SSH_FX_FAILURE, "unknown handle")
+        self.failed(await client.ask(p.Read(0, b"99", 0, 1)), p.StatusCode.SSH_FX_FAILURE, "unknown handle")
+        both = p.Open(0, "/plats/a", p.OpenFlags.READ | p.OpenFlags.WRITE, NONE)
+        self.failed(await client.ask(both), p.StatusCode.SSH_FX_OP_UNSUPPORTED, "not both")
         for number in range(4):
             await client.ask(p.Open(0, f"/plats/{number}", STORE, NONE))
-        self.failed(await client.ask(p.Open(0, "/plats/a", STORE, NONE)), p.Code.SSH_FX_FAILURE, "too many")
-        client.writer.write(p.u32(9) + bytes([200]) + p.u32(77) + p.u32(0))  # SSH_FXP_EXTENDED
+        self.failed(await client.ask(p.Open(0, "/plats/a", STORE, NONE)), p.StatusCode.SSH_FX_FAILURE, "too many")
+        client.writer.write(p.encode_u32(9) + bytes([200]) + p.encode_u32(77) + p.encode_u32(0))  # SSH_FXP_EXTENDED
         reply = p.decode(await p.read_packet(client.reader))
-        assert (reply.id, reply.code) == (77, p.Code.SSH_FX_OP_UNSUPPORTED)  # type: ignore
-        client.writer.write(p.u32(9) + bytes([17]) + p.u32(78) + p.u32(500))  # a path beyond the packet
+        assert (reply.id, reply.code) == (77, p.StatusCode.SSH_FX_OP_UNSUPPORTED)  # type: ignore
+        client.writer.write(p.encode_u32(9) + bytes([17]) + p.encode_u32(78) + p.encode_u32(500))  # a path beyond the packet
         reply = p.decode(await p.read_packet(client.reader))
-        assert (reply.id, reply.code) == (78, p.Code.SSH_FX_BAD_MESSAGE)  # type: ignore
-        client.writer.write(p.u32(1 << 30))  # a length that no packet has: the stream is lost
+        assert (reply.id, reply.code) == (78, p.StatusCode.SSH_FX_BAD_MESSAGE)  # type: ignore
+        client.writer.write(p.encode_u32(1 << 30))  # a length that no packet has: the stream is lost
         assert await client.reader.read() == b""
         other = await self.connect()
         other.writer.write(p.encode(p.Stat(5, "/plats")))
         reply = p.decode(await p.read_packet(other.reader))
-        self.failed(reply, p.Code.SSH_FX_BAD_MESSAGE, "INIT comes first")
+        self.failed(reply, p.StatusCode.SSH_FX_BAD_MESSAGE, "INIT comes first")
         assert await other.reader.read() == b""
 
     async def test_a_client_that_leaves_takes_its_command_with_it(self) -> None:
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -11,8 +11,8 @@
 from cleatyoke.vrrp.instance import (
     Advertisement,
     AdvertisementError,
-    Carrier,
-    State,
+    VrrpCarrier,
+    RouterState,
     VirtualRouter,
     decode,
     encode,
@@ -31,29 +31,29 @@
 
     def test_a_backup_takes_over_after_three_intervals_and_its_skew(self) -> None:
         router = self.backup()  # skew (256 - 128) / 256 = 0.5
-        assert (router.state, router.due) == (State.BACKUP, 103.5)
-        assert router.received(said(200), "10.0.0.1", 102.0) == []
-        assert router.due == 105.5
-        assert router.timer(105.4) == []
-        assert router.timer(105.5) == [128]
-        assert (router.state, router.due) == (State.MASTER, 106.5)
+        assert (router.state, router.timer_at) == (RouterState.BACKUP, 103.5)
+        assert router.receive(said(200), "10.0.0.1", 102.0) == []
+        assert router.timer_at == 105.5
+        assert router.on_timer(105.4) == []
+        assert router.on_timer(105.5) == [128]
+        assert (router.state, router.timer_at) == (RouterState.MASTER, 106.5)
 
     def test_the_owner_is_master_at_once_and_says_so_when_it_leaves(self) -> None:
         router = VirtualRouter(255, 1.0, True, "10.0.0.2")
         assert router.startup(100.0) == [255]
         assert router.shutdown() == [0]
-        assert router.state == State.INITIALIZE
+        assert router.state == RouterState.INITIALIZE
 
     def test_a_master_that_leaves_is_followed_after_the_skew_alone(self) -> None:
         router = self.backup()
-        router.received(said(0), "10.0.0.1", 101.0)
-        assert router.due == 101.5
+        router.receive(said(0), "10.0.0.1", 101.0)
+        assert router.timer_at == 101.5
 
     def test_preemption(self) -> None:
         for preempt, due in ((True, 103.5), (False, 105.5)):
             router = self.backup(preempt=preempt)
-            router.received(said(100), "10.0.0.1", 102.0)
-            assert router.due == due
+            router.receive(said(100), "10.0.0.1", 102.0)
+            assert router.timer_at == due
 
     def test_of_two_masters_the_higher_priority_stays_then_the_higher_address(self) -> None:
         for priority, source, stays in (
@@ -63,14 +63,14 @@
             (128, "10.0.0.10", False),
         ):
             router = self.backup()
-            router.timer(103.5)
-            router.received(said(priority), source, 104.0)
-            assert (router.state is State.MASTER) == stays, (priority, source)
+            router.on_timer(103.5)
+            router.receive(said(priority), source, 104.0)
+            assert (router.state is RouterState.MASTER) == stays, (priority, source)
 
     def test_the_master_s_interval_is_the_backup_s(self) -> None:
         router = self.backup()
-        router.received(said(200, 2.0), "10.0.0.1", 102.0)
-        assert router.due == 102.0 + 6.0 + 1.0
+        router.receive(said(200, 2.0), "10.0.0.1", 102.0)
+        assert router.timer_at == 102.0 + 6.0 + 1.0
 
     def test_messages(self) -> None:
         message = encode(said(100, 2.5))
@@ -84,12 +84,12 @@
 
 class TakeoverStory(unittest.IsolatedAsyncioTestCase):
     async def test_the_backup_is_master_once_the_master_has_left(self) -> None:
-        carriers: list[Carrier] = []
+        carriers: list[VrrpCarrier] = []
         news: list[asyncio.Queue[bool]] = []
         for host, priority in (("127.0.0.1", 200), ("127.0.0.2", 100)):
             heard: asyncio.Queue[bool] = asyncio.Queue()
             config = VrrpSettings(Address(host, 0), [], 1, priority, 0.05, True, ["10.0.0.9"])
-            carriers.append(Carrier(config, heard.put))
+            carriers.append(VrrpCarrier(config, heard.put))
             news.append(heard)
         first = await carriers[0].start()
         carriers[1].config.peers.append(first)
@@ -98,10 +98,10 @@
         async with asyncio.timeout(5):
             while not await news[0].get():
                 pass
-            while carriers[1].router.state is State.MASTER:  # if it was first, it now hears of the other
+            while carriers[1].router.state is RouterState.MASTER:  # if it was first, it now hears of the other
                 await news[1].get()
             await carriers[0].stop()
             while not await news[1].get():
                 pass
-        assert carriers[1].router.state is State.MASTER
+        assert carriers[1].router.state is RouterState.MASTER
         await carriers[1].stop()
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -162,13 +162,13 @@
             writer.write(p.encode(reply))
 
     def reply(self, packet: p.Packet, handles: dict[bytes, tuple[str, bytearray]]) -> p.Packet | None:
-        done = p.Status(packet.id, p.Code.SSH_FX_OK)
-        missing = p.Status(packet.id, p.Code.SSH_FX_NO_SUCH_FILE, "no such file")
+        done = p.Status(packet.id, p.StatusCode.SSH_FX_OK)
+        missing = p.Status(packet.id, p.StatusCode.SSH_FX_NO_SUCH_FILE, "no such file")
         match packet:
             case p.Init():
                 return p.Version(p.VERSION)
             case p.Open(_, path, flags, _):
-                if flags & p.Flags.READ and path not in self.files:
+                if flags & p.OpenFlags.READ and path not in self.files:
                     return missing
                 handles[b"%d" % packet.id] = path, bytearray(self.files.get(path, b""))
                 return p.Handle(packet.id, b"%d" % packet.id)
@@ -179,7 +179,7 @@
                 path, unread = handles[b"d"]
                 handles[b"d"] = path, bytearray()
                 names = [p.Name(one, one, p.Attrs()) for one in self.files if one.startswith(path)]
-                end = p.Status(packet.id, p.Code.SSH_FX_EOF)
+                end = p.Status(packet.id, p.StatusCode.SSH_FX_EOF)
                 return p.Names(packet.id, names) if unread and names else end
             case p.Write(_, handle, offset, data):
                 handles[handle][1][offset : offset + len(data)] = data
