--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -50,7 +50,7 @@
     from cleatyoke.fleet.view import FleetView
     from cleatyoke.http.load_probes import LoadProbeRunner
     from cleatyoke.sftp.server import SftpServer
-    from cleatyoke.vrrp.instance import VrrpCarrier
+    from cleatyoke.vrrp.carrier import VrrpCarrier
 
 FIRST_WORD = 1.0  # seconds for discovery's first word where there is no old list to serve by
 HELD_BY = 0.5  # seconds that an operator's call waits at the most for the other fronts to have it
@@ -72,7 +72,7 @@
             SftpBackends,  # imported only where the front is on: a start is dear
         )
         from cleatyoke.sftp.server import SftpServer
-        from cleatyoke.vrrp.instance import VrrpCarrier
+        from cleatyoke.vrrp.carrier import VrrpCarrier
 
         sessions = config.shares.sessions
         boxes = SftpBackends(
--- /dev/null
+++ b/cleatyoke/sftp/backend_commands.py
@@ -0,0 +1,171 @@
+"""File commands at a backend: the packets that each of them takes, and the reply that decides."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass, replace
+
+from cleatyoke.sftp.codec import decode, encode, read_packet
+from cleatyoke.sftp.packets import (
+    Attrs,
+    Close,
+    Data,
+    Handle,
+    Init,
+    Name,
+    Names,
+    Open,
+    Opendir,
+    OpenFlags,
+    Packet,
+    PacketError,
+    Read,
+    Readdir,
+    Status,
+    StatusCode,
+    Version,
+    Write,
+)
+
+MAX_LISTED_NAMES = 20_000  # entries of a listing
+MAX_WRITE_BYTES = 32 * 1024  # of a WRITE: what every server must take (draft, section 3)
+
+
+@dataclass(slots=True)
+class ReadRange:
+    """Read ``length`` bytes of a file from ``offset`` on."""
+
+    path: str
+    offset: int
+    length: int
+
+
+@dataclass(slots=True)
+class ListDirectory:
+    """Read all entries of a directory."""
+
+    path: str
+
+
+@dataclass(slots=True)
+class Upload:
+    """Write all that a client wrote to a handle, which is sent at its CLOSE."""
+
+    path: str
+    flags: int
+    attrs: Attrs
+    pieces: list[tuple[int, bytes]]  # offset, data
+
+
+@dataclass(slots=True)
+class SinglePacket:
+    """A command of one packet and one reply."""
+
+    packet: Packet
+    is_write: bool
+
+
+Command = ReadRange | ListDirectory | Upload | SinglePacket
+
+
+def is_write(command: Command) -> bool:
+    """Whether the command changes anything at the backend."""
+    return isinstance(command, Upload) or (isinstance(command, SinglePacket) and command.is_write)
+
+
+class SftpConnection:
+    """A connection to a backend; it carries one command at a time."""
+
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.idle_since = 0.0  # by the loop's clock
+        self.last_request_id = 0
+        self._reader = reader
+        self._writer = writer
+
+    async def ask(self, packet: Packet) -> Packet:
+        """Send a packet and return its reply; raises ``PacketError``, ``OSError`` and ``EOFError``."""
+        await self.send(packet)
+        return await self.receive(self.last_request_id)
+
+    async def send(self, packet: Packet) -> None:
+        """Send a packet under the next request id."""
+        if not isinstance(packet, Init):
+            self.last_request_id += 1
+            packet = replace(packet, id=self.last_request_id)
+        self._writer.write(encode(packet))
+        await self._writer.drain()
+
+    async def receive(self, request_id: int) -> Packet:
+        """Return the next reply, which has to be the one to this request."""
+        reply = decode(await read_packet(self._reader))
+        if reply.id != request_id and not isinstance(reply, Version):
+            msg = f"an answer to {reply.id}, want one to {request_id}"
+            raise PacketError(msg)
+        return reply
+
+    def is_usable(self) -> bool:
+        """Whether neither side has closed it."""
+        return not self._reader.at_eof() and not self._writer.is_closing()
+
+    def abort(self) -> None:
+        """End it at once."""
+        self._writer.transport.abort()
+
+
+async def run_command(connection: SftpConnection, command: Command) -> Packet:
+    """Run a command and return the reply that decides: an error, or what the client is owed."""
+    match command:
+        case SinglePacket(packet, _):
+            return await connection.ask(packet)
+        case ReadRange():
+            return await _read_range(connection, command)
+        case ListDirectory():
+            return await _list_directory(connection, command)
+        case Upload():
+            return await _upload(connection, command)
+
+
+async def _read_range(connection: SftpConnection, command: ReadRange) -> Packet:
+    opened = await connection.ask(Open(0, command.path, OpenFlags.READ, Attrs()))
+    if not isinstance(opened, Handle):
+        return opened
+    reply = await connection.ask(Read(0, opened.handle, command.offset, command.length))
+    await connection.ask(Close(0, opened.handle))
+    if not isinstance(reply, Data | Status):
+        msg = f"an answer of type {reply.type}"
+        raise PacketError(msg)
+    return reply
+
+
+async def _list_directory(connection: SftpConnection, command: ListDirectory) -> Packet:
+    opened = await connection.ask(Opendir(0, command.path))
+    if not isinstance(opened, Handle):
+        return opened
+    names: list[Name] = []
+    while isinstance(reply := await connection.ask(Readdir(0, opened.handle)), Names) and reply.names:
+        names += reply.names
+        if len(names) > MAX_LISTED_NAMES:
+            msg = "too long a listing"
+            raise PacketError(msg)
+    await connection.ask(Close(0, opened.handle))
+    is_end = isinstance(reply, Names) or (isinstance(reply, Status) and reply.code == StatusCode.SSH_FX_EOF)
+    return Names(0, names) if is_end else reply
+
+
+async def _upload(connection: SftpConnection, command: Upload) -> Packet:
+    """Send all packets before the first reply is awaited; the first error decides, or CLOSE's status."""
+    opened = await connection.ask(Open(0, command.path, command.flags, command.attrs))
+    if not isinstance(opened, Handle):
+        return opened
+    first_request_id = connection.last_request_id + 1
+    for offset, data in command.pieces:
+        for start in range(0, len(data), MAX_WRITE_BYTES):
+            part = data[start : start + MAX_WRITE_BYTES]
+            await connection.send(Write(0, opened.handle, offset + start, part))
+    await connection.send(Close(0, opened.handle))
+    request_ids = range(first_request_id, connection.last_request_id + 1)
+    replies = [await connection.receive(request_id) for request_id in request_ids]
+    for reply in replies:
+        if not isinstance(reply, Status) or reply.code != StatusCode.SSH_FX_OK:
+            return reply
+    return replies[-1]
--- /dev/null
+++ b/cleatyoke/sftp/client_commands.py
@@ -0,0 +1,195 @@
+"""A client's SFTP commands: one handler for each type of packet."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from dataclasses import replace
+from typing import Any, Protocol
+
+from cleatyoke.config.deployment import SftpSettings
+from cleatyoke.sftp.backend_commands import Command, ListDirectory, ReadRange, SinglePacket, Upload
+from cleatyoke.sftp.handles import DirectoryHandle, HandleTable, ReadHandle, WriteHandle
+from cleatyoke.sftp.packets import (
+    Attrs,
+    AttrsReply,
+    Close,
+    Fstat,
+    Lstat,
+    Mkdir,
+    Name,
+    Names,
+    Open,
+    Opendir,
+    OpenFlags,
+    Packet,
+    Read,
+    Readdir,
+    Realpath,
+    Remove,
+    Rename,
+    Rmdir,
+    Setstat,
+    Stat,
+    Status,
+    StatusCode,
+    Write,
+)
+from cleatyoke.sftp.volume_paths import (
+    DIRECTORY_PERMISSIONS,
+    CommandRejectedError,
+    VolumePaths,
+    absolute_path,
+)
+
+MAX_LISTED_NAMES = 40_000  # names held for all sessions together
+NAMES_PER_REPLY = 64
+PathWrite = Remove | Rmdir | Mkdir | Setstat
+
+
+class CommandScheduler(Protocol):
+    """What the handlers need of the file front."""
+
+    config: SftpSettings
+    volumes: VolumePaths
+
+    async def schedule(self, path: str, item: str, size: int, command: Command) -> Packet:
+        """Run a command at a backend, or raise ``CommandRejectedError``."""
+
+    def count_listed_names(self) -> int:
+        """Return the names that all sessions' open directories hold."""
+
+
+class ClientCommands:
+    """Answers one session's commands. A reply's id is set by the caller.
+
+    All handlers raise ``CommandRejectedError`` for a command that is answered with an error.
+    """
+
+    def __init__(self, front: CommandScheduler, handles: HandleTable) -> None:
+        self._front = front
+        self._handles = handles
+        self._handlers: dict[type[Packet], Callable[[Any], Awaitable[Packet]]] = {
+            Realpath: self._realpath,
+            Open: self._open,
+            Read: self._read,
+            Write: self._write,
+            Close: self._close,
+            Opendir: self._opendir,
+            Readdir: self._readdir,
+            Fstat: self._fstat,
+            Stat: self._stat,
+            Lstat: self._stat,
+            Remove: self._write_path,
+            Rmdir: self._write_path,
+            Mkdir: self._write_path,
+            Setstat: self._write_path,
+            Rename: self._rename,
+        }
+
+    async def handle(self, packet: Packet) -> Packet:
+        """Return the reply to a command."""
+        handler = self._handlers.get(type(packet))
+        if handler is None:
+            return Status(0, StatusCode.SSH_FX_OP_UNSUPPORTED, "unsupported command")
+        return await handler(packet)
+
+    async def _realpath(self, packet: Realpath) -> Packet:
+        path = absolute_path(packet.path)
+        return Names(0, [Name(path, path, Attrs())])
+
+    async def _open(self, packet: Open) -> Packet:
+        """Open for writing without a backend; for reading, the file has to be there."""
+        path = absolute_path(packet.path)
+        self._front.volumes.find(path)
+        self._handles.check_capacity()
+        direction = packet.flags & (OpenFlags.READ | OpenFlags.WRITE)
+        if direction == OpenFlags.WRITE:
+            return self._handles.open(WriteHandle(path, packet.flags, packet.attrs))
+        if direction != OpenFlags.READ:
+            raise CommandRejectedError(
+                StatusCode.SSH_FX_OP_UNSUPPORTED, "open for reading or for writing, not both"
+            )
+        reply = await self._front.schedule(path, path, 0, SinglePacket(Stat(0, path), is_write=False))
+        return self._handles.open(ReadHandle(path)) if isinstance(reply, AttrsReply) else reply
+
+    async def _read(self, packet: Read) -> Packet:
+        path = self._handles.get(packet.handle, ReadHandle).path
+        length = min(packet.length, self._front.config.most_upload)
+        command = ReadRange(path, packet.offset, length)
+        return await self._front.schedule(path, f"{path}@{packet.offset}", length, command)
+
+    async def _write(self, packet: Write) -> Packet:
+        """Gather the data; the backend gets it at CLOSE."""
+        upload = self._handles.get(packet.handle, WriteHandle)
+        max_size = self._front.config.most_upload
+        if upload.size + len(packet.data) > max_size:
+            upload.is_incomplete = True
+            raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, f"an upload holds at most {max_size} bytes")
+        upload.append(packet.offset, packet.data)
+        return _ok()
+
+    async def _close(self, packet: Close) -> Packet:
+        """Close a handle; of an upload, the status is that of its one write at the backend."""
+        closed = self._handles.close(packet.handle)
+        if closed is None:
+            return Status(0, StatusCode.SSH_FX_FAILURE, "unknown handle")
+        if not isinstance(closed, WriteHandle):
+            return _ok()
+        if closed.is_incomplete:
+            raise CommandRejectedError(
+                StatusCode.SSH_FX_FAILURE, "not stored: a write to this handle was turned down"
+            )
+        command = Upload(closed.path, closed.flags, closed.attrs, closed.pieces)
+        return await self._front.schedule(closed.path, closed.path, closed.size, command)
+
+    async def _opendir(self, packet: Opendir) -> Packet:
+        """Read the whole listing at once, so that it is one request at one backend."""
+        path = absolute_path(packet.path)
+        self._handles.check_capacity()
+        if above := self._front.volumes.list_above(path):
+            return self._handles.open(DirectoryHandle(path, above))
+        if self._front.count_listed_names() > MAX_LISTED_NAMES:
+            raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, "too many listings are open")
+        reply = await self._front.schedule(path, path, 0, ListDirectory(path))
+        if isinstance(reply, Names):
+            return self._handles.open(DirectoryHandle(path, reply.names))
+        return reply
+
+    async def _readdir(self, packet: Readdir) -> Packet:
+        directory = self._handles.get(packet.handle, DirectoryHandle)
+        names = directory.names[:NAMES_PER_REPLY]
+        directory.names = directory.names[NAMES_PER_REPLY:]
+        return Names(0, names) if names else Status(0, StatusCode.SSH_FX_EOF, "end of listing")
+
+    async def _fstat(self, packet: Fstat) -> Packet:
+        opened = self._handles.find(packet.handle)
+        if isinstance(opened, WriteHandle):
+            return AttrsReply(0, replace(opened.attrs, size=opened.size))
+        if opened is None:
+            raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, "unknown handle")
+        command = SinglePacket(Stat(0, opened.path), is_write=False)
+        return await self._front.schedule(opened.path, opened.path, 0, command)
+
+    async def _stat(self, packet: Stat | Lstat) -> Packet:
+        path = absolute_path(packet.path)
+        if self._front.volumes.list_above(path):
+            return AttrsReply(0, Attrs(permissions=DIRECTORY_PERMISSIONS))
+        command = SinglePacket(replace(packet, path=path), is_write=False)
+        return await self._front.schedule(path, path, 0, command)
+
+    async def _write_path(self, packet: PathWrite) -> Packet:
+        path = absolute_path(packet.path)
+        command = SinglePacket(replace(packet, path=path), is_write=True)
+        return await self._front.schedule(path, path, 0, command)
+
+    async def _rename(self, packet: Rename) -> Packet:
+        path = absolute_path(packet.path)
+        target = absolute_path(packet.target)
+        if self._front.volumes.find(path) != self._front.volumes.find(target):
+            raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, "a rename stays within its volume")
+        command = SinglePacket(Rename(0, path, target), is_write=True)
+        return await self._front.schedule(path, path, 0, command)
+
+
+def _ok() -> Status:
+    return Status(0, StatusCode.SSH_FX_OK, "ok")
--- a/cleatyoke/sftp/packets.py
+++ b/cleatyoke/sftp/packets.py
@@ -1,21 +1,20 @@
-"""SFTP version 3 packets (draft-ietf-secsh-filexfer-02) as typed values, decoded and encoded once."""
+"""SFTP version 3 packets (draft-ietf-secsh-filexfer-02) as typed values; ``codec`` has their bytes.
+
+Packets and their fields have the draft's names.
+"""
 
 from __future__ import annotations
 
-import asyncio
-import struct
 from dataclasses import dataclass, field
-from enum import IntEnum, IntFlag
-from typing import Any, ClassVar
+from enum import Enum, IntEnum, IntFlag, auto
+from typing import ClassVar
 
 VERSION = 3
-MOST_PACKET = 66 * 1024  # bytes after the length; the draft asks for 34,000 at least
-
-
-Layout = tuple[str, ...]
 
 
 class StatusCode(IntEnum):
+    """Error codes of SSH_FXP_STATUS (draft, section 7)."""
+
     SSH_FX_OK = 0
     SSH_FX_EOF = 1
     SSH_FX_NO_SUCH_FILE = 2
@@ -28,7 +27,7 @@
 
 
 class OpenFlags(IntFlag):
-    """pflags of SSH_FXP_OPEN."""
+    """The pflags of SSH_FXP_OPEN (draft, section 6.3)."""
 
     READ = 1
     WRITE = 2
@@ -38,27 +37,41 @@
     EXCL = 32
 
 
+class FieldType(Enum):
+    """How a packet's field stands in its bytes (draft, section 3)."""
+
+    U32 = auto()
+    U64 = auto()
+    STRING = auto()  # bytes after their length
+    TEXT = auto()  # a string that is taken for UTF-8, other bytes kept
+    REST = auto()  # all bytes up to the packet's end
+    ATTRS = auto()  # see ``Attrs``
+    NAMES = auto()  # a count, and so many ``Name``
+
+
 class PacketError(ValueError):
-    """Bytes that are no packet; ``request`` is its id where that could be read."""
+    """Bytes that are no packet; ``request_id`` is its id where that could be read."""
 
-    def __init__(self, why: str, request: int | None = None) -> None:
+    def __init__(self, why: str, request_id: int | None = None) -> None:
         super().__init__(why)
-        self.request_id = request
+        self.request_id = request_id
 
 
 @dataclass(slots=True)
 class Attrs:
-    """File attributes; None where they are not stated."""
+    """File attributes (draft, section 5); None where they are not stated."""
 
     size: int | None = None
-    owner: tuple[int, int] | None = None
+    owner: tuple[int, int] | None = None  # uid, gid
     permissions: int | None = None
-    times: tuple[int, int] | None = None
+    times: tuple[int, int] | None = None  # atime, mtime: seconds since 1970
     extended: list[tuple[bytes, bytes]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Name:
+    """One entry of SSH_FXP_NAME."""
+
     filename: str
     longname: str
     attrs: Attrs
@@ -66,35 +79,41 @@
 
 @dataclass
 class Packet:
-    """``type`` is the SSH_FXP number, ``layout`` the kinds of the fields after the id, in their order."""
+    """``type`` is the SSH_FXP number; ``layout`` the fields after the id, in the order of their bytes."""
 
     type: ClassVar[int]
-    layout: ClassVar[Layout]
+    layout: ClassVar[dict[str, FieldType]]
     id: int
 
 
 @dataclass
 class Init(Packet):
-    """The id is the client's version."""
+    """SSH_FXP_INIT; the id is the client's version."""
 
     type: ClassVar[int] = 1
-    layout: ClassVar[Layout] = ("rest",)
+    layout: ClassVar[dict[str, FieldType]] = {"extensions": FieldType.REST}
     extensions: bytes = b""
 
 
 @dataclass
 class Version(Packet):
-    """The id is the server's version."""
+    """SSH_FXP_VERSION; the id is the server's version."""
 
     type: ClassVar[int] = 2
-    layout: ClassVar[Layout] = ("rest",)
+    layout: ClassVar[dict[str, FieldType]] = {"extensions": FieldType.REST}
     extensions: bytes = b""
 
 
 @dataclass
 class Open(Packet):
+    """SSH_FXP_OPEN, with ``OpenFlags``."""
+
     type: ClassVar[int] = 3
-    layout: ClassVar[Layout] = ("text", "u32", "attrs")
+    layout: ClassVar[dict[str, FieldType]] = {
+        "path": FieldType.TEXT,
+        "flags": FieldType.U32,
+        "attrs": FieldType.ATTRS,
+    }
     path: str
     flags: int
     attrs: Attrs
@@ -102,15 +121,23 @@
 
 @dataclass
 class Close(Packet):
+    """SSH_FXP_CLOSE."""
+
     type: ClassVar[int] = 4
-    layout: ClassVar[Layout] = ("string",)
+    layout: ClassVar[dict[str, FieldType]] = {"handle": FieldType.STRING}
     handle: bytes
 
 
 @dataclass
 class Read(Packet):
+    """SSH_FXP_READ; offset and length are bytes."""
+
     type: ClassVar[int] = 5
-    layout: ClassVar[Layout] = ("string", "u64", "u32")
+    layout: ClassVar[dict[str, FieldType]] = {
+        "handle": FieldType.STRING,
+        "offset": FieldType.U64,
+        "length": FieldType.U32,
+    }
     handle: bytes
     offset: int
     length: int
@@ -118,8 +145,14 @@
 
 @dataclass
 class Write(Packet):
+    """SSH_FXP_WRITE."""
+
     type: ClassVar[int] = 6
-    layout: ClassVar[Layout] = ("string", "u64", "string")
+    layout: ClassVar[dict[str, FieldType]] = {
+        "handle": FieldType.STRING,
+        "offset": FieldType.U64,
+        "data": FieldType.STRING,
+    }
     handle: bytes
     offset: int
     data: bytes
@@ -127,88 +160,116 @@
 
 @dataclass
 class Lstat(Packet):
+    """SSH_FXP_LSTAT."""
+
     type: ClassVar[int] = 7
-    layout: ClassVar[Layout] = ("text",)
+    layout: ClassVar[dict[str, FieldType]] = {"path": FieldType.TEXT}
     path: str
 
 
 @dataclass
 class Fstat(Packet):
+    """SSH_FXP_FSTAT."""
+
     type: ClassVar[int] = 8
-    layout: ClassVar[Layout] = ("string",)
+    layout: ClassVar[dict[str, FieldType]] = {"handle": FieldType.STRING}
     handle: bytes
 
 
 @dataclass
 class Setstat(Packet):
+    """SSH_FXP_SETSTAT."""
+
     type: ClassVar[int] = 9
-    layout: ClassVar[Layout] = ("text", "attrs")
+    layout: ClassVar[dict[str, FieldType]] = {"path": FieldType.TEXT, "attrs": FieldType.ATTRS}
     path: str
     attrs: Attrs
 
 
 @dataclass
 class Opendir(Packet):
+    """SSH_FXP_OPENDIR."""
+
     type: ClassVar[int] = 11
-    layout: ClassVar[Layout] = ("text",)
+    layout: ClassVar[dict[str, FieldType]] = {"path": FieldType.TEXT}
     path: str
 
 
 @dataclass
 class Readdir(Packet):
+    """SSH_FXP_READDIR."""
+
     type: ClassVar[int] = 12
-    layout: ClassVar[Layout] = ("string",)
+    layout: ClassVar[dict[str, FieldType]] = {"handle": FieldType.STRING}
     handle: bytes
 
 
 @dataclass
 class Remove(Packet):
+    """SSH_FXP_REMOVE."""
+
     type: ClassVar[int] = 13
-    layout: ClassVar[Layout] = ("text",)
+    layout: ClassVar[dict[str, FieldType]] = {"path": FieldType.TEXT}
     path: str
 
 
 @dataclass
 class Mkdir(Packet):
+    """SSH_FXP_MKDIR."""
+
     type: ClassVar[int] = 14
-    layout: ClassVar[Layout] = ("text", "attrs")
+    layout: ClassVar[dict[str, FieldType]] = {"path": FieldType.TEXT, "attrs": FieldType.ATTRS}
     path: str
     attrs: Attrs
 
 
 @dataclass
 class Rmdir(Packet):
+    """SSH_FXP_RMDIR."""
+
     type: ClassVar[int] = 15
-    layout: ClassVar[Layout] = ("text",)
+    layout: ClassVar[dict[str, FieldType]] = {"path": FieldType.TEXT}
     path: str
 
 
 @dataclass
 class Realpath(Packet):
+    """SSH_FXP_REALPATH."""
+
     type: ClassVar[int] = 16
-    layout: ClassVar[Layout] = ("text",)
+    layout: ClassVar[dict[str, FieldType]] = {"path": FieldType.TEXT}
     path: str
 
 
 @dataclass
 class Stat(Packet):
+    """SSH_FXP_STAT."""
+
     type: ClassVar[int] = 17
-    layout: ClassVar[Layout] = ("text",)
+    layout: ClassVar[dict[str, FieldType]] = {"path": FieldType.TEXT}
     path: str
 
 
 @dataclass
 class Rename(Packet):
+    """SSH_FXP_RENAME."""
+
     type: ClassVar[int] = 18
-    layout: ClassVar[Layout] = ("text", "text")
+    layout: ClassVar[dict[str, FieldType]] = {"path": FieldType.TEXT, "target": FieldType.TEXT}
     path: str
     target: str
 
 
 @dataclass
 class Status(Packet):
+    """SSH_FXP_STATUS, with a ``StatusCode``."""
+
     type: ClassVar[int] = 101
-    layout: ClassVar[Layout] = ("u32", "text", "text")
+    layout: ClassVar[dict[str, FieldType]] = {
+        "code": FieldType.U32,
+        "message": FieldType.TEXT,
+        "language": FieldType.TEXT,
+    }
     code: int
     message: str = ""
     language: str = "en"
@@ -216,43 +277,51 @@
 
 @dataclass
 class Handle(Packet):
+    """SSH_FXP_HANDLE."""
+
     type: ClassVar[int] = 102
-    layout: ClassVar[Layout] = ("string",)
+    layout: ClassVar[dict[str, FieldType]] = {"handle": FieldType.STRING}
     handle: bytes
 
 
 @dataclass
 class Data(Packet):
+    """SSH_FXP_DATA."""
+
     type: ClassVar[int] = 103
-    layout: ClassVar[Layout] = ("string",)
+    layout: ClassVar[dict[str, FieldType]] = {"data": FieldType.STRING}
     data: bytes
 
 
 @dataclass
 class Names(Packet):
+    """SSH_FXP_NAME."""
+
     type: ClassVar[int] = 104
-    layout: ClassVar[Layout] = ("names",)
+    layout: ClassVar[dict[str, FieldType]] = {"names": FieldType.NAMES}
     names: list[Name]
 
 
 @dataclass
 class AttrsReply(Packet):
+    """SSH_FXP_ATTRS."""
+
     type: ClassVar[int] = 105
-    layout: ClassVar[Layout] = ("attrs",)
+    layout: ClassVar[dict[str, FieldType]] = {"attrs": FieldType.ATTRS}
     attrs: Attrs
 
 
 @dataclass
 class Unsupported(Packet):
-    """A packet of another type; it is known by its id alone."""
+    """A packet of another type; only its id is known."""
 
     type: ClassVar[int] = 0
-    layout: ClassVar[Layout] = ()
+    layout: ClassVar[dict[str, FieldType]] = {}
 
 
-KNOWN: dict[int, type[Packet]] = {
-    kind.type: kind
-    for kind in (
+PACKET_CLASSES: dict[int, type[Packet]] = {
+    packet_class.type: packet_class
+    for packet_class in (
         Init,
         Version,
         Open,
@@ -277,142 +346,3 @@
         AttrsReply,
     )
 }
-
-
-class Bytes:
-    """A packet's bytes as they are taken, with every bound checked."""
-
-    def __init__(self, raw: bytes) -> None:
-        self.raw, self.at = raw, 0
-
-    def take(self, size: int) -> bytes:
-        if self.at + size > len(self.raw):
-            msg = "the packet ends within a field"
-            raise PacketError(msg)
-        self.at += size
-        return self.raw[self.at - size : self.at]
-
-    def encode_u32(self) -> int:
-        return int.from_bytes(self.take(4), "big")
-
-    def u64(self) -> int:
-        return int.from_bytes(self.take(8), "big")
-
-    def string(self) -> bytes:
-        return self.take(self.u32())
-
-    def text(self) -> str:
-        return self.string().decode("utf-8", "surrogateescape")
-
-    def rest(self) -> bytes:
-        return self.take(len(self.raw) - self.at)
-
-    def attrs(self) -> Attrs:
-        flags, attrs = self.u32(), Attrs()
-        if flags & 1:
-            attrs.size = self.u64()
-        if flags & 2:
-            attrs.owner = self.u32(), self.u32()
-        if flags & 4:
-            attrs.permissions = self.u32()
-        if flags & 8:
-            attrs.times = self.u32(), self.u32()
-        if flags & 0x80000000:
-            attrs.extended = [(self.string(), self.string()) for _ in range(self.count(8))]
-        return attrs
-
-    def names(self) -> list[Name]:
-        return [Name(self.text(), self.text(), self.attrs()) for _ in range(self.count(12))]
-
-    def count(self, least: int) -> int:
-        """A count of entries; one that the rest cannot hold is refused before any is made."""
-        count = self.u32()
-        if count * least > len(self.raw) - self.at:
-            msg = "a count beyond the packet's end"
-            raise PacketError(msg)
-        return count
-
-
-def decode(raw: bytes) -> Packet:
-    """A packet without its length."""
-    source = Bytes(raw)
-    kind, request = source.take(1)[0], None
-    try:
-        request = source.u32()
-        known = KNOWN.get(kind)
-        if known is None:
-            return Unsupported(request)
-        made = known(request, *[getattr(source, field)() for field in known.layout])
-    except PacketError as error:
-        raise PacketError(str(error), request) from error
-    if source.at != len(raw):
-        msg = "bytes after the last field"
-        raise PacketError(msg, request)
-    return made
-
-
-def encode_u32(value: int) -> bytes:
-    return struct.pack(">I", value)
-
-
-def put_bytes(value: bytes) -> bytes:
-    return encode_u32(len(value)) + value
-
-
-def put_text(value: str) -> bytes:
-    return put_bytes(value.encode("utf-8", "surrogateescape"))
-
-
-def put_attrs(attrs: Attrs) -> bytes:
-    parts, flags = [], 0
-    if attrs.size is not None:
-        flags |= 1
-        parts.append(struct.pack(">Q", attrs.size))
-    for bit, pair in ((2, attrs.owner), (8, attrs.times)):
-        if bit == 8 and attrs.permissions is not None:
-            flags |= 4
-            parts.append(encode_u32(attrs.permissions))
-        if pair is not None:
-            flags |= bit
-            parts.append(encode_u32(pair[0]) + encode_u32(pair[1]))
-    if attrs.extended:
-        flags |= 0x80000000
-        parts.append(encode_u32(len(attrs.extended)))
-        parts += [put_bytes(name) + put_bytes(value) for name, value in attrs.extended]
-    return encode_u32(flags) + b"".join(parts)
-
-
-def put_names(names: list[Name]) -> bytes:
-    parts = [put_text(one.filename) + put_text(one.longname) + put_attrs(one.attrs) for one in names]
-    return encode_u32(len(names)) + b"".join(parts)
-
-
-WRITERS: dict[str, Any] = {
-    "u32": encode_u32,
-    "u64": lambda value: struct.pack(">Q", value),
-    "string": put_bytes,
-    "text": put_text,
-    "rest": bytes,
-    "attrs": put_attrs,
-    "names": put_names,
-}
-
-
-def encode(message: Packet) -> bytes:
-    """A packet with its length."""
-    values = list(vars(message).values())[1:]
-    body = b"".join(WRITERS[kind](value) for kind, value in zip(message.layout, values))
-    return encode_u32(5 + len(body)) + bytes([message.type]) + encode_u32(message.id) + body
-
-
-async def read_size(reader: asyncio.StreamReader) -> int:
-    """The next packet's length; asyncio.IncompleteReadError where the peer has closed."""
-    size = int.from_bytes(await reader.readexactly(4), "big")
-    if not 5 <= size <= MOST_PACKET:
-        msg = f"a packet of {size} bytes"
-        raise PacketError(msg)
-    return size
-
-
-async def read_packet(reader: asyncio.StreamReader) -> bytes:
-    return await reader.readexactly(await read_size(reader))
--- /dev/null
+++ b/cleatyoke/sftp/session.py
@@ -0,0 +1,123 @@
+"""One SFTP client's connection: reads its packets, and answers them in turn."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import replace
+
+import structlog
+
+from cleatyoke.sftp.client_commands import ClientCommands, CommandScheduler
+from cleatyoke.sftp.codec import decode, encode, read_size
+from cleatyoke.sftp.handles import HandleTable
+from cleatyoke.sftp.packets import VERSION, Init, Packet, PacketError, Status, StatusCode, Version
+from cleatyoke.sftp.volume_paths import CommandRejectedError
+
+MAX_QUEUED_PACKETS = 8  # of a session that wait for their turn; then it is not read further
+STALL_TIMEOUT = 30.0  # seconds for a client to take an answer, or to send the rest of a packet
+log = structlog.get_logger()
+
+
+class Session:
+    """One client's connection.
+
+    Commands are answered one after the other. Packets are read meanwhile, so that a client that closes its
+    connection withdraws the command that is being run. ``has_ended`` is set once the connection is closed.
+    """
+
+    def __init__(
+        self, front: CommandScheduler, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        self.handles = HandleTable(front.config.most_handles)
+        self.has_ended = asyncio.Event()
+        self._idle_timeout = front.config.idle
+        self._commands = ClientCommands(front, self.handles)
+        self._reader = reader
+        self._writer = writer
+        self._queue: asyncio.Queue[bytes | None] = asyncio.Queue(MAX_QUEUED_PACKETS)
+        self._is_leaving = False
+        self._is_busy = False
+        self._answering: asyncio.Task[None] | None = None
+
+    async def run(self) -> None:
+        """Serve the client until it closes, sends garbage, or the front shuts the session down."""
+        self._answering = asyncio.create_task(self._answer_queued())
+        reading = asyncio.create_task(self._read_packets())
+        try:
+            done, _ = await asyncio.wait({reading, self._answering}, return_when=asyncio.FIRST_COMPLETED)
+            if reading in done and reading.result():
+                await self._queue.put(None)  # the client is still there: answer what came before
+                await self._answering
+        finally:
+            for task in (reading, self._answering):
+                task.cancel()  # this withdraws the command of a client that closed
+            await asyncio.gather(reading, self._answering, return_exceptions=True)
+            self._writer.close()
+            self.has_ended.set()
+
+    def begin_shutdown(self) -> None:
+        """End after the command in hand, or now where there is none."""
+        self._is_leaving = True
+        if not self._is_busy and self._answering:
+            self._answering.cancel()
+
+    def abort(self) -> None:
+        """End the connection at once."""
+        self._writer.transport.abort()
+
+    async def _read_packets(self) -> bool:
+        """Queue packets until the client closes or is idle (False), or sends what is no packet (True)."""
+        while True:
+            try:
+                async with asyncio.timeout(self._idle_timeout):
+                    size = await read_size(self._reader)
+                async with asyncio.timeout(STALL_TIMEOUT):
+                    raw = await self._reader.readexactly(size)
+                await self._queue.put(raw)
+            except TimeoutError:
+                log.info("sftp_idle_closed")
+                return False
+            except (EOFError, OSError):
+                return False
+            except PacketError as error:
+                log.warning("sftp_bad_stream", why=str(error))
+                return True
+
+    async def _answer_queued(self) -> None:
+        is_first = True
+        while (raw := await self._queue.get()) is not None and not self._is_leaving:
+            self._is_busy = True
+            reply = await self._answer(raw, is_first=is_first)
+            is_first = False
+            self._writer.write(encode(reply))
+            try:
+                async with asyncio.timeout(STALL_TIMEOUT):
+                    await self._writer.drain()
+            except (TimeoutError, OSError):
+                return
+            self._is_busy = False
+            if _ends_session(reply):
+                return
+
+    async def _answer(self, raw: bytes, *, is_first: bool) -> Packet:
+        try:
+            packet = decode(raw)
+        except PacketError as error:
+            return Status(error.request_id or 0, StatusCode.SSH_FX_BAD_MESSAGE, str(error))
+        if isinstance(packet, Init) != is_first:
+            return Status(0, StatusCode.SSH_FX_BAD_MESSAGE, "INIT comes first, and once")
+        if isinstance(packet, Init):
+            return Version(VERSION)
+        try:
+            reply = await self._commands.handle(packet)
+        except CommandRejectedError as rejected:
+            reply = Status(0, rejected.code, rejected.message)
+        except Exception:
+            log.exception("sftp_fault")
+            reply = Status(0, StatusCode.SSH_FX_FAILURE, "internal error")
+        return replace(reply, id=packet.id)
+
+
+def _ends_session(reply: Packet) -> bool:
+    """Whether the reply says that the client's stream can't be understood: no request has the id 0."""
+    return isinstance(reply, Status) and reply.id == 0 and reply.code == StatusCode.SSH_FX_BAD_MESSAGE
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -47,7 +47,7 @@
     VolumePlan,
 )
 from cleatyoke import simulator as simhost
-from cleatyoke.vrrp import instance as vrrp
+from cleatyoke.vrrp import messages as vrrp
 from cleatyoke.config.deployment import Address, Config, FleetSettings, SftpSettings, SocketBudget, VolumePath
 from cleatyoke.core import Core, Failed, Rejected, Served
 from cleatyoke.discovery.directory import Directory, Instance, EndpointList
@@ -73,6 +73,7 @@
 from cleatyoke.admin.prometheus import MetricsListener
 from cleatyoke.admin.control import ControlCommands, ControlListener
 from cleatyoke.http.server import HttpServer
+from cleatyoke.sftp import codec as sftp_codec
 from cleatyoke.sftp import packets as sftp
 from cleatyoke.sftp.backends import SftpBackends
 from cleatyoke.sftp.server import SftpServer
@@ -541,7 +542,7 @@
 
 def encode_vrrp(value: Plain) -> bytes:
     """An advertisement."""
-    return vrrp.encode(
+    return vrrp.encode_advertisement(
         vrrp.Advertisement(
             router=value["router"],
             priority=value["priority"],
@@ -554,7 +555,7 @@
 def decode_vrrp(data: bytes) -> Plain:
     """The fields of an advertisement, or why it is none."""
     try:
-        message = vrrp.decode(data)
+        message = vrrp.decode_advertisement(data)
     except vrrp.AdvertisementError as error:
         return {"refused": str(error)}
     return {
@@ -725,13 +726,13 @@
 
 def encode_sftp_packet(value: Plain) -> bytes:
     """A packet with its length."""
-    return sftp.encode(sftp_packet_of(value))
+    return sftp_codec.encode(sftp_packet_of(value))
 
 
 def decode_sftp_packet(data: bytes) -> Plain:
     """The fields of a packet that comes with its length, or why it is none."""
     try:
-        return plain_sftp_packet(sftp.decode(data[4:]))
+        return plain_sftp_packet(sftp_codec.decode(data[4:]))
     except sftp.PacketError as error:
         return {"refused": str(error), "id": error.request_id}
 
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -4,6 +4,7 @@
 
 import hashlib
 import json
+import math
 import random
 from collections.abc import Mapping, Sequence
 from pathlib import Path
@@ -55,9 +56,13 @@
     SchedulerSettings,
     VolumePlan,
 )
-from cleatyoke.vrrp.instance import Advertisement, AdvertisementError, RouterState, VirtualRouter
-from cleatyoke.vrrp.instance import decode as decode_advertisement
-from cleatyoke.vrrp.instance import encode as encode_advertisement
+from cleatyoke.vrrp.messages import (
+    Advertisement,
+    AdvertisementError,
+    decode_advertisement,
+    encode_advertisement,
+)
+from cleatyoke.vrrp.virtual_router import RouterState, VirtualRouter
 
 Neutral = Any  # None, bool, int, str, or a list of these
 LANES = {"nodes": Lane.NODES, "settings": Lane.SETTINGS}
@@ -437,7 +442,11 @@
 
 # VRRP
 
-VRRP_STATES = {RouterState.INITIALIZE: "initialize", RouterState.BACKUP: "backup", RouterState.MASTER: "master"}
+VRRP_STATES = {
+    RouterState.INITIALIZE: "initialize",
+    RouterState.BACKUP: "backup",
+    RouterState.MASTER: "master",
+}
 
 
 def advertisement_bytes(router: int, priority: int, interval: float, addresses: Sequence[str]) -> bytes:
@@ -483,12 +492,12 @@
 
     def due(self) -> float:
         """When the timer is due."""
-        return self.router.timer_at
+        return math.inf if self.router.timer_at is None else self.router.timer_at
 
     def state(self) -> Neutral:
         """State, due time, and the intervals that follow from it."""
         router = self.router
-        times = [router.timer_at, router.master_interval, router.skew_time, router.master_down_interval]
+        times = [self.due(), router.master_interval, router.skew_time, router.master_down_interval]
         return [VRRP_STATES[router.state], *(number(value) for value in times)]
 
 
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -14,6 +14,7 @@
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.scheduling.events import EndpointState
 from cleatyoke.scheduling.settings import VolumePlan
+from cleatyoke.sftp import codec
 from cleatyoke.sftp import packets as p
 from cleatyoke.sftp.backends import SftpBackends
 from cleatyoke.sftp.server import SftpServer
@@ -33,8 +34,8 @@
 
     async def ask(self, packet: p.Packet) -> Any:
         self.last += 1
-        self.writer.write(p.encode(replace(packet, id=self.last)))
-        reply = p.decode(await p.read_packet(self.reader))
+        self.writer.write(codec.encode(replace(packet, id=self.last)))
+        reply = codec.decode(await codec.read_packet(self.reader))
         assert reply.id == self.last, reply
         return reply
 
@@ -71,8 +72,8 @@
         self.clients: list[Client] = []
         self.addAsyncCleanup(self.end)
         client = await self.connect()
-        client.writer.write(p.encode(p.Init(p.VERSION)))
-        assert p.decode(await p.read_packet(client.reader)) == p.Version(p.VERSION)
+        client.writer.write(codec.encode(p.Init(p.VERSION)))
+        assert codec.decode(await codec.read_packet(client.reader)) == p.Version(p.VERSION)
         return client
 
     async def connect(self) -> Client:
@@ -108,7 +109,9 @@
         assert renamed.code == p.StatusCode.SSH_FX_OK
         assert await client.list("/") == ["plats"]
         assert (await client.ask(p.Stat(0, "/"))).attrs.permissions == 16877
-        self.failed(await client.ask(p.Rename(0, "/plats/t1", "/else")), p.StatusCode.SSH_FX_NO_SUCH_FILE, "volume")
+        self.failed(
+            await client.ask(p.Rename(0, "/plats/t1", "/else")), p.StatusCode.SSH_FX_NO_SUCH_FILE, "volume"
+        )
         missing = await client.ask(p.Open(0, "/plats/none", p.OpenFlags.READ, NONE))
         self.failed(missing, p.StatusCode.SSH_FX_NO_SUCH_FILE, "no such file")
 
@@ -184,24 +187,30 @@
         self.failed(await client.ask(both), p.StatusCode.SSH_FX_OP_UNSUPPORTED, "not both")
         for number in range(4):
             await client.ask(p.Open(0, f"/plats/{number}", STORE, NONE))
-        self.failed(await client.ask(p.Open(0, "/plats/a", STORE, NONE)), p.StatusCode.SSH_FX_FAILURE, "too many")
-        client.writer.write(p.encode_u32(9) + bytes([200]) + p.encode_u32(77) + p.encode_u32(0))  # SSH_FXP_EXTENDED
-        reply = p.decode(await p.read_packet(client.reader))
+        self.failed(
+            await client.ask(p.Open(0, "/plats/a", STORE, NONE)), p.StatusCode.SSH_FX_FAILURE, "too many"
+        )
+        client.writer.write(
+            codec.encode_u32(9) + bytes([200]) + codec.encode_u32(77) + codec.encode_u32(0)
+        )  # SSH_FXP_EXTENDED
+        reply = codec.decode(await codec.read_packet(client.reader))
         assert (reply.id, reply.code) == (77, p.StatusCode.SSH_FX_OP_UNSUPPORTED)  # type: ignore
-        client.writer.write(p.encode_u32(9) + bytes([17]) + p.encode_u32(78) + p.encode_u32(500))  # a path beyond the packet
-        reply = p.decode(await p.read_packet(client.reader))
+        client.writer.write(
+            codec.encode_u32(9) + bytes([17]) + codec.encode_u32(78) + codec.encode_u32(500)
+        )  # a path beyond the packet
+        reply = codec.decode(await codec.read_packet(client.reader))
         assert (reply.id, reply.code) == (78, p.StatusCode.SSH_FX_BAD_MESSAGE)  # type: ignore
-        client.writer.write(p.encode_u32(1 << 30))  # a length that no packet has: the stream is lost
+        client.writer.write(codec.encode_u32(1 << 30))  # a length that no packet has: the stream is lost
         assert await client.reader.read() == b""
         other = await self.connect()
-        other.writer.write(p.encode(p.Stat(5, "/plats")))
-        reply = p.decode(await p.read_packet(other.reader))
+        other.writer.write(codec.encode(p.Stat(5, "/plats")))
+        reply = codec.decode(await codec.read_packet(other.reader))
         self.failed(reply, p.StatusCode.SSH_FX_BAD_MESSAGE, "INIT comes first")
         assert await other.reader.read() == b""
 
     async def test_a_client_that_leaves_takes_its_command_with_it(self) -> None:
         client = await self.begin(box := FileBox(silent=True))
-        client.writer.write(p.encode(p.Stat(1, "/plats/t1")))
+        client.writer.write(codec.encode(p.Stat(1, "/plats/t1")))
         async with asyncio.timeout(5):
             while not box.commands:
                 await asyncio.sleep(0.005)
@@ -219,8 +228,8 @@
             p.Write(3, b"h", 1 << 40, b"data"),
             p.Status(4, 8, "no", "en"),
         ):
-            raw = p.encode(packet)
-            assert p.decode(raw[4:]) == packet
+            raw = codec.encode(packet)
+            assert codec.decode(raw[4:]) == packet
             for cut in range(5, len(raw) - 4):
                 with pytest.raises(p.PacketError):
-                    p.decode(raw[4 : 4 + cut])
+                    codec.decode(raw[4 : 4 + cut])
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -8,15 +8,14 @@
 import pytest
 
 from cleatyoke.config.deployment import Address, VrrpSettings
-from cleatyoke.vrrp.instance import (
+from cleatyoke.vrrp.carrier import VrrpCarrier
+from cleatyoke.vrrp.messages import (
     Advertisement,
     AdvertisementError,
-    VrrpCarrier,
-    RouterState,
-    VirtualRouter,
-    decode,
-    encode,
+    decode_advertisement,
+    encode_advertisement,
 )
+from cleatyoke.vrrp.virtual_router import RouterState, VirtualRouter
 
 
 def said(priority: int, interval: float = 1.0) -> Advertisement:
@@ -25,7 +24,7 @@
 
 class RouterCase(unittest.TestCase):
     def backup(self, priority: int = 128, preempt: bool = True) -> VirtualRouter:
-        router = VirtualRouter(priority, 1.0, preempt, "10.0.0.2")
+        router = VirtualRouter(priority, 1.0, "10.0.0.2", preempt=preempt)
         assert router.startup(100.0) == []
         return router
 
@@ -39,7 +38,7 @@
         assert (router.state, router.timer_at) == (RouterState.MASTER, 106.5)
 
     def test_the_owner_is_master_at_once_and_says_so_when_it_leaves(self) -> None:
-        router = VirtualRouter(255, 1.0, True, "10.0.0.2")
+        router = VirtualRouter(255, 1.0, "10.0.0.2", preempt=True)
         assert router.startup(100.0) == [255]
         assert router.shutdown() == [0]
         assert router.state == RouterState.INITIALIZE
@@ -73,13 +72,13 @@
         assert router.timer_at == 102.0 + 6.0 + 1.0
 
     def test_messages(self) -> None:
-        message = encode(said(100, 2.5))
+        message = encode_advertisement(said(100, 2.5))
         assert message[:6] == bytes([49, 1, 100, 1, 0, 250])
-        assert decode(message) == said(100, 2.5)
+        assert decode_advertisement(message) == said(100, 2.5)
         wrong = (b"", message[:-4], bytes([0x21]) + message[1:], message[:-1] + b"\0", message + bytes(4))
         for bad in wrong:
             with pytest.raises(AdvertisementError):
-                decode(bad)
+                decode_advertisement(bad)
 
 
 class TakeoverStory(unittest.IsolatedAsyncioTestCase):
@@ -98,7 +97,9 @@
         async with asyncio.timeout(5):
             while not await news[0].get():
                 pass
-            while carriers[1].router.state is RouterState.MASTER:  # if it was first, it now hears of the other
+            while (
+                carriers[1].router.state is RouterState.MASTER
+            ):  # if it was first, it now hears of the other
                 await news[1].get()
             await carriers[0].stop()
             while not await news[1].get():
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -13,6 +13,7 @@
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.settings import Idempotency, SchedulerSettings
+from cleatyoke.sftp import codec
 from cleatyoke.sftp import packets as p
 from cleatyoke.testbed.peer import Peer
 from tests.host import class_spec, plan_spec, settings
@@ -151,7 +152,7 @@
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         handles: dict[bytes, tuple[str, bytearray]] = {}
         while True:
-            packet = p.decode(await p.read_packet(reader))
+            packet = codec.decode(await codec.read_packet(reader))
             if not isinstance(packet, p.Init):
                 self.commands.append(type(packet).__name__)
                 if self.silent:
@@ -159,7 +160,7 @@
             reply = self.reply(packet, handles)
             if reply is None:
                 return
-            writer.write(p.encode(reply))
+            writer.write(codec.encode(reply))
 
     def reply(self, packet: p.Packet, handles: dict[bytes, tuple[str, bytearray]]) -> p.Packet | None:
         done = p.Status(packet.id, p.StatusCode.SSH_FX_OK)
