--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -76,13 +76,13 @@
 
             return pieces()
 
-        await self.begin(script)
+        await self.start_front(script)
         for trace in ("a", "chunked", "b", "c"):
-            assert await self.ask(trace) == (200, body), trace
+            assert await self.send_request(trace) == (200, body), trace
             await asyncio.sleep(0.05)  # a connection rests before it is used again
-        assert (self.box.accepted, self.boxes.open_connections) == (1, 1)
-        assert await self.ask("closes") == (200, body)
-        assert await self.ask("closes-short") == (200, body[:9])
+        assert (self.backend.accepted, self.backends.open_connections) == (1, 1)
+        assert await self.send_request("closes") == (200, body)
+        assert await self.send_request("closes-short") == (200, body[:9])
 
     async def test_first_bytes_pass_on_before_the_last_have_come_and_after_the_deadline_too(self) -> None:
         body, release = self.body, asyncio.Event()
@@ -96,8 +96,8 @@
 
             return pieces()
 
-        await self.begin(script)
-        reader, writer = await self.raw(self.head("t").replace(b"1500", b"300"))
+        await self.start_front(script)
+        reader, writer = await self.connect(self.request_head("t").replace(b"1500", b"300"))
         async with asyncio.timeout(2):
             assert b"%d" % len(body) in await self.head_of(reader)
             assert await reader.readexactly(100000) == body[:100000]
@@ -106,7 +106,7 @@
         async with asyncio.timeout(5):
             assert await reader.readexactly(len(body) - 100000) == body[100000:]
         writer.close()
-        assert self.box.counts["t"] == 1
+        assert self.backend.counts["t"] == 1
 
     async def test_an_answer_that_breaks_off_ends_its_client_s_connection_and_is_a_failure(self) -> None:
         async def script(trace: str) -> AsyncIterator[bytes]:
@@ -116,17 +116,17 @@
 
             return pieces()
 
-        await self.begin(script)
-        reader, writer = await self.raw(self.head("t"))
+        await self.start_front(script)
+        reader, writer = await self.connect(self.request_head("t"))
         await self.head_of(reader)
         async with asyncio.timeout(3):
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await reader.readexactly(len(self.body))
         writer.close()
-        figures = self.boxes.metrics
-        await self.until(lambda: figures.ended["failure"]["tile-read"] == 1)
-        assert (figures.ended["success"]["tile-read"], self.box.counts["t"]) == (0, 1)
-        await self.until(lambda: self.boxes.open_connections == 0)
+        figures = self.backends.metrics
+        await self.wait_until(lambda: figures.ended["failure"]["tile-read"] == 1)
+        assert (figures.ended["success"]["tile-read"], self.backend.counts["t"]) == (0, 1)
+        await self.wait_until(lambda: self.backends.open_connections == 0)
 
     async def test_a_client_that_leaves_or_reads_slowly_holds_no_more_than_a_bound(self) -> None:
         sent = 0
@@ -141,21 +141,23 @@
 
             return pieces()
 
-        await self.begin(script)
-        reader, writer = await self.raw(self.head("t"))
+        await self.start_front(script)
+        reader, writer = await self.connect(self.request_head("t"))
         await self.head_of(reader)
         await asyncio.sleep(0.5)  # it reads nothing
         assert sent < 24 * MEGABYTE  # what the kernel's buffers take, and no more
         writer.transport.abort()
-        await self.until(lambda: self.boxes.open_connections == 0 and not self.front.connections.clients)
+        await self.wait_until(
+            lambda: self.backends.open_connections == 0 and not self.front.connections.clients
+        )
 
 
 class LongUploads(FrontCase):
     async def upload(self, trace: str, body: bytes, *fields: str, wait: float = 0.0) -> bytes:
         """The status line of a body written in pieces."""
         piece, chunked = 65536, "Transfer-Encoding: chunked" in fields
-        head = self.head(trace, *fields, method="PUT").replace(b"tile-read", b"record-write")
-        reader, writer = await self.raw(head)
+        head = self.request_head(trace, *fields, method="PUT").replace(b"tile-read", b"record-write")
+        reader, writer = await self.connect(head)
         if "Expect: 100-continue" in fields:
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         for start in range(0, len(body), piece):
@@ -173,7 +175,7 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        await self.begin(script)
+        await self.start_front(script)
 
     async def test_slow_chunked_and_expecting_uploads_reach_the_box_as_they_are(self) -> None:
         await self.started()
@@ -188,8 +190,8 @@
                 *(self.upload(trace, body, *fields, wait=wait) for trace, (fields, wait) in cases.items())
             )
         assert [status[9:12] for status in found] == [b"200"] * 3
-        assert [self.box.bodies[trace] for trace in cases] == [body] * 3
-        assert [self.box.counts[trace] for trace in cases] == [1] * 3
+        assert [self.backend.bodies[trace] for trace in cases] == [body] * 3
+        assert [self.backend.counts[trace] for trace in cases] == [1] * 3
 
     async def test_uploads_beyond_the_room_wait_for_each_other_and_all_are_served(self) -> None:
         await self.started()
@@ -216,10 +218,10 @@
 
     async def test_a_target_in_absolute_form_and_an_unknown_expectation(self) -> None:
         await self.started()
-        reader, writer = await self.raw(self.head("t", target="http://anywhere:80" + TARGET))
+        reader, writer = await self.connect(self.request_head("t", target="http://anywhere:80" + TARGET))
         assert b" 200 " in await reader.readline()
-        assert f"GET {TARGET} HTTP/1.1" in self.box.heads[0]
+        assert f"GET {TARGET} HTTP/1.1" in self.backend.heads[0]
         writer.close()
-        reader, writer = await self.raw(self.head("u", "Expect: tea"))
+        reader, writer = await self.connect(self.request_head("u", "Expect: tea"))
         assert b" 417 " in await reader.readline()
         writer.close()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -28,7 +28,7 @@
 from cleatyoke.http.server import HttpServer
 from cleatyoke.process.lifecycle import Status
 from cleatyoke.scheduling.events import AttemptOutcome
-from tests.test_http_front import HEADERS, ROOT, TARGET, DaemonCase, FrontCase, ask, entry
+from tests.test_http_front import HEADERS, ROOT, TARGET, DaemonCase, FrontCase, client_request, listing_entry
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer, instance, listed
 
 SOCKETS = 160  # descriptors of the process: a third of what the smallest days have
@@ -54,7 +54,9 @@
             return answer()
 
         box: HttpBox = await HttpBox(script).start()
-        boxes = [{**entry("SERVING", box.port), "instanceId": f"s-{one}", "cell": one} for one in range(12)]
+        boxes = [
+            {**listing_entry("SERVING", box.port), "instanceId": f"s-{one}", "cell": one} for one in range(12)
+        ]
         listing = {"generation": 1, "reset": True, "instances": boxes}
         agent = DiscoveryAgent(listing, [])
         silent = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
@@ -130,7 +132,7 @@
             return answer()
 
         box: HttpBox = await HttpBox(script).start()
-        known = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
+        known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
         bad = [
             b"\x16\x03\x01\x02\x00" * 50,
             b"GET / HTTP/1.1\r\nX: " + bytes(100_000),
@@ -180,7 +182,7 @@
         silent = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
         discovery = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
         empty: dict[str, Any] = {"generation": 1, "reset": True, "instances": []}
-        old = {**empty, "instances": [entry("SERVING")]}
+        old = {**empty, "instances": [listing_entry("SERVING")]}
         loop, took = asyncio.get_running_loop(), []
 
         async def one(known: dict[str, Any]) -> None:
@@ -221,7 +223,11 @@
                     "discovery": "127.0.0.1:1",
                     "seed": "ff",
                     "settings": FACTS,
-                    "known": {"generation": 1, "reset": True, "instances": [entry("SERVING", self.box.port)]},
+                    "known": {
+                        "generation": 1,
+                        "reset": True,
+                        "instances": [listing_entry("SERVING", self.box.port)],
+                    },
                 }
             )
         )
@@ -291,7 +297,7 @@
 class BoxStories(FrontCase):
     async def test_a_connection_that_comes_up_after_it_was_given_up_carries_nothing(self) -> None:
         """A box whose queue of connections is full: the attempt's comes up with the kernel's next try."""
-        await self.begin(at_once)
+        await self.start_front(at_once)
         with socket.socket() as late:
             late.bind(("127.0.0.1", 0))
             late.listen(0)
@@ -303,10 +309,10 @@
                 one.connect_ex(("127.0.0.1", port))
             await asyncio.sleep(0.05)
             listed(self.directory, instance("s-late", port, cell=3))
-            assert await self.attempt(2, ask("t", "PUT", b"scan")) == AttemptResult(
+            assert await self.attempt(2, client_request("t", "PUT", b"scan")) == AttemptResult(
                 AttemptOutcome.CONNECTION_FAILED
             )
-            assert self.boxes.open_connections == 0
+            assert self.backends.open_connections == 0
             loop, heard = asyncio.get_running_loop(), []
             until = loop.time() + 1.5
             while loop.time() < until:
@@ -321,7 +327,7 @@
         assert [one for one in heard if one] == []
 
     async def test_an_attempt_that_is_given_up_amid_its_writing_never_comes_whole(self) -> None:
-        await self.begin(at_once)
+        await self.start_front(at_once)
         got = bytearray()
         reading, ended = asyncio.Event(), asyncio.Event()
 
@@ -335,7 +341,7 @@
 
         server = await asyncio.start_server(slow, "127.0.0.1", 0, limit=1 << 16)
         listed(self.directory, instance("s-slow", server.sockets[0].getsockname()[1], cell=3))
-        request = ask("t", "PUT")
+        request = client_request("t", "PUT")
         request.body = [bytes(1 << 20)] * 16
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
@@ -345,7 +351,7 @@
             await ended.wait()
         server.close()
         assert len(got) < 16 << 20
-        assert (self.boxes.open_connections, self.boxes.metrics.backend_calls) == (0, 0)
+        assert (self.backends.open_connections, self.backends.metrics.backend_calls) == (0, 0)
 
     async def test_an_answer_without_an_end_that_is_reset_is_none_and_one_that_ends_is_served(self) -> None:
         async def play(reset: bool) -> AttemptResult[Any]:
@@ -362,7 +368,7 @@
             boxes = BackendPools(directory := Directory({}), 0.25, 30.0, 8)
             listed(directory, instance("s-a", server.sockets[0].getsockname()[1]))
             until = asyncio.get_running_loop().time() + 1.0
-            found = await boxes.attempt(1, ask("t", "PUT", b"scan"), until, lambda: True)
+            found = await boxes.attempt(1, client_request("t", "PUT", b"scan"), until, lambda: True)
             server.close()
             return found
 
@@ -385,7 +391,9 @@
             listed(directory, instance("s-a", server.sockets[0].getsockname()[1]))
             loop = asyncio.get_running_loop()
             async with asyncio.timeout(1.0):
-                found = await boxes.attempt(1, ask("t", "PUT", b"scan"), loop.time() + 1.0, lambda: True)
+                found = await boxes.attempt(
+                    1, client_request("t", "PUT", b"scan"), loop.time() + 1.0, lambda: True
+                )
             server.close()
             return found
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,7 +25,7 @@
 from cleatyoke.transport.listener import Listener
 from cleatyoke.transport.sockets import has_unread_bytes, is_ended, is_readable
 from tests.host import Host, class_spec, entry, settings
-from tests.test_http_front import FrontCase, ask
+from tests.test_http_front import FrontCase, client_request
 from tests.wire import answer, config, instance, listed
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -39,9 +39,9 @@
     """A front, and its only client's connection in hand on both sides."""
 
     async def meet(self, script: Any = at_once, *parts: bytes) -> tuple[ClientConnection, Streams]:
-        await self.begin(script)
-        streams = await self.raw(*parts)
-        await self.until(lambda: self.front.connections.clients)
+        await self.start_front(script)
+        streams = await self.connect(*parts)
+        await self.wait_until(lambda: self.front.connections.clients)
         (client,) = self.front.connections.clients
         self.addAsyncCleanup(self.hang_up, streams[1])
         return client, streams
@@ -58,7 +58,7 @@
         transport = self.transport(client)
         transport.pause_reading()
         streams[1].write(b"".join(parts))
-        await self.until(lambda: has_unread_bytes(transport))
+        await self.wait_until(lambda: has_unread_bytes(transport))
         return transport
 
     async def served_and_closed(self, streams: Streams) -> None:
@@ -72,34 +72,36 @@
 class LeavingStories(EndingCase):
     async def test_a_request_that_has_come_and_is_unread_as_accepting_ends_is_answered(self) -> None:
         client, streams = await self.meet()
-        await self.until(lambda: client in self.front.connections.idle)
-        transport = await self.unread(client, streams, self.head("t"))
+        await self.wait_until(lambda: client in self.front.connections.idle)
+        transport = await self.unread(client, streams, self.request_head("t"))
         self.front.stop_accepting()
         await asyncio.sleep(0)
         transport.resume_reading()
         await self.served_and_closed(streams)
 
     async def test_a_head_of_which_a_part_has_come_as_accepting_ends_is_read_on(self) -> None:
-        client, streams = await self.meet(at_once, self.head("t")[:20])
-        await self.until(lambda: client.head_started_at)
+        client, streams = await self.meet(at_once, self.request_head("t")[:20])
+        await self.wait_until(lambda: client.head_started_at)
         self.front.stop_accepting()
-        streams[1].write(self.head("t")[20:])
+        streams[1].write(self.request_head("t")[20:])
         await self.served_and_closed(streams)
 
     async def test_a_body_that_is_on_its_way_as_accepting_ends_is_read_to_its_end(self) -> None:
-        head = self.head("t", "Content-Length: 9", method="PUT").replace(b"tile-read", b"record-write")
+        head = self.request_head("t", "Content-Length: 9", method="PUT").replace(
+            b"tile-read", b"record-write"
+        )
         client, streams = await self.meet(at_once, head + b"half")
-        await self.until(lambda: client.is_busy)
+        await self.wait_until(lambda: client.is_busy)
         self.front.stop_accepting()
         await asyncio.sleep(0)
         streams[1].write(b"there")
         await self.served_and_closed(streams)
-        assert self.box.bodies["t"] == b"halfthere"
+        assert self.backend.bodies["t"] == b"halfthere"
 
     async def test_what_waits_in_the_backlog_as_the_listener_closes_is_taken_and_answered(self) -> None:
-        await self.begin(at_once)
+        await self.start_front(at_once)
         with socket.create_connection(("127.0.0.1", self.front.address.port)) as first:
-            first.sendall(self.head("t"))  # the loop has had no turn since: the kernel holds it
+            first.sendall(self.request_head("t"))  # the loop has had no turn since: the kernel holds it
             assert self.front.listener
             assert not self.front.connections.clients
             self.front.stop_accepting()
@@ -112,7 +114,7 @@
         assert heard.endswith(b"tile"), heard
 
     async def test_what_waits_at_a_shared_listener_is_left_to_the_other_process(self) -> None:
-        await self.begin(at_once)
+        await self.start_front(at_once)
         other = socket.create_server(("127.0.0.1", 0))
         with other, socket.create_connection(other.getsockname()):
             listener = Listener("", 0, lambda: True, self.front.make_connection, other.dup().detach())
@@ -127,22 +129,22 @@
         async with asyncio.timeout(1):
             assert await streams[0].read() == b""
         streams[1].close()
-        await self.until(lambda: not self.front.open_connections())
+        await self.wait_until(lambda: not self.front.open_connections())
 
     async def test_the_exit_waits_until_an_answer_has_left_and_its_reader_has_ended(self) -> None:
-        client, streams = await self.meet(at_once, self.head("t"))
+        client, streams = await self.meet(at_once, self.request_head("t"))
         self.front.is_closing = True
-        await self.until(lambda: self.front.connections.closing)
+        await self.wait_until(lambda: self.front.connections.closing)
         assert self.front.open_connections() == 1
         assert client not in self.front.connections.clients
         await self.served_and_closed(streams)
         streams[1].close()
-        await self.until(lambda: not self.front.open_connections())
+        await self.wait_until(lambda: not self.front.open_connections())
 
     async def test_a_peer_that_does_not_end_its_connection_does_not_hold_up_the_exit(self) -> None:
-        _, streams = await self.meet(at_once, self.head("t"))
+        _, streams = await self.meet(at_once, self.request_head("t"))
         self.front.is_closing = True
-        await self.until(lambda: self.front.connections.closing)
+        await self.wait_until(lambda: self.front.connections.closing)
         assert self.front.open_connections() == 1
         async with asyncio.timeout(0.5 * closing_module.CLOSE_TIMEOUT):
             while self.front.open_connections():
@@ -164,13 +166,13 @@
 
             return pieces()
 
-        _, streams = await self.meet(script, self.head("t"))
+        _, streams = await self.meet(script, self.request_head("t"))
         await begun.wait()
         await streams[0].readuntil(b"\r\n\r\n")
-        streams[1].write(self.head("next"))
+        streams[1].write(self.request_head("next"))
         async with asyncio.timeout(0.5 * client_connection_module.IDLE_TIMEOUT):  # not by the idle limit
             assert len(await streams[0].read()) < 200000
-        assert self.box.counts["next"] == 0
+        assert self.backend.counts["next"] == 0
 
     async def test_a_close_over_unread_bytes_costs_no_answer(self) -> None:
         release = asyncio.Event()
@@ -179,17 +181,19 @@
             await release.wait()
             return answer()
 
-        client, streams = await self.meet(script, self.head("t"))
-        await self.until(lambda: self.box.counts["t"])
+        client, streams = await self.meet(script, self.request_head("t"))
+        await self.wait_until(lambda: self.backend.counts["t"])
         self.front.is_closing = True
-        await self.unread(client, streams, self.head("next"))
+        await self.unread(client, streams, self.request_head("next"))
         release.set()
-        await self.until(lambda: self.front.connections.closing)
+        await self.wait_until(lambda: self.front.connections.closing)
         await self.served_and_closed(streams)
-        assert self.box.counts["next"] == 0, "read after the shutdown, it must not be sent on"
+        assert self.backend.counts["next"] == 0, "read after the shutdown, it must not be sent on"
 
     async def test_a_refused_upload_hears_why_though_none_of_it_is_read(self) -> None:
-        head = self.head("t", "Content-Length: 60000000", method="PUT").replace(b"tile-read", b"record-write")
+        head = self.request_head("t", "Content-Length: 60000000", method="PUT").replace(
+            b"tile-read", b"record-write"
+        )
         _, streams = await self.meet(at_once, head, bytes(200_000))
         async with asyncio.timeout(5):
             heard = await streams[0].read()
@@ -197,11 +201,11 @@
 
     async def given_up(self, behind: bytes, part: float) -> None:
         with mock.patch.multiple(closing_module, CLOSE_TIMEOUT=part, MAX_DISCARDED_BYTES=1 << 16):
-            _, streams = await self.meet(at_once, self.head("t"))
+            _, streams = await self.meet(at_once, self.request_head("t"))
             self.front.is_closing = True
-            await self.until(lambda: self.front.connections.closing)
+            await self.wait_until(lambda: self.front.connections.closing)
             streams[1].write(behind)
-            await self.until(lambda: not self.front.connections.closing)
+            await self.wait_until(lambda: not self.front.connections.closing)
 
     async def test_a_peer_that_never_ends_is_given_up(self) -> None:
         await self.given_up(b"", 0.1)
@@ -211,11 +215,11 @@
 
     async def idle_limit(self, read_first: bool) -> None:
         client, streams = await self.meet()
-        await self.until(lambda: client in self.front.connections.idle)
-        transport = await self.unread(client, streams, self.head("t"))
+        await self.wait_until(lambda: client in self.front.connections.idle)
+        transport = await self.unread(client, streams, self.request_head("t"))
         client._next_keepalive_close_time = 0.0
         if read_first:  # the loop reads, then its timer is due
-            client.data_received(self.head("u"))
+            client.data_received(self.request_head("u"))
         client._process_keepalive()
         assert not transport.is_closing()
         if not read_first:
@@ -230,10 +234,10 @@
         await self.idle_limit(read_first=False)
 
     async def test_a_drain_by_hand_ends_no_connection_on_which_something_has_come(self) -> None:
-        client, streams = await self.meet(at_once, self.head("t"))
+        client, streams = await self.meet(at_once, self.request_head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
-        await self.until(lambda: client in self.front.connections.idle)
-        transport = await self.unread(client, streams, self.head("u"))
+        await self.wait_until(lambda: client in self.front.connections.idle)
+        transport = await self.unread(client, streams, self.request_head("u"))
         self.front.drain.start()
         self.front.close_idle_connections()
         assert not transport.is_closing()
@@ -241,34 +245,36 @@
         await self.served_and_closed(streams)
 
     async def test_room_is_made_neither_by_what_is_unread_nor_by_what_was_answered_just_now(self) -> None:
-        client, streams = await self.meet(at_once, self.head("t"))
+        client, streams = await self.meet(at_once, self.request_head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
-        await self.until(lambda: client in self.front.connections.idle)
+        await self.wait_until(lambda: client in self.front.connections.idle)
         self.front.connections.max_clients = 1
         client.opened_at = 0.0
         self.front.connections.idle[client] = self.core.loop.time() + 60
         assert not self.front.connections.has_capacity(), "its reader has had no time for the answer"
         self.front.connections.idle[client] = 0.0
-        transport = await self.unread(client, streams, self.head("u"))
+        transport = await self.unread(client, streams, self.request_head("u"))
         assert not self.front.connections.has_capacity()
         transport.resume_reading()
         assert b" 200 " in await streams[0].readline()
 
     async def test_room_is_not_made_by_a_slow_head_whose_last_byte_has_come(self) -> None:
-        client, streams = await self.meet(at_once, self.head("t")[:30])
-        await self.until(lambda: client.head_started_at)
+        client, streams = await self.meet(at_once, self.request_head("t")[:30])
+        await self.wait_until(lambda: client.head_started_at)
         self.front.connections.max_clients = 1
         client.head_started_at = client.opened_at = 0.001
-        transport = await self.unread(client, streams, self.head("t")[30:])
+        transport = await self.unread(client, streams, self.request_head("t")[30:])
         assert not self.front.connections.has_capacity()
         transport.resume_reading()
         assert b" 200 " in await streams[0].readline()
 
     async def body_limit(self, read_first: bool) -> None:
         """The last bytes of a body come in the turn in which its time is up, or are unread then."""
-        head = self.head("t", "Content-Length: 9", method="PUT").replace(b"tile-read", b"record-write")
+        head = self.request_head("t", "Content-Length: 9", method="PUT").replace(
+            b"tile-read", b"record-write"
+        )
         client, streams = await self.meet(at_once, head + b"half")
-        await self.until(lambda: client.is_busy)
+        await self.wait_until(lambda: client.is_busy)
         await asyncio.sleep(0.02)  # it waits for the rest
         loop: Any = asyncio.get_running_loop()
         timers = [one for one in loop._scheduled if "Timeout" in repr(one) and not one.cancelled()]
@@ -280,7 +286,7 @@
         timer._run()  # the loop finds it due now
         async with asyncio.timeout(5):
             assert b" 200 " in await streams[0].readline()
-        assert self.box.bodies["t"] == b"halfthere"
+        assert self.backend.bodies["t"] == b"halfthere"
 
     async def test_the_body_limit_does_not_fall_on_what_was_read_in_the_same_turn(self) -> None:
         await self.body_limit(read_first=True)
@@ -289,9 +295,9 @@
         await self.body_limit(read_first=False)
 
     async def test_small_writes_are_never_held_back(self) -> None:
-        client, streams = await self.meet(at_once, self.head("t"))
+        client, streams = await self.meet(at_once, self.request_head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
-        (line,) = self.boxes.pools[1].idle
+        (line,) = self.backends.pools[1].idle
         for transport in (self.transport(client), line.transport):
             assert transport
             one = transport.get_extra_info("socket")
@@ -307,9 +313,9 @@
             return await finish(one, *words)
 
         with mock.patch.object(RequestHandler, "finish_response", look):
-            streams[1].write(self.head("t"))
+            streams[1].write(self.request_head("t"))
             await streams[0].readuntil(b"tile")
-        await self.until(lambda: client in self.front.connections.idle)
+        await self.wait_until(lambda: client in self.front.connections.idle)
         assert seen == [False]
 
 
@@ -318,24 +324,24 @@
         """A client that goes while its attempt is dialled, its end not yet read by the loop."""
         dialling, up = asyncio.Event(), asyncio.Event()
         client, streams = await self.meet()
-        dial = self.boxes.connect
+        dial = self.backends.connect
 
         async def late(pool: Any) -> BackendConnection:
             dialling.set()
             await up.wait()
             return await dial(pool)
 
-        with mock.patch.object(self.boxes, "connect", late):
-            streams[1].write(self.head("t"))
+        with mock.patch.object(self.backends, "connect", late):
+            streams[1].write(self.request_head("t"))
             await dialling.wait()
             transport = self.transport(client)
             transport.pause_reading()
             leave(streams[1])
-            await self.until(lambda: is_ended(transport))
+            await self.wait_until(lambda: is_ended(transport))
             up.set()
-            await self.until(lambda: not self.core.calls)
+            await self.wait_until(lambda: not self.core.calls)
         await asyncio.sleep(0.05)
-        assert dict(self.box.counts) == {}
+        assert dict(self.backend.counts) == {}
 
     async def test_no_attempt_begins_for_a_client_that_closed(self) -> None:
         await self.while_a_connection_comes_up(lambda writer: writer.close())
@@ -353,15 +359,15 @@
             transport = self.transport(client)
             transport.pause_reading()
             streams[1].close()
-            await self.until(lambda: is_ended(transport))
+            await self.wait_until(lambda: is_ended(transport))
             turned_away.set()
             return answer(503, b"", "X-Never-Ran: 1")
 
         client, streams = await self.meet(script)
-        streams[1].write(self.head("t"))
+        streams[1].write(self.request_head("t"))
         await turned_away.wait()
-        await self.until(lambda: not self.core.calls)
-        assert self.box.counts["t"] == 1
+        await self.wait_until(lambda: not self.core.calls)
+        assert self.backend.counts["t"] == 1
 
     async def test_a_word_to_send_that_waits_as_the_client_goes_sends_nothing(self) -> None:
         client, streams = await self.meet()
@@ -376,28 +382,28 @@
                 client.connection_lost(None)
 
         with mock.patch.object(self.core, "step", hold):
-            streams[1].write(self.head("t"))
+            streams[1].write(self.request_head("t"))
             await word.wait()
-            await self.until(lambda: not self.core.calls)
+            await self.wait_until(lambda: not self.core.calls)
         await asyncio.sleep(0.05)
-        assert dict(self.box.counts) == {}
+        assert dict(self.backend.counts) == {}
         assert not any(sum(node.out) for node in self.core.policy.nodes.values())
 
 
 class LeaseStories(FrontCase):
     async def test_what_allows_an_attempt_is_looked_at_once_its_connection_is_up(self) -> None:
-        await self.begin(at_once)
+        await self.start_front(at_once)
         asked: list[int] = []
 
         def may() -> bool:
-            asked.append(self.box.accepted)
+            asked.append(self.backend.accepted)
             return False
 
-        assert (await self.attempt(1, ask("t"), may)).outcome is AttemptOutcome.NOT_SENT
-        await self.until(lambda: self.box.accepted)
-        assert (len(asked), dict(self.box.counts)) == (1, {})
-        assert len(self.boxes.pools[1].idle) == 1, "the connection is as good as before"
-        assert (await self.attempt(1, ask("u"))).outcome is AttemptOutcome.SERVED
+        assert (await self.attempt(1, client_request("t"), may)).outcome is AttemptOutcome.NOT_SENT
+        await self.wait_until(lambda: self.backend.accepted)
+        assert (len(asked), dict(self.backend.counts)) == (1, {})
+        assert len(self.backends.pools[1].idle) == 1, "the connection is as good as before"
+        assert (await self.attempt(1, client_request("u"))).outcome is AttemptOutcome.SERVED
 
     async def test_a_repeat_whose_connection_comes_up_when_nodes_may_have_forgotten_is_not_sent(self) -> None:
         keyed = class_spec(idempotency=Idempotency.KEYED, idempotency_window=1.0, latency_objective=5.0)
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -57,7 +57,7 @@
 TARGET = "/api?block=7f3a9c21e0b4d655"
 
 
-def ask(trace: str, method: str = "GET", body: bytes = b"") -> ClientRequest:
+def client_request(trace: str, method: str = "GET", body: bytes = b"") -> ClientRequest:
     return ClientRequest(
         trace, method, TARGET, int(method == "PUT"), 0, 1, 1, 0, 2.0, 1, 1.5, [body] if body else []
     )
@@ -70,25 +70,25 @@
 
 
 class FrontCase(unittest.IsolatedAsyncioTestCase):
-    async def begin(self, script: Any, most: int = 32) -> None:
-        self.box: HttpBox = await HttpBox(script).start()
+    async def start_front(self, script: Any, most: int = 32) -> None:
+        self.backend: HttpBox = await HttpBox(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
-        self.boxes = BackendPools(self.directory, 0.25, 30.0, most)
+        self.backends = BackendPools(self.directory, 0.25, 30.0, most)
         self.ready = False
-        self.front = HttpServer(config(), self.core, self.boxes, lambda: self.ready)
+        self.front = HttpServer(config(), self.core, self.backends, lambda: self.ready)
         self.front.listen()
         self.url = f"http://127.0.0.1:{self.front.address.port}"
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
+        self.core.tell(listed(self.directory, instance("s-a", self.backend.port), whole=True))
         self.client = aiohttp.ClientSession()
-        self.addAsyncCleanup(self.end)
+        self.addAsyncCleanup(self.stop_front)
 
-    async def end(self) -> None:
+    async def stop_front(self) -> None:
         await self.client.close()
         await self.front.close()
-        self.boxes.close()
-        self.box.stop()
+        self.backends.close()
+        self.backend.stop()
 
-    async def ask(
+    async def send_request(
         self, trace: str, method: str = "GET", body: bytes = b"", **headers: str
     ) -> tuple[int, bytes]:
         kind = "record-write" if method == "PUT" else "tile-read"
@@ -103,19 +103,19 @@
         self, node: int, request: ClientRequest, may: Callable[[], bool] = lambda: True
     ) -> AttemptResult[bytes | StreamedBody]:
         until = asyncio.get_running_loop().time() + 1.0
-        return await self.boxes.attempt(node, request, until, may)
+        return await self.backends.attempt(node, request, until, may)
 
-    async def until(self, true: Any) -> None:
+    async def wait_until(self, true: Any) -> None:
         async with asyncio.timeout(5):
             while not true():
                 await asyncio.sleep(0.005)
 
-    async def raw(self, *parts: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def connect(self, *parts: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.front.address.port)
         writer.write(b"".join(parts))
         return reader, writer
 
-    def head(self, trace: str, *fields: str, method: str = "GET", target: str = TARGET) -> bytes:
+    def request_head(self, trace: str, *fields: str, method: str = "GET", target: str = TARGET) -> bytes:
         every = [f"X-Trace-Id: {trace}", *(f"{name}: {value}" for name, value in HEADERS.items()), *fields]
         return "\r\n".join([f"{method} {target} HTTP/1.1", "Host: h", *every, "", ""]).encode()
 
@@ -125,9 +125,9 @@
         async def script(trace: str) -> bytes:
             return answer(200, b"\x00tile of " + trace.encode())
 
-        await self.begin(script)
-        assert await self.ask("t1", "PUT", b"scan") == (200, b"\x00tile of t1")
-        (head,) = self.box.heads
+        await self.start_front(script)
+        assert await self.send_request("t1", "PUT", b"scan") == (200, b"\x00tile of t1")
+        (head,) = self.backend.heads
         assert head.startswith(f"PUT {TARGET} HTTP/1.1\r\n"), head
         assert "X-Trace-Id: t1\r\n" in head
         assert "Accept-Encoding" not in head
@@ -136,66 +136,66 @@
         async def script(trace: str) -> bytes | None:
             return None if trace == "broken" else answer()
 
-        await self.begin(script)
-        await self.ask("warm")
-        self.boxes.pools[1].idle[0].reusable_at = 0.0
-        status, _ = await self.ask("broken", "PUT", b"scan")
-        assert (status, self.box.counts["broken"]) == (502, 1)
-        assert self.box.accepted == 1, "the broken one was the pooled connection"
+        await self.start_front(script)
+        await self.send_request("warm")
+        self.backends.pools[1].idle[0].reusable_at = 0.0
+        status, _ = await self.send_request("broken", "PUT", b"scan")
+        assert (status, self.backend.counts["broken"]) == (502, 1)
+        assert self.backend.accepted == 1, "the broken one was the pooled connection"
 
     async def test_a_write_that_was_turned_away_unrun_is_sent_again(self) -> None:
         async def script(trace: str) -> bytes:
-            return answer() if self.box.counts[trace] > 1 else answer(503, b"", "X-Never-Ran: 1")
+            return answer() if self.backend.counts[trace] > 1 else answer(503, b"", "X-Never-Ran: 1")
 
-        await self.begin(script)
-        assert (await self.ask("t", "PUT", b"scan"))[0] == 200
-        assert self.box.counts["t"] == 2
+        await self.start_front(script)
+        assert (await self.send_request("t", "PUT", b"scan"))[0] == 200
+        assert self.backend.counts["t"] == 2
 
     async def test_a_503_without_proof_is_no_refusal_of_a_write(self) -> None:
         async def script(trace: str) -> bytes:
             return answer(503, b"")
 
-        await self.begin(script)
-        assert (await self.ask("t", "PUT", b"scan"))[0] == 502
-        assert self.box.counts["t"] == 1
+        await self.start_front(script)
+        assert (await self.send_request("t", "PUT", b"scan"))[0] == 502
+        assert self.backend.counts["t"] == 1
 
     async def test_a_silent_box_costs_one_attempt_and_the_answer_beats_the_client(self) -> None:
-        await self.begin(lambda trace: asyncio.sleep(60))
+        await self.start_front(lambda trace: asyncio.sleep(60))
         began = self.core.now()
-        status, _ = await self.ask("t", "PUT", b"scan", X_Expires_In_Ms="300")
+        status, _ = await self.send_request("t", "PUT", b"scan", X_Expires_In_Ms="300")
         assert self.core.now() - began < 2.0  # the box would take a minute
-        assert (status, self.box.counts["t"]) == (502, 1)
-        await self.until(lambda: self.box.open == 0)  # the given-up attempt's connection is closed
+        assert (status, self.backend.counts["t"]) == (502, 1)
+        await self.wait_until(lambda: self.backend.open == 0)  # the given-up attempt's connection is closed
 
     async def test_a_client_with_hardly_any_time_left_still_hears_that_nothing_was_sent(self) -> None:
-        await self.begin(lambda trace: asyncio.sleep(60))
-        assert (await self.ask("t", "PUT", b"scan", X_Expires_In_Ms="1"))[0] == 503
-        assert self.box.accepted == 0
+        await self.start_front(lambda trace: asyncio.sleep(60))
+        assert (await self.send_request("t", "PUT", b"scan", X_Expires_In_Ms="1"))[0] == 503
+        assert self.backend.accepted == 0
 
     async def test_a_client_that_says_it_waits_for_minutes_gets_no_longer_than_its_class(self) -> None:
-        await self.begin(lambda trace: asyncio.sleep(60))
+        await self.start_front(lambda trace: asyncio.sleep(60))
         self.front.config.give_up[1] = 0.3
         async with asyncio.timeout(5):  # the box would take a minute
-            assert (await self.ask("t", "PUT", b"scan", X_Expires_In_Ms="600000"))[0] == 502
+            assert (await self.send_request("t", "PUT", b"scan", X_Expires_In_Ms="600000"))[0] == 502
 
     async def test_a_client_that_leaves_takes_its_attempt_with_it(self) -> None:
-        await self.begin(lambda trace: asyncio.sleep(60))
-        asking = asyncio.create_task(self.ask("t", X_Expires_In_Ms="60000"))
-        await self.until(lambda: self.box.counts["t"])
+        await self.start_front(lambda trace: asyncio.sleep(60))
+        asking = asyncio.create_task(self.send_request("t", X_Expires_In_Ms="60000"))
+        await self.wait_until(lambda: self.backend.counts["t"])
         asking.cancel()
-        await self.until(lambda: self.box.open == 0 and not self.core.calls)
+        await self.wait_until(lambda: self.backend.open == 0 and not self.core.calls)
         assert sum(sum(node.out) for node in self.core.policy.nodes.values()) == 0
 
     async def test_without_a_box_a_request_is_refused_at_once(self) -> None:
-        await self.begin(lambda trace: asyncio.sleep(60))
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING)))
+        await self.start_front(lambda trace: asyncio.sleep(60))
+        self.core.tell(listed(self.directory, instance("s-a", self.backend.port, EndpointState.DRAINING)))
         began = self.core.now()
-        assert (await self.ask("t"))[0] == 503
+        assert (await self.send_request("t"))[0] == 503
         assert self.core.now() - began < 1.4  # not held back until the deadline
-        assert self.box.accepted == 0
+        assert self.backend.accepted == 0
 
     async def test_bad_requests_are_answered_by_name(self) -> None:
-        await self.begin(lambda trace: asyncio.sleep(60))
+        await self.start_front(lambda trace: asyncio.sleep(60))
         for name, value in (
             ("X_Qos", "tea"),
             ("X_Plan", "gold"),
@@ -210,32 +210,32 @@
             ("X_IO", HEADERS["X-IO"] + ",units=3"),
             ("X_IO", HEADERS["X-IO"].replace("=2", "=0x2")),
         ):
-            status, text = await self.ask("t", **{name: value})
+            status, text = await self.send_request("t", **{name: value})
             assert status == 400
             assert name.replace("_", "-") in text.decode()
         self.front.body_memory = BodyMemory(1 << 20)
-        assert (await self.ask("t", "PUT", bytes(2 << 20)))[0] == 413
+        assert (await self.send_request("t", "PUT", bytes(2 << 20)))[0] == 413
         async with self.client.get(self.url + "/tea") as response:
             assert response.status == 404
         reader, writer = await asyncio.open_connection("127.0.0.1", int(self.url.rpartition(":")[2]))
         writer.write(b"tea\r\n\r\n")
         assert b" 400 " in await reader.readline()
         writer.close()
-        assert self.box.accepted == 0
+        assert self.backend.accepted == 0
 
     async def test_silent_connections_make_room_for_clients_that_speak(self) -> None:
         async def script(trace: str) -> bytes:
             return answer()
 
-        await self.begin(script)
+        await self.start_front(script)
         self.front.connections.max_clients = 3
-        silent = [await self.raw() for _ in range(3)]
-        await self.until(lambda: len(self.front.connections.clients) == 3)
-        assert (await self.ask("t"))[0] == 200
+        silent = [await self.connect() for _ in range(3)]
+        await self.wait_until(lambda: len(self.front.connections.clients) == 3)
+        assert (await self.send_request("t"))[0] == 200
         assert await silent[0][0].read() == b""  # the oldest has ended
-        more = [await self.raw() for _ in range(3)]  # the client's own idle connection outlives them
+        more = [await self.connect() for _ in range(3)]  # the client's own idle connection outlives them
         assert await more[0][0].read() == b""
-        assert (await self.ask("u"))[0] == 200
+        assert (await self.send_request("u"))[0] == 200
         assert len(self.front.connections.clients) <= 3
         for _, writer in [*silent, *more]:
             writer.close()
@@ -244,15 +244,15 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        await self.begin(script)
+        await self.start_front(script)
         self.front.config.shares = replace(self.front.config.shares, crowd=2)
         kept = []
         for trace in "abc":
-            kept.append(await self.raw(self.head(trace)))
+            kept.append(await self.connect(self.request_head(trace)))
             assert b" 200 " in await kept[-1][0].readuntil(b"tile")
         assert await kept[2][0].read() == b""
-        await self.until(lambda: len(self.front.connections.clients) == 2)
-        kept[0][1].write(self.head("d"))
+        await self.wait_until(lambda: len(self.front.connections.clients) == 2)
+        kept[0][1].write(self.request_head("d"))
         assert b" 200 " in await kept[0][0].readuntil(b"tile")  # those before it are kept
         assert len(self.front.connections.clients) == 2
         for _, writer in kept:
@@ -262,37 +262,37 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        await self.begin(script)
+        await self.start_front(script)
         self.front.connections.max_clients = 2
         with mock.patch.object(client_connections_module, "MIN_EVICTION_AGE", 60):
-            young = [await self.raw() for _ in range(2)]
-            await self.until(lambda: len(self.front.connections.clients) == 2)
-            waiting = await self.raw(self.head("t"))
+            young = [await self.connect() for _ in range(2)]
+            await self.wait_until(lambda: len(self.front.connections.clients) == 2)
+            waiting = await self.connect(self.request_head("t"))
             listener = self.front.listener
-            await self.until(lambda: listener and listener.pause_timer)  # it waits for room
+            await self.wait_until(lambda: listener and listener.pause_timer)  # it waits for room
         for one in self.front.connections.silent:
             one.opened_at = 0.0
         for place, (_, writer) in enumerate(young):
-            writer.write(self.head(f"y{place}")[:9] if place else self.head("y0"))
+            writer.write(self.request_head(f"y{place}")[:9] if place else self.request_head("y0"))
         assert b" 200 " in await waiting[0].readline()  # where the one that was answered had been
         assert b" 200 " in await young[0][0].readline()
-        young[1][1].write(self.head("y1")[9:])
+        young[1][1].write(self.request_head("y1")[9:])
         assert b" 200 " in await young[1][0].readline()
         for _, writer in [*young, waiting]:
             writer.close()
 
     async def test_clients_that_send_nothing_whole_are_answered_or_closed_in_time(self) -> None:
         # Silent; half a head; a head that never ends; a body that never comes; one too long, unread.
-        await self.begin(lambda trace: asyncio.sleep(60))
-        slow = self.head("t", "Content-Length: 9", method="PUT") + b"scan"
+        await self.start_front(lambda trace: asyncio.sleep(60))
+        slow = self.request_head("t", "Content-Length: 9", method="PUT") + b"scan"
         slow = slow.replace(b"tile-read", b"record-write")
-        huge = self.head("u", "Content-Length: 60000000", method="PUT")
-        cases = [b"", self.head("t")[:-2], b"GET / HTTP/1.1\r\nX: " + bytes(100_000), slow, huge]
+        huge = self.request_head("u", "Content-Length: 60000000", method="PUT")
+        cases = [b"", self.request_head("t")[:-2], b"GET / HTTP/1.1\r\nX: " + bytes(100_000), slow, huge]
         with (
             mock.patch.multiple(client_connection_module, IDLE_TIMEOUT=0.2, HEAD_TIMEOUT=0.4),
             mock.patch.object(body_reader_module, "BODY_TIMEOUT", 0.2),
         ):
-            peers = [await self.raw(case) for case in cases]
+            peers = [await self.connect(case) for case in cases]
             async with asyncio.timeout(2):
                 found = [await reader.read() for reader, _ in peers]
         assert [one[9:12] for one in found] == [b"", b"", b"400", b"408", b"413"]
@@ -303,46 +303,48 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        await self.begin(script)
+        await self.start_front(script)
         with mock.patch.object(client_connection_module, "IDLE_TIMEOUT", 0.2):
-            reader, writer = await self.raw(self.head("t")[:9])
+            reader, writer = await self.connect(self.request_head("t")[:9])
             (client,) = await self.found(
                 lambda: [one for one in self.front.connections.clients if one.head_started_at]
             )
             client.head_started_at += 60  # as if the first byte had come just now, however late the loop runs
             await asyncio.sleep(0.3)
-            writer.write(self.head("t")[9:])
+            writer.write(self.request_head("t")[9:])
             assert b" 200 " in await reader.readline()
         writer.close()
 
     async def found(self, look: Any) -> Any:
-        await self.until(look)
+        await self.wait_until(look)
         return look()
 
     async def test_more_than_one_request_at_a_time_reaches_no_box(self) -> None:
         # Pipelined; a length that is too short, so that the body hides another; two lengths; both framings.
-        await self.begin(lambda trace: asyncio.sleep(60))
-        hidden = self.head("x")
+        await self.start_front(lambda trace: asyncio.sleep(60))
+        hidden = self.request_head("x")
         for case in (
             hidden * 300,
-            self.head("t", "Content-Length: 4", method="PUT") + b"scan" + hidden,
-            self.head("t", "Content-Length: 4", "Content-Length: 0", method="PUT") + b"scan",
-            self.head("t", "Content-Length: 4", "Transfer-Encoding: chunked", method="PUT")
+            self.request_head("t", "Content-Length: 4", method="PUT") + b"scan" + hidden,
+            self.request_head("t", "Content-Length: 4", "Content-Length: 0", method="PUT") + b"scan",
+            self.request_head("t", "Content-Length: 4", "Transfer-Encoding: chunked", method="PUT")
             + b"0\r\n\r\n"
             + hidden,
         ):
-            reader, writer = await self.raw(case)
+            reader, writer = await self.connect(case)
             assert (await reader.read())[8:13] == b" 400 ", case[:200]
             writer.close()
-        assert self.box.accepted == 0
-        reader, writer = await self.raw(self.head("late"))
-        await self.until(lambda: self.box.counts["late"])
+        assert self.backend.accepted == 0
+        reader, writer = await self.connect(self.request_head("late"))
+        await self.wait_until(lambda: self.backend.counts["late"])
         writer.write(hidden)  # behind a request that is already at the box, and is owed one error
         heard = await reader.read()
         assert (heard[8:13], heard.count(b"HTTP/")) == (b" 400 ", 1), heard
         assert b"Connection: close" in heard
-        await self.until(lambda: not self.core.calls and not self.box.open)  # its attempt is called off
-        assert (self.box.counts["late"], self.box.counts["x"]) == (1, 0)
+        await self.wait_until(
+            lambda: not self.core.calls and not self.backend.open
+        )  # its attempt is called off
+        assert (self.backend.counts["late"], self.backend.counts["x"]) == (1, 0)
         writer.close()
 
     async def test_an_id_that_is_taken_is_an_error_without_harm_to_the_first(self) -> None:
@@ -352,27 +354,27 @@
             await release.wait()
             return answer()
 
-        await self.begin(script)
-        first = asyncio.create_task(self.ask("t"))
-        await self.until(lambda: self.box.counts["t"])
-        assert (await self.ask("t"))[0] == 400
+        await self.start_front(script)
+        first = asyncio.create_task(self.send_request("t"))
+        await self.wait_until(lambda: self.backend.counts["t"])
+        assert (await self.send_request("t"))[0] == 400
         release.set()
         assert (await first)[0] == 200
-        assert (await self.ask("t"))[0] == 400, "nor just after it"
-        assert self.box.counts["t"] == 1
+        assert (await self.send_request("t"))[0] == 400, "nor just after it"
+        assert self.backend.counts["t"] == 1
         with mock.patch.object(self.core, "offset", self.core.offset + 60):
-            await self.ask("u")
+            await self.send_request("u")
         assert self.front.trace_ids.known == {"u"}, "ids are forgotten in the end"
 
     async def test_up_says_when_the_front_is_ready(self) -> None:
-        await self.begin(lambda trace: asyncio.sleep(60))
+        await self.start_front(lambda trace: asyncio.sleep(60))
         for self.ready, status in ((False, 503), (True, 200)):
             async with self.client.get(self.url + "/up") as response:
                 assert response.status == status
 
     async def test_a_word_to_send_that_comes_too_late_frees_its_slot(self) -> None:
         # The client leaves in the turn in which the policy says where to send.
-        await self.begin(lambda trace: asyncio.sleep(60))
+        await self.start_front(lambda trace: asyncio.sleep(60))
         arrival = RequestArrived("t", 0, 0, 1, 1, 0, 1.0, self.core.now() + 60, 1)
         serving = asyncio.create_task(self.core.serve(arrival, mock.AsyncMock()))
         real, late = self.core.step, []
@@ -383,7 +385,7 @@
                 late.append(serving.cancel())
 
         with mock.patch.object(self.core, "step", step):
-            await self.until(lambda: late and not self.core.calls and not self.core.policy.requests)
+            await self.wait_until(lambda: late and not self.core.calls and not self.core.policy.requests)
         assert late == [True]
         assert sum(sum(node.out) for node in self.core.policy.nodes.values()) == 0
 
@@ -393,48 +395,48 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        await self.begin(script)
-        real = self.boxes.connect
+        await self.start_front(script)
+        real = self.backends.connect
 
         async def late(pool: Any) -> Any:
             line = await real(pool)
-            listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING))
+            listed(self.directory, instance("s-a", self.backend.port, EndpointState.DRAINING))
             return line
 
-        with mock.patch.object(self.boxes, "connect", late):
-            outcome = (await self.attempt(1, ask("t"))).outcome
-        assert (outcome, self.box.counts["t"]) == (AttemptOutcome.NOT_SENT, 0)
+        with mock.patch.object(self.backends, "connect", late):
+            outcome = (await self.attempt(1, client_request("t"))).outcome
+        assert (outcome, self.backend.counts["t"]) == (AttemptOutcome.NOT_SENT, 0)
 
     async def test_a_refused_connection_never_ran_and_pools_of_a_draining_box_are_closed(self) -> None:
         async def script(trace: str) -> bytes:
             return answer()
 
-        await self.begin(script)
-        await self.attempt(1, ask("t"))
-        assert self.box.open == 1
-        listed(self.directory, instance("s-a", self.box.port, EndpointState.DRAINING))
-        await self.until(lambda: self.box.open == 0)
-        self.box.stop()
-        listed(self.directory, instance("s-a", self.box.port))
-        outcome = (await self.attempt(1, ask("t"))).outcome
+        await self.start_front(script)
+        await self.attempt(1, client_request("t"))
+        assert self.backend.open == 1
+        listed(self.directory, instance("s-a", self.backend.port, EndpointState.DRAINING))
+        await self.wait_until(lambda: self.backend.open == 0)
+        self.backend.stop()
+        listed(self.directory, instance("s-a", self.backend.port))
+        outcome = (await self.attempt(1, client_request("t"))).outcome
         assert outcome == AttemptOutcome.CONNECTION_FAILED
 
     async def test_a_connection_that_ends_as_it_comes_up_never_ran_anything(self) -> None:
         async def script(trace: str) -> bytes:
             return answer()
 
-        await self.begin(script)
-        real = self.boxes.connect
+        await self.start_front(script)
+        real = self.backends.connect
 
         async def short(pool: Any) -> Any:
             line = await real(pool)
             line.abort()
             return line
 
-        with mock.patch.object(self.boxes, "connect", short):
-            found = await self.attempt(1, ask("t", "PUT", b"scan"))
+        with mock.patch.object(self.backends, "connect", short):
+            found = await self.attempt(1, client_request("t", "PUT", b"scan"))
         assert found == AttemptResult(AttemptOutcome.CONNECTION_FAILED)
-        assert (self.box.counts["t"], self.boxes.open_connections) == (0, 0)
+        assert (self.backend.counts["t"], self.backends.open_connections) == (0, 0)
 
     async def test_a_spoilt_answer_is_a_reset_that_may_have_run_and_ends_its_connection(self) -> None:
         good = answer()
@@ -457,13 +459,13 @@
         async def script(trace: str) -> bytes:
             return spoilt[int(trace)]
 
-        await self.begin(script)
+        await self.start_front(script)
         with mock.patch.object(backend_connection_module, "ANSWER_TIMEOUT", 0.05):
             for place, text in enumerate(spoilt):
-                found = await self.attempt(1, ask(str(place), "PUT", b"scan"))
+                found = await self.attempt(1, client_request(str(place), "PUT", b"scan"))
                 assert found == AttemptResult(AttemptOutcome.CONNECTION_RESET), text[:80]
-        assert set(self.box.counts.values()) == {1}
-        assert (self.box.accepted, self.boxes.open_connections) == (len(spoilt), 0)
+        assert set(self.backend.counts.values()) == {1}
+        assert (self.backend.accepted, self.backends.open_connections) == (len(spoilt), 0)
 
     async def test_a_good_answer_is_served_whatever_comes_with_it_and_only_that(self) -> None:
         good = answer(200, b"tile", "Endpoint-Load-Metrics: \x01 queue=\x7f", "X-Served-Elsewhere: -1e999")
@@ -476,55 +478,55 @@
         async def script(trace: str) -> bytes:
             return cases[int(trace)]
 
-        await self.begin(script)
+        await self.start_front(script)
         with mock.patch.object(backends_module, "REUSE_DELAY", 0.0):
             for place in range(len(cases)):
-                found = await self.attempt(1, ask(str(place)))
+                found = await self.attempt(1, client_request(str(place)))
                 if isinstance(found.value, StreamedBody):
                     body = b"".join([piece async for piece in iterate(found.value)])
                     found = replace(found, value=body)
                 assert found == AttemptResult(AttemptOutcome.SERVED, b"tile" * (70000 if place == 2 else 1))
-                assert self.boxes.open_connections == int(place < 3), "what brought more is not used again"
+                assert self.backends.open_connections == int(place < 3), "what brought more is not used again"
 
     async def test_bytes_that_come_while_a_connection_is_pooled_are_not_the_next_answer(self) -> None:
         async def script(trace: str) -> bytes:
             return answer(200, trace.encode())
 
-        await self.begin(script)
+        await self.start_front(script)
         for trace, read in (("first", True), ("second", False), ("third", True)):
-            found = await self.attempt(1, ask(trace))
+            found = await self.attempt(1, client_request(trace))
             assert found == AttemptResult(AttemptOutcome.SERVED, trace.encode())
-            (line,) = self.boxes.pools[1].idle
+            (line,) = self.backends.pools[1].idle
             line.reusable_at = 0.0
-            (writer,) = self.box.writers
+            (writer,) = self.backend.writers
             # It goes to the kernel at once; without a turn of the loop, nobody has read it yet.
             writer.write(answer(200, b"stale"))
             if read:
-                await self.until(lambda: self.boxes.open_connections == 0)
+                await self.wait_until(lambda: self.backends.open_connections == 0)
             else:
                 assert not line.is_usable()
-        assert self.box.accepted == 3
+        assert self.backend.accepted == 3
 
     async def test_a_connection_rests_after_an_answer_and_idle_ones_make_room_at_the_bound(self) -> None:
         async def script(trace: str) -> bytes:
             return answer()
 
-        await self.begin(script, most=2)
-        listed(self.directory, instance("s-a", self.box.port), instance("s-b", self.box.port, cell=1))
+        await self.start_front(script, most=2)
+        listed(self.directory, instance("s-a", self.backend.port), instance("s-b", self.backend.port, cell=1))
         with mock.patch.object(backends_module, "REUSE_DELAY", 60):
             for trace in "ab":  # the first one rests, so that the second takes another
-                await self.attempt(1, ask(trace))
-            assert (self.box.accepted, self.boxes.open_connections) == (2, 2)
-            await self.attempt(2, ask("c"))
-            assert (self.boxes.open_connections, len(self.boxes.pools[1].idle)) == (2, 1)
-        self.boxes.pools[1].idle[0].reusable_at = 0.0
-        await self.attempt(1, ask("d"))
-        assert (self.box.accepted, self.boxes.open_connections) == (3, 2)
-        self.box.stop()  # the boxes close their idle connections
-        await self.until(lambda: self.boxes.open_connections == 0)
-
-
-def entry(state: str, port: int = 9) -> dict[str, Any]:
+                await self.attempt(1, client_request(trace))
+            assert (self.backend.accepted, self.backends.open_connections) == (2, 2)
+            await self.attempt(2, client_request("c"))
+            assert (self.backends.open_connections, len(self.backends.pools[1].idle)) == (2, 1)
+        self.backends.pools[1].idle[0].reusable_at = 0.0
+        await self.attempt(1, client_request("d"))
+        assert (self.backend.accepted, self.backends.open_connections) == (3, 2)
+        self.backend.stop()  # the boxes close their idle connections
+        await self.wait_until(lambda: self.backends.open_connections == 0)
+
+
+def listing_entry(state: str, port: int = 9) -> dict[str, Any]:
     return {
         "instanceId": "s-a",
         "hostPort": f"127.0.0.1:{port}",
@@ -573,8 +575,8 @@
 
 class DiscoveryStory(unittest.IsolatedAsyncioTestCase):
     async def test_a_bad_line_is_skipped_and_the_whole_list_taken(self) -> None:
-        whole = {"generation": 7, "reset": True, "instances": [entry("SERVING")]}
-        change = {"generation": 8, "reset": False, "instances": [entry("DRAINING")]}
+        whole = {"generation": 7, "reset": True, "instances": [listing_entry("SERVING")]}
+        change = {"generation": 8, "reset": False, "instances": [listing_entry("DRAINING")]}
         agent = await DiscoveryAgent(whole, [[b"", b"{tea"], [b"", json.dumps(change).encode()]]).start()
         directory, told = Directory({}), asyncio.Queue[SchedulerEvent]()
         discovery = Discovery(Address("127.0.0.1", agent.port), directory, told.put_nowait)
@@ -590,9 +592,9 @@
         assert not directory.serves(1)
 
     async def test_a_move_takes_the_new_agent_s_whole_list_and_keeps_the_old_watch_until_then(self) -> None:
-        old_list = {"generation": 70, "reset": True, "instances": [entry("SERVING")]}
-        new_list = {"generation": 7, "reset": True, "instances": [entry("SERVING", 10)]}
-        later = {"generation": 71, "reset": False, "instances": [entry("DRAINING")]}
+        old_list = {"generation": 70, "reset": True, "instances": [listing_entry("SERVING")]}
+        new_list = {"generation": 7, "reset": True, "instances": [listing_entry("SERVING", 10)]}
+        later = {"generation": 71, "reset": False, "instances": [listing_entry("DRAINING")]}
         old, new = await DiscoveryAgent(old_list, [[b""]]).start(), await DiscoveryAgent(new_list, []).start()
         directory, told = Directory({}), asyncio.Queue[SchedulerEvent]()
         discovery = Discovery(Address("127.0.0.1", old.port), directory, told.put_nowait)
@@ -623,8 +625,8 @@
     async def test_what_an_own_agent_gets_at_discovery_s_return_is_heard_at_once(self) -> None:
         """An agent that falls silent and whose silent watches never speak again, as the standing test has it.
         While each waited its turn among 200, drains at the return were heard up to 15 s late."""
-        listing = {"generation": 70, "reset": True, "instances": [entry("SERVING")]}
-        drain = {"generation": 71, "reset": False, "instances": [entry("DRAINING")]}
+        listing = {"generation": 70, "reset": True, "instances": [listing_entry("SERVING")]}
+        drain = {"generation": 71, "reset": False, "instances": [listing_entry("DRAINING")]}
         down = asyncio.Event()
 
         async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -672,7 +674,7 @@
         server = await asyncio.start_server(refuse, "127.0.0.1", 0)
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
         directory, hosts = Directory({}), []
-        listing = read_listing({"generation": 7, "reset": True, "instances": [entry("SERVING")]})
+        listing = read_listing({"generation": 7, "reset": True, "instances": [listing_entry("SERVING")]})
         for seed in range(40):
             hosts.append(Discovery(address, directory, lambda event: None, hosts=40, seed=seed))
             hosts[-1].take(listing)
@@ -727,7 +729,7 @@
             return answer()
 
         box: HttpBox = await HttpBox(script).start()
-        known = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
+        known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
         silent = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
         with tempfile.TemporaryDirectory() as folder:
             address = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
@@ -755,7 +757,7 @@
             return answer()
 
         box: HttpBox = await HttpBox(script).start()
-        known = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
+        known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
         agent = await DiscoveryAgent(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
             address = f"127.0.0.1:{agent.port}"
@@ -766,25 +768,25 @@
             url = f"http://127.0.0.1:{port}{TARGET}"
             async with aiohttp.ClientSession() as client:
 
-                async def ask(trace: str) -> tuple[int, str | None]:
+                async def fetch(trace: str) -> tuple[int, str | None]:
                     async with client.get(url, headers={**HEADERS, "X-Trace-Id": trace}) as response:
                         return response.status, response.headers.get("Connection")
 
-                before = asyncio.create_task(ask("before"))
+                before = asyncio.create_task(fetch("before"))
                 while not box.counts["before"]:
                     await asyncio.sleep(0.005)
                 daemon.send_signal(signal.SIGTERM)
                 while b"event='leaving'" not in await daemon.stderr.readline():
                     pass
                 left = asyncio.get_running_loop().time()
-                assert await ask("after") == (200, None)  # on a connection that is kept
+                assert await fetch("after") == (200, None)  # on a connection that is kept
                 release.set()
                 assert (await before)[0] == 200
                 while asyncio.get_running_loop().time() < left + 0.9:
-                    assert (await ask(str(box.accepted + len(box.heads))))[0] == 200
+                    assert (await fetch(str(box.accepted + len(box.heads))))[0] == 200
                     await asyncio.sleep(0.1)
                 # Its time ends after the process must; idle connections are closed by then.
-                assert (await ask("silent"))[0] in (502, 503)
+                assert (await fetch("silent"))[0] in (502, 503)
                 assert asyncio.get_running_loop().time() < left + 2.2
                 async with asyncio.timeout(5):
                     rest = await daemon.stderr.read()
@@ -798,7 +800,7 @@
 
         box: HttpBox = await HttpBox(script).start()
         first = await DiscoveryAgent({"generation": 9, "reset": True, "instances": []}, []).start()
-        whole = {"generation": 1, "reset": True, "instances": [entry("SERVING", box.port)]}
+        whole = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
         second = await DiscoveryAgent(whole, []).start()
         at = [f"127.0.0.1:{agent.port}" for agent in (first, second)]
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -18,7 +18,7 @@
             self.tried += 1
             return None if self.tried <= fails else answer()
 
-        await self.begin(script)
+        await self.start_front(script)
         keyed = class_spec(
             idempotency=Idempotency.KEYED,
             idempotency_scope=IdempotencyScope.SHARD,
@@ -30,18 +30,18 @@
 
     async def test_the_key_passes_on_unchanged_with_every_attempt(self) -> None:
         await self.begin_keyed(fails=1)
-        status, _ = await self.ask("t1", "PUT", b"scan", Idempotency_Key='visit/7,"a";=~')
+        status, _ = await self.send_request("t1", "PUT", b"scan", Idempotency_Key='visit/7,"a";=~')
         assert status == 200
-        assert len(self.box.heads) == 2  # within its window a keyed write may go again
-        for head in self.box.heads:
+        assert len(self.backend.heads) == 2  # within its window a keyed write may go again
+        for head in self.backend.heads:
             assert head.count('\r\nIdempotency-Key: visit/7,"a";=~\r\n') == 1, head
 
     async def test_a_key_of_a_class_that_needs_none_passes_on_too(self) -> None:
         await self.begin_keyed()
-        assert (await self.ask("t1", Idempotency_Key="k" * 256))[0] == 200
-        assert (await self.ask("t2"))[0] == 200
-        assert f"\r\nIdempotency-Key: {'k' * 256}\r\n" in self.box.heads[0]
-        assert "Idempotency-Key" not in self.box.heads[1]
+        assert (await self.send_request("t1", Idempotency_Key="k" * 256))[0] == 200
+        assert (await self.send_request("t2"))[0] == 200
+        assert f"\r\nIdempotency-Key: {'k' * 256}\r\n" in self.backend.heads[0]
+        assert "Idempotency-Key" not in self.backend.heads[1]
 
     async def test_a_keyed_request_without_a_good_key_is_an_error_before_any_attempt(self) -> None:
         await self.begin_keyed()
@@ -55,11 +55,11 @@
         }
         for name, keys in bad.items():
             line = b"".join(b"Idempotency-Key: %s\r\n" % key for key in keys)
-            head = self.head(name, "Content-Length: 4", method="PUT")[:-2]
+            head = self.request_head(name, "Content-Length: 4", method="PUT")[:-2]
             head = head.replace(b"tile-read", b"record-write")
             with self.subTest(name), capture_logs() as logs:
-                reader, writer = await self.raw(head, line, b"\r\nscan")
+                reader, writer = await self.connect(head, line, b"\r\nscan")
                 assert b" 400 " in await reader.readline()
                 writer.close()
                 assert [one["event"] for one in logs] == ["key_refused"]
-        assert self.box.heads == []
+        assert self.backend.heads == []
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -157,22 +157,24 @@
         async def script(trace: str) -> bytes:
             return box_answer()
 
-        self.box: HttpBox = await HttpBox(script).start()
+        self.backend: HttpBox = await HttpBox(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
-        self.boxes = BackendPools(self.directory, 0.25, 30.0, 32)
-        self.front = HttpServer(config(), self.core, self.boxes, lambda: True)
+        self.backends = BackendPools(self.directory, 0.25, 30.0, 32)
+        self.front = HttpServer(config(), self.core, self.backends, lambda: True)
         self.front.listen()
         self.url = f"http://127.0.0.1:{self.front.address.port}"
-        self.core.tell(listed(self.directory, instance("s-a", self.box.port), whole=True))
+        self.core.tell(listed(self.directory, instance("s-a", self.backend.port), whole=True))
         self.folder = tempfile.TemporaryDirectory()
-        self.handed = HoldFile(Path(self.folder.name), self.directory, self.core, Faults(self.boxes.metrics))
+        self.handed = HoldFile(
+            Path(self.folder.name), self.directory, self.core, Faults(self.backends.metrics)
+        )
         self.handed.start()
 
     async def asyncTearDown(self) -> None:
         self.handed.stop()
         await self.front.close()
-        self.boxes.close()
-        self.box.stop()
+        self.backends.close()
+        self.backend.stop()
         self.folder.cleanup()
 
     async def test_a_drain_says_no_at_once_closes_idle_connections_and_resume_says_yes(self) -> None:
@@ -194,7 +196,7 @@
                 assert response.status == 200
 
     async def test_a_scrape_tells_the_same_figures_as_the_control_address(self) -> None:
-        listener = MetricsListener(Address("127.0.0.1", 0), self.boxes.metrics, lambda: (3, 1))
+        listener = MetricsListener(Address("127.0.0.1", 0), self.backends.metrics, lambda: (3, 1))
         url = f"http://127.0.0.1:{listener.address.port}"
         async with aiohttp.ClientSession() as client:
             for trace, plan in (("a", "public"), ("b", "gold")):  # served, and turned down
@@ -224,14 +226,14 @@
             headers = {**HEADERS, "X-Trace-Id": "a"}
             async with client.get(self.url + TARGET, headers=headers) as response:
                 assert response.status == 200
-            assert self.boxes.metrics.backend_calls == 1
+            assert self.backends.metrics.backend_calls == 1
             assert not await asyncio.to_thread(self.handed.disable, "s-zz")
             assert await asyncio.to_thread(self.handed.disable, "s-a")
             async with client.get(self.url + TARGET, headers={**headers, "X-Trace-Id": "b"}) as response:
                 assert response.status == 503  # the only box is held
-            assert len(self.box.heads) == 1
+            assert len(self.backend.heads) == 1
             other = Directory({})
-            listed(other, instance("s-a", self.box.port), whole=True)
+            listed(other, instance("s-a", self.backend.port), whole=True)
             HoldFile(Path(self.folder.name), other, self.core, self.handed.beat.faults).look()
             assert other.holds.holds("s-a")
             assert await asyncio.to_thread(self.handed.enable, "s-a")
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -19,7 +19,7 @@
 from cleatyoke.scheduling.settings import Idempotency
 from tests.host import Host, class_spec, entry, settings
 from tests.test_http_front import HEADERS, TARGET, DaemonCase
-from tests.test_http_front import entry as listed
+from tests.test_http_front import listing_entry as listed
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer
 
 
