--- /dev/null
+++ b/tests/http_case.py
@@ -0,0 +1,191 @@
+"""A front over loopback sockets, before scripted backends and clients; and the front as a process."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import sys
+import unittest
+import unittest.mock
+from collections.abc import AsyncIterator, Callable
+from pathlib import Path
+from typing import Any
+
+import aiohttp
+
+from cleatyoke.core import AttemptResult, Core
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.http.backend_connection import StreamedBody
+from cleatyoke.http.backends import BackendPools
+from cleatyoke.http.client_connection import ClientConnection
+from cleatyoke.http.requests import ClientRequest
+from cleatyoke.http.server import HttpServer
+from cleatyoke.transport.closing import ClosingTransport
+from cleatyoke.transport.sockets import has_unread_bytes
+from tests.wire import FACTS, HttpBox, answer, config, instance, listed
+
+ROOT = Path(__file__).resolve().parent.parent
+HEADERS = {
+    "X-Qos": "tile-read",
+    "X-Plan": "public",
+    "X-Expires-In-Ms": "1500",
+    "X-IO": "volume=00000003b4d60021,units=2,shard=0,hosts=1",
+}
+TARGET = "/api?block=7f3a9c21e0b4d655"
+Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+
+
+def client_request(trace: str, method: str = "GET", body: bytes = b"") -> ClientRequest:
+    return ClientRequest(
+        trace, method, TARGET, int(method == "PUT"), 0, 1, 1, 0, 2.0, 1, 1.5, [body] if body else []
+    )
+
+
+def listing_entry(state: str, port: int = 9) -> dict[str, Any]:
+    return {
+        "instanceId": "s-a",
+        "hostPort": f"127.0.0.1:{port}",
+        "zone": "basement",
+        "cell": 0,
+        "lifecycle": state,
+        "startedAtMs": 0,
+    }
+
+
+async def iterate(body: StreamedBody) -> AsyncIterator[bytes]:
+    while piece := await body.read():
+        yield piece
+    body.close()
+
+
+async def answer_at_once(_trace: str) -> bytes:
+    """A backend's script: a good answer at once."""
+    return answer()
+
+
+def request_bytes(trace: str) -> bytes:
+    """A read's head as a client sends it."""
+    fields = [f"{name}: {value}" for name, value in {**HEADERS, "X-Trace-Id": trace}.items()]
+    return "\r\n".join([f"GET {TARGET} HTTP/1.1", "Host: h", *fields, "", ""]).encode()
+
+
+class FrontCase(unittest.IsolatedAsyncioTestCase):
+    """One front with one scripted backend, and a client."""
+
+    async def start_front(self, script: Any, most: int = 32) -> None:
+        self.backend: HttpBox = await HttpBox(script).start()
+        self.core, self.directory = Core(config().settings), Directory({})
+        self.backends = BackendPools(self.directory, 0.25, 30.0, most)
+        self.ready = False
+        self.front = HttpServer(config(), self.core, self.backends, lambda: self.ready)
+        self.front.listen()
+        self.url = f"http://127.0.0.1:{self.front.address.port}"
+        self.core.tell(listed(self.directory, instance("s-a", self.backend.port), whole=True))
+        self.client = aiohttp.ClientSession()
+        self.addAsyncCleanup(self.stop_front)
+
+    async def stop_front(self) -> None:
+        await self.client.close()
+        await self.front.close()
+        self.backends.close()
+        self.backend.stop()
+
+    async def send_request(
+        self, trace: str, method: str = "GET", body: bytes = b"", **headers: str
+    ) -> tuple[int, bytes]:
+        kind = "record-write" if method == "PUT" else "tile-read"
+        every = {**HEADERS, "X-Trace-Id": trace, "X-Qos": kind} | {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
+        url = self.url + TARGET
+        async with self.client.request(method, url, headers=every, data=body or None) as response:
+            return response.status, await response.read()
+
+    async def attempt(
+        self, node: int, request: ClientRequest, may: Callable[[], bool] = lambda: True
+    ) -> AttemptResult[bytes | StreamedBody]:
+        until = asyncio.get_running_loop().time() + 1.0
+        return await self.backends.attempt(node, request, until, may)
+
+    async def wait_until(self, true: Any) -> None:
+        async with asyncio.timeout(5):
+            while not true():
+                await asyncio.sleep(0.005)
+
+    async def connect(self, *parts: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.front.address.port)
+        writer.write(b"".join(parts))
+        return reader, writer
+
+    def request_head(self, trace: str, *fields: str, method: str = "GET", target: str = TARGET) -> bytes:
+        every = [f"X-Trace-Id: {trace}", *(f"{name}: {value}" for name, value in HEADERS.items()), *fields]
+        return "\r\n".join([f"{method} {target} HTTP/1.1", "Host: h", *every, "", ""]).encode()
+
+
+class OneClientCase(FrontCase):
+    """A front, and its only client's connection in hand on both sides."""
+
+    async def meet(self, script: Any = answer_at_once, *parts: bytes) -> tuple[ClientConnection, Streams]:
+        await self.start_front(script)
+        streams = await self.connect(*parts)
+        await self.wait_until(lambda: self.front.connections.clients)
+        (client,) = self.front.connections.clients
+        self.addAsyncCleanup(self.hang_up, streams[1])
+        return client, streams
+
+    async def hang_up(self, writer: asyncio.StreamWriter) -> None:
+        writer.close()
+
+    def transport(self, client: ClientConnection) -> ClosingTransport:
+        assert isinstance(client.transport, ClosingTransport)
+        return client.transport
+
+    async def unread(self, client: ClientConnection, streams: Streams, *parts: bytes) -> ClosingTransport:
+        """Bytes that have come and that the loop has not read."""
+        transport = self.transport(client)
+        transport.pause_reading()
+        streams[1].write(b"".join(parts))
+        await self.wait_until(lambda: has_unread_bytes(transport))
+        return transport
+
+    async def served_and_closed(self, streams: Streams) -> None:
+        """One whole answer, and then an end in order: no reset."""
+        async with asyncio.timeout(5):
+            heard = await streams[0].read()
+        assert heard.count(b"HTTP/1.1 200 ") == 1, heard
+        assert heard.endswith(b"\r\n\r\ntile"), heard
+
+
+class DaemonCase(unittest.IsolatedAsyncioTestCase):
+    """Starts the daemon as a process and reads its log."""
+
+    async def start(
+        self, folder: str, variables: dict[str, str] | None = None, **changes: Any
+    ) -> asyncio.subprocess.Process:
+        path = Path(folder) / "config.json"
+        values = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:1",
+            "seed": "ff",
+            "settings": FACTS,
+            **changes,
+        }
+        path.write_text(json.dumps(values))
+        kept = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+        return await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "cleatyoke",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env={**kept, **(variables or {}), "RELAY_CONFIG": str(path)},
+        )
+
+    async def line(self, daemon: asyncio.subprocess.Process, word: bytes) -> bytes:
+        assert daemon.stderr
+        async with asyncio.timeout(10):
+            while word not in (line := await daemon.stderr.readline()):
+                assert line, "the daemon ended"
+        return line
--- /dev/null
+++ b/tests/test_bounded_records.py
@@ -0,0 +1,37 @@
+"""Records of nodes, shards and volumes that must not grow without end."""
+
+from __future__ import annotations
+
+import unittest
+import unittest.mock
+from unittest import mock
+
+from cleatyoke.discovery import directory as directory_module
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.scheduling.events import (
+    EndpointState,
+    RequestArrived,
+)
+from cleatyoke.scheduling.scheduler import Scheduler
+from tests.wire import config, instance, listed
+
+
+class BoundedRecordsTests(unittest.TestCase):
+    def test_removed_nodes_are_forgotten_and_numbers_are_never_given_twice(self) -> None:
+        directory = Directory({})
+        listed(directory, instance("s-stays", 1))
+        with mock.patch.object(directory_module, "MOST_GONE", 3):
+            for life in range(9):
+                listed(directory, instance(f"s-{life}", 1))
+                listed(directory, instance(f"s-{life}", 1, EndpointState.REMOVED))
+        assert directory.numbers == {"s-stays": 1, "s-6": 8, "s-7": 9, "s-8": 10}
+        listed(directory, instance("s-6", 1), instance("s-new", 1))
+        assert (directory.numbers["s-6"], directory.numbers["s-new"]) == (8, 11)
+
+    def test_shards_that_only_requests_name_leave_nothing_behind(self) -> None:
+        policy = Scheduler(config().settings)
+        for cell in range(50):
+            policy.step(100.0, [RequestArrived(f"r{cell}", 0, 0, cell, cell, cell, 1.0, 101.5, 1)])
+        for now in (150.0, 200.0):
+            policy.step(now, [])
+        assert (policy.held, policy.volumes, policy.requests, policy.tries) == ({}, {}, {}, {})
--- /dev/null
+++ b/tests/test_front_process.py
@@ -0,0 +1,138 @@
+"""The daemon as a process: its start, SIGTERM, SIGHUP, and a bad configuration."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+import tempfile
+from pathlib import Path
+
+import aiohttp
+
+from tests.http_case import (
+    HEADERS,
+    TARGET,
+    DaemonCase,
+    listing_entry,
+)
+from tests.wire import DiscoveryAgent, HttpBox, answer
+
+
+class FrontProcessTests(DaemonCase):
+    async def test_a_restarted_front_serves_by_its_last_list_at_once(self) -> None:
+        async def script(_trace: str) -> bytes:
+            return answer()
+
+        box: HttpBox = await HttpBox(script).start()
+        known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
+        silent = await asyncio.start_server(lambda _reader, _writer: asyncio.sleep(60), "127.0.0.1", 0)
+        with tempfile.TemporaryDirectory() as folder:
+            address = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
+            daemon = await self.start(folder, known=known, discovery=address)
+            line = await self.line(daemon, b"event='ready'")
+            url = f"http://127.0.0.1:{int(line.split(b'port=')[1].split(b')')[0])}"
+            async with aiohttp.ClientSession() as client:
+                async with client.get(f"{url}/up") as response:
+                    assert response.status == 200
+                async with client.get(f"{url}{TARGET}", headers={**HEADERS, "X-Trace-Id": "a"}) as response:
+                    assert response.status == 200
+            daemon.kill()
+            await daemon.wait()
+        box.stop()
+        silent.close()
+
+    async def test_sigterm_answers_what_was_accepted_and_what_still_comes(self) -> None:
+        """The process is told to end while a request is open and clients keep sending.
+
+        All of them get their answers within the grace that the platform grants, and the process exits with 0.
+        """
+        release = asyncio.Event()
+
+        async def script(trace: str) -> bytes:
+            if trace == "before":
+                await release.wait()
+            if trace == "silent":
+                await asyncio.sleep(60)
+            return answer()
+
+        box: HttpBox = await HttpBox(script).start()
+        known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
+        agent = await DiscoveryAgent(known, []).start()
+        with tempfile.TemporaryDirectory() as folder:
+            address = f"127.0.0.1:{agent.port}"
+            daemon = await self.start(folder, known=known, discovery=address)
+            assert daemon.stderr
+            line = await self.line(daemon, b"event='ready'")
+            port = int(line.split(b"port=")[1].split(b")")[0])
+            url = f"http://127.0.0.1:{port}{TARGET}"
+            async with aiohttp.ClientSession() as client:
+
+                async def fetch(trace: str) -> tuple[int, str | None]:
+                    async with client.get(url, headers={**HEADERS, "X-Trace-Id": trace}) as response:
+                        return response.status, response.headers.get("Connection")
+
+                before = asyncio.create_task(fetch("before"))
+                while not box.counts["before"]:
+                    await asyncio.sleep(0.005)
+                daemon.send_signal(signal.SIGTERM)
+                while b"event='leaving'" not in await daemon.stderr.readline():
+                    pass
+                left = asyncio.get_running_loop().time()
+                assert await fetch("after") == (200, None)  # on a connection that is kept
+                release.set()
+                assert (await before)[0] == 200
+                while asyncio.get_running_loop().time() < left + 0.9:
+                    assert (await fetch(str(box.accepted + len(box.heads))))[0] == 200
+                    await asyncio.sleep(0.1)
+                # Its time ends after the process must; idle connections are closed by then.
+                assert (await fetch("silent"))[0] in (502, 503)
+                assert asyncio.get_running_loop().time() < left + 2.2
+                async with asyncio.timeout(5):
+                    rest = await daemon.stderr.read()
+                    assert await daemon.wait() == 0, rest
+        box.stop()
+        agent.stop()
+
+    async def test_sighup_moves_to_the_files_discovery_and_keeps_the_old_on_an_error(self) -> None:
+        async def script(_trace: str) -> bytes:
+            return answer()
+
+        box: HttpBox = await HttpBox(script).start()
+        first = await DiscoveryAgent({"generation": 9, "reset": True, "instances": []}, []).start()
+        whole = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
+        second = await DiscoveryAgent(whole, []).start()
+        at = [f"127.0.0.1:{agent.port}" for agent in (first, second)]
+        with tempfile.TemporaryDirectory() as folder:
+            daemon = await self.start(folder, {"RELAY_DISCOVERY": at[0]}, discovery=at[0])
+            port = int((await self.line(daemon, b"event='ready'")).split(b"port=")[1].split(b")")[0])
+            path = Path(folder) / "config.json"
+            good = json.loads(path.read_text())
+            for change, word in (
+                ({"discovery": "nowhere"}, b"discovery: want HOST:PORT"),
+                ({"discovery": at[1], "listen": "127.0.0.1:9"}, b"moved=True next_start=['listen']"),
+                ({"discovery": at[1]}, b"moved=False next_start=[]"),
+            ):
+                path.write_text(json.dumps({**good, **change}))
+                daemon.send_signal(signal.SIGHUP)
+                assert word in await self.line(daemon, b"event='reload")
+            url = f"http://127.0.0.1:{port}{TARGET}"
+            async with aiohttp.ClientSession() as client, asyncio.timeout(10):
+                status, tries = 0, 0
+                while status != 200:  # the second agent alone lists the box
+                    tries += 1
+                    async with client.get(url, headers={**HEADERS, "X-Trace-Id": f"t{tries}"}) as response:
+                        status = response.status
+            daemon.send_signal(signal.SIGHUP)
+            daemon.send_signal(signal.SIGTERM)  # amid a reload
+            async with asyncio.timeout(5):
+                assert await daemon.wait() == 0
+        for peer in (box, first, second):
+            peer.stop()
+
+    async def test_bad_configuration_ends_with_one_line_that_names_the_key(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            daemon = await self.start(folder, listen="nowhere")
+            _, errors = await daemon.communicate()
+        assert (daemon.returncode, errors.count(b"\n")) == (2, 1)
+        assert errors.startswith(b"cleatyoke: listen: "), errors
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -6,7 +6,7 @@
 
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 from tests.host import class_spec
-from tests.test_http_front import FrontCase
+from tests.http_case import FrontCase
 from tests.wire import answer
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -18,8 +18,8 @@
 from cleatyoke.scheduling.events import AttemptOutcome, SettingsReloaded
 from cleatyoke.scheduling.settings import Idempotency
 from tests.host import Host, class_spec, entry, settings
-from tests.test_http_front import HEADERS, TARGET, DaemonCase
-from tests.test_http_front import listing_entry as listed
+from tests.http_case import HEADERS, TARGET, DaemonCase
+from tests.http_case import listing_entry as listed
 from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer
 
 
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -1,4 +1,4 @@
-"""Stories of the front for file commands, against stand-in boxes that count executions of each write."""
+"""The file front against scripted backends that count the executions of each write."""
 
 from __future__ import annotations
 
@@ -7,8 +7,6 @@
 from dataclasses import replace
 from typing import Any
 
-import pytest
-
 from cleatyoke.config.deployment import Address, SftpSettings, VolumePath
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
@@ -40,7 +38,7 @@
         return reply
 
     async def put(self, path: str, content: bytes) -> p.Status:
-        """An upload; the status that decides: of CLOSE, or of the WRITE that was turned down."""
+        """An upload; the status that decides: of CLOSE, or of the WRITE that was rejected."""
         handle = (await self.ask(p.Open(0, path, STORE, NONE))).handle
         for start in range(0, len(content), 32768):
             await self.ask(p.Write(0, handle, start, content[start : start + 32768]))
@@ -57,7 +55,7 @@
         return names
 
 
-class SftpCase(unittest.IsolatedAsyncioTestCase):
+class SftpFrontTests(unittest.IsolatedAsyncioTestCase):
     async def begin(self, *boxes: FileBox, plan: VolumePlan = PUBLIC, **changes: Any) -> Client:
         self.core, self.directory = Core(two_classes(plans=[plan])), Directory({})
         front = SftpSettings(
@@ -115,13 +113,21 @@
         missing = await client.ask(p.Open(0, "/plats/none", p.OpenFlags.READ, NONE))
         self.failed(missing, p.StatusCode.SSH_FX_NO_SUCH_FILE, "no such file")
 
-    async def test_an_upload_that_broke_after_it_may_have_been_stored_is_never_sent_again(self) -> None:
+    async def test_an_upload_that_may_have_been_stored_is_never_retried(self) -> None:
+        """A backend stores an upload, and the connection breaks before its answer.
+
+        A retry could store it twice, so the client is told that the change may have been made.
+        """
         client = await self.begin(box := FileBox(breaks=True))
         status = await client.put("/plats/t1", b"scan")
         self.failed(status, p.StatusCode.SSH_FX_FAILURE, "the change may have been made")
         assert (box.stored["/plats/t1"], box.commands.count("Open"), box.accepted) == (1, 1, 1)
 
-    async def test_a_listing_repeated_after_a_drain_does_not_reach_the_draining_box(self) -> None:
+    async def test_a_listing_after_a_drain_does_not_reach_the_draining_backend(self) -> None:
+        """A backend drains while a connection to it is kept idle.
+
+        The connection must not be used again.
+        """
         old, new = FileBox(), FileBox()
         client = await self.begin(old, new)
         old.files["/plats/t1"] = new.files["/plats/t1"] = b"scan"
@@ -137,7 +143,11 @@
         assert await client.list("/plats") == ["/plats/t1"]
         assert (old.commands, new.commands) == (before, before)
 
-    async def test_a_box_that_drains_while_the_connection_comes_up_is_sent_no_command(self) -> None:
+    async def test_a_backend_that_drains_while_the_connection_comes_up_is_sent_no_command(self) -> None:
+        """A backend begins to drain while versions are exchanged on a new connection.
+
+        Whether it serves is asked again directly before the command's first byte.
+        """
         client = await self.begin(box := FileBox())
         real = box.reply
 
@@ -151,11 +161,15 @@
         self.failed(await client.put("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "refused")
         assert box.commands == []
 
-    async def test_without_a_box_a_command_is_refused_and_nothing_was_done(self) -> None:
+    async def test_without_a_backend_a_command_is_rejected_and_nothing_was_done(self) -> None:
         client = await self.begin()
         self.failed(await client.put("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "nothing was done")
 
-    async def test_a_silent_box_is_given_up_by_the_deadline(self) -> None:
+    async def test_a_silent_backend_is_given_up_by_the_deadline(self) -> None:
+        """A backend takes an upload and never answers.
+
+        The client is answered by the deadline, and told that the change may have been made.
+        """
         client = await self.begin(box := FileBox(silent=True), deadline=0.3)
         began = self.core.now()
         status = await client.put("/plats/t1", b"scan")
@@ -163,7 +177,7 @@
         assert self.core.now() - began < 2.0
         assert box.commands == ["Open"]
 
-    async def test_uploads_beyond_the_limit_of_public_are_refused(self) -> None:
+    async def test_uploads_beyond_the_plans_rate_limit_are_rejected(self) -> None:
         plan = replace(
             PUBLIC, rate_limit=0.01, rate_limit_burst=8.0
         )  # a host that starts has none of it to spare
@@ -174,12 +188,20 @@
         assert (codes.count(p.StatusCode.SSH_FX_OK), sum(box.stored.values())) == (2, 2)
 
     async def test_an_upload_beyond_the_bound_is_not_stored_in_part(self) -> None:
+        """A client writes more than an upload may hold.
+
+        The write is rejected, and CLOSE must not store the part that came before it.
+        """
         client = await self.begin(box := FileBox())
         status = await client.put("/plats/t1", bytes(65537))
         self.failed(status, p.StatusCode.SSH_FX_FAILURE, "not stored")
         assert box.accepted == 0
 
-    async def test_bad_packets_handles_and_commands_are_told_apart(self) -> None:
+    async def test_malformed_packets_unknown_handles_and_commands_are_told_apart(self) -> None:
+        """Clients send unknown handles, unsupported commands, cut-off packets and garbage.
+
+        Each gets its own error; only a stream that can't be understood ends the session.
+        """
         client = await self.begin(FileBox())
         self.failed(await client.ask(p.Close(0, b"99")), p.StatusCode.SSH_FX_FAILURE, "unknown handle")
         self.failed(await client.ask(p.Read(0, b"99", 0, 1)), p.StatusCode.SSH_FX_FAILURE, "unknown handle")
@@ -208,7 +230,11 @@
         self.failed(reply, p.StatusCode.SSH_FX_BAD_MESSAGE, "INIT comes first")
         assert await other.reader.read() == b""
 
-    async def test_a_client_that_leaves_takes_its_command_with_it(self) -> None:
+    async def test_a_client_that_disconnects_cancels_its_command(self) -> None:
+        """A client closes while a backend works on its command.
+
+        The command is cancelled, and nothing of it stays open.
+        """
         client = await self.begin(box := FileBox(silent=True))
         client.writer.write(codec.encode(p.Stat(1, "/plats/t1")))
         async with asyncio.timeout(5):
@@ -217,19 +243,3 @@
             client.writer.close()
             while box.open or self.core.calls or self.front.sessions:
                 await asyncio.sleep(0.005)
-
-
-class PacketCase(unittest.TestCase):
-    def test_every_field_survives_encoding(self) -> None:
-        attrs = p.Attrs(5, (1, 2), 0o644, (3, 4), [(b"a", b"b")])
-        for packet in (
-            p.Open(1, "/ä\udcff", 26, attrs),
-            p.Names(2, [p.Name("a", "-rw a", attrs), p.Name("b", "b", NONE)]),
-            p.Write(3, b"h", 1 << 40, b"data"),
-            p.Status(4, 8, "no", "en"),
-        ):
-            raw = codec.encode(packet)
-            assert codec.decode(raw[4:]) == packet
-            for cut in range(5, len(raw) - 4):
-                with pytest.raises(p.PacketError):
-                    codec.decode(raw[4 : 4 + cut])
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -18,11 +18,11 @@
 from cleatyoke.vrrp.virtual_router import RouterState, VirtualRouter
 
 
-def said(priority: int, interval: float = 1.0) -> Advertisement:
+def advertisement(priority: int, interval: float = 1.0) -> Advertisement:
     return Advertisement(1, priority, interval, ("10.0.0.9",))
 
 
-class RouterCase(unittest.TestCase):
+class VirtualRouterTests(unittest.TestCase):
     def backup(self, priority: int = 128, preempt: bool = True) -> VirtualRouter:
         router = VirtualRouter(priority, 1.0, "10.0.0.2", preempt=preempt)
         assert router.startup(100.0) == []
@@ -31,30 +31,34 @@
     def test_a_backup_takes_over_after_three_intervals_and_its_skew(self) -> None:
         router = self.backup()  # skew (256 - 128) / 256 = 0.5
         assert (router.state, router.timer_at) == (RouterState.BACKUP, 103.5)
-        assert router.receive(said(200), "10.0.0.1", 102.0) == []
+        assert router.receive(advertisement(200), "10.0.0.1", 102.0) == []
         assert router.timer_at == 105.5
         assert router.on_timer(105.4) == []
         assert router.on_timer(105.5) == [128]
         assert (router.state, router.timer_at) == (RouterState.MASTER, 106.5)
 
-    def test_the_owner_is_master_at_once_and_says_so_when_it_leaves(self) -> None:
+    def test_the_owner_is_master_at_once_and_announces_its_stop(self) -> None:
         router = VirtualRouter(255, 1.0, "10.0.0.2", preempt=True)
         assert router.startup(100.0) == [255]
         assert router.shutdown() == [0]
         assert router.state == RouterState.INITIALIZE
 
-    def test_a_master_that_leaves_is_followed_after_the_skew_alone(self) -> None:
+    def test_a_stopping_master_is_followed_after_the_skew_time_alone(self) -> None:
         router = self.backup()
-        router.receive(said(0), "10.0.0.1", 101.0)
+        router.receive(advertisement(0), "10.0.0.1", 101.0)
         assert router.timer_at == 101.5
 
     def test_preemption(self) -> None:
         for preempt, due in ((True, 103.5), (False, 105.5)):
             router = self.backup(preempt=preempt)
-            router.receive(said(100), "10.0.0.1", 102.0)
+            router.receive(advertisement(100), "10.0.0.1", 102.0)
             assert router.timer_at == due
 
     def test_of_two_masters_the_higher_priority_stays_then_the_higher_address(self) -> None:
+        """Two routers are master at once, as after a split network.
+
+        Both would serve the virtual address; the lower priority, then the lower address, gives way.
+        """
         for priority, source, stays in (
             (100, "10.0.0.9", True),
             (200, "10.0.0.1", False),
@@ -63,26 +67,30 @@
         ):
             router = self.backup()
             router.on_timer(103.5)
-            router.receive(said(priority), source, 104.0)
+            router.receive(advertisement(priority), source, 104.0)
             assert (router.state is RouterState.MASTER) == stays, (priority, source)
 
-    def test_the_master_s_interval_is_the_backup_s(self) -> None:
+    def test_a_backup_takes_over_the_masters_interval(self) -> None:
         router = self.backup()
-        router.receive(said(200, 2.0), "10.0.0.1", 102.0)
+        router.receive(advertisement(200, 2.0), "10.0.0.1", 102.0)
         assert router.timer_at == 102.0 + 6.0 + 1.0
 
-    def test_messages(self) -> None:
-        message = encode_advertisement(said(100, 2.5))
+    def test_an_advertisement_survives_encoding_and_malformed_ones_are_rejected(self) -> None:
+        message = encode_advertisement(advertisement(100, 2.5))
         assert message[:6] == bytes([49, 1, 100, 1, 0, 250])
-        assert decode_advertisement(message) == said(100, 2.5)
+        assert decode_advertisement(message) == advertisement(100, 2.5)
         wrong = (b"", message[:-4], bytes([0x21]) + message[1:], message[:-1] + b"\0", message + bytes(4))
         for bad in wrong:
             with pytest.raises(AdvertisementError):
                 decode_advertisement(bad)
 
 
-class TakeoverStory(unittest.IsolatedAsyncioTestCase):
-    async def test_the_backup_is_master_once_the_master_has_left(self) -> None:
+class TakeoverTests(unittest.IsolatedAsyncioTestCase):
+    async def test_the_backup_is_master_once_the_master_has_stopped(self) -> None:
+        """The master stops, as in an upgrade.
+
+        Without its announcement nobody would serve the virtual address for the master down interval.
+        """
         carriers: list[VrrpCarrier] = []
         news: list[asyncio.Queue[bool]] = []
         for host, priority in (("127.0.0.1", 200), ("127.0.0.2", 100)):
