--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -42,7 +42,7 @@
     """Attempts at the backends of the directory.
 
     ``connect_timeout``: seconds for a new connection; ``idle_close``: seconds after which backends close an
-    idle one; ``most``: bound of the connections to all backends, new ones that come up included.
+    idle one; ``max_connections``: bound of those to all backends, new ones that come up included.
 
     Prevents requests that are lost to a connection the backend is just closing: a pooled connection is closed
     here first, at ``IDLE_FRACTION`` of the backends' idle timeout.
@@ -53,12 +53,12 @@
         directory: Directory,
         connect_timeout: float,
         idle_close: float,
-        most: int,
+        max_connections: int,
         metrics: Metrics | None = None,
     ) -> None:
         self.directory = directory
         self.connect_timeout = connect_timeout
-        self.max_connections = most
+        self.max_connections = max_connections
         self.metrics = metrics or Metrics()
         self.idle_timeout = idle_close * IDLE_FRACTION
         self.pools: dict[int, ConnectionPool] = {}
--- a/cleatyoke/http/body_limits.py
+++ b/cleatyoke/http/body_limits.py
@@ -31,9 +31,9 @@
     what it needs is kept free of the others; it ends, and the next one is first.
     """
 
-    def __init__(self, total: int, most: int = MAX_UPLOAD_BYTES) -> None:
+    def __init__(self, total: int, max_body: int = MAX_UPLOAD_BYTES) -> None:
         self.total = total
-        self.max_body = min(most, total)
+        self.max_body = min(max_body, total)
         self.reserved: dict[Hashable, int] = {}
         self.waiting: dict[Hashable, None] = {}  # the longest first; the first goes before all others
 
--- a/cleatyoke/sftp/backend_commands.py
+++ b/cleatyoke/sftp/backend_commands.py
@@ -82,7 +82,7 @@
         self._reader = reader
         self._writer = writer
 
-    async def ask(self, packet: Packet) -> Packet:
+    async def request(self, packet: Packet) -> Packet:
         """Send a packet and return its reply; raises ``PacketError``, ``OSError`` and ``EOFError``."""
         await self.send(packet)
         return await self.receive(self.last_request_id)
@@ -116,7 +116,7 @@
     """Run a command and return the reply that decides: an error, or what the client is owed."""
     match command:
         case SinglePacket(packet, _):
-            return await connection.ask(packet)
+            return await connection.request(packet)
         case ReadRange():
             return await _read_range(connection, command)
         case ListDirectory():
@@ -126,11 +126,11 @@
 
 
 async def _read_range(connection: SftpConnection, command: ReadRange) -> Packet:
-    opened = await connection.ask(Open(0, command.path, OpenFlags.READ, Attrs()))
+    opened = await connection.request(Open(0, command.path, OpenFlags.READ, Attrs()))
     if not isinstance(opened, Handle):
         return opened
-    reply = await connection.ask(Read(0, opened.handle, command.offset, command.length))
-    await connection.ask(Close(0, opened.handle))
+    reply = await connection.request(Read(0, opened.handle, command.offset, command.length))
+    await connection.request(Close(0, opened.handle))
     if not isinstance(reply, Data | Status):
         msg = f"an answer of type {reply.type}"
         raise PacketError(msg)
@@ -138,23 +138,23 @@
 
 
 async def _list_directory(connection: SftpConnection, command: ListDirectory) -> Packet:
-    opened = await connection.ask(Opendir(0, command.path))
+    opened = await connection.request(Opendir(0, command.path))
     if not isinstance(opened, Handle):
         return opened
     names: list[Name] = []
-    while isinstance(reply := await connection.ask(Readdir(0, opened.handle)), Names) and reply.names:
+    while isinstance(reply := await connection.request(Readdir(0, opened.handle)), Names) and reply.names:
         names += reply.names
         if len(names) > MAX_LISTED_NAMES:
             msg = "too long a listing"
             raise PacketError(msg)
-    await connection.ask(Close(0, opened.handle))
+    await connection.request(Close(0, opened.handle))
     is_end = isinstance(reply, Names) or (isinstance(reply, Status) and reply.code == StatusCode.SSH_FX_EOF)
     return Names(0, names) if is_end else reply
 
 
 async def _upload(connection: SftpConnection, command: Upload) -> Packet:
     """Send all packets before the first reply is awaited; the first error decides, or CLOSE's status."""
-    opened = await connection.ask(Open(0, command.path, command.flags, command.attrs))
+    opened = await connection.request(Open(0, command.path, command.flags, command.attrs))
     if not isinstance(opened, Handle):
         return opened
     first_request_id = connection.last_request_id + 1
--- a/cleatyoke/sftp/backends.py
+++ b/cleatyoke/sftp/backends.py
@@ -138,7 +138,7 @@
 
 
 async def _exchange_versions(connection: SftpConnection) -> None:
-    reply = await connection.ask(Init(VERSION))
+    reply = await connection.request(Init(VERSION))
     if not isinstance(reply, Version) or reply.id != VERSION:
         msg = "no version 3"
         raise PacketError(msg)
--- a/cleatyoke/transport/framing.py
+++ b/cleatyoke/transport/framing.py
@@ -8,18 +8,23 @@
 
 
 class MessageTooLongError(ValueError):
-    """A message of more bytes than are taken."""
+    """A message is longer than any that is accepted."""
 
 
-async def read_message(reader: asyncio.StreamReader, most: int) -> bytes:
-    """Raises ``MessageTooLong`` before any of it is read, ``EOFError`` where the stream ends before it."""
+async def read_message(reader: asyncio.StreamReader, max_bytes: int) -> bytes:
+    """Return the next message of at most ``max_bytes``.
+
+    Raises ``MessageTooLongError`` before any of the message is read, so that a peer can't make this process
+    hold more, and ``EOFError`` where the stream ends before the message does.
+    """
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
-    if length > most:
-        msg = f"a message of {length} bytes, want {most} at the most"
+    if length > max_bytes:
+        msg = f"a message of {length} bytes, want {max_bytes} at the most"
         raise MessageTooLongError(msg)
     return await reader.readexactly(length)
 
 
 async def write_message(writer: asyncio.StreamWriter, data: bytes) -> None:
+    """Write a message with its length, and wait while the stream's buffer is full."""
     writer.write(len(data).to_bytes(LENGTH_BYTES, "big") + data)
     await writer.drain()
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -855,7 +855,7 @@
     """The memory that bodies share."""
 
     def __init__(self, total: int, most: int | None) -> None:
-        self.room = BodyMemory(total=total) if most is None else BodyMemory(total=total, most=most)
+        self.room = BodyMemory(total=total) if most is None else BodyMemory(total=total, max_body=most)
 
     def take(self, body: str, size: int) -> bool:
         """Whether the body may hold so many bytes."""
