--- a/tests/http_case.py
+++ b/tests/http_case.py
@@ -23,7 +23,7 @@
 from cleatyoke.http.server import HttpServer
 from cleatyoke.transport.closing import ClosingTransport
 from cleatyoke.transport.sockets import has_unread_bytes
-from tests.wire import FACTS, HttpBox, answer, config, instance, listed
+from tests.wire import FACTS, ScriptedHttpBackend, answer, config, instance, listed
 
 ROOT = Path(__file__).resolve().parent.parent
 HEADERS = {
@@ -74,7 +74,7 @@
     """One front with one scripted backend, and a client."""
 
     async def start_front(self, script: Any, most: int = 32) -> None:
-        self.backend: HttpBox = await HttpBox(script).start()
+        self.backend: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
         self.backends = BackendPools(self.directory, 0.25, 30.0, most)
         self.ready = False
--- a/tests/test_connection_flood.py
+++ b/tests/test_connection_flood.py
@@ -19,7 +19,7 @@
     listing_entry,
     request_bytes,
 )
-from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer
+from tests.wire import FACTS, DiscoveryAgent, ScriptedHttpBackend, answer
 
 SOCKETS = 160  # descriptors of the process: a third of what the smallest days have
 
@@ -37,7 +37,7 @@
             await release.wait()
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         boxes = [
             {**listing_entry("SERVING", box.port), "instanceId": f"s-{one}", "cell": one} for one in range(12)
         ]
@@ -119,7 +119,7 @@
             await release.wait()
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
         bad = [
             b"\x16\x03\x01\x02\x00" * 50,
--- a/tests/test_front_process.py
+++ b/tests/test_front_process.py
@@ -16,7 +16,7 @@
     DaemonCase,
     listing_entry,
 )
-from tests.wire import DiscoveryAgent, HttpBox, answer
+from tests.wire import DiscoveryAgent, ScriptedHttpBackend, answer
 
 
 class FrontProcessTests(DaemonCase):
@@ -24,7 +24,7 @@
         async def script(_trace: str) -> bytes:
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
         silent = await asyncio.start_server(lambda _reader, _writer: asyncio.sleep(60), "127.0.0.1", 0)
         with tempfile.TemporaryDirectory() as folder:
@@ -56,7 +56,7 @@
                 await asyncio.sleep(60)
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
         agent = await DiscoveryAgent(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
@@ -98,7 +98,7 @@
         async def script(_trace: str) -> bytes:
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         first = await DiscoveryAgent({"generation": 9, "reset": True, "instances": []}, []).start()
         whole = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
         second = await DiscoveryAgent(whole, []).start()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -25,7 +25,7 @@
 from cleatyoke.process.handover import HoldFile
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import EndpointState
-from tests.wire import HttpBox, config, instance, listed
+from tests.wire import ScriptedHttpBackend, config, instance, listed
 from tests.wire import answer as box_answer
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -157,7 +157,7 @@
         async def script(trace: str) -> bytes:
             return box_answer()
 
-        self.backend: HttpBox = await HttpBox(script).start()
+        self.backend: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         self.core, self.directory = Core(config().settings), Directory({})
         self.backends = BackendPools(self.directory, 0.25, 30.0, 32)
         self.front = HttpServer(config(), self.core, self.backends, lambda: True)
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -23,7 +23,7 @@
 from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.load_probes import ENOUGH, FRESH, LEAST, PERIOD, LoadProber
 from tests.test_simhost import FACTS, ROOT, SHELF
-from tests.wire import Directory, HttpBox, answer, config, instance, listed
+from tests.wire import Directory, ScriptedHttpBackend, answer, config, instance, listed
 
 RAMP = 10.0
 
@@ -160,7 +160,7 @@
         async def script(trace: str) -> bytes:
             raise AssertionError("no request was made")
 
-        class Asked(HttpBox):
+        class Asked(ScriptedHttpBackend):
             silent = False
 
             async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -20,7 +20,7 @@
 from tests.host import Host, class_spec, entry, settings
 from tests.http_case import HEADERS, TARGET, DaemonCase
 from tests.http_case import listing_entry as listed
-from tests.wire import FACTS, DiscoveryAgent, HttpBox, answer
+from tests.wire import FACTS, DiscoveryAgent, ScriptedHttpBackend, answer
 
 
 class PlacesCase(unittest.TestCase):
@@ -156,7 +156,7 @@
         async def script(trace: str) -> bytes:
             return answer()
 
-        box: HttpBox = await HttpBox(script).start()
+        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         known = {"generation": 1, "reset": True, "instances": [listed("SERVING", box.port)]}
         agent = await DiscoveryAgent(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -17,7 +17,7 @@
 from cleatyoke.sftp.backends import SftpBackends
 from cleatyoke.sftp.server import SftpServer
 from tests.host import plan_spec
-from tests.wire import FileBox, instance, listed, two_classes
+from tests.wire import ScriptedSftpBackend, instance, listed, two_classes
 
 NONE = p.Attrs()
 STORE = p.OpenFlags.WRITE | p.OpenFlags.CREAT | p.OpenFlags.TRUNC
@@ -56,7 +56,7 @@
 
 
 class SftpFrontTests(unittest.IsolatedAsyncioTestCase):
-    async def begin(self, *boxes: FileBox, plan: VolumePlan = PUBLIC, **changes: Any) -> Client:
+    async def begin(self, *boxes: ScriptedSftpBackend, plan: VolumePlan = PUBLIC, **changes: Any) -> Client:
         self.core, self.directory = Core(two_classes(plans=[plan])), Directory({})
         front = SftpSettings(
             Address("127.0.0.1", 0), [VolumePath("/plats", 7, 0, 0, 1)], 0, 1, 0, 65536, 8192, 4, 5.0, 1.0
@@ -94,7 +94,7 @@
         assert said in status.message
 
     async def test_an_upload_is_stored_once_and_read_and_listed_and_renamed(self) -> None:
-        client = await self.begin(box := FileBox())
+        client = await self.begin(box := ScriptedSftpBackend())
         scan = bytes(range(256)) * 200
         assert (await client.put("/plats/t1", scan)).code == p.StatusCode.SSH_FX_OK
         assert (box.files["/plats/t1"], box.stored["/plats/t1"]) == (scan, 1)
@@ -118,7 +118,7 @@
 
         A retry could store it twice, so the client is told that the change may have been made.
         """
-        client = await self.begin(box := FileBox(breaks=True))
+        client = await self.begin(box := ScriptedSftpBackend(breaks=True))
         status = await client.put("/plats/t1", b"scan")
         self.failed(status, p.StatusCode.SSH_FX_FAILURE, "the change may have been made")
         assert (box.stored["/plats/t1"], box.commands.count("Open"), box.accepted) == (1, 1, 1)
@@ -128,7 +128,7 @@
 
         The connection must not be used again.
         """
-        old, new = FileBox(), FileBox()
+        old, new = ScriptedSftpBackend(), ScriptedSftpBackend()
         client = await self.begin(old, new)
         old.files["/plats/t1"] = new.files["/plats/t1"] = b"scan"
         assert await client.list("/plats") == ["/plats/t1"]
@@ -148,7 +148,7 @@
 
         Whether it serves is asked again directly before the command's first byte.
         """
-        client = await self.begin(box := FileBox())
+        client = await self.begin(box := ScriptedSftpBackend())
         real = box.reply
 
         def reply(packet: p.Packet, handles: Any) -> p.Packet | None:
@@ -170,7 +170,7 @@
 
         The client is answered by the deadline, and told that the change may have been made.
         """
-        client = await self.begin(box := FileBox(silent=True), deadline=0.3)
+        client = await self.begin(box := ScriptedSftpBackend(silent=True), deadline=0.3)
         began = self.core.now()
         status = await client.put("/plats/t1", b"scan")
         self.failed(status, p.StatusCode.SSH_FX_FAILURE, "the change may have been made")
@@ -181,7 +181,7 @@
         plan = replace(
             PUBLIC, rate_limit=0.01, rate_limit_burst=8.0
         )  # a host that starts has none of it to spare
-        client = await self.begin(box := FileBox(), plan=plan, deadline=0.4)
+        client = await self.begin(box := ScriptedSftpBackend(), plan=plan, deadline=0.4)
         self.failed(await client.put("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "refused")
         self.core.policy.volumes[7].limit.level = 2.0
         codes = [(await client.put(f"/plats/u{n}", b"scan")).code for n in range(4)]
@@ -192,7 +192,7 @@
 
         The write is rejected, and CLOSE must not store the part that came before it.
         """
-        client = await self.begin(box := FileBox())
+        client = await self.begin(box := ScriptedSftpBackend())
         status = await client.put("/plats/t1", bytes(65537))
         self.failed(status, p.StatusCode.SSH_FX_FAILURE, "not stored")
         assert box.accepted == 0
@@ -202,7 +202,7 @@
 
         Each gets its own error; only a stream that can't be understood ends the session.
         """
-        client = await self.begin(FileBox())
+        client = await self.begin(ScriptedSftpBackend())
         self.failed(await client.ask(p.Close(0, b"99")), p.StatusCode.SSH_FX_FAILURE, "unknown handle")
         self.failed(await client.ask(p.Read(0, b"99", 0, 1)), p.StatusCode.SSH_FX_FAILURE, "unknown handle")
         both = p.Open(0, "/plats/a", p.OpenFlags.READ | p.OpenFlags.WRITE, NONE)
@@ -235,7 +235,7 @@
 
         The command is cancelled, and nothing of it stays open.
         """
-        client = await self.begin(box := FileBox(silent=True))
+        client = await self.begin(box := ScriptedSftpBackend(silent=True))
         client.writer.write(codec.encode(p.Stat(1, "/plats/t1")))
         async with asyncio.timeout(5):
             while not box.commands:
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -22,14 +22,14 @@
     listing_entry,
     request_bytes,
 )
-from tests.wire import FACTS, HttpBox
+from tests.wire import FACTS, ScriptedHttpBackend
 
 
 class SignalTests(unittest.IsolatedAsyncioTestCase):
     """Signals as the loop's handlers take them, on a daemon in this process."""
 
     async def asyncSetUp(self) -> None:
-        self.box: HttpBox = await HttpBox(answer_at_once).start()
+        self.box: ScriptedHttpBackend = await ScriptedHttpBackend(answer_at_once).start()
         self.addCleanup(self.box.stop)
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         path = Path(self.folder) / "config.json"
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -74,7 +74,7 @@
 Script = Callable[[str], Awaitable[bytes | AsyncIterator[bytes] | None]]
 
 
-class HttpBox(Peer):
+class ScriptedHttpBackend(Peer):
     """Counts each request that came whole, by its id, and answers as scripted."""
 
     def __init__(self, script: Script) -> None:
@@ -139,7 +139,7 @@
             return
 
 
-class FileBox(Peer):
+class ScriptedSftpBackend(Peer):
     """A box for file commands; ``stored`` counts executions of a write, at its CLOSE, by path."""
 
     def __init__(self, breaks: bool = False, silent: bool = False) -> None:
