--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -84,7 +84,7 @@
         word = asyncio.Event()
         step = self.core.step
 
-        def hold() -> None:  # the policy's word and the client's end come in one turn, the word first
+        def hold() -> None:  # the decision and the client's end come in one turn, the decision first
             step()
             if self.core.calls:
                 streams[1].transport.abort()
--- a/tests/test_front_process.py
+++ b/tests/test_front_process.py
@@ -119,7 +119,7 @@
             url = f"http://127.0.0.1:{port}{TARGET}"
             async with aiohttp.ClientSession() as client, asyncio.timeout(10):
                 status, tries = 0, 0
-                while status != 200:  # the second agent alone lists the box
+                while status != 200:  # the second agent alone lists the backend
                     tries += 1
                     async with client.get(url, headers={**HEADERS, "X-Trace-Id": f"t{tries}"}) as response:
                         status = response.status
--- a/tests/test_http_answers.py
+++ b/tests/test_http_answers.py
@@ -69,7 +69,7 @@
         chunked = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + b"2\r\nti\r\n2\r\nle\r\n0\r\n\r\n"
         early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: tea\r\n\r\n"
         noise = b"\x00noise"
-        large = answer(200, b"tile" * 70_000)  # boxes send more than a request may hold
+        large = answer(200, b"tile" * 70_000)  # backends send more than a request may hold
         cases = [early + good, chunked, large, good + good, good + noise, chunked + noise, chunked + good]
 
         async def script(trace: str) -> bytes:
@@ -116,7 +116,7 @@
         await self.start_front(script, most=2)
         listed(self.directory, instance("s-a", self.backend.port), instance("s-b", self.backend.port, cell=1))
         with mock.patch.object(backends_module, "REUSE_DELAY", 60):
-            for trace in "ab":  # the first one rests, so that the second takes another
+            for trace in "ab":  # the first one may not be reused yet, so the second opens another
                 await self.attempt(1, client_request(trace))
             assert (self.backend.accepted, self.backends.open_connections) == (2, 2)
             await self.attempt(2, client_request("c"))
@@ -124,7 +124,7 @@
         self.backends.pools[1].idle[0].reusable_at = 0.0
         await self.attempt(1, client_request("d"))
         assert (self.backend.accepted, self.backends.open_connections) == (3, 2)
-        self.backend.stop()  # the boxes close their idle connections
+        self.backend.stop()  # the backends close their idle connections
         await self.wait_until(lambda: self.backends.open_connections == 0)
 
     async def test_an_answer_that_ends_with_its_connection_is_served_and_a_reset_one_is_not(self) -> None:
--- a/tests/test_http_attempts.py
+++ b/tests/test_http_attempts.py
@@ -72,7 +72,7 @@
         await self.start_front(lambda _trace: asyncio.sleep(60))
         began = self.core.now()
         status, _ = await self.send_request("t", "PUT", b"scan", X_Expires_In_Ms="300")
-        assert self.core.now() - began < 2.0  # the box would take a minute
+        assert self.core.now() - began < 2.0  # the backend would take a minute
         assert (status, self.backend.counts["t"]) == (502, 1)
         await self.wait_until(lambda: self.backend.open == 0)  # the given-up attempt's connection is closed
 
@@ -88,7 +88,7 @@
         """
         await self.start_front(lambda _trace: asyncio.sleep(60))
         self.front.config.give_up[1] = 0.3
-        async with asyncio.timeout(5):  # the box would take a minute
+        async with asyncio.timeout(5):  # the backend would take a minute
             assert (await self.send_request("t", "PUT", b"scan", X_Expires_In_Ms="600000"))[0] == 502
 
     async def test_without_a_serving_backend_a_request_is_rejected_at_once(self) -> None:
--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -87,7 +87,7 @@
             await self.wait_until(lambda: len(self.front.connections.clients) == 2)
             waiting = await self.connect(self.request_head("t"))
             listener = self.front.listener
-            await self.wait_until(lambda: listener and listener.pause_timer)  # it waits for room
+            await self.wait_until(lambda: listener and listener.pause_timer)  # it waits for capacity
         for one in self.front.connections.silent:
             one.opened_at = 0.0
         for place, (_, writer) in enumerate(young):
--- a/tests/test_http_requests.py
+++ b/tests/test_http_requests.py
@@ -83,7 +83,7 @@
         assert self.backend.accepted == 0
         reader, writer = await self.connect(self.request_head("late"))
         await self.wait_until(lambda: self.backend.counts["late"])
-        writer.write(hidden)  # behind a request that is already at the box, and is owed one error
+        writer.write(hidden)  # behind a request that is already at the backend, and is owed one error
         heard = await reader.read()
         assert (heard[8:13], heard.count(b"HTTP/")) == (b" 400 ", 1), heard
         assert b"Connection: close" in heard
--- a/tests/test_http_streaming.py
+++ b/tests/test_http_streaming.py
@@ -45,7 +45,7 @@
         await self.start_front(script)
         for trace in ("a", "chunked", "b", "c"):
             assert await self.send_request(trace) == (200, body), trace
-            await asyncio.sleep(0.05)  # a connection rests before it is used again
+            await asyncio.sleep(0.05)  # a connection is not reused at once
         assert (self.backend.accepted, self.backends.open_connections) == (1, 1)
         assert await self.send_request("closes") == (200, body)
         assert await self.send_request("closes-short") == (200, body[:9])
