--- a/tests/http_case.py
+++ b/tests/http_case.py
@@ -126,7 +126,9 @@
 class OneClientCase(FrontCase):
     """A front, and its only client's connection in hand on both sides."""
 
-    async def meet(self, script: Any = answer_at_once, *parts: bytes) -> tuple[ClientConnection, Streams]:
+    async def connect_client(
+        self, script: Any = answer_at_once, *parts: bytes
+    ) -> tuple[ClientConnection, Streams]:
         await self.start_front(script)
         streams = await self.connect(*parts)
         await self.wait_until(lambda: self.front.connections.clients)
@@ -141,7 +143,9 @@
         assert isinstance(client.transport, ClosingTransport)
         return client.transport
 
-    async def unread(self, client: ClientConnection, streams: Streams, *parts: bytes) -> ClosingTransport:
+    async def hold_unread(
+        self, client: ClientConnection, streams: Streams, *parts: bytes
+    ) -> ClosingTransport:
         """Bytes that have come and that the loop has not read."""
         transport = self.transport(client)
         transport.pause_reading()
@@ -149,7 +153,7 @@
         await self.wait_until(lambda: has_unread_bytes(transport))
         return transport
 
-    async def served_and_closed(self, streams: Streams) -> None:
+    async def expect_answer_and_close(self, streams: Streams) -> None:
         """One whole answer, and then an end in order: no reset."""
         async with asyncio.timeout(5):
             heard = await streams[0].read()
@@ -160,7 +164,7 @@
 class DaemonCase(unittest.IsolatedAsyncioTestCase):
     """Starts the daemon as a process and reads its log."""
 
-    async def start(
+    async def start_daemon(
         self, folder: str, variables: dict[str, str] | None = None, **changes: Any
     ) -> asyncio.subprocess.Process:
         path = Path(folder) / "config.json"
@@ -183,7 +187,7 @@
             env={**kept, **(variables or {}), "RELAY_CONFIG": str(path)},
         )
 
-    async def line(self, daemon: asyncio.subprocess.Process, word: bytes) -> bytes:
+    async def wait_for_line(self, daemon: asyncio.subprocess.Process, word: bytes) -> bytes:
         assert daemon.stderr
         async with asyncio.timeout(10):
             while word not in (line := await daemon.stderr.readline()):
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -19,7 +19,7 @@
     async def while_a_connection_comes_up(self, leave: Any) -> None:
         """A client that goes while its attempt is dialled, its end not yet read by the loop."""
         dialling, up = asyncio.Event(), asyncio.Event()
-        client, streams = await self.meet()
+        client, streams = await self.connect_client()
         dial = self.backends.connect
 
         async def late(pool: Any) -> BackendConnection:
@@ -69,7 +69,7 @@
             turned_away.set()
             return answer(503, b"", "X-Never-Ran: 1")
 
-        client, streams = await self.meet(script)
+        client, streams = await self.connect_client(script)
         streams[1].write(self.request_head("t"))
         await turned_away.wait()
         await self.wait_until(lambda: not self.core.calls)
@@ -80,7 +80,7 @@
 
         Nothing is sent, and the node's slot is given back.
         """
-        client, streams = await self.meet()
+        client, streams = await self.connect_client()
         word = asyncio.Event()
         step = self.core.step
 
--- a/tests/test_concurrent_starts.py
+++ b/tests/test_concurrent_starts.py
@@ -27,8 +27,8 @@
         async def one(known: dict[str, Any]) -> None:
             begun = loop.time()
             with tempfile.TemporaryDirectory() as folder:
-                daemon = await self.start(folder, known=known, discovery=discovery)
-                line = await self.line(daemon, b"event='ready'")
+                daemon = await self.start_daemon(folder, known=known, discovery=discovery)
+                line = await self.wait_for_line(daemon, b"event='ready'")
                 port = int(line.split(b"port=")[1].split(b")")[0])
                 up = b""
                 while b" 200 " not in up:
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -31,7 +31,7 @@
 
             return pieces()
 
-        _, streams = await self.meet(script, self.request_head("t"))
+        _, streams = await self.connect_client(script, self.request_head("t"))
         await begun.wait()
         await streams[0].readuntil(b"\r\n\r\n")
         streams[1].write(self.request_head("next"))
@@ -50,13 +50,13 @@
             await release.wait()
             return answer()
 
-        client, streams = await self.meet(script, self.request_head("t"))
+        client, streams = await self.connect_client(script, self.request_head("t"))
         await self.wait_until(lambda: self.backend.counts["t"])
         self.front.is_closing = True
-        await self.unread(client, streams, self.request_head("next"))
+        await self.hold_unread(client, streams, self.request_head("next"))
         release.set()
         await self.wait_until(lambda: self.front.connections.closing)
-        await self.served_and_closed(streams)
+        await self.expect_answer_and_close(streams)
         assert self.backend.counts["next"] == 0, "read after the shutdown, it must not be sent on"
 
     async def test_a_rejected_upload_is_told_why_though_none_of_it_is_read(self) -> None:
@@ -67,14 +67,14 @@
         head = self.request_head("t", "Content-Length: 60000000", method="PUT").replace(
             b"tile-read", b"record-write"
         )
-        _, streams = await self.meet(answer_at_once, head, bytes(200_000))
+        _, streams = await self.connect_client(answer_at_once, head, bytes(200_000))
         async with asyncio.timeout(5):
             heard = await streams[0].read()
         assert heard[9:12] == b"413"
 
     async def given_up(self, behind: bytes, part: float) -> None:
         with mock.patch.multiple(closing_module, CLOSE_TIMEOUT=part, MAX_DISCARDED_BYTES=1 << 16):
-            _, streams = await self.meet(answer_at_once, self.request_head("t"))
+            _, streams = await self.connect_client(answer_at_once, self.request_head("t"))
             self.front.is_closing = True
             await self.wait_until(lambda: self.front.connections.closing)
             streams[1].write(behind)
--- a/tests/test_connection_flood.py
+++ b/tests/test_connection_flood.py
@@ -69,7 +69,7 @@
                 env={**kept, "RELAY_CONFIG": str(path), "TMPDIR": folder},
                 preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS)),
             )
-            line = await self.line(daemon, b"event='ready'")
+            line = await self.wait_for_line(daemon, b"event='ready'")
             port = int(line.split(b"port=")[1].split(b")")[0])
             for number in range(3 * SOCKETS):
                 flood.append(one := socket.socket())
@@ -85,7 +85,7 @@
             await agent.start()
             path.write_text(json.dumps({**values, "discovery": f"127.0.0.1:{agent.port}"}))
             daemon.send_signal(signal.SIGHUP)
-            await self.line(daemon, b"event='reloaded'")
+            await self.wait_for_line(daemon, b"event='reloaded'")
             async with asyncio.timeout(10):
                 while not agent.asked:
                     await asyncio.sleep(0.01)
@@ -133,8 +133,8 @@
         with tempfile.TemporaryDirectory() as folder:
             # The flood may last for longer than a usual aim, past which no attempt is waited for.
             lanes = [{**lane, "AimS": 4.0, "GiveUpS": 8.0} for lane in FACTS["Lanes"]]
-            daemon = await self.start(folder, known=known, settings={**FACTS, "Lanes": lanes})
-            line = await self.line(daemon, b"event='ready'")
+            daemon = await self.start_daemon(folder, known=known, settings={**FACTS, "Lanes": lanes})
+            line = await self.wait_for_line(daemon, b"event='ready'")
             port = int(line.split(b"port=")[1].split(b")")[0])
             taken = []
             for number in range(8):
--- a/tests/test_front_process.py
+++ b/tests/test_front_process.py
@@ -29,8 +29,8 @@
         silent = await asyncio.start_server(lambda _reader, _writer: asyncio.sleep(60), "127.0.0.1", 0)
         with tempfile.TemporaryDirectory() as folder:
             address = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
-            daemon = await self.start(folder, known=known, discovery=address)
-            line = await self.line(daemon, b"event='ready'")
+            daemon = await self.start_daemon(folder, known=known, discovery=address)
+            line = await self.wait_for_line(daemon, b"event='ready'")
             url = f"http://127.0.0.1:{int(line.split(b'port=')[1].split(b')')[0])}"
             async with aiohttp.ClientSession() as client:
                 async with client.get(f"{url}/up") as response:
@@ -61,9 +61,9 @@
         agent = await DiscoveryAgent(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
             address = f"127.0.0.1:{agent.port}"
-            daemon = await self.start(folder, known=known, discovery=address)
+            daemon = await self.start_daemon(folder, known=known, discovery=address)
             assert daemon.stderr
-            line = await self.line(daemon, b"event='ready'")
+            line = await self.wait_for_line(daemon, b"event='ready'")
             port = int(line.split(b"port=")[1].split(b")")[0])
             url = f"http://127.0.0.1:{port}{TARGET}"
             async with aiohttp.ClientSession() as client:
@@ -104,8 +104,8 @@
         second = await DiscoveryAgent(whole, []).start()
         at = [f"127.0.0.1:{agent.port}" for agent in (first, second)]
         with tempfile.TemporaryDirectory() as folder:
-            daemon = await self.start(folder, {"RELAY_DISCOVERY": at[0]}, discovery=at[0])
-            port = int((await self.line(daemon, b"event='ready'")).split(b"port=")[1].split(b")")[0])
+            daemon = await self.start_daemon(folder, {"RELAY_DISCOVERY": at[0]}, discovery=at[0])
+            port = int((await self.wait_for_line(daemon, b"event='ready'")).split(b"port=")[1].split(b")")[0])
             path = Path(folder) / "config.json"
             good = json.loads(path.read_text())
             for change, word in (
@@ -115,7 +115,7 @@
             ):
                 path.write_text(json.dumps({**good, **change}))
                 daemon.send_signal(signal.SIGHUP)
-                assert word in await self.line(daemon, b"event='reload")
+                assert word in await self.wait_for_line(daemon, b"event='reload")
             url = f"http://127.0.0.1:{port}{TARGET}"
             async with aiohttp.ClientSession() as client, asyncio.timeout(10):
                 status, tries = 0, 0
@@ -132,7 +132,7 @@
 
     async def test_bad_configuration_ends_with_one_line_that_names_the_key(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            daemon = await self.start(folder, listen="nowhere")
+            daemon = await self.start_daemon(folder, listen="nowhere")
             _, errors = await daemon.communicate()
         assert (daemon.returncode, errors.count(b"\n")) == (2, 1)
         assert errors.startswith(b"cleatyoke: listen: "), errors
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -24,24 +24,24 @@
 
         Its connection looks idle, and must not be closed as such.
         """
-        client, streams = await self.meet()
+        client, streams = await self.connect_client()
         await self.wait_until(lambda: client in self.front.connections.idle)
-        transport = await self.unread(client, streams, self.request_head("t"))
+        transport = await self.hold_unread(client, streams, self.request_head("t"))
         self.front.stop_accepting()
         await asyncio.sleep(0)
         transport.resume_reading()
-        await self.served_and_closed(streams)
+        await self.expect_answer_and_close(streams)
 
     async def test_a_head_of_which_a_part_has_come_as_accepting_ends_is_read_on(self) -> None:
         """Half a head has come as the front stops accepting.
 
         Its client is owed an answer: the rest is read.
         """
-        client, streams = await self.meet(answer_at_once, self.request_head("t")[:20])
+        client, streams = await self.connect_client(answer_at_once, self.request_head("t")[:20])
         await self.wait_until(lambda: client.head_started_at)
         self.front.stop_accepting()
         streams[1].write(self.request_head("t")[20:])
-        await self.served_and_closed(streams)
+        await self.expect_answer_and_close(streams)
 
     async def test_a_body_that_is_on_its_way_as_accepting_ends_is_read_to_its_end(self) -> None:
         """Half a body has come as the front stops accepting.
@@ -51,12 +51,12 @@
         head = self.request_head("t", "Content-Length: 9", method="PUT").replace(
             b"tile-read", b"record-write"
         )
-        client, streams = await self.meet(answer_at_once, head + b"half")
+        client, streams = await self.connect_client(answer_at_once, head + b"half")
         await self.wait_until(lambda: client.is_busy)
         self.front.stop_accepting()
         await asyncio.sleep(0)
         streams[1].write(b"there")
-        await self.served_and_closed(streams)
+        await self.expect_answer_and_close(streams)
         assert self.backend.bodies["t"] == b"halfthere"
 
     async def test_what_waits_in_the_backlog_as_the_listener_closes_is_answered(self) -> None:
@@ -96,7 +96,7 @@
 
         It must not keep the process until its idle timeout.
         """
-        client, streams = await self.meet()
+        client, streams = await self.connect_client()
         client.opened_at -= client_connections_module.DRAIN_SILENCE_TIMEOUT
         self.front.stop_accepting()
         async with asyncio.timeout(1):
@@ -109,12 +109,12 @@
 
         An exit at that moment could reset the connection and lose the answer.
         """
-        client, streams = await self.meet(answer_at_once, self.request_head("t"))
+        client, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         self.front.is_closing = True
         await self.wait_until(lambda: self.front.connections.closing)
         assert self.front.open_connections() == 1
         assert client not in self.front.connections.clients
-        await self.served_and_closed(streams)
+        await self.expect_answer_and_close(streams)
         streams[1].close()
         await self.wait_until(lambda: not self.front.open_connections())
 
@@ -123,7 +123,7 @@
 
         It has had the time to read, so the process need not wait for it.
         """
-        _, streams = await self.meet(answer_at_once, self.request_head("t"))
+        _, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         self.front.is_closing = True
         await self.wait_until(lambda: self.front.connections.closing)
         assert self.front.open_connections() == 1
@@ -131,19 +131,19 @@
             while self.front.open_connections():
                 await asyncio.sleep(0.005)
         assert len(self.front.connections.closing) == 1
-        await self.served_and_closed(streams)
+        await self.expect_answer_and_close(streams)
 
     async def test_a_drain_closes_no_connection_on_which_something_has_come(self) -> None:
         """An operator drains the front while a request has come that is unread.
 
         The connection looks idle, and is closed only with the request's answer.
         """
-        client, streams = await self.meet(answer_at_once, self.request_head("t"))
+        client, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
         await self.wait_until(lambda: client in self.front.connections.idle)
-        transport = await self.unread(client, streams, self.request_head("u"))
+        transport = await self.hold_unread(client, streams, self.request_head("u"))
         self.front.drain.start()
         self.front.close_idle_connections()
         assert not transport.is_closing()
         transport.resume_reading()
-        await self.served_and_closed(streams)
+        await self.expect_answer_and_close(streams)
--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -149,9 +149,9 @@
 
 class UnreadBytesTests(OneClientCase):
     async def idle_limit(self, read_first: bool) -> None:
-        client, streams = await self.meet()
+        client, streams = await self.connect_client()
         await self.wait_until(lambda: client in self.front.connections.idle)
-        transport = await self.unread(client, streams, self.request_head("t"))
+        transport = await self.hold_unread(client, streams, self.request_head("t"))
         client._next_keepalive_close_time = 0.0
         if read_first:  # the loop reads, then its timer is due
             client.data_received(self.request_head("u"))
@@ -181,7 +181,7 @@
         head = self.request_head("t", "Content-Length: 9", method="PUT").replace(
             b"tile-read", b"record-write"
         )
-        client, streams = await self.meet(answer_at_once, head + b"half")
+        client, streams = await self.connect_client(answer_at_once, head + b"half")
         await self.wait_until(lambda: client.is_busy)
         await asyncio.sleep(0.02)  # it waits for the rest
         loop: Any = asyncio.get_running_loop()
@@ -190,7 +190,7 @@
         if read_first:
             client.data_received(b"there")
         else:
-            (await self.unread(client, streams, b"there")).resume_reading()
+            (await self.hold_unread(client, streams, b"there")).resume_reading()
         timer._run()  # the loop finds it due now
         async with asyncio.timeout(5):
             assert b" 200 " in await streams[0].readline()
@@ -215,7 +215,7 @@
 
         Closing it would cost the request, or the answer that its client has not read.
         """
-        client, streams = await self.meet(answer_at_once, self.request_head("t"))
+        client, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
         await self.wait_until(lambda: client in self.front.connections.idle)
         self.front.connections.max_clients = 1
@@ -223,7 +223,7 @@
         self.front.connections.idle[client] = self.core.loop.time() + 60
         assert not self.front.connections.has_capacity(), "its reader has had no time for the answer"
         self.front.connections.idle[client] = 0.0
-        transport = await self.unread(client, streams, self.request_head("u"))
+        transport = await self.hold_unread(client, streams, self.request_head("u"))
         assert not self.front.connections.has_capacity()
         transport.resume_reading()
         assert b" 200 " in await streams[0].readline()
@@ -233,11 +233,11 @@
 
         The request is complete, so its connection must stay.
         """
-        client, streams = await self.meet(answer_at_once, self.request_head("t")[:30])
+        client, streams = await self.connect_client(answer_at_once, self.request_head("t")[:30])
         await self.wait_until(lambda: client.head_started_at)
         self.front.connections.max_clients = 1
         client.head_started_at = client.opened_at = 0.001
-        transport = await self.unread(client, streams, self.request_head("t")[30:])
+        transport = await self.hold_unread(client, streams, self.request_head("t")[30:])
         assert not self.front.connections.has_capacity()
         transport.resume_reading()
         assert b" 200 " in await streams[0].readline()
@@ -247,7 +247,7 @@
 
         Nagle's algorithm would hold them back until the peer's next acknowledgement.
         """
-        client, streams = await self.meet(answer_at_once, self.request_head("t"))
+        client, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
         (line,) = self.backends.pools[1].idle
         for transport in (self.transport(client), line.transport):
@@ -261,7 +261,7 @@
         Counted as idle too early, the connection would be closed and the answer lost.
         """
         seen: list[bool] = []
-        client, streams = await self.meet()
+        client, streams = await self.connect_client()
         finish = RequestHandler.finish_response
 
         async def look(one: ClientConnection, *words: Any) -> Any:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -160,8 +160,8 @@
         known = {"generation": 1, "reset": True, "instances": [listed("SERVING", box.port)]}
         agent = await DiscoveryAgent(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
-            daemon = await self.start(folder, known=known, discovery=f"127.0.0.1:{agent.port}")
-            line = await self.line(daemon, b"event='ready'")
+            daemon = await self.start_daemon(folder, known=known, discovery=f"127.0.0.1:{agent.port}")
+            line = await self.wait_for_line(daemon, b"event='ready'")
             url = f"http://127.0.0.1:{int(line.split(b'port=')[1].split(b')')[0])}{TARGET}"
             path = Path(folder) / "config.json"
             values = json.loads(path.read_text())
@@ -177,17 +177,17 @@
                 assert await ask(client, "scan", "b") == 400
                 path.write_text(json.dumps(values))
                 daemon.send_signal(signal.SIGHUP)
-                assert b"retuned=True" in await self.line(daemon, b"event='reloaded'")
+                assert b"retuned=True" in await self.wait_for_line(daemon, b"event='reloaded'")
                 assert await ask(client, "scan", "c") == 200
                 assert await ask(client, "tile-read", "d") == 400
                 values["settings"]["Extra"] = {"ChangesData": [False]}  # says nothing of the second
                 path.write_text(json.dumps(values))
                 daemon.send_signal(signal.SIGHUP)
-                await self.line(daemon, b"event='reloaded'")
+                await self.wait_for_line(daemon, b"event='reloaded'")
                 assert await ask(client, "record-write", "w") == 200
                 path.write_text(path.read_text()[:-9])
                 daemon.send_signal(signal.SIGHUP)
-                await self.line(daemon, b"event='reload_failed'")
+                await self.wait_for_line(daemon, b"event='reload_failed'")
                 assert await ask(client, "scan", "e") == 200
             daemon.terminate()
             assert await daemon.wait() == 0
