--- a/cleatyoke/admin/prometheus.py
+++ b/cleatyoke/admin/prometheus.py
@@ -17,7 +17,7 @@
 
 from cleatyoke.config.addresses import Address
 from cleatyoke.process.metrics import OUTCOMES, Metrics, NodeCounts
-from cleatyoke.transport.sockets import Listener
+from cleatyoke.transport.listener import Listener
 
 MAX_CONNECTIONS = 8  # at a time: a scraper or two
 IDLE_TIMEOUT = 5.0  # seconds that a connection may stand without a request
--- a/cleatyoke/config/socket_budget.py
+++ b/cleatyoke/config/socket_budget.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from cleatyoke.http.body_limits import MOST_UPLOAD
+from cleatyoke.http.body_limits import MAX_UPLOAD_BYTES
 
 DEFAULT_SOCKETS = 1024  # the deployment page's maximum, where the configuration names none
 RESERVED_SOCKETS = 56  # listeners, log, two discovery connections, files, connections that are being closed
@@ -42,5 +42,5 @@
     The process itself takes about 30 MB of the memory.
     """
     if not memory_mb:
-        return _MIN_BODY_MEMORY_BYTES + MOST_UPLOAD
+        return _MIN_BODY_MEMORY_BYTES + MAX_UPLOAD_BYTES
     return max(_MIN_BODY_MEMORY_BYTES, int(memory_mb * _BODY_MEMORY_FRACTION * 1024 * 1024))
--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -32,7 +32,7 @@
 from cleatyoke.process.reloading import Reloader
 from cleatyoke.process.sibling_processes import SiblingProcesses
 from cleatyoke.scheduling.events import SettingsReloaded, UpdateKind
-from cleatyoke.transport.sockets import NotListeningError
+from cleatyoke.transport.listener import NotListeningError
 
 if TYPE_CHECKING:
     from cleatyoke.admin.prometheus import MetricsListener
@@ -201,7 +201,7 @@
         )
         await self.shutdown_requested.wait()
         log.info("leaving", open=len(self.core.pending))
-        self.http_server.leave(self._seconds_until_answers_due())
+        self.http_server.begin_shutdown(self._seconds_until_answers_due())
         await self._shut_down()
         stat_lines = self.metrics.stat_lines(list(self.config.classes), len(self.directory.boxes), 0)
         log.info("left", faults=self.metrics.faults, figures=" ".join(stat_lines))
@@ -214,7 +214,7 @@
         """Carry out each step of the lifecycle when it is due, whatever fault another step had."""
         while True:
             sessions = self._open_file_sessions()
-            for step in self.lifecycle.step(self.loop.time(), self.http_server.open(), sessions):
+            for step in self.lifecycle.step(self.loop.time(), self.http_server.open_connections(), sessions):
                 with self.faults.contain(step.value):
                     self._carry_out(step)
             if self.lifecycle.stage is Stage.CLOSING:
--- a/cleatyoke/process/file_service.py
+++ b/cleatyoke/process/file_service.py
@@ -10,13 +10,13 @@
 
 if TYPE_CHECKING:
     from cleatyoke.sftp.server import SftpServer
-    from cleatyoke.vrrp.instance import Carrier
+    from cleatyoke.vrrp.carrier import VrrpCarrier
 
 
 class FileService:
     """The SFTP server; with VRRP it is open only while this instance is the master. Off without a server."""
 
-    def __init__(self, server: SftpServer | None = None, carrier: Carrier | None = None) -> None:
+    def __init__(self, server: SftpServer | None = None, carrier: VrrpCarrier | None = None) -> None:
         self.server = server
         self.carrier = carrier
 
@@ -28,7 +28,7 @@
         # Imported only where the service is on, as imports cost start time.
         from cleatyoke.sftp.backends import SftpBackends
         from cleatyoke.sftp.server import SftpServer
-        from cleatyoke.vrrp.instance import Carrier
+        from cleatyoke.vrrp.carrier import VrrpCarrier
 
         settings = config.sftp
         sessions = config.socket_budget.file_sessions
@@ -46,7 +46,7 @@
             else:
                 await server.close(settings.command_timeout)
 
-        carrier = Carrier(config.vrrp, on_role_change)
+        carrier = VrrpCarrier(config.vrrp, on_role_change)
         await carrier.start()
         return cls(server, carrier)
 
@@ -56,4 +56,4 @@
             await self.carrier.stop()
         if self.server:
             await self.server.close(timeout)
-            self.server.boxes.close()
+            self.server.backends.close()
--- a/cleatyoke/process/operator_commands.py
+++ b/cleatyoke/process/operator_commands.py
@@ -16,11 +16,13 @@
     """Return the commands of a daemon, which may still be starting."""
     server = daemon.http_server
     commands = ControlCommands(
-        is_ready=lambda: bool(server.listener) and not server.closing and server.drain.is_up(server.ready()),
+        is_ready=lambda: (
+            bool(server.listener) and not server.is_closing and server.drain.is_up(server.is_ready())
+        ),
         show_stat=lambda: _stat_lines(daemon),
         disable=daemon.hold_file.disable,
         enable=daemon.hold_file.enable,
-        drain=server.drained,
+        drain=server.begin_drain,
         resume=server.drain.resume,
     )
     if daemon.config.fleet:
--- a/tests/daemon_process.py
+++ b/tests/daemon_process.py
@@ -8,7 +8,7 @@
 import sys
 from pathlib import Path
 
-from tests.wire import FACTS
+from tests.scripted_peers import FACTS
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -47,7 +47,7 @@
     VolumePlan,
 )
 from cleatyoke import simulator as simhost
-from cleatyoke.vrrp import instance as vrrp
+from cleatyoke.vrrp import messages as vrrp
 from cleatyoke.config.addresses import Address
 from cleatyoke.config.deployment import Config
 from cleatyoke.config.fronts_file import FleetSettings, SftpSettings, VolumePath
@@ -68,7 +68,7 @@
 from cleatyoke.coordination.staged_start import Evidence, StagedStart, StartStage
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.admin.maintenance import FrontDrain
-from cleatyoke.http import messages
+from cleatyoke.http import answers, messages, requests
 from cleatyoke.http.backends import BackendPools
 from cleatyoke.discovery.watch import Discovery
 from cleatyoke.fleet.view import FleetView
@@ -77,6 +77,7 @@
 from cleatyoke.admin.prometheus import MetricsListener
 from cleatyoke.admin.control import ControlCommands, ControlListener
 from cleatyoke.http.server import HttpServer
+from cleatyoke.sftp import codec as sftp_codec
 from cleatyoke.sftp import packets as sftp
 from cleatyoke.sftp.backends import SftpBackends
 from cleatyoke.sftp.server import SftpServer
@@ -566,7 +567,7 @@
 
 def encode_vrrp(value: Plain) -> bytes:
     """An advertisement."""
-    return vrrp.encode(
+    return vrrp.encode_advertisement(
         vrrp.Advertisement(
             router=value["router"],
             priority=value["priority"],
@@ -579,7 +580,7 @@
 def decode_vrrp(data: bytes) -> Plain:
     """The fields of an advertisement, or why it is none."""
     try:
-        message = vrrp.decode(data)
+        message = vrrp.decode_advertisement(data)
     except vrrp.AdvertisementError as error:
         return {"refused": str(error)}
     return {
@@ -750,15 +751,15 @@
 
 def encode_sftp_packet(value: Plain) -> bytes:
     """A packet with its length."""
-    return sftp.encode(sftp_packet_of(value))
+    return sftp_codec.encode(sftp_packet_of(value))
 
 
 def decode_sftp_packet(data: bytes) -> Plain:
     """The fields of a packet that comes with its length, or why it is none."""
     try:
-        return plain_sftp_packet(sftp.decode(data[4:]))
+        return plain_sftp_packet(sftp_codec.decode(data[4:]))
     except sftp.PacketError as error:
-        return {"refused": str(error), "id": error.request}
+        return {"refused": str(error), "id": error.request_id}
 
 
 # HTTP
@@ -853,50 +854,50 @@
     headers = CIMultiDictProxy(CIMultiDict([(name, text) for name, text in value["headers"]]))
     body = [unpack(one) for one in value.get("body", [])]
     try:
-        request = messages.decode_ask(front_config(), value["method"], value["target"], headers, body)
+        request = requests.decode_request(front_config(), value["method"], value["target"], headers, body)
     except messages.MessageError as error:
         return {"refused": str(error), "for its key": isinstance(error, messages.IdempotencyKeyError)}
     return {
-        "trace": request.trace,
+        "trace": request.trace_id,
         "method": request.method,
         "target": request.target,
         "class": request.class_index,
-        "plan": request.plan,
-        "volume": request.volume,
+        "plan": request.plan_index,
+        "volume": request.volume_id,
         "item": request.item,
-        "shard": shard_number(request.cell),
+        "shard": shard_number(request.shard),
         "units": request.units,
-        "hosts": request.hosts,
-        "seconds": request.wait,
+        "hosts": request.front_count,
+        "seconds": request.max_wait,
         "body": [pack(one) for one in request.body],
-        "key": request.key,
+        "key": request.idempotency_key,
     }
 
 
 def encode_node_request(value: Plain) -> bytes:
     """An attempt as it is written to a node."""
-    request = messages.ClientRequest(
-        trace=value["trace"],
+    request = requests.ClientRequest(
+        trace_id=value["trace"],
         method=value["method"],
         target=value["target"],
         class_index=0,
-        plan=0,
-        volume=1,
+        plan_index=0,
+        volume_id=1,
         item=1,
-        cell=0,
+        shard=0,
         units=1.0,
-        hosts=1,
-        wait=1.0,
+        front_count=1,
+        max_wait=1.0,
         body=[unpack(one) for one in value["body"]],
-        key=value.get("key"),
+        idempotency_key=value.get("key"),
     )
     address = Address(value["node"][0], value["node"][1])
-    return b"".join(messages.encode_attempt(request, address, value["seconds"]))
+    return b"".join(requests.encode_attempt(request, address, value["seconds"]))
 
 
 def encode_node_probe(value: Plain) -> bytes:
     """A probe of a node's load as it is written."""
-    return messages.encode_probe(Address(value["node"][0], value["node"][1]))
+    return requests.encode_load_probe(Address(value["node"][0], value["node"][1]))
 
 
 OUTCOMES = {
@@ -908,16 +909,16 @@
 
 async def capture_node_answer(value: Plain) -> Plain:
     """What is understood of a node's answer, which comes in pieces; ``closed``: then its connection ends."""
-    reader, answer = messages.AnswerReader(), None
+    reader, answer = answers.AnswerReader(), None
     rest: list[Plain] = []
     try:
         for piece in value["pieces"]:
             if answer is None:
                 answer = reader.feed(unpack(piece))
             else:
-                rest.append(pack(reader.more(unpack(piece))))
+                rest.append(pack(reader.feed_body(unpack(piece))))
         if answer is None and value.get("closed"):
-            answer = reader.at_close()
+            answer = reader.feed_eof()
     except messages.MalformedAnswerError as error:
         return {"spoilt": str(error)}
     if answer is None:
@@ -926,15 +927,15 @@
         "status": answer.status,
         "headers": [[name, text] for name, text in answer.headers.items()],
         "body": pack(answer.body),
-        "reusable": answer.reusable,
+        "reusable": answer.connection_reusable,
         "length": answer.length,
-        "long": answer.long,
+        "long": answer.is_streamed,
         "rest": rest,
-        "whole": reader.ended,
-        "means": OUTCOMES[messages.decode_outcome(answer.status, answer.headers)],
-        "served by other fronts": messages.decode_elsewhere(answer.headers),
-        "load in the head": messages.decode_busy(answer.headers),
-        "load in the body": messages.decode_probe(answer),
+        "whole": reader.is_complete,
+        "means": OUTCOMES[answers.decode_outcome(answer.status, answer.headers)],
+        "served by other fronts": answers.decode_served_elsewhere(answer.headers),
+        "load in the head": answers.decode_utilization(answer.headers),
+        "load in the body": answers.decode_load_probe(answer),
     }
 
 
@@ -1076,7 +1077,7 @@
         directory = Directory({"basement": 0})
         directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
         nodes = BackendPools(directory, PATIENCE, 30.0, 32)
-        load = await nodes.probe(1, PATIENCE)
+        load = await nodes.probe_load(1, PATIENCE)
         nodes.close()
     return {"to nodes": [blank(one) for one in heard], "load": load}
 
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -4,6 +4,7 @@
 
 import hashlib
 import json
+import math
 import random
 from collections.abc import Mapping, Sequence
 from pathlib import Path
@@ -48,7 +49,7 @@
     Subscriber,
     SubscriberTiming,
 )
-from cleatyoke.http.body_limits import BodyMemory, patience
+from cleatyoke.http.body_limits import BodyMemory, body_timeout
 from cleatyoke.process.lifecycle import ExitStatus as ExitStatus
 from cleatyoke.process.lifecycle import Lifecycle, ShutdownDeadlines, ShutdownStep, Stage
 from cleatyoke.scheduling.events import Endpoint, EndpointState
@@ -61,9 +62,13 @@
     VolumePlan,
 )
 from cleatyoke.transport.encoding import WireError
-from cleatyoke.vrrp.instance import Advertisement, AdvertisementError, State, VirtualRouter
-from cleatyoke.vrrp.instance import decode as decode_advertisement
-from cleatyoke.vrrp.instance import encode as encode_advertisement
+from cleatyoke.vrrp.messages import (
+    Advertisement,
+    AdvertisementError,
+    decode_advertisement,
+    encode_advertisement,
+)
+from cleatyoke.vrrp.virtual_router import RouterState, VirtualRouter
 
 Neutral = Any  # None, bool, int, str, or a list of these
 LANES = {"nodes": Lane.NODES, "settings": Lane.SETTINGS}
@@ -448,7 +453,11 @@
 
 # VRRP
 
-VRRP_STATES = {State.INITIALIZE: "initialize", State.BACKUP: "backup", State.MASTER: "master"}
+VRRP_STATES = {
+    RouterState.INITIALIZE: "initialize",
+    RouterState.BACKUP: "backup",
+    RouterState.MASTER: "master",
+}
 
 
 def advertisement_bytes(router: int, priority: int, interval: float, addresses: Sequence[str]) -> bytes:
@@ -482,7 +491,7 @@
 
     def timer(self, now: float) -> list[int]:
         """Priorities to advertise."""
-        return self.router.timer(now)
+        return self.router.on_timer(now)
 
     def received(self, data: bytes, source: str, now: float) -> list[int]:
         """Priorities to advertise after a message."""
@@ -490,16 +499,16 @@
             heard = decode_advertisement(data)
         except AdvertisementError:
             return []
-        return self.router.received(heard, source, now)
+        return self.router.receive(heard, source, now)
 
     def due(self) -> float:
         """When the timer is due."""
-        return self.router.due
+        return math.inf if self.router.timer_at is None else self.router.timer_at
 
     def state(self) -> Neutral:
         """State, due time, and the intervals that follow from it."""
         router = self.router
-        times = [router.due, router.master_interval, router.skew, router.master_down]
+        times = [self.due(), router.master_interval, router.skew_time, router.master_down_interval]
         return [VRRP_STATES[router.state], *(number(value) for value in times)]
 
 
@@ -869,21 +878,21 @@
     """The memory that bodies share."""
 
     def __init__(self, total: int, most: int | None) -> None:
-        self.room = BodyMemory(total=total) if most is None else BodyMemory(total=total, most=most)
+        self.room = BodyMemory(total=total) if most is None else BodyMemory(total=total, max_body=most)
 
     def take(self, body: str, size: int) -> bool:
         """Whether the body may hold so many bytes."""
-        return self.room.take(body, size)
+        return self.room.reserve(body, size)
 
     def leave(self, body: str) -> None:
         """The body is over."""
-        self.room.leave(body)
+        self.room.release(body)
 
     def state(self) -> Neutral:
         """What is held, and who waits."""
-        return [[[body, size] for body, size in self.room.held.items()], list(self.room.waiting)]
+        return [[[body, size] for body, size in self.room.reserved.items()], list(self.room.waiting)]
 
 
 def body_patience(size: int, grace: float | None) -> str:
     """Seconds for so many bytes."""
-    return number(patience(size) if grace is None else patience(size, grace=grace))
+    return number(body_timeout(size) if grace is None else body_timeout(size, grace=grace))
--- a/tests/scripted_peers.py
+++ b/tests/scripted_peers.py
@@ -15,6 +15,7 @@
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.settings import Idempotency, SchedulerSettings
+from cleatyoke.sftp import codec
 from cleatyoke.sftp import packets as p
 from cleatyoke.testbed.peer import Peer
 from tests.driven_front import class_spec, plan_spec, settings
@@ -156,7 +157,7 @@
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         handles: Handles = {}
         while True:
-            packet = p.decode(await p.read_packet(reader))
+            packet = codec.decode(await codec.read_packet(reader))
             if not isinstance(packet, p.Init):
                 self.commands.append(type(packet).__name__)
                 if self.silent:
@@ -164,7 +165,7 @@
             reply = self.reply(packet, handles)
             if reply is None:
                 return
-            writer.write(p.encode(reply))
+            writer.write(codec.encode(reply))
 
     def reply(self, packet: p.Packet, handles: Handles) -> p.Packet | None:
         """The answer to a packet; ``None``: the connection is closed without one."""
@@ -179,13 +180,13 @@
                 return self.close(packet, handle, handles)
             case p.Open() | p.Opendir() | p.Readdir() | p.Stat():
                 return self.look_up(packet, handles)
-        return p.Status(packet.id, p.Code.SSH_FX_OK)
+        return p.Status(packet.id, p.StatusCode.SSH_FX_OK)
 
     def look_up(self, packet: p.Open | p.Opendir | p.Readdir | p.Stat, handles: Handles) -> p.Packet:
-        missing = p.Status(packet.id, p.Code.SSH_FX_NO_SUCH_FILE, "no such file")
+        missing = p.Status(packet.id, p.StatusCode.SSH_FX_NO_SUCH_FILE, "no such file")
         match packet:
             case p.Open(_, path, flags, _):
-                if flags & p.Flags.READ and path not in self.files:
+                if flags & p.OpenFlags.READ and path not in self.files:
                     return missing
                 handles[b"%d" % packet.id] = path, bytearray(self.files.get(path, b""))
                 return p.Handle(packet.id, b"%d" % packet.id)
@@ -199,7 +200,7 @@
         path, unread = handles[b"d"]
         handles[b"d"] = path, bytearray()
         names = [p.Name(one, one, p.Attrs()) for one in self.files if one.startswith(path)]
-        end = p.Status(packet.id, p.Code.SSH_FX_EOF)
+        end = p.Status(packet.id, p.StatusCode.SSH_FX_EOF)
         return p.Names(packet.id, names) if unread and names else end
 
     def close(self, packet: p.Packet, handle: bytes, handles: Handles) -> p.Packet | None:
@@ -209,4 +210,4 @@
             self.stored[path] += 1
             if self.breaks:
                 return None
-        return p.Status(packet.id, p.Code.SSH_FX_OK)
+        return p.Status(packet.id, p.StatusCode.SSH_FX_OK)
--- a/tests/test_exit_status.py
+++ b/tests/test_exit_status.py
@@ -16,7 +16,7 @@
 from cleatyoke.config.errors import ConfigError
 from cleatyoke.process import daemon
 from tests.daemon_process import start_daemon
-from tests.wire import FACTS
+from tests.scripted_peers import FACTS
 
 
 class ExitStatuses(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,7 +11,7 @@
 from cleatyoke.discovery.watch import Discovery
 from cleatyoke.process.faults import Faults, PeriodicCall
 from cleatyoke.process.metrics import Metrics
-from tests.wire import ScriptedDiscovery
+from tests.scripted_peers import ScriptedDiscovery
 
 
 class ContainedFaults(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -20,7 +20,7 @@
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.view_checks import read_view
-from tests.host import settings
+from tests.driven_front import settings
 
 TIMES = {"period": 0.1, "answer": 0.03, "gossip": 0.02, "sync": 1.0, "departed": 0.2, "join": 0.2}
 
--- a/tests/test_inherited_socket.py
+++ b/tests/test_inherited_socket.py
@@ -11,7 +11,7 @@
 import aiohttp
 import pytest
 
-from cleatyoke.transport.sockets import NotListeningError, take_listening
+from cleatyoke.transport.listener import NotListeningError, adopt_listening_socket
 from tests.daemon_process import start_daemon
 
 
@@ -19,10 +19,10 @@
     with tempfile.TemporaryFile() as plain, socket.socket() as unbound:
         for descriptor in (plain.fileno(), unbound.fileno()):
             with pytest.raises(NotListeningError):
-                take_listening(descriptor)
+                adopt_listening_socket(descriptor)
             os.fstat(descriptor)  # still open
     with pytest.raises(NotListeningError):
-        take_listening(999)
+        adopt_listening_socket(999)
 
 
 class TwoProcesses(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_load_probes.py
+++ b/tests/test_load_probes.py
@@ -16,9 +16,10 @@
 from cleatyoke import simulator
 from cleatyoke.config.settings import read_settings
 from cleatyoke.core import Core
+from cleatyoke.discovery.directory import Directory
+from cleatyoke.http.answers import BackendAnswer, decode_load_probe
 from cleatyoke.http.backends import BackendPools
 from cleatyoke.http.load_probes import LoadProbeRunner
-from cleatyoke.http.messages import BackendAnswer, decode_probe
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
@@ -29,7 +30,7 @@
     REPORT_LIFETIME,
     LoadProber,
 )
-from tests.scripted_peers import Directory, ScriptedHttpBackend, answer, config, instance, listed
+from tests.scripted_peers import ScriptedHttpBackend, answer, config, instance, listed
 from tests.test_simulator import FACTS, ROOT, SHELF
 
 SLOW_START_DURATION = 10.0  # seconds
@@ -108,8 +109,8 @@
             (b"\xff\x00util", None),
             (b" " * 2000 + b"util=0.5", None),
         ):
-            assert decode_probe(BackendAnswer(200, {}, body, True)) == utilization, body
-        assert decode_probe(BackendAnswer(404, {}, b"util=0.5", True)) is None
+            assert decode_load_probe(BackendAnswer(200, {}, body, True)) == utilization, body
+        assert decode_load_probe(BackendAnswer(404, {}, b"util=0.5", True)) is None
 
 
 class SimulatorProbesTest(unittest.TestCase):
@@ -206,4 +207,4 @@
         assert backend.heads[0].startswith("GET /metrics/load HTTP/1.1\r\n")
         assert backend.accepted == 1  # it rests between probes
         await asyncio.sleep(0.2)
-        assert pools.open <= 1
+        assert pools.open_connections <= 1
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from cleatyoke.config.settings import read_settings
 from cleatyoke.scheduling.actions import (
     Reject,
 )
@@ -12,7 +13,7 @@
     AttemptOutcome,
     EndpointState,
 )
-from cleatyoke.simulator import read_entry, read_settings
+from cleatyoke.simulator import read_entry
 from tests.driven_front import DrivenFront, class_spec, endpoint, plan_spec, settings
 
 
--- a/tests/test_operated_front.py
+++ b/tests/test_operated_front.py
@@ -21,8 +21,8 @@
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.hold_file import HoldFile
 from cleatyoke.process.metrics import NodeCounts
-from tests.wire import ScriptedHttpBackend, config, instance, listed
-from tests.wire import answer as box_answer
+from tests.scripted_peers import ScriptedHttpBackend, config, instance, listed
+from tests.scripted_peers import answer as box_answer
 
 ROOT = Path(__file__).resolve().parent.parent
 HEADERS = {
@@ -48,7 +48,7 @@
         self.core.notify(listed(self.directory, instance("s-a", self.backend.port), whole=True))
         self.folder = tempfile.TemporaryDirectory()
         self.hold_file = HoldFile(
-            Path(self.folder.name), self.directory, self.core, Faults(self.pools.figures)
+            Path(self.folder.name), self.directory, self.core, Faults(self.pools.metrics)
         )
         self.hold_file.start()
 
@@ -63,21 +63,21 @@
         async with aiohttp.ClientSession() as client:
             async with client.get(self.url + "/up") as response:
                 assert response.status == 200
-            assert self.front.clients
-            self.front.drained()
+            assert self.front.connections.clients
+            self.front.begin_drain()
             async with client.get(self.url + "/up") as response:
                 assert response.status == 503
                 assert response.headers.get("Connection") == "close"
             idle = socket.create_connection(("127.0.0.1", self.front.address.port))
             await asyncio.sleep(0.45)
-            assert not self.front.clients  # neither the idle one nor the one that never spoke
+            assert not self.front.connections.clients  # neither the idle one nor the one that never spoke
             idle.close()
             self.front.drain.resume()
             async with client.get(self.url + "/up") as response:
                 assert response.status == 200
 
     async def test_a_scrape_has_the_counters_of_the_control_listener(self) -> None:
-        listener = MetricsListener(Address("127.0.0.1", 0), self.pools.figures, lambda: NodeCounts(3, 1))
+        listener = MetricsListener(Address("127.0.0.1", 0), self.pools.metrics, lambda: NodeCounts(3, 1))
         url = f"http://127.0.0.1:{listener.address.port}"
         async with aiohttp.ClientSession() as client:
             for trace, plan in (("a", "public"), ("b", "gold")):  # served, and rejected for its plan
@@ -107,7 +107,7 @@
             headers = {**HEADERS, "X-Trace-Id": "a"}
             async with client.get(self.url + TARGET, headers=headers) as response:
                 assert response.status == 200
-            assert self.pools.figures.backend_calls == 1
+            assert self.pools.metrics.backend_calls == 1
             assert not await asyncio.to_thread(self.hold_file.disable, "s-zz")
             assert await asyncio.to_thread(self.hold_file.disable, "s-a")
             async with client.get(self.url + TARGET, headers={**headers, "X-Trace-Id": "b"}) as response:
--- a/tests/test_operator_holds.py
+++ b/tests/test_operator_holds.py
@@ -5,7 +5,7 @@
 from cleatyoke.admin.maintenance import OperatorHolds
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.scheduling.events import EndpointState
-from tests.wire import instance, listed
+from tests.scripted_peers import instance, listed
 
 
 def test_a_hold_is_not_counted_and_an_unknown_id_is_rejected() -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -21,9 +21,9 @@
 from cleatyoke.scheduling.events import AttemptOutcome, SettingsReloaded
 from cleatyoke.scheduling.settings import Idempotency
 from tests.driven_front import DrivenFront, class_spec, endpoint, settings
+from tests.http_case import HEADERS, TARGET, DaemonCase
+from tests.http_case import listing_entry as listed
 from tests.scripted_peers import FACTS, ScriptedDiscovery, ScriptedHttpBackend, answer
-from tests.test_http_front import HEADERS, TARGET, DaemonCase
-from tests.test_http_front import entry as listed
 
 REMOVED = object()
 
@@ -162,15 +162,15 @@
         new["settings"]["PolicyLimits"]["SendCap"] = 2
         new["settings"]["Extra"] = {"ChangesData": [True, False]}
         taken = config.reload(self.read(new))
-        assert (taken.retired, taken.waiting) == ({1}, [])
+        assert (taken.retired_classes, taken.needs_restart) == ({1}, [])
         assert config.classes == {"scan": 2, "tile-read": 0}
-        assert (config.give_up, config.writes) == ([1.5, 1.5, 2.5], [False, None, True])
+        assert (config.client_timeouts, config.changes_data) == ([1.5, 1.5, 2.5], [False, None, True])
         assert [kind.latency_objective for kind in config.settings.classes] == [0.5, 0.5, 0.7]
-        assert (config.settings.max_attempts, config.notice()) == (2, 3.2)
-        assert config.reload(self.read(new)).retired is None  # the same again is no change
+        assert (config.settings.max_attempts, config.termination_grace_period()) == (2, 3.2)
+        assert config.reload(self.read(new)).retired_classes is None  # the same again is no change
         new["settings"]["Lanes"].append({**scan, "Name": "more"})  # and the list of writes stays behind
         config.reload(self.read(new))
-        assert config.writes == [False, None, True, None]
+        assert config.changes_data == [False, None, True, None]
 
 
 class ReloadedDaemonTest(DaemonCase):
@@ -182,8 +182,8 @@
         known = {"generation": 1, "reset": True, "instances": [listed("SERVING", box.port)]}
         agent = await ScriptedDiscovery(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
-            daemon = await self.start(folder, known=known, discovery=f"127.0.0.1:{agent.port}")
-            line = await self.line(daemon, b"event='ready'")
+            daemon = await self.start_daemon(folder, known=known, discovery=f"127.0.0.1:{agent.port}")
+            line = await self.wait_for_line(daemon, b"event='ready'")
             url = f"http://127.0.0.1:{int(line.split(b'port=')[1].split(b')')[0])}{TARGET}"
             path = Path(folder) / "config.json"
             values = json.loads(path.read_text())
@@ -199,17 +199,17 @@
                 assert await ask(client, "scan", "b") == 400
                 path.write_text(json.dumps(values))
                 daemon.send_signal(signal.SIGHUP)
-                assert b"retuned=True" in await self.line(daemon, b"event='reloaded'")
+                assert b"retuned=True" in await self.wait_for_line(daemon, b"event='reloaded'")
                 assert await ask(client, "scan", "c") == 200
                 assert await ask(client, "tile-read", "d") == 400
                 values["settings"]["Extra"] = {"ChangesData": [False]}  # says nothing of the second
                 path.write_text(json.dumps(values))
                 daemon.send_signal(signal.SIGHUP)
-                await self.line(daemon, b"event='reloaded'")
+                await self.wait_for_line(daemon, b"event='reloaded'")
                 assert await ask(client, "record-write", "w") == 200
                 path.write_text(path.read_text()[:-9])
                 daemon.send_signal(signal.SIGHUP)
-                await self.line(daemon, b"event='reload_failed'")
+                await self.wait_for_line(daemon, b"event='reload_failed'")
                 assert await ask(client, "scan", "e") == 200
             daemon.terminate()
             assert await daemon.wait() == 0
--- a/tests/test_shutdown_of_requests.py
+++ b/tests/test_shutdown_of_requests.py
@@ -17,8 +17,8 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.settings import Idempotency
-from tests.host import class_spec, endpoint
-from tests.host import settings as host_settings
+from tests.driven_front import class_spec, endpoint
+from tests.driven_front import settings as host_settings
 
 
 class RequestsInFlight(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_sibling_processes.py
+++ b/tests/test_sibling_processes.py
@@ -21,10 +21,10 @@
     RequestArrived,
     UpdateKind,
 )
-from cleatyoke.scheduling.records import QuotaClock
+from cleatyoke.scheduling.quotas import QuotaClock
 from cleatyoke.scheduling.scheduler import Scheduler
-from tests.host import class_spec, endpoint, plan_spec, settings
-from tests.wire import config
+from tests.driven_front import class_spec, endpoint, plan_spec, settings
+from tests.scripted_peers import config
 
 
 class SharedLimits(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_slow_start_leases.py
+++ b/tests/test_slow_start_leases.py
@@ -20,7 +20,7 @@
     TimerFired,
     UpdateKind,
 )
-from tests.host import DrivenFront, endpoint, settings
+from tests.driven_front import DrivenFront, endpoint, settings
 
 NODE, LIVE, DRAINING = 7, EndpointState.LIVE, EndpointState.DRAINING
 
@@ -43,7 +43,7 @@
     warming = SlowStartLeases(
         leases, lambda: settings(front_count=4, slow_start_units=8.0), lambda node: f"s-{node}"
     )
-    warming.observe(0.0, 101.0, [EndpointUpdate(UpdateKind.SNAPSHOT, [endpoint(NODE, 3, up_since=start)])])
+    warming.observe(0.0, 101.0, [EndpointUpdate(UpdateKind.SNAPSHOT, [endpoint(NODE, 3, started_at=start)])])
     return warming
 
 
@@ -92,8 +92,8 @@
     leases = QuotaLeases(-100.0, random.Random(1))
     for changed in (
         endpoint(NODE, 3, DRAINING, 100.0),
-        endpoint(NODE, 3, up_since=0.0),
-        endpoint(NODE, 3, up_since=80.0),
+        endpoint(NODE, 3, started_at=0.0),
+        endpoint(NODE, 3, started_at=80.0),
     ):
         warming = slow_start_leases(leases)
         warming.observe(0.5, 101.0, [EndpointUpdate(UpdateKind.DELTA, [changed])])
@@ -102,7 +102,7 @@
     warming.observe(9.0, 110.5, [])  # warm by now
     assert warming.demand(9.0) == {}
     warming = slow_start_leases(leases)
-    warming.observe(1.0, 101.0, [EndpointUpdate(UpdateKind.DELTA, [endpoint(NODE, 3, up_since=100.9)])])
+    warming.observe(1.0, 101.0, [EndpointUpdate(UpdateKind.DELTA, [endpoint(NODE, 3, started_at=100.9)])])
     assert (
         list(warming.demand(1.0))
         == [warming_node_resource("s-7", 100.9)]
@@ -142,7 +142,7 @@
     }
 
     def host() -> DrivenFront:
-        return DrivenFront(settings(**figures), [endpoint(NODE, 0, up_since=100.0)], now=100.0)  # type: ignore[arg-type]
+        return DrivenFront(settings(**figures), [endpoint(NODE, 0, started_at=100.0)], now=100.0)  # type: ignore[arg-type]
 
     whole, more, none = units_sent(host(), 4.0), units_sent(host(), 4.0, 3.0), units_sent(host(), 4.0, 0.0)
     assert 38 <= whole <= 46  # 10 a second, as it warms a little
@@ -152,7 +152,7 @@
 
 def test_what_was_refilled_before_a_change_counts_by_the_part_before() -> None:
     config = settings(front_count=4, slow_start_units=40.0, safety={"slow_start_duration": 100.0})
-    host = DrivenFront(config, [endpoint(NODE, 0, up_since=100.0)], now=100.0)
+    host = DrivenFront(config, [endpoint(NODE, 0, started_at=100.0)], now=100.0)
     host.step(
         SlowStartLeaseChanged(NODE, 0.0), request("first", 6.0)
     )  # goes, and leaves a debt that nothing pays off
