--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -66,10 +66,10 @@
 from cleatyoke.admin.maintenance import FrontDrain
 from cleatyoke.http import messages
 from cleatyoke.http.backends import BackendPools
-from cleatyoke.discovery.watch import Discovery
+from cleatyoke.discovery.discovery import Discovery
 from cleatyoke.fleet.view import FleetView
 from cleatyoke.transport.framing import MessageTooLongError, read_message, write_message
-from cleatyoke.discovery.listings import decode_listing, decode_long_listing
+from cleatyoke.discovery.listings import decode_endpoint_list, decode_long_endpoint_list
 from cleatyoke.admin.prometheus import MetricsListener
 from cleatyoke.admin.control import ControlCommands, ControlListener
 from cleatyoke.http.server import HttpServer
@@ -936,9 +936,9 @@
         name="s-a",
         address=Address(LOCAL, port),
         zone="basement",
-        cell=0,
+        shard=0,
         state=EndpointState.LIVE,
-        started=0.0,
+        started_at=0.0,
     )
 
 
@@ -1026,7 +1026,7 @@
         config = front_config()
         core, directory = ScriptedCore(config.settings), Directory({"basement": 0})
         core.fates = list(value.get("fates", []))
-        directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
+        directory.apply(EndpointList(version=1, is_complete=True, instances=[node_instance(port)]))
         nodes, drain = BackendPools(directory, PATIENCE, 30.0, 32), FrontDrain()
         front = HttpServer(config, core, nodes, lambda: value.get("ready", True), drain)
         if value.get("draining"):
@@ -1049,7 +1049,7 @@
     heard: list[bytes] = []
     async with scripted_node([value["node answer"]], heard) as port:
         directory = Directory({"basement": 0})
-        directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
+        directory.apply(EndpointList(version=1, is_complete=True, instances=[node_instance(port)]))
         nodes = BackendPools(directory, PATIENCE, 30.0, 32)
         load = await nodes.probe(1, PATIENCE)
         nodes.close()
@@ -1069,15 +1069,15 @@
     """Every field of a list."""
     return {
         "version": listing.version,
-        "whole": listing.whole,
+        "whole": listing.is_complete,
         "nodes": [
             {
                 "name": one.name,
                 "address": [one.address.host, one.address.port],
                 "zone": one.zone,
-                "shard": one.cell,
+                "shard": one.shard,
                 "state": NODE_STATES[one.state],
-                "started": one.started,
+                "started": one.started_at,
             }
             for one in listing.instances
         ],
@@ -1088,11 +1088,11 @@
     """A list as it is read in one go and in parts, which come to the same, or why it is refused."""
     both: list[Plain] = []
     try:
-        both.append(plain_listing(decode_listing(data)))
+        both.append(plain_listing(decode_endpoint_list(data)))
     except messages.MessageError as error:
         both.append({"refused": str(error)})
     try:
-        both.append(plain_listing(await decode_long_listing(data)))
+        both.append(plain_listing(await decode_long_endpoint_list(data)))
     except messages.MessageError as error:
         both.append({"refused": str(error)})
     return {"in one go": both[0], "in parts": both[1]}
@@ -1132,7 +1132,7 @@
     async with listening(converse) as port:
         directory = Directory({"basement": 0})
         directory.version = value.get("known version")
-        watch = Discovery(Address(LOCAL, port), directory, heard, pushed=value["own agent"])
+        watch = Discovery(Address(LOCAL, port), directory, heard, own_agent=value["own agent"])
         watch.start()
         try:
             async with asyncio.timeout(PATIENCE):
@@ -1282,7 +1282,7 @@
     """What a front for files answers its client, where its node is at this port."""
     core, directory = ScriptedCore(all_settings()), Directory({"basement": 0})
     core.fates = list(value["fates"])
-    directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
+    directory.apply(EndpointList(version=1, is_complete=True, instances=[node_instance(port)]))
     nodes = SftpBackends(directory, 0, PATIENCE, 2 * PATIENCE, 32)
     config = SftpSettings(
         listen=Address(LOCAL, 0),
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -562,15 +562,23 @@
 
     def __init__(self, seed: int, hosts: float, each: float, most: int, least: float, period: float) -> None:
         rng = random.Random(seed)
-        self.pace = Backoff(rng=rng, hosts=hosts, each=each, most=most, least=least, period=period)
+        self.pace = Backoff(
+            rng=rng, clients=hosts, seconds_per_call=each, max_growth=most, min_span=least, period=period
+        )
 
     def failed(self, spent: float | None) -> str:
         """The wait after a failure."""
-        return number(self.pace.failed() if spent is None else self.pace.failed(spent=spent))
+        return number(
+            self.pace.delay_after_failure() if spent is None else self.pace.delay_after_failure(elapsed=spent)
+        )
 
     def ended(self, within: float | None) -> str:
         """The wait after an answer that came ended."""
-        return number(self.pace.broke() if within is None else self.pace.broke(within=within))
+        return number(
+            self.pace.delay_after_disconnect()
+            if within is None
+            else self.pace.delay_after_disconnect(max_delay=within)
+        )
 
 
 # Settings that change
@@ -749,7 +757,7 @@
     def __init__(self, zones: Mapping[str, int]) -> None:
         self.directory = Directory(zones=dict(zones))
         self.heard: list[int] = []
-        self.directory.watchers.append(self.heard.append)
+        self.directory.listeners.append(self.heard.append)
 
     def entries(self, found: Sequence[Endpoint]) -> Neutral:
         """Node events, and who was reported as changed meanwhile."""
@@ -770,37 +778,42 @@
                 name=name,
                 address=Address(host=host, port=port),
                 zone=zone,
-                cell=cell,
+                shard=cell,
                 state=NODE_STATES[state],
-                started=started,
+                started_at=started,
             )
             for name, host, port, zone, cell, state, started in rows
         ]
-        listing = EndpointList(version=version, whole=whole, instances=instances)
+        listing = EndpointList(version=version, is_complete=whole, instances=instances)
         return self.entries(self.directory.apply(listing))
 
     def hold(self, name: str) -> Neutral:
         """Hold a node by hand."""
-        done = self.directory.holds.disable(name, self.directory.knows(name))
-        return [done, *self.entries(self.directory.changed([name]))]
+        done = self.directory.holds.disable(name, self.directory.has_seen(name))
+        return [done, *self.entries(self.directory.refresh([name]))]
 
     def release(self, name: str, now: float) -> Neutral:
         """Release a node."""
-        done = self.directory.holds.enable(name, self.directory.knows(name), now)
-        return [done, *self.entries(self.directory.changed([name]))]
+        done = self.directory.holds.enable(name, self.directory.has_seen(name), now)
+        return [done, *self.entries(self.directory.refresh([name]))]
 
     def seen(self, names: Sequence[str]) -> Neutral:
         """What is known of these names."""
         directory, out = self.directory, []
         for name in names:
-            latest = directory.latest(name)
-            node = directory.numbers.get(name)
+            latest = directory.find(name)
+            node = directory.node_ids.get(name)
             where = (
                 None if latest is None else [str(latest.address), latest.zone, NODE_STATE_WORDS[latest.state]]
             )
-            served = node is not None and directory.serves(node)
-            out.append([name, directory.knows(name), node, served, where])
-        return [directory.version, directory.down(), [[*zone] for zone in directory.zones.items()], out]
+            served = node is not None and directory.is_serving(node)
+            out.append([name, directory.has_seen(name), node, served, where])
+        return [
+            directory.version,
+            directory.count_unavailable(),
+            [[*zone] for zone in directory.zones.items()],
+            out,
+        ]
 
 
 class PlainHolds:
