--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -45,7 +45,7 @@
 if TYPE_CHECKING:
     from cleatyoke.admin.prometheus import MetricsListener
     from cleatyoke.distribution.contents import DistributedSettings
-    from cleatyoke.distribution.network import Subscription
+    from cleatyoke.distribution.subscription import Subscription
     from cleatyoke.fleet.startup import StagedStartRunner
     from cleatyoke.fleet.view import FleetView
     from cleatyoke.http.load_probes import LoadProbeRunner
@@ -237,7 +237,7 @@
     def subscribe(self, relays: DistributionSettings) -> Subscription:
         """Distributed configuration, from now on. Serving waits for none of it."""
         try:
-            from cleatyoke.distribution.network import Subscription  # imported only where it is on
+            from cleatyoke.distribution.subscription import Subscription  # imported only where it is on
         except ImportError as error:
             msg = f"distribution: {error}"
             raise ConfigError(msg) from error
--- a/cleatyoke/distribution/__main__.py
+++ b/cleatyoke/distribution/__main__.py
@@ -14,9 +14,11 @@
 
 from cleatyoke.config.deployment import Address, ConfigError, read_address
 from cleatyoke.distribution.contents import lane_of
-from cleatyoke.distribution.folder import ConfigFolder, EpochError, next_epoch
+from cleatyoke.distribution.errors import EpochError
+from cleatyoke.distribution.folder import ConfigFolder, next_epoch
 from cleatyoke.distribution.network import PollListener, RelayPoller
 from cleatyoke.distribution.relay import Relay, Source
+from cleatyoke.distribution.subscriber_messages import SubscriberAction
 from cleatyoke.process.command_line import run_command
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.logs import configure_logging
@@ -26,11 +28,14 @@
 
 
 class AddressType(click.ParamType[Address]):
+    """An option's value ``HOST:PORT``."""
+
     name = "address"
 
     def convert(
         self, value: str | Address, param: click.Parameter | None, ctx: click.Context | None
     ) -> Address:
+        """Read an address, or end with the option's error text."""
         if isinstance(value, Address):
             return value
         try:
@@ -41,18 +46,18 @@
 
 LISTEN = click.option("--listen", type=AddressType(), required=True, help="HOST:PORT to answer on.")
 DEPLOYMENT = click.option("--deployment", required=True, help="Of another one nothing is answered.")
-MOST = click.option("--most", type=click.IntRange(1, 100_000), default=160, show_default=True)
+MAX_SUBSCRIBERS = click.option("--most", type=click.IntRange(1, 100_000), default=160, show_default=True)
 
 
 @click.group(help=__doc__)
 def commands() -> None:
-    pass
+    """The group of commands; its help is the module's docstring."""
 
 
 @commands.command()
 @LISTEN
 @DEPLOYMENT
-@MOST
+@MAX_SUBSCRIBERS
 @click.option(
     "--folder", type=click.Path(path_type=Path), required=True, help="A file KEY.json for each key."
 )
@@ -72,29 +77,30 @@
 
 
 async def run_source(source: Source, folder: ConfigFolder, listen: Address) -> None:
+    """Distribute the folder's values until a signal asks to end. Raises ``OSError`` if it can't listen."""
     loop = asyncio.get_running_loop()
 
-    def look() -> None:
-        found = folder.look()
+    def scan() -> None:
+        found = folder.scan()
         for key, value in found.changes.items():
             source.put(loop.time(), lane_of(key), key, value)
-        for why in found.bad:
-            log.error("change_refused", why=why)
-        log.info("looked", epoch=source.store.epoch, number=source.number, changes=len(found.changes))
+        for reason in found.rejected:
+            log.error("change_refused", why=reason)
+        log.info("looked", epoch=source.store.epoch, number=source.last_number, changes=len(found.changes))
 
-    look()
+    scan()
     listener = PollListener(source)
     address = await listener.start(listen)
-    loop.add_signal_handler(signal.SIGHUP, look)
+    loop.add_signal_handler(signal.SIGHUP, scan)
     log.info("ready", role="source", listen=address, epoch=source.store.epoch)
-    await until_asked_to_end()
+    await wait_for_end()
     listener.stop()
 
 
 @commands.command()
 @LISTEN
 @DEPLOYMENT
-@MOST
+@MAX_SUBSCRIBERS
 @click.option("--name", required=True, help="Its own, by which fronts tell their source.")
 @click.option("--upstream", type=AddressType(), multiple=True, required=True, help="Source, or other relays.")
 def relay(listen: Address, deployment: str, most: int, name: str, upstream: Sequence[Address]) -> None:
@@ -105,17 +111,23 @@
 
 
 async def run_relay(relay: Relay, listen: Address) -> None:
+    """Poll upstream and answer polls until a signal asks to end. Raises ``OSError`` if it can't listen."""
     listener = PollListener(relay)
     address = await listener.start(listen)
-    poller = RelayPoller(relay, lambda action: None, Faults(Metrics()))
+    poller = RelayPoller(relay, _ignore, Faults(Metrics()))
     poller.step()
     log.info("ready", role="relay", name=relay.name, listen=address)
-    await until_asked_to_end()
+    await wait_for_end()
     poller.stop()
     listener.stop()
 
 
-async def until_asked_to_end() -> None:
+def _ignore(_: SubscriberAction) -> None:
+    """A relay uses all other actions itself."""
+
+
+async def wait_for_end() -> None:
+    """Wait for SIGTERM or SIGINT."""
     asked = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, asked.set)
@@ -123,7 +135,10 @@
 
 
 def main(words: Sequence[str] | None = None) -> int:
-    """Returns the exit status; 2, after one line that begins with the option's name, for a bad option."""
+    """Run a command and return its exit status.
+
+    2 for an invalid option, after one line on stderr that begins with the option's name.
+    """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it, it would end the process
     try:
         return run_command(commands, words, "python -m cleatyoke.distribution")
--- a/cleatyoke/distribution/contents.py
+++ b/cleatyoke/distribution/contents.py
@@ -1,7 +1,7 @@
-"""What a front makes of the entries that it is handed: whole settings, and nodes that drain or are gone.
+"""What a front makes of the entries that are delivered: settings, and nodes that drain or are gone.
 
-Settings come by the keys ``settings``, the whole of them, and ``settings/NAME``, one of their entries, which
-wins. A key ``nodes/ID`` holds a node in the form of discovery's lists.
+The key ``settings`` holds the complete settings object; ``settings/NAME`` holds one entry of it, which
+overrides the same entry there. A key ``nodes/ID`` holds a node in the form of discovery's lists.
 """
 
 from __future__ import annotations
@@ -9,25 +9,30 @@
 import json
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
-from cleatyoke.distribution.records import Entry, Lane, Version
+from cleatyoke.distribution.errors import InvalidValueError
+from cleatyoke.distribution.records import NO_VERSION, Entry, Lane, Version
 
-WHOLE = "settings"
-PART = "settings/"
-NODE = "nodes/"
+SETTINGS_KEY = "settings"
+SETTINGS_PREFIX = "settings/"
+NODES_PREFIX = "nodes/"
 
 
-class InvalidValueError(ValueError):
-    """A value that can't be read; the text begins with its key."""
+class ListedNodes(NamedTuple):
+    """Nodes in the form of discovery's lists, and the keys whose values can't be read."""
+
+    values: list[Any]
+    invalid_keys: list[str]
 
 
 def lane_of(key: str) -> Lane:
-    return Lane.NODES if key.startswith(NODE) else Lane.SETTINGS
+    """Return the lane that a key's changes belong to."""
+    return Lane.NODES if key.startswith(NODES_PREFIX) else Lane.SETTINGS
 
 
-def read_value(key: str, value: bytes) -> Any:
-    """A JSON value. Raises ``BadValue``."""
+def decode_value(key: str, value: bytes) -> Any:
+    """Decode a JSON value. Raises ``InvalidValueError``."""
     try:
         return json.loads(value)
     except (ValueError, RecursionError) as error:
@@ -37,13 +42,13 @@
 
 @dataclass(slots=True)
 class DistributedSettings:
-    """The entries of the settings as they came. ``version``: of the newest."""
+    """The entries of the settings as they were delivered. ``version``: that of the newest entry."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
-    version: Version = field(default_factory=lambda: Version(0, 0))
+    version: Version = NO_VERSION
 
     def with_entries(self, entries: Iterable[Entry]) -> DistributedSettings:
-        """These settings as the entries change them."""
+        """Return these settings as the entries change them."""
         changed = DistributedSettings(dict(self.entries), self.version)
         for entry in entries:
             changed.version = max(changed.version, entry.version)
@@ -54,29 +59,35 @@
         return changed
 
     def merged(self, base: dict[str, Any]) -> dict[str, Any]:
-        """The settings object: ``base`` where the whole did not come. Raises ``BadValue``."""
-        values = {key: read_value(key, entry.value or b"") for key, entry in self.entries.items()}
-        settings = values.pop(WHOLE, base)
+        """Return the settings object; ``base`` is used if the complete object was not delivered.
+
+        Raises ``InvalidValueError``.
+        """
+        values = {key: decode_value(key, entry.value or b"") for key, entry in self.entries.items()}
+        settings = values.pop(SETTINGS_KEY, base)
         if not isinstance(settings, dict):
-            msg = f"{WHOLE}: want an object"
+            msg = f"{SETTINGS_KEY}: want an object"
             raise InvalidValueError(msg)
-        return {**settings, **{key.removeprefix(PART): value for key, value in sorted(values.items())}}
+        overrides = {key.removeprefix(SETTINGS_PREFIX): value for key, value in sorted(values.items())}
+        return {**settings, **overrides}
 
 
 def settings_entries(entries: Iterable[Entry]) -> list[Entry]:
-    """Those that are about settings, oldest first."""
-    ours = [entry for entry in entries if entry.key == WHOLE or entry.key.startswith(PART)]
-    return sorted(ours, key=lambda entry: entry.version)
+    """Return the entries that are about settings, oldest first."""
+    about_settings = [
+        entry for entry in entries if entry.key == SETTINGS_KEY or entry.key.startswith(SETTINGS_PREFIX)
+    ]
+    return sorted(about_settings, key=lambda entry: entry.version)
 
 
-def listed_nodes(entries: Iterable[Entry]) -> tuple[list[Any], list[str]]:
-    """Of nodes: entries in the form of discovery's lists, and which keys can't be read."""
-    found, bad = [], []
+def listed_nodes(entries: Iterable[Entry]) -> ListedNodes:
+    """Return the nodes among the entries, passing over removed keys."""
+    values, invalid_keys = [], []
     for entry in entries:
-        if not entry.key.startswith(NODE) or entry.value is None:
+        if not entry.key.startswith(NODES_PREFIX) or entry.value is None:
             continue
         try:
-            found.append(read_value(entry.key, entry.value))
+            values.append(decode_value(entry.key, entry.value))
         except InvalidValueError:
-            bad.append(entry.key)
-    return found, bad
+            invalid_keys.append(entry.key)
+    return ListedNodes(values, invalid_keys)
--- a/cleatyoke/distribution/folder.py
+++ b/cleatyoke/distribution/folder.py
@@ -1,5 +1,6 @@
-"""The source's folder: a file ``KEY.json`` for each key, where a key may have slashes. What changed between
-two looks at it, and the epoch that the source's life has. Reads and writes files; decides no version.
+"""The source's folder with a file ``KEY.json`` for each key, and the file of its epoch.
+
+A key may have slashes. Reads and writes files; decides no version.
 """
 
 from __future__ import annotations
@@ -9,90 +10,98 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from cleatyoke.distribution.contents import InvalidValueError, read_value
-from cleatyoke.distribution.records import MOST_VALUE
+from cleatyoke.distribution.contents import decode_value
+from cleatyoke.distribution.errors import EpochError, InvalidValueError
+from cleatyoke.distribution.records import MAX_KEY_LENGTH, MAX_VALUE_BYTES
 
 SUFFIX = ".json"
-MOST_KEY = 128
-
-
-class EpochError(ValueError):
-    """An epoch file that can't be used."""
+MAX_EPOCH = 1 << 52
 
 
 @dataclass(slots=True)
 class FolderScan:
-    """``changes``: keys with their new values, None for those that are gone; ``bad``: what can't be taken."""
+    """What a scan found.
+
+    ``changes``: keys with their new values, None for removed ones. ``rejected``: why files can't be
+    distributed, each text beginning with the key.
+    """
 
     changes: dict[str, bytes | None] = field(default_factory=dict)
-    bad: list[str] = field(default_factory=list)
+    rejected: list[str] = field(default_factory=list)
 
 
 class ConfigFolder:
+    """The folder, and what it held at the last scan."""
+
     def __init__(self, path: Path) -> None:
         self.path = path
         self.known: dict[str, bytes] = {}
 
-    def look(self) -> FolderScan:
-        """What is new since the last look. A file that can't be taken counts as it was before."""
-        found, look = set(), FolderScan()
+    def scan(self) -> FolderScan:
+        """Return what is new since the last scan. A file that can't be distributed counts as unchanged."""
+        found: set[str] = set()
+        scan = FolderScan()
         for path in sorted(self.path.rglob(f"*{SUFFIX}")):
             key = path.relative_to(self.path).as_posix().removesuffix(SUFFIX)
             found.add(key)
             try:
                 value = path.read_bytes()
             except OSError as error:
-                look.bad.append(f"{key}: {error.strerror}")
+                scan.rejected.append(f"{key}: {error.strerror}")
                 continue
             if value == self.known.get(key):
                 continue
-            if why := fault(key, value):
-                look.bad.append(why)
+            if reason := _invalid_reason(key, value):
+                scan.rejected.append(reason)
                 continue
-            self.known[key] = look.changes[key] = value
+            self.known[key] = value
+            scan.changes[key] = value
         for key in self.known.keys() - found:
             del self.known[key]
-            look.changes[key] = None
-        return look
+            scan.changes[key] = None
+        return scan
 
 
-def fault(key: str, value: bytes) -> str:
-    """Why this can't be distributed, beginning with the key; nothing where it can."""
-    if len(key) > MOST_KEY:
-        return f"{key[:40]}: want a name of {MOST_KEY} characters at the most"
-    if len(value) > MOST_VALUE:
-        return f"{key}: want {MOST_VALUE} bytes at the most, found {len(value)}"
+def _invalid_reason(key: str, value: bytes) -> str | None:
+    """Return why this can't be distributed, beginning with the key; None if it can."""
+    if len(key) > MAX_KEY_LENGTH:
+        return f"{key[:40]}: want a name of {MAX_KEY_LENGTH} characters at the most"
+    if len(value) > MAX_VALUE_BYTES:
+        return f"{key}: want {MAX_VALUE_BYTES} bytes at the most, found {len(value)}"
     try:
-        read_value(key, value)
+        decode_value(key, value)
     except InvalidValueError as error:
         return str(error)
-    return ""
+    return None
 
 
 def next_epoch(path: Path, unix: float | None = None) -> int:
-    """An epoch beyond all that this file has had, on the disk before it is used; by the wall clock, in
-    milliseconds, where that is further. Raises ``BadEpoch`` for a file that holds anything else.
+    """Return an epoch beyond all that this file has held, after it was written to the disk.
+
+    It is the wall clock's time in milliseconds where that is further; ``unix``: that time in seconds, by
+    default the present one. Symptom if an epoch came twice: subscribers would take a restarted source's new
+    numbers for old ones. Raises ``EpochError`` for a file that holds anything else, and ``OSError``.
     """
     unix = time.time() if unix is None else unix
     last = 0
     if path.exists():
         text = path.read_text().strip()
-        if not text.isascii() or not text.isdecimal() or int(text) >= 1 << 52:
+        if not text.isascii() or not text.isdecimal() or int(text) >= MAX_EPOCH:
             msg = f"{path}: want a number, found {text[:40]!r}"
             raise EpochError(msg)
         last = int(text)
     epoch = max(last + 1, int(unix * 1000))
-    spare = path.with_suffix(".new")
-    with spare.open("w") as file:
+    temporary = path.with_suffix(".new")
+    with temporary.open("w") as file:
         file.write(f"{epoch}\n")
         file.flush()
         os.fsync(file.fileno())
-    spare.replace(path)
-    sync_folder(path.parent)
+    temporary.replace(path)
+    _sync_folder(path.parent)
     return epoch
 
 
-def sync_folder(path: Path) -> None:
+def _sync_folder(path: Path) -> None:
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/cleatyoke/distribution/records.py
+++ b/cleatyoke/distribution/records.py
@@ -1,8 +1,9 @@
-"""What the distribution sends: typed records in MessagePack, checked whole on arrival, refused with a reason.
+"""The distribution's messages: typed records in MessagePack, validated whole on arrival.
 
-A subscriber polls and is answered; nothing is pushed, so that a relay keeps nothing for a subscriber. Every
-message is sealed by a checksum and begins with a byte that no MessagePack value begins with, which tells it
-from the other messages of the same streams.
+A subscriber polls and is answered; nothing is pushed, so that a relay stores nothing for a subscriber. Every
+message has a checksum and begins with a byte that no MessagePack value begins with, which distinguishes it
+from the other messages that the same streams could carry. All records are arrays on the wire: the names of
+fields and classes here never leave the process, their order does (``docs/distribution.md``).
 """
 
 from __future__ import annotations
@@ -14,151 +15,170 @@
 
 from cleatyoke.membership.wire import Count, Text, WireError, sealed, unsealed
 
-FORM = 1  # of these messages; another one is refused
-MARK = b"\xc1"  # in front of each message
-MOST_MESSAGE = 1 << 20  # bytes
-MOST_VALUE = 1 << 18  # bytes of one value
-MOST_ENTRIES = 10_000  # of one part of a reply
-ENTRY_OVERHEAD = 24  # bytes of an entry on the wire, beside its key and value, at the most
+FORMAT_VERSION = 1  # of these messages; others are rejected
+MESSAGE_MARK = b"\xc1"  # the first byte of each message
+MAX_MESSAGE_BYTES = 1 << 20
+MAX_VALUE_BYTES = 1 << 18
+MAX_KEY_LENGTH = 128  # characters
+MAX_ENTRIES_PER_LANE = 10_000  # changes, and entries of a page, of one lane of a reply
+ENTRY_OVERHEAD_BYTES = 24  # of an entry on the wire besides its key and value, at most
 
-Key = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-Cursor = Annotated[str, msgspec.Meta(max_length=128)]
+Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_KEY_LENGTH)]
+Cursor = Annotated[str, msgspec.Meta(max_length=MAX_KEY_LENGTH)]
 
 
 class Lane(enum.IntEnum):
-    """What is sent first where there is more than a reply holds."""
+    """An ordered log of changes, one of two that share the version numbers of a source.
+
+    Where there is more than a reply may hold, changes of the first lane are sent first: a drain must not wait
+    for settings.
+    """
 
     NODES = 0  # drains and changes of primary
     SETTINGS = 1
 
 
 class Version(msgspec.Struct, array_like=True, frozen=True, order=True, forbid_unknown_fields=True):
-    """``epoch`` rises with each life of the source, ``number`` with each change in it."""
+    """The version of a change: ``epoch`` rises with each start of the source, ``number`` with each change."""
 
     epoch: Count
     number: Count
 
 
-NOTHING = Version(0, 0)
+NO_VERSION = Version(0, 0)  # less than any change's
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The latest word on a key. A ``value`` of None: the key is gone."""
+    """The latest value of a key. A ``value`` of None is a tombstone: the key was removed."""
 
     key: Key
     version: Version
-    value: Annotated[bytes, msgspec.Meta(max_length=MOST_VALUE)] | None
+    value: Annotated[bytes, msgspec.Meta(max_length=MAX_VALUE_BYTES)] | None
 
-    def size(self) -> int:
-        """Bytes on the wire, at the most."""
-        return ENTRY_OVERHEAD + len(self.key.encode()) + len(self.value or b"")
+    def wire_size(self) -> int:
+        """Return the bytes on the wire, at most."""
+        return ENTRY_OVERHEAD_BYTES + len(self.key.encode()) + len(self.value or b"")
 
 
 class Position(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What a subscriber knows of a lane: all changes up to ``number``, of the keys up to ``after``. An
-    ``after`` of None: of all keys.
+    """How much of a lane a subscriber has: all changes up to ``number``, of the keys up to ``cursor``.
+
+    A ``cursor`` of None: of all keys; otherwise the subscriber is still copying the lane page by page.
     """
 
     number: Count = 0
-    after: Cursor | None = ""
+    cursor: Cursor | None = ""
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether the subscriber has all keys of the lane."""
+        return self.cursor is None
 
 
 class Poll(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What is new? ``number`` comes back with the reply; ``most``: bytes of entries that it may hold;
-    ``removals``: whether pages name keys that are gone, as a relay needs them.
+    """A subscriber's request for what is new.
+
+    ``poll_id`` returns with the reply. ``epoch`` and ``positions`` (by lane) are what the subscriber has.
+    ``max_bytes``: of entries in the reply. ``wants_tombstones``: pages are to name removed keys too, as a relay
+    needs them for its own subscribers.
     """
 
     deployment: Text
-    form: Count
+    format_version: Count
     subscriber: Text
-    number: Count
+    poll_id: Count
     epoch: Count
     positions: Annotated[list[Position], msgspec.Meta(min_length=len(Lane), max_length=len(Lane))]
-    most: Annotated[int, msgspec.Meta(ge=0, le=MOST_MESSAGE)]
-    removals: bool = False
+    max_bytes: Annotated[int, msgspec.Meta(ge=0, le=MAX_MESSAGE_BYTES)]
+    wants_tombstones: bool = False
 
 
 class LaneChanges(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Of one lane. ``changes``: all with numbers over ``first`` up to ``last``, the latest of each key.
-    ``page``: all keys over ``page_after`` up to ``page_to`` (None: to the end), as of ``last`` or later.
-    ``restart``: the subscriber's position is of no use, and pages begin anew.
+    """What a reply says of one lane.
+
+    ``changes``: all with numbers over ``since`` up to ``up_to``, the latest one of each key.
+    ``compacted_up_to``: tombstones with numbers up to this one may have been discarded.
+    ``restarts``: the subscriber's position is of no use, and the pages begin anew.
+    ``page``: all keys over ``page_after`` (None: there is no page) up to ``page_to`` (None: to the end), as of
+    ``up_to`` or later.
     """
 
-    first: Count
-    last: Count
-    floor: Count  # up to this number, keys that are gone may have been forgotten
-    changes: Annotated[list[Entry], msgspec.Meta(max_length=MOST_ENTRIES)] = []
-    restart: bool = False
-    page_after: Cursor | None = None  # None: there is no page
+    since: Count
+    up_to: Count
+    compacted_up_to: Count
+    changes: Annotated[list[Entry], msgspec.Meta(max_length=MAX_ENTRIES_PER_LANE)] = []
+    restarts: bool = False
+    page_after: Cursor | None = None
     page_to: Cursor | None = None
-    page: Annotated[list[Entry], msgspec.Meta(max_length=MOST_ENTRIES)] = []
+    page: Annotated[list[Entry], msgspec.Meta(max_length=MAX_ENTRIES_PER_LANE)] = []
 
 
-class Refusal(enum.StrEnum):
-    """Why a relay gives no entries; the subscriber asks another one."""
+class Rejection(enum.StrEnum):
+    """Why a relay answers a poll without entries; the subscriber polls another one. Wire values."""
 
-    NONE = ""
-    FULL = "full"  # it has as many subscribers as it takes
-    NOT_READY = "not ready"  # it has no whole copy yet
-    OLDER = "older epoch"  # the subscriber has heard a newer one
-    BEHIND = "behind"  # the subscriber knows more changes
+    NONE = ""  # it does answer
+    FULL = "full"  # it has as many subscribers as it accepts
+    NOT_READY = "not ready"  # it has no complete copy yet
+    OLDER_EPOCH = "older epoch"  # the subscriber knows of a newer one
+    BEHIND = "behind"  # the subscriber has more changes
 
 
 class Reply(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """``age``: seconds since the source is known to have had nothing newer."""
+    """The answer to a poll.
+
+    ``source``: name of the process that answers. ``age``: seconds since the source is known to have had
+    nothing newer. ``lanes``: one element for each lane, or none with a rejection. ``has_more``: the
+    subscriber is not up to date even with this reply.
+    """
 
     deployment: Text
-    form: Count
-    number: Count
+    format_version: Count
+    poll_id: Count
     source: Text
     epoch: Count
     age: Annotated[float, msgspec.Meta(ge=0)]
-    refusal: Refusal = Refusal.NONE
-    parts: Annotated[list[LaneChanges], msgspec.Meta(max_length=len(Lane))] = []
-    more: bool = False
+    rejection: Rejection = Rejection.NONE
+    lanes: Annotated[list[LaneChanges], msgspec.Meta(max_length=len(Lane))] = []
+    has_more: bool = False
 
 
 Message = TypeVar("Message", Poll, Reply)
-encoder = msgspec.msgpack.Encoder()
-polls = msgspec.msgpack.Decoder(Poll)
-replies = msgspec.msgpack.Decoder(Reply)
+_encoder = msgspec.msgpack.Encoder()
+_poll_decoder = msgspec.msgpack.Decoder(Poll)
+_reply_decoder = msgspec.msgpack.Decoder(Reply)
 
 
 def encode(message: Poll | Reply) -> bytes:
-    return MARK + sealed(encoder.encode(message))
-
-
-def is_ours(data: bytes) -> bool:
-    """Whether a message of a shared stream is one of the distribution's."""
-    return data[:1] == MARK
+    """Encode a message, with its mark and checksum."""
+    return MESSAGE_MARK + sealed(_encoder.encode(message))
 
 
 def decode_poll(deployment: str, data: bytes) -> Poll:
-    """Raises ``Refused`` with the reason."""
-    return checked(deployment, open_message(polls, data))
+    """Decode a poll of this deployment. Raises ``WireError`` with the reason as its text."""
+    return _checked(deployment, _decode(_poll_decoder, data))
 
 
 def decode_reply(deployment: str, data: bytes) -> Reply:
-    """Raises ``Refused`` with the reason."""
-    return checked(deployment, open_message(replies, data))
+    """Decode a reply of this deployment. Raises ``WireError`` with the reason as its text."""
+    return _checked(deployment, _decode(_reply_decoder, data))
 
 
-def open_message(decoder: msgspec.msgpack.Decoder[Message], data: bytes) -> Message:
-    if not is_ours(data):
+def _decode(decoder: msgspec.msgpack.Decoder[Message], data: bytes) -> Message:
+    if data[:1] != MESSAGE_MARK:
         msg = "foreign"
         raise WireError(msg)
     try:
-        return decoder.decode(unsealed(data[1:], MOST_MESSAGE))
+        return decoder.decode(unsealed(data[1:], MAX_MESSAGE_BYTES))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         msg = "unreadable"
         raise WireError(msg) from error
 
 
-def checked(deployment: str, message: Message) -> Message:
+def _checked(deployment: str, message: Message) -> Message:
     if message.deployment != deployment:
         msg = "foreign"
         raise WireError(msg)
-    if message.form != FORM:
+    if message.format_version != FORMAT_VERSION:
         msg = "version"
         raise WireError(msg)
     return message
--- a/cleatyoke/distribution/relay.py
+++ b/cleatyoke/distribution/relay.py
@@ -1,189 +1,208 @@
-"""Source and relay: a store that answers polls, filled by changes here or by a subscription there.
-
-A relay serves only whole copies. While it takes a copy of a new epoch, or one after it was away for too long,
-it goes on serving the one that it has.
-"""
+"""Source and relay: a store that answers polls, filled by changes there or by a subscription here."""
 
 from __future__ import annotations
 
 import random
+from abc import ABC, abstractmethod
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
+from cleatyoke.distribution.errors import InvalidChangeError
 from cleatyoke.distribution.records import (
-    MOST_VALUE,
+    MAX_KEY_LENGTH,
+    MAX_VALUE_BYTES,
     Entry,
     Lane,
-    Refusal,
-    Reply,
+    Rejection,
     Version,
     decode_poll,
     encode,
 )
-from cleatyoke.distribution.server import PollAdmission, answer, refuse
+from cleatyoke.distribution.server import PollAdmission, answer_poll, reject_poll
 from cleatyoke.distribution.store import ChangeStore
-from cleatyoke.distribution.subscriber import (
+from cleatyoke.distribution.subscriber import Subscriber
+from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
     EpochRestarted,
     LaneComplete,
     PollAnswered,
     RelayChanged,
     SendPoll,
-    Subscriber,
     SubscriberAction,
     SubscriberTiming,
 )
 from cleatyoke.membership.wire import WireError
 
-RELAY_TIMING = SubscriberTiming(poll=1.0, spread=1.0, spread_most=4.0, rate=1e6, burst=1e6)
-
-
-class InvalidChangeError(ValueError):
-    """A change that the source does not take; the text begins with the key."""
+RELAY_TIMING = SubscriberTiming(
+    poll_interval=1.0,
+    failover_spread=1.0,
+    max_failover_spread=4.0,
+    bytes_per_second=1e6,
+    burst_bytes=1e6,
+)
 
 
-class ChangeServer:
-    """What answers polls. ``refused``: messages that were not taken, by reason."""
+class ChangeServer(ABC):
+    """What answers polls. ``rejected``: messages that were not accepted, by reason."""
 
-    def __init__(self, deployment: str, name: str, most_subscribers: int) -> None:
-        self.deployment, self.name = deployment, name
-        self.admission = PollAdmission(most_subscribers)
-        self.refused: Counter[str] = Counter()
+    def __init__(self, deployment: str, name: str, max_subscribers: int) -> None:
+        self.deployment = deployment
+        self.name = name
+        self.admission = PollAdmission(max_subscribers)
+        self.rejected: Counter[str] = Counter()
         self.bytes_out = 0
 
-    def serving(self) -> ChangeStore | None:
-        """The whole copy that is served, if there is one."""
-        raise NotImplementedError
+    @abstractmethod
+    def served_store(self) -> ChangeStore | None:
+        """Return the complete copy that is served, or None if there is none yet."""
 
+    @abstractmethod
     def age(self, now: float) -> float:
-        raise NotImplementedError
+        """Return the seconds since the source is known to have had nothing newer than the served copy."""
 
     def answer(self, now: float, data: bytes) -> bytes | None:
-        """The reply to a message, or None to one that is refused whole."""
+        """Return the reply to a message, or None to one that is no poll of this deployment."""
         try:
             poll = decode_poll(self.deployment, data)
-        except WireError as refused:
-            self.refused[str(refused)] += 1
+        except WireError as error:
+            self.rejected[str(error)] += 1
             return None
-        store = self.serving()
+        store = self.served_store()
         if store is None:
-            reply = refuse(poll, self.name, 0, Refusal.NOT_READY)
-        elif not self.admission.takes(now, poll.subscriber):
-            reply = refuse(poll, self.name, store.epoch, Refusal.FULL)
+            reply = reject_poll(poll, self.name, 0, Rejection.NOT_READY)
+        elif not self.admission.admit(now, poll.subscriber):
+            reply = reject_poll(poll, self.name, store.epoch, Rejection.FULL)
         else:
-            reply = answer(poll, self.name, store, self.age(now))
-        return self.encoded(reply)
-
-    def encoded(self, reply: Reply) -> bytes:
-        data = encode(reply)
-        self.bytes_out += len(data)
-        return data
+            reply = answer_poll(poll, self.name, store, self.age(now))
+        encoded = encode(reply)
+        self.bytes_out += len(encoded)
+        return encoded
 
 
 class Source(ChangeServer):
-    """Where changes are made. ``epoch`` has to be higher than that of any life of the source before."""
+    """Where changes are made. ``epoch`` has to be higher than that of any earlier start of the source."""
 
-    def __init__(self, deployment: str, name: str, epoch: int, most_subscribers: int = 256) -> None:
-        super().__init__(deployment, name, most_subscribers)
+    def __init__(self, deployment: str, name: str, epoch: int, max_subscribers: int = 256) -> None:
+        super().__init__(deployment, name, max_subscribers)
         self.store = ChangeStore(epoch)
-        self.number = 0
+        self.last_number = 0
 
-    def serving(self) -> ChangeStore:
+    def served_store(self) -> ChangeStore:
+        """Return the store, which is complete at any time."""
         return self.store
 
-    def age(self, now: float) -> float:
+    def age(self, now: float) -> float:  # noqa: ARG002 (a relay's age needs it)
+        """Return 0: nothing is newer than the source."""
         return 0.0
 
     def put(self, now: float, lane: Lane, key: str, value: bytes | None) -> Version:
-        """Make a change. Raises ``BadChange`` for one that no message could carry."""
-        if not 1 <= len(key) <= 128:
-            msg = f"{key[:40]}: want a key of 1 to 128 characters"
+        """Make a change; a ``value`` of None removes the key.
+
+        Raises ``InvalidChangeError`` for one that no message could carry.
+        """
+        if not 1 <= len(key) <= MAX_KEY_LENGTH:
+            msg = f"{key[:40]}: want a key of 1 to {MAX_KEY_LENGTH} characters"
             raise InvalidChangeError(msg)
-        if value is not None and len(value) > MOST_VALUE:
-            msg = f"{key}: want {MOST_VALUE} bytes at the most, found {len(value)}"
+        if value is not None and len(value) > MAX_VALUE_BYTES:
+            msg = f"{key}: want {MAX_VALUE_BYTES} bytes at the most, found {len(value)}"
             raise InvalidChangeError(msg)
-        self.number += 1
-        version = Version(self.store.epoch, self.number)
+        self.last_number += 1
+        version = Version(self.store.epoch, self.last_number)
         self.store.lanes[lane].put(now, Entry(key, version, value))
         return version
 
 
 class Relay(ChangeServer):
-    """Between the source, or another relay, and subscribers."""
+    """A copy of the source, or of another relay, that answers polls.
+
+    A relay serves complete copies only: one that served half a copy would make its subscribers remove what
+    the other half holds. While it copies a new epoch, or anew after it was away for too long, it goes on
+    serving the copy that it has.
+    """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 (identity and options of the one state machine)
         self,
         deployment: str,
         name: str,
         upstream: Sequence[Sequence[str]],
         rng: random.Random,
-        most_subscribers: int = 160,
+        max_subscribers: int = 160,
         timing: SubscriberTiming = RELAY_TIMING,
     ) -> None:
-        super().__init__(deployment, name, most_subscribers)
-        self.subscriber = Subscriber(deployment, name, upstream, rng, timing, whole=True)
-        self.store: ChangeStore | None = None  # whole, and served
-        self.building: ChangeStore | None = None  # the next one
-        self.copied: dict[Lane, dict[str, Entry]] = {}  # of the next one, by lane
-        self.complete: set[Lane] = set()
-
-    def serving(self) -> ChangeStore | None:
+        super().__init__(deployment, name, max_subscribers)
+        self.subscriber = Subscriber(deployment, name, upstream, rng, timing, wants_tombstones=True)
+        self.store: ChangeStore | None = None  # complete, and served
+        self.next_store: ChangeStore | None = None  # the copy that is being made, still without entries
+        self.copied_entries: dict[Lane, dict[str, Entry]] = {}  # of the next store
+        self.complete_lanes: set[Lane] = set()  # of the next store
+
+    def served_store(self) -> ChangeStore | None:
+        """Return the complete copy that is served, or None before the first one."""
         return self.store
 
     def age(self, now: float) -> float:
+        """Return the seconds since the source is known to have had nothing newer."""
         return max(0.0, self.subscriber.age(now))
 
     def due(self) -> float:
+        """Return when the next step is due even if nothing has happened."""
         return self.subscriber.due()
 
     def step(self, now: float, events: Iterable[PollAnswered] = ()) -> list[SendPoll | RelayChanged]:
-        out: list[SendPoll | RelayChanged] = []
+        """Process what has happened and what is due at ``now``; returns what is to be done, in order."""
+        outgoing: list[SendPoll | RelayChanged] = []
         for action in self.subscriber.step(now, events):
             if isinstance(action, SendPoll | RelayChanged):
-                out.append(action)
+                outgoing.append(action)
             else:
-                self.take(now, action)
-        if self.store and not self.building:
-            for lane, known in self.subscriber.lanes.items():  # what it has of newer ones came with a copy
+                self._handle(now, action)
+        if self.store and not self.next_store:
+            for lane, known in self.subscriber.lanes.items():
+                # The position passes changes without an entry here too: those that were superseded, and
+                # those that a page had brought already.
                 served = self.store.lanes[lane]
-                served.last = max(served.last, known.position.number)
-        return out
+                served.last_number = max(served.last_number, known.position.number)
+        return outgoing
 
-    def take(self, now: float, action: SubscriberAction) -> None:
+    def _handle(self, now: float, action: SubscriberAction) -> None:
         match action:
             case EpochRestarted(lane, epoch):
-                self.begin(lane, epoch)
+                self._begin_lane(lane, epoch)
             case DeliverChanges(lane, entries):
-                self.deliver(now, lane, entries)
-            case LaneComplete(lane, number, floor):
-                self.finish(now, lane, number, floor)
-
-    def begin(self, lane: Lane, epoch: int) -> None:
-        """A lane that begins anew makes all do: they are served as one copy."""
-        if self.building is None or self.building.epoch != epoch:
-            self.building = ChangeStore(epoch)
-            kept = self.store if self.store and self.store.epoch == epoch else None
-            self.copied = {one: dict(kept.lanes[one].entries) if kept else {} for one in Lane}
-            self.complete = set(Lane) if kept else set()
-        self.copied[lane] = {}
-        self.complete.discard(lane)
-
-    def deliver(self, now: float, lane: Lane, entries: list[Entry]) -> None:
-        if self.building:
+                self._deliver(now, lane, entries)
+            case LaneComplete(lane):
+                self._finish_lane(now, lane)
+
+    def _begin_lane(self, lane: Lane, epoch: int) -> None:
+        """Begin the next copy if none is begun: all lanes are replaced together, as they are served as one."""
+        if self.next_store is None or self.next_store.epoch != epoch:
+            self.next_store = ChangeStore(epoch)
+            retained = self.store if self.store and self.store.epoch == epoch else None
+            self.copied_entries = {one: dict(retained.lanes[one].entries) if retained else {} for one in Lane}
+            self.complete_lanes = set(Lane) if retained else set()
+        self.copied_entries[lane] = {}
+        self.complete_lanes.discard(lane)
+
+    def _deliver(self, now: float, lane: Lane, entries: list[Entry]) -> None:
+        if self.next_store:
+            copied = self.copied_entries[lane]
             for entry in entries:
-                known = self.copied[lane].get(entry.key)
+                known = copied.get(entry.key)
                 if known is None or entry.version > known.version:
-                    self.copied[lane][entry.key] = entry
+                    copied[entry.key] = entry
         elif self.store:
             for entry in sorted(entries, key=lambda one: one.version):
                 self.store.lanes[lane].put(now, entry)
 
-    def finish(self, now: float, lane: Lane, number: int, floor: int) -> None:
-        self.complete.add(lane)
-        if self.building is None or len(self.complete) < len(Lane):
+    def _finish_lane(self, now: float, lane: Lane) -> None:
+        """Serve the next copy if this was its last incomplete lane."""
+        self.complete_lanes.add(lane)
+        if self.next_store is None or len(self.complete_lanes) < len(Lane):
             return
         for one in Lane:
             known = self.subscriber.lanes[one]
-            entries = self.copied[one].values()
-            self.building.lanes[one].load(now, entries, known.position.number, known.floor)
-        self.store, self.building, self.copied = self.building, None, {}
+            entries = self.copied_entries[one].values()
+            self.next_store.lanes[one].load(now, entries, known.position.number, known.compacted_up_to)
+        self.store = self.next_store
+        self.next_store = None
+        self.copied_entries = {}
--- a/cleatyoke/distribution/server.py
+++ b/cleatyoke/distribution/server.py
@@ -1,76 +1,123 @@
-"""The answer to a poll, from a store: what a source and a relay do alike. Nothing is kept for a subscriber
-but when it last asked, by which a relay bounds how many it takes.
+"""The answer to a poll from a store, which a source and a relay give alike.
+
+Nothing is stored for a subscriber but when it last polled, by which a relay limits how many it accepts.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from cleatyoke.distribution.records import FORM, Lane, LaneChanges, Poll, Position, Refusal, Reply
+from cleatyoke.distribution.records import (
+    FORMAT_VERSION,
+    Entry,
+    Lane,
+    LaneChanges,
+    Poll,
+    Position,
+    Rejection,
+    Reply,
+)
 from cleatyoke.distribution.store import ChangeStore, LaneStore
 
-LEAVES = 15.0  # seconds after its last poll in which a subscriber counts as one
+SUBSCRIBER_TIMEOUT = 15.0  # seconds after its last poll in which a subscriber counts as one
 
 
 @dataclass(slots=True)
 class PollAdmission:
-    """Who may ask: a subscriber that is known, or one more while there is room."""
+    """Limit the subscribers of a relay, so that one relay doesn't get those of all that have failed.
+
+    A subscriber that is known is always admitted. ``last_polled_at``: by subscriber, the latest last.
+    """
 
-    most: int
-    seen: dict[str, float] = field(default_factory=dict)  # subscriber: when it last asked, the latest last
+    max_subscribers: int
+    last_polled_at: dict[str, float] = field(default_factory=dict)
 
-    def takes(self, now: float, subscriber: str) -> bool:
-        while self.seen and now - next(iter(self.seen.values())) > LEAVES:
-            del self.seen[next(iter(self.seen))]
-        known = self.seen.pop(subscriber, None) is not None
-        if not known and len(self.seen) >= self.most:
+    def admit(self, now: float, subscriber: str) -> bool:
+        """Whether the subscriber's poll may be answered; it then counts as a subscriber."""
+        while self.last_polled_at and now - next(iter(self.last_polled_at.values())) > SUBSCRIBER_TIMEOUT:
+            del self.last_polled_at[next(iter(self.last_polled_at))]
+        is_known = self.last_polled_at.pop(subscriber, None) is not None
+        if not is_known and len(self.last_polled_at) >= self.max_subscribers:
             return False
-        self.seen[subscriber] = now
+        self.last_polled_at[subscriber] = now
         return True
 
 
-def refuse(poll: Poll, source: str, epoch: int, refusal: Refusal) -> Reply:
-    return Reply(poll.deployment, FORM, poll.number, source, epoch, 0.0, refusal)
+def reject_poll(poll: Poll, source: str, epoch: int, rejection: Rejection) -> Reply:
+    """Return the reply that rejects a poll."""
+    return Reply(poll.deployment, FORMAT_VERSION, poll.poll_id, source, epoch, 0.0, rejection)
 
 
-def answer(poll: Poll, source: str, store: ChangeStore, age: float) -> Reply:
-    """``age``: of the store, in seconds. Changes go before pages, and nodes before settings, but for pages:
-    those of the settings are few.
+def answer_poll(poll: Poll, source: str, store: ChangeStore, age: float) -> Reply:
+    """Return the reply to a poll. ``age``: of the store, in seconds.
+
+    Changes go before pages, and changes of nodes before those of settings. Pages of settings go first, as they
+    are few.
     """
     if poll.epoch > store.epoch:
-        return refuse(poll, source, store.epoch, Refusal.OLDER)
-    same = poll.epoch == store.epoch
-    if same and any(poll.positions[lane].number > store.lanes[lane].last for lane in Lane):
-        return refuse(poll, source, store.epoch, Refusal.BEHIND)
-    room, parts = poll.most, {}
+        return reject_poll(poll, source, store.epoch, Rejection.OLDER_EPOCH)
+    is_same_epoch = poll.epoch == store.epoch
+    if is_same_epoch and any(poll.positions[lane].number > store.lanes[lane].last_number for lane in Lane):
+        return reject_poll(poll, source, store.epoch, Rejection.BEHIND)
+    remaining = poll.max_bytes
+    lanes: dict[Lane, LaneChanges] = {}
     for lane in Lane:
-        part = changes_of(store.lanes[lane], poll.positions[lane], same, room)
-        room -= sum(entry.size() for entry in part.changes)
-        parts[lane] = part
-    more = any(part.last < store.lanes[lane].last for lane, part in parts.items())
+        lanes[lane] = _lane_changes(store.lanes[lane], poll.positions[lane], is_same_epoch, remaining)
+        remaining -= _wire_size(lanes[lane].changes)
+    has_more = any(changes.up_to < store.lanes[lane].last_number for lane, changes in lanes.items())
     for lane in reversed(Lane):
-        after = "" if parts[lane].restart else poll.positions[lane].after
-        if after is None:
+        cursor = "" if lanes[lane].restarts else poll.positions[lane].cursor
+        if cursor is None:
             continue
-        if room <= 0:
-            more = True
+        if remaining <= 0:
+            has_more = True
             continue
-        page, to = store.lanes[lane].page(after, room, poll.removals)
-        room -= sum(entry.size() for entry in page)
-        more = more or to is not None
-        old = parts[lane]
-        parts[lane] = LaneChanges(old.first, old.last, old.floor, old.changes, old.restart, after, to, page)
-    ordered = [parts[lane] for lane in Lane]
-    return Reply(poll.deployment, FORM, poll.number, source, store.epoch, age, Refusal.NONE, ordered, more)
-
-
-def changes_of(store: LaneStore, position: Position, same: bool, room: int) -> LaneChanges:
-    """A position of another epoch, or from before what is remembered, is of no use: the lane begins anew, by
-    pages, and with the changes from now on.
+        page = store.lanes[lane].page_after(cursor, remaining, with_tombstones=poll.wants_tombstones)
+        remaining -= _wire_size(page.entries)
+        has_more = has_more or page.up_to is not None
+        lanes[lane] = _with_page(lanes[lane], cursor, page.up_to, page.entries)
+    ordered = [lanes[lane] for lane in Lane]
+    return Reply(
+        poll.deployment,
+        FORMAT_VERSION,
+        poll.poll_id,
+        source,
+        store.epoch,
+        age,
+        Rejection.NONE,
+        ordered,
+        has_more,
+    )
+
+
+def _wire_size(entries: list[Entry]) -> int:
+    return sum(entry.wire_size() for entry in entries)
+
+
+def _with_page(changes: LaneChanges, after: str, to: str | None, page: list[Entry]) -> LaneChanges:
+    return LaneChanges(
+        changes.since,
+        changes.up_to,
+        changes.compacted_up_to,
+        changes.changes,
+        changes.restarts,
+        after,
+        to,
+        page,
+    )
+
+
+def _lane_changes(
+    store: LaneStore, position: Position, is_same_epoch: bool, remaining_bytes: int
+) -> LaneChanges:
+    """Return a lane's changes after a subscriber's position.
+
+    A position of another epoch, or from before the compaction, is of no use: the lane begins anew, by pages
+    and by the changes from now on.
     """
-    if not same or position.number < store.floor:
-        return LaneChanges(store.last, store.last, store.floor, restart=True)
-    if room <= 0:
-        return LaneChanges(position.number, position.number, store.floor)
-    changes, last = store.changes(position.number, room)
-    return LaneChanges(position.number, last, store.floor, changes)
+    if not is_same_epoch or position.number < store.compacted_up_to:
+        return LaneChanges(store.last_number, store.last_number, store.compacted_up_to, restarts=True)
+    if remaining_bytes <= 0:
+        return LaneChanges(position.number, position.number, store.compacted_up_to)
+    batch = store.changes_since(position.number, remaining_bytes)
+    return LaneChanges(position.number, batch.up_to, store.compacted_up_to, batch.entries)
--- a/cleatyoke/distribution/status.py
+++ b/cleatyoke/distribution/status.py
@@ -1,4 +1,4 @@
-"""What of the distributed configuration is in force at a front, how old that is and who told it; no I/O."""
+"""What distributed configuration is in force at a front, how old it is and where it came from. No I/O."""
 
 from __future__ import annotations
 
@@ -6,80 +6,82 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from cleatyoke.distribution.records import NOTHING, Lane, Version
+from cleatyoke.distribution.records import NO_VERSION, Lane, Version
 from cleatyoke.distribution.subscriber import Subscriber
 
-OLD = 13.0  # seconds after which it is said that what is in force may be old
+MAX_AGE = 13.0  # seconds after which the configuration in force is reported as possibly outdated
 
 
 @dataclass(slots=True, frozen=True)
 class RejectedVersion:
-    """A change that is not valid."""
+    """A change that is not valid, and why."""
 
     version: Version
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
 class SubscriptionStatus:
-    """``in_force``: the version of the settings that the policy decides by; ``refused``: by key, a version
-    that is not valid, and why.
+    """The state of a front's subscription for operators.
+
+    ``in_force``: version of the settings that the scheduler uses. ``rejected``: by key, the latest version if
+    that is not valid. ``reported_stale``: whether the configuration was last reported as outdated.
     """
 
     subscriber: Subscriber
-    in_force: Version = NOTHING
-    refused: dict[str, RejectedVersion] = field(default_factory=dict)
-    told_old: bool = False
+    in_force: Version = NO_VERSION
+    rejected: dict[str, RejectedVersion] = field(default_factory=dict)
+    reported_stale: bool = False
 
-    def took(self, version: Version, keys: Iterable[str]) -> None:
-        """Of these keys the latest values are in force."""
+    def settings_applied(self, version: Version, keys: Iterable[str]) -> None:
+        """Record that settings are in force, with the latest values of these keys."""
         self.in_force = version
         for key in keys:
-            self.refused.pop(key, None)
+            self.rejected.pop(key, None)
 
-    def turned_down(self, key: str, version: Version, why: str) -> None:
-        self.refused[key] = RejectedVersion(version, why)
+    def settings_rejected(self, key: str, version: Version, reason: str) -> None:
+        """Record a change that is not valid."""
+        self.rejected[key] = RejectedVersion(version, reason)
 
-    def became_old(self, now: float) -> bool | None:
-        """Whether what is in force has become old, or fresh again, since the last look; None: neither."""
-        old = self.subscriber.age(now) > OLD
-        if old == self.told_old:
+    def check_staleness(self, now: float) -> bool | None:
+        """Return whether the configuration is outdated, if that has changed since the last call; else None."""
+        is_stale = self.subscriber.age(now) > MAX_AGE
+        if is_stale == self.reported_stale:
             return None
-        self.told_old = old
-        return old
+        self.reported_stale = is_stale
+        return is_stale
 
     def lines(self, now: float) -> list[str]:
-        """``NAME=VALUE``, as ``show-config`` tells it."""
-        subscriber, age = self.subscriber, self.subscriber.age(now)
-        whole = all(known.position.after is None for known in subscriber.lanes.values())
+        """Return the lines ``NAME=VALUE`` of ``show-config`` (``docs/distribution.md``)."""
+        subscriber = self.subscriber
+        age = subscriber.age(now)
         known = {lane: subscriber.lanes[lane].position.number for lane in Lane}
         return [
             f"config.in_force={self.in_force.epoch}.{self.in_force.number}",
-            f"config.refused={len(self.refused)}",
+            f"config.refused={len(self.rejected)}",
             *(
-                f"config.refused.{key}={one.version.number} {one.why}"
-                for key, one in list(self.refused.items())
+                f"config.refused.{key}={one.version.number} {one.reason}"
+                for key, one in list(self.rejected.items())  # a copy: called from another thread too
             ),
             f"config.known={subscriber.epoch}.{known[Lane.SETTINGS]}",
             f"config.nodes_known={subscriber.epoch}.{known[Lane.NODES]}",
-            f"config.whole={'yes' if whole else 'no'}",
+            f"config.whole={'yes' if subscriber.is_complete else 'no'}",
             f"config.age_s={'unknown' if math.isinf(age) else f'{age:.1f}'}",
-            f"config.source={subscriber.source or 'none'}",
-            f"config.relay={subscriber.order[subscriber.place]}",
-            f"config.polls={subscriber.polls}",
-            f"config.bytes={subscriber.bytes}",
-            *(f"config.not_taken.{why.replace(' ', '_')}={count}" for why, count in refusals(subscriber)),
+            f"config.source={subscriber.source_name or 'none'}",
+            f"config.relay={subscriber.relays.current}",
+            f"config.polls={subscriber.poll_count}",
+            f"config.bytes={subscriber.bytes_exchanged}",
+            *(
+                f"config.not_taken.{reason.replace(' ', '_')}={count}"
+                for reason, count in sorted(subscriber.rejected.items())
+            ),
         ]
 
     def gauges(self, now: float) -> dict[str, float]:
-        """For metrics: numbers alone. An age that nobody knows is infinite."""
+        """Return the numbers for metrics, by name. An unknown age is infinite."""
         return {
             "config_epoch": float(self.in_force.epoch),
             "config_number": float(self.in_force.number),
             "config_age_seconds": self.subscriber.age(now),
-            "config_refused": float(len(self.refused)),
+            "config_refused": float(len(self.rejected)),
         }
-
-
-def refusals(subscriber: Subscriber) -> list[tuple[str, int]]:
-    return sorted(subscriber.refused.items())
--- /dev/null
+++ b/cleatyoke/distribution/subscription.py
@@ -0,0 +1,155 @@
+"""A front's subscription: put delivered settings in force, and report nodes that drain or are gone."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+
+import structlog
+
+from cleatyoke.config.deployment import DistributionSettings
+from cleatyoke.discovery.directory import EndpointList
+from cleatyoke.discovery.listings import read_instance
+from cleatyoke.distribution.contents import DistributedSettings, listed_nodes, settings_entries
+from cleatyoke.distribution.network import RelayPoller
+from cleatyoke.distribution.records import Entry, Lane
+from cleatyoke.distribution.status import SubscriptionStatus
+from cleatyoke.distribution.subscriber import Subscriber
+from cleatyoke.distribution.subscriber_messages import (
+    DeliverChanges,
+    EpochRestarted,
+    SubscriberAction,
+    SubscriberTiming,
+)
+from cleatyoke.http.messages import MessageError
+from cleatyoke.process.faults import Faults, keep_up
+from cleatyoke.scheduling.events import EndpointState
+
+AGE_CHECK_INTERVAL = 1.0  # seconds
+log = structlog.get_logger()
+
+
+class Subscription:
+    """A front's part of the distribution. Serving waits for none of it.
+
+    ``apply_settings`` puts settings in force in the way of SIGHUP and returns why they are not valid, or "".
+    ``notify_nodes`` is given nodes that drain or are gone, as changes to the endpoint list.
+    """
+
+    def __init__(  # noqa: PLR0913 (settings, identity and collaborators of the one owner)
+        self,
+        relays: DistributionSettings,
+        name: str,
+        seed: int,
+        faults: Faults,
+        apply_settings: Callable[[DistributedSettings], str],
+        notify_nodes: Callable[[EndpointList], None],
+    ) -> None:
+        tiers = [[str(one) for one in tier] for tier in (relays.relays, relays.others) if tier]
+        timing = SubscriberTiming(poll_interval=relays.poll, bytes_per_second=relays.rate)
+        rng = random.Random(f"distribution:{seed}:{name}")
+        self.subscriber = Subscriber(relays.deployment, name, tiers, rng, timing)
+        self.status = SubscriptionStatus(self.subscriber)
+        self.uses_nodes = relays.nodes
+        self.apply_settings = apply_settings
+        self.notify_nodes = notify_nodes
+        self.settings = DistributedSettings()
+        self.poller = RelayPoller(self.subscriber, self.handle_action, faults)
+        self.faults = faults
+        self._age_task: asyncio.Task[None] | None = None
+
+    def start(self) -> None:
+        """Begin to poll."""
+        self.poller.step()
+        self._age_task = asyncio.create_task(
+            keep_up(self.faults, "config_age", self._log_staleness, lambda: AGE_CHECK_INTERVAL)
+        )
+
+    def stop(self) -> None:
+        """End polling; settings stay in force."""
+        self.poller.stop()
+        if self._age_task:
+            self._age_task.cancel()
+
+    def lines(self) -> list[str]:
+        """Return the lines of ``show-config``; safe to call from the control listener's thread."""
+        return self.status.lines(self.poller.loop.time())
+
+    def gauges(self) -> dict[str, float]:
+        """Return the numbers for metrics, by name."""
+        return self.status.gauges(self.poller.loop.time())
+
+    def handle_action(self, action: SubscriberAction) -> None:
+        """Use what the subscriber delivers."""
+        match action:
+            case DeliverChanges(Lane.SETTINGS, entries):
+                self._apply_entries(entries)
+            case DeliverChanges(Lane.NODES, entries) if self.uses_nodes:
+                self._report_nodes(entries)
+            case EpochRestarted(lane, epoch):
+                log.info("config_restarted", lane=lane.name.lower(), epoch=epoch)
+
+    async def _log_staleness(self) -> None:
+        while True:
+            await asyncio.sleep(AGE_CHECK_INTERVAL)
+            is_stale = self.status.check_staleness(self.poller.loop.time())
+            if is_stale is None:
+                continue
+            level = log.warning if is_stale else log.info
+            in_force = self.status.in_force
+            level(
+                "config_old" if is_stale else "config_fresh",
+                epoch=in_force.epoch,
+                number=in_force.number,
+                source=self.subscriber.source_name,
+            )
+
+    def _apply_entries(self, entries: list[Entry]) -> None:
+        """Put settings in force: all that arrived together; or if those are not valid, one by one.
+
+        So a change that is not valid is rejected by name and delays no other.
+        """
+        about_settings = settings_entries(entries)
+        if not about_settings or not self._try_entries(about_settings):
+            return
+        for entry in about_settings:
+            if reason := self._try_entries([entry]):
+                version = entry.version
+                self.status.settings_rejected(entry.key, version, reason)
+                log.error(
+                    "config_refused",
+                    key=entry.key,
+                    epoch=version.epoch,
+                    number=version.number,
+                    why=reason,
+                )
+
+    def _try_entries(self, entries: list[Entry]) -> str:
+        """Put settings in force as these entries change them; returns why they are not valid, or ""."""
+        changed = self.settings.with_entries(entries)
+        if reason := self.apply_settings(changed):
+            return reason
+        self.settings = changed
+        version = changed.version
+        self.status.settings_applied(version, [entry.key for entry in entries])
+        source = self.subscriber.source_name
+        log.info("config_in_force", epoch=version.epoch, number=version.number, source=source)
+        return ""
+
+    def _report_nodes(self, entries: list[Entry]) -> None:
+        """Report nodes that drain or are gone.
+
+        Others are passed over: which nodes requests may be sent to is for discovery alone to say.
+        """
+        values, invalid = listed_nodes(entries)
+        found = []
+        for value in values:
+            try:
+                found.append(read_instance(value))
+            except MessageError as error:
+                invalid.append(str(error))
+        if invalid:
+            log.warning("config_nodes_refused", why=invalid[0], count=len(invalid))
+        if not_live := [instance for instance in found if instance.state is not EndpointState.LIVE]:
+            self.notify_nodes(EndpointList(0, False, not_live))
--- a/cleatyoke/emulation/distribution.py
+++ b/cleatyoke/emulation/distribution.py
@@ -14,10 +14,12 @@
 from cleatyoke.distribution.records import Lane
 from cleatyoke.distribution.relay import RELAY_TIMING, ChangeServer, Relay, Source
 from cleatyoke.distribution.subscriber import (
+    Subscriber,
+)
+from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
     PollAnswered,
     SendPoll,
-    Subscriber,
     SubscriberTiming,
 )
 
@@ -174,7 +176,7 @@
             if server is None or self.parted(sender, poll.relay):
                 return
             if data := server.answer(self.now, poll.data):
-                self.at(self.now + again, lambda: back(PollAnswered(poll.number, data)))
+                self.at(self.now + again, lambda: back(PollAnswered(poll.poll_id, data)))
 
         self.at(self.now + there, arrive)
 
@@ -215,7 +217,7 @@
 
     def whole(self, name: str) -> bool:
         front = self.subscribers[name]
-        return all(known.position.after is None for known in front.lanes.values())
+        return all(known.position.cursor is None for known in front.lanes.values())
 
     def settled(self) -> bool:
         """Whether every subscriber knows just what the source has."""
@@ -238,4 +240,4 @@
         return None
 
     def bytes(self) -> dict[str, int]:
-        return {name: front.bytes for name, front in self.subscribers.items()}
+        return {name: front.bytes_exchanged for name, front in self.subscribers.items()}
--- a/cleatyoke/emulation/distribution_measure.py
+++ b/cleatyoke/emulation/distribution_measure.py
@@ -18,8 +18,10 @@
 
 import click
 
-from cleatyoke.distribution.records import FORM, Lane, Poll, Position, decode_reply, encode
-from cleatyoke.distribution.subscriber import SubscriberTiming
+from cleatyoke.distribution.records import FORMAT_VERSION, Lane, Poll, Position, decode_reply, encode
+from cleatyoke.distribution.subscriber_messages import (
+    SubscriberTiming,
+)
 from cleatyoke.emulation.capacity.command import BadOption, checked_folder
 from cleatyoke.emulation.capacity.page import BEGIN, END, short, table
 from cleatyoke.emulation.capacity.plan import HOUR, PLAN
@@ -31,7 +33,7 @@
 
 SETTINGS, NODES = 1000, 200  # keys that are known before a measurement begins
 VALUE = 200  # bytes of a changed value
-AMPLE = SubscriberTiming(rate=1e9, burst=1e9)  # to begin with a whole copy
+AMPLE = SubscriberTiming(bytes_per_second=1e9, burst_bytes=1e9)  # to begin with a whole copy
 WINDOW = 13.0
 RELAY_SECONDS = 10.0
 PAGE, TABLE = "distribution.md", "distribution.csv"
@@ -48,7 +50,7 @@
         raise RuntimeError(msg)
     for front in tree.subscribers.values():
         front.timing = SubscriberTiming()
-        front.level = 0.0
+        front.budget.level = 0.0
     tree.run(tree.now + 5.0)
     tree.measured = Measured()
     return tree
@@ -178,11 +180,11 @@
 
     async def subscriber(number: int) -> None:
         nonlocal size
-        await asyncio.sleep(rng.random() * SubscriberTiming().poll)
+        await asyncio.sleep(rng.random() * SubscriberTiming().poll_interval)
         while loop.time() < end:
-            poll = Poll("d", FORM, f"f{number}", 1, epoch, positions, 3000)
+            poll = Poll("d", FORMAT_VERSION, f"f{number}", 1, epoch, positions, 3000)
             size += await exchange(port, encode(poll))
-            await asyncio.sleep(SubscriberTiming().poll * rng.uniform(0.75, 1.25))
+            await asyncio.sleep(SubscriberTiming().poll_interval * rng.uniform(0.75, 1.25))
 
     await asyncio.gather(*(subscriber(number) for number in range(subscribers)))
     after, took = Used.of(pid), loop.time() - began
@@ -203,11 +205,13 @@
     """From where all is known."""
     for _ in range(100):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        await write_message(writer, encode(Poll("d", FORM, "f", 1, 0, [Position(), Position()], 1 << 19)))
+        await write_message(
+            writer, encode(Poll("d", FORMAT_VERSION, "f", 1, 0, [Position(), Position()], 1 << 19))
+        )
         reply = decode_reply("d", await read_message(reader, 1 << 20))
         writer.transport.abort()
-        if reply.parts:
-            return reply.epoch, [Position(part.last, None) for part in reply.parts]
+        if reply.lanes:
+            return reply.epoch, [Position(part.up_to, None) for part in reply.lanes]
         await asyncio.sleep(0.1)
     msg = "the relay has no whole copy"
     raise RuntimeError(msg)
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -52,10 +52,15 @@
 from cleatyoke.core import Core, Failed, Rejected, Served
 from cleatyoke.discovery.directory import Directory, Instance, EndpointList
 from cleatyoke.distribution import contents, records
-from cleatyoke.distribution.server import answer as answer_poll
+from cleatyoke.distribution.server import answer_poll as answer_poll
 from cleatyoke.distribution.status import SubscriptionStatus as ConfigStatus
 from cleatyoke.distribution.store import ChangeStore
-from cleatyoke.distribution.subscriber import SendPoll, Subscriber
+from cleatyoke.distribution.subscriber_messages import (
+    SendPoll,
+)
+from cleatyoke.distribution.subscriber import (
+    Subscriber,
+)
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.coordination import replicated_holds as replicas
@@ -363,19 +368,19 @@
 def encode_poll(value: Plain) -> bytes:
     """A subscriber's poll."""
     positions = [
-        records.Position(number=one[0], after=one[1]) if one else records.Position()
+        records.Position(number=one[0], cursor=one[1]) if one else records.Position()
         for one in value["positions"]
     ]
-    optional = {"removals": value["with removals"]} if "with removals" in value else {}
+    optional = {"wants_tombstones": value["with removals"]} if "with removals" in value else {}
     return records.encode(
         records.Poll(
             deployment=value.get("deployment", DEPLOYMENT),
-            form=value.get("form", 1),
+            format_version=value.get("form", 1),
             subscriber=value["subscriber"],
-            number=value["number"],
+            poll_id=value["number"],
             epoch=value["epoch"],
             positions=positions,
-            most=value["bytes"],
+            max_bytes=value["bytes"],
             **optional,
         )
     )
@@ -389,22 +394,22 @@
         return {"refused": str(refused)}
     return {
         "deployment": poll.deployment,
-        "form": poll.form,
+        "form": poll.format_version,
         "subscriber": poll.subscriber,
-        "number": poll.number,
+        "number": poll.poll_id,
         "epoch": poll.epoch,
-        "positions": [[one.number, one.after] for one in poll.positions],
-        "bytes": poll.most,
-        "with removals": poll.removals,
+        "positions": [[one.number, one.cursor] for one in poll.positions],
+        "bytes": poll.max_bytes,
+        "with removals": poll.wants_tombstones,
     }
 
 
 REFUSALS = {
-    "none": records.Refusal.NONE,
-    "too many subscribers": records.Refusal.FULL,
-    "no whole copy": records.Refusal.NOT_READY,
-    "newer epoch known": records.Refusal.OLDER,
-    "newer changes known": records.Refusal.BEHIND,
+    "none": records.Rejection.NONE,
+    "too many subscribers": records.Rejection.FULL,
+    "no whole copy": records.Rejection.NOT_READY,
+    "newer epoch known": records.Rejection.OLDER_EPOCH,
+    "newer changes known": records.Rejection.BEHIND,
 }
 
 
@@ -414,27 +419,29 @@
     if "changes" in value:
         optional["changes"] = [entry_of(one) for one in value["changes"]]
     if "anew" in value:
-        optional["restart"] = value["anew"]
+        optional["restarts"] = value["anew"]
     if "page" in value:
         optional["page"] = [entry_of(one) for one in value["page"]]
         optional["page_after"], optional["page_to"] = value["page range"]
-    return records.LaneChanges(first=value["first"], last=value["last"], floor=value["floor"], **optional)
+    return records.LaneChanges(
+        since=value["first"], up_to=value["last"], compacted_up_to=value["floor"], **optional
+    )
 
 
 def encode_reply(value: Plain) -> bytes:
     """A relay's reply."""
     optional: dict[str, Any] = {}
     if "refusal" in value:
-        optional["refusal"] = REFUSALS[value["refusal"]]
+        optional["rejection"] = REFUSALS[value["refusal"]]
     if "parts" in value:
-        optional["parts"] = [part_of(one) for one in value["parts"]]
+        optional["lanes"] = [part_of(one) for one in value["parts"]]
     if "more" in value:
-        optional["more"] = value["more"]
+        optional["has_more"] = value["more"]
     return records.encode(
         records.Reply(
             deployment=value.get("deployment", DEPLOYMENT),
-            form=value.get("form", 1),
-            number=value["number"],
+            format_version=value.get("form", 1),
+            poll_id=value["number"],
             source=value["source"],
             epoch=value["epoch"],
             age=value["age"],
@@ -451,25 +458,25 @@
         return {"refused": str(refused)}
     return {
         "deployment": reply.deployment,
-        "form": reply.form,
-        "number": reply.number,
+        "form": reply.format_version,
+        "number": reply.poll_id,
         "source": reply.source,
         "epoch": reply.epoch,
         "age": reply.age,
-        "refusal": next(word for word, one in REFUSALS.items() if one is reply.refusal),
+        "refusal": next(word for word, one in REFUSALS.items() if one is reply.rejection),
         "parts": [
             {
-                "first": part.first,
-                "last": part.last,
-                "floor": part.floor,
+                "first": part.since,
+                "last": part.up_to,
+                "floor": part.compacted_up_to,
                 "changes": [plain_entry(one) for one in part.changes],
-                "anew": part.restart,
+                "anew": part.restarts,
                 "page range": [part.page_after, part.page_to],
                 "page": [plain_entry(one) for one in part.page],
             }
-            for part in reply.parts
+            for part in reply.lanes
         ],
-        "more": reply.more,
+        "more": reply.has_more,
     }
 
 
@@ -883,33 +890,33 @@
 
 async def capture_node_answer(value: Plain) -> Plain:
     """What is understood of a node's answer, which comes in pieces; ``closed``: then its connection ends."""
-    reader, answer = messages.AnswerReader(), None
+    reader, answer_poll = messages.AnswerReader(), None
     rest: list[Plain] = []
     try:
         for piece in value["pieces"]:
-            if answer is None:
-                answer = reader.feed(unpack(piece))
+            if answer_poll is None:
+                answer_poll = reader.feed(unpack(piece))
             else:
                 rest.append(pack(reader.more(unpack(piece))))
-        if answer is None and value.get("closed"):
-            answer = reader.at_close()
+        if answer_poll is None and value.get("closed"):
+            answer_poll = reader.at_close()
     except messages.MalformedAnswerError as error:
         return {"spoilt": str(error)}
-    if answer is None:
+    if answer_poll is None:
         return {"more is to come": True}
     return {
-        "status": answer.status,
-        "headers": [[name, text] for name, text in answer.headers.items()],
-        "body": pack(answer.body),
-        "reusable": answer.reusable,
-        "length": answer.length,
-        "long": answer.long,
+        "status": answer_poll.status,
+        "headers": [[name, text] for name, text in answer_poll.headers.items()],
+        "body": pack(answer_poll.body),
+        "reusable": answer_poll.reusable,
+        "length": answer_poll.length,
+        "long": answer_poll.long,
         "rest": rest,
         "whole": reader.ended,
-        "means": OUTCOMES[messages.decode_outcome(answer.status, answer.headers)],
-        "served by other fronts": messages.decode_elsewhere(answer.headers),
-        "load in the head": messages.decode_busy(answer.headers),
-        "load in the body": messages.decode_probe(answer),
+        "means": OUTCOMES[messages.decode_outcome(answer_poll.status, answer_poll.headers)],
+        "served by other fronts": messages.decode_elsewhere(answer_poll.headers),
+        "load in the head": messages.decode_busy(answer_poll.headers),
+        "load in the body": messages.decode_probe(answer_poll),
     }
 
 
@@ -1166,14 +1173,14 @@
 def config_status() -> ConfigStatus:
     """What of distributed configuration is in force, with one change that is not valid."""
     one = Subscriber(DEPLOYMENT, "n0", [["192.0.2.1:1"]], random.Random(1))
-    one.epoch, one.source, one.polls, one.bytes = 3, "source-1", 11, 4096
-    one.fresh_at = 90.0
-    one.refused["unreadable"], one.refused["older epoch"] = 2, 1
-    one.lanes[records.Lane.SETTINGS].position = records.Position(number=25, after=None)
-    one.lanes[records.Lane.NODES].position = records.Position(number=24, after=None)
+    one.epoch, one.source_name, one.poll_count, one.bytes_exchanged = 3, "source-1", 11, 4096
+    one.current_as_of = 90.0
+    one.rejected["unreadable"], one.rejected["older epoch"] = 2, 1
+    one.lanes[records.Lane.SETTINGS].position = records.Position(number=25, cursor=None)
+    one.lanes[records.Lane.NODES].position = records.Position(number=24, cursor=None)
     status = ConfigStatus(one)
-    status.took(records.Version(epoch=3, number=25), ["settings"])
-    status.turned_down("settings/Limits", records.Version(epoch=3, number=23), "Limits: want an object")
+    status.settings_applied(records.Version(epoch=3, number=25), ["settings"])
+    status.settings_rejected("settings/Limits", records.Version(epoch=3, number=23), "Limits: want an object")
     return status
 
 
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -15,31 +15,40 @@
 from cleatyoke.discovery.backoff import Backoff
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.distribution import contents, folder
+from cleatyoke.distribution.errors import (
+    InvalidChangeError,
+)
 from cleatyoke.distribution.records import (
-    FORM,
+    FORMAT_VERSION,
     Entry,
     Lane,
     LaneChanges,
     Poll,
     Position,
-    Refusal,
+    Rejection,
     Reply,
     Version,
     decode_poll,
     decode_reply,
     encode,
 )
-from cleatyoke.distribution.relay import ChangeServer, InvalidChangeError, Relay, Source
+from cleatyoke.distribution.relay import (
+    ChangeServer,
+    Relay,
+    Source,
+)
 from cleatyoke.distribution.status import SubscriptionStatus
 from cleatyoke.distribution.store import LaneStore
 from cleatyoke.distribution.subscriber import (
+    Subscriber,
+)
+from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
     EpochRestarted,
     LaneComplete,
     PollAnswered,
     RelayChanged,
     SendPoll,
-    Subscriber,
     SubscriberTiming,
 )
 from cleatyoke.http.body_limits import BodyMemory, patience
@@ -63,11 +72,11 @@
 LANES = {"nodes": Lane.NODES, "settings": Lane.SETTINGS}
 LANE_WORDS = {lane: word for word, lane in LANES.items()}
 REFUSALS = {
-    "": Refusal.NONE,
-    "full": Refusal.FULL,
-    "not ready": Refusal.NOT_READY,
-    "older epoch": Refusal.OLDER,
-    "behind": Refusal.BEHIND,
+    "": Rejection.NONE,
+    "full": Rejection.FULL,
+    "not ready": Rejection.NOT_READY,
+    "older epoch": Rejection.OLDER_EPOCH,
+    "behind": Rejection.BEHIND,
 }
 REFUSAL_WORDS = {refusal: word for word, refusal in REFUSALS.items()}
 
@@ -116,19 +125,19 @@
         return ["refused", str(refused)]
     parts = [
         [
-            part.first,
-            part.last,
-            part.floor,
+            part.since,
+            part.up_to,
+            part.compacted_up_to,
             [entry_word(entry) for entry in part.changes],
-            part.restart,
+            part.restarts,
             part.page_after,
             part.page_to,
             [entry_word(entry) for entry in part.page],
         ]
-        for part in reply.parts
+        for part in reply.lanes
     ]
-    head = [reply.number, reply.source, reply.epoch, number(reply.age), REFUSAL_WORDS[reply.refusal]]
-    return [*head, reply.more, parts]
+    head = [reply.poll_id, reply.source, reply.epoch, number(reply.age), REFUSAL_WORDS[reply.rejection]]
+    return [*head, reply.has_more, parts]
 
 
 def poll_word(deployment: str, data: bytes) -> Neutral:
@@ -137,8 +146,8 @@
         poll = decode_poll(deployment, data)
     except WireError as refused:
         return ["refused", str(refused)]
-    positions = [[position.number, position.after] for position in poll.positions]
-    return [poll.subscriber, poll.number, poll.epoch, positions, poll.most, poll.removals]
+    positions = [[position.number, position.cursor] for position in poll.positions]
+    return [poll.subscriber, poll.poll_id, poll.epoch, positions, poll.max_bytes, poll.wants_tombstones]
 
 
 def poll_bytes(
@@ -154,13 +163,13 @@
     """An encoded poll."""
     poll = Poll(
         deployment=deployment,
-        form=FORM + form,
+        format_version=FORMAT_VERSION + form,
         subscriber=subscriber,
-        number=count,
+        poll_id=count,
         epoch=epoch,
-        positions=[Position(number=known, after=after) for known, after in positions],
-        most=most,
-        removals=removals,
+        positions=[Position(number=known, cursor=after) for known, after in positions],
+        max_bytes=most,
+        wants_tombstones=removals,
     )
     return encode(poll)
 
@@ -179,11 +188,11 @@
     """An encoded reply; ``form`` is added to the usual one."""
     made = [
         LaneChanges(
-            first=part["first"],
-            last=part["last"],
-            floor=part["floor"],
+            since=part["first"],
+            up_to=part["last"],
+            compacted_up_to=part["floor"],
             changes=[make_entry(*one) for one in part["changes"]],
-            restart=part["restart"],
+            restarts=part["restart"],
             page_after=part["page_after"],
             page_to=part["page_to"],
             page=[make_entry(*one) for one in part["page"]],
@@ -192,14 +201,14 @@
     ]
     reply = Reply(
         deployment=deployment,
-        form=FORM + form,
-        number=count,
+        format_version=FORMAT_VERSION + form,
+        poll_id=count,
         source=source,
         epoch=epoch,
         age=age,
-        refusal=REFUSALS[refusal],
-        parts=made,
-        more=more,
+        rejection=REFUSALS[refusal],
+        lanes=made,
+        has_more=more,
     )
     return encode(reply)
 
@@ -208,15 +217,15 @@
     """An output of a subscriber or relay."""
     match action:
         case SendPoll():
-            return ["poll", action.relay, action.number, action.data.hex()]
+            return ["poll", action.relay, action.poll_id, action.data.hex()]
         case EpochRestarted():
             return ["anew", LANE_WORDS[action.lane], action.epoch]
         case DeliverChanges():
             return ["entries", LANE_WORDS[action.lane], [entry_word(entry) for entry in action.entries]]
         case LaneComplete():
-            return ["whole", LANE_WORDS[action.lane], action.number, action.floor]
+            return ["whole", LANE_WORDS[action.lane], action.number, action.compacted_up_to]
         case RelayChanged():
-            return ["other relay", action.relay, action.why]
+            return ["other relay", action.relay, action.reason]
     raise TypeError(f"unknown output {action}")
 
 
@@ -224,17 +233,17 @@
     """Timing with the defaults for what is not given."""
     plain = SubscriberTiming()
     return SubscriberTiming(
-        poll=values.get("poll", plain.poll),
-        answer=values.get("answer", plain.answer),
+        poll_interval=values.get("poll", plain.poll_interval),
+        answer_timeout=values.get("answer", plain.answer_timeout),
         jitter=values.get("jitter", plain.jitter),
-        rate=values.get("rate", plain.rate),
-        burst=values.get("burst", plain.burst),
-        home=values.get("home", plain.home),
-        again=plain.again,
-        avoid=plain.avoid,
-        spread=plain.spread,
-        spread_most=plain.spread_most,
-        exchange=plain.exchange,
+        bytes_per_second=values.get("rate", plain.bytes_per_second),
+        burst_bytes=values.get("burst", plain.burst_bytes),
+        own_region_interval=values.get("home", plain.own_region_interval),
+        retry_spread=plain.retry_spread,
+        avoid_duration=plain.avoid_duration,
+        failover_spread=plain.failover_spread,
+        max_failover_spread=plain.max_failover_spread,
+        overhead_bytes=plain.overhead_bytes,
     )
 
 
@@ -246,7 +255,7 @@
 
     def step(self, now: float, answers: Sequence[tuple[int, bytes | None]]) -> list[Neutral]:
         """One step; its outputs."""
-        events = [PollAnswered(number=count, data=data) for count, data in answers]
+        events = [PollAnswered(poll_id=count, data=data) for count, data in answers]
         return [action_word(action) for action in self.machine.step(now, events)]
 
     def due(self) -> float:
@@ -256,9 +265,20 @@
     def summary(self, now: float) -> Neutral:
         """Age, counts and position."""
         known = self.subscriber
-        lanes = [[lane.position.number, lane.position.after, lane.floor] for lane in known.lanes.values()]
-        turned = [[why, count] for why, count in sorted(known.refused.items())]
-        return [number(known.age(now)), known.source, known.epoch, known.polls, known.bytes, lanes, turned]
+        lanes = [
+            [lane.position.number, lane.position.cursor, lane.compacted_up_to]
+            for lane in known.lanes.values()
+        ]
+        turned = [[why, count] for why, count in sorted(known.rejected.items())]
+        return [
+            number(known.age(now)),
+            known.source_name,
+            known.epoch,
+            known.poll_count,
+            known.bytes_exchanged,
+            lanes,
+            turned,
+        ]
 
 
 class PlainSubscriber(Sender):
@@ -279,22 +299,22 @@
             tiers=tiers,
             rng=random.Random(seed),
             timing=make_timing(timing),
-            whole=whole,
+            wants_tombstones=whole,
         )
         super().__init__(made, made)
         self.status = SubscriptionStatus(subscriber=made)
 
     def took(self, epoch: int, count: int, keys: Sequence[str]) -> None:
         """These keys are in force."""
-        self.status.took(version=Version(epoch=epoch, number=count), keys=keys)
+        self.status.settings_applied(version=Version(epoch=epoch, number=count), keys=keys)
 
     def turned_down(self, key: str, epoch: int, count: int, why: str) -> None:
         """This change is not valid."""
-        self.status.turned_down(key=key, version=Version(epoch=epoch, number=count), why=why)
+        self.status.settings_rejected(key=key, version=Version(epoch=epoch, number=count), reason=why)
 
     def shown(self, now: float) -> Neutral:
         """The lines and figures that operators see, and whether the age crossed its bound."""
-        old = self.status.became_old(now)
+        old = self.status.check_staleness(now)
         figures = [[name, number(value)] for name, value in sorted(self.status.gauges(now).items())]
         return [old, self.status.lines(now), figures]
 
@@ -311,7 +331,7 @@
 
     def counts(self) -> Neutral:
         """Bytes sent and messages that were refused."""
-        turned = [[why, count] for why, count in sorted(self.server.refused.items())]
+        turned = [[why, count] for why, count in sorted(self.server.rejected.items())]
         return [self.server.bytes_out, turned]
 
 
@@ -322,7 +342,7 @@
         if most is None:
             self.source = Source(deployment=deployment, name=name, epoch=epoch)
         else:
-            self.source = Source(deployment=deployment, name=name, epoch=epoch, most_subscribers=most)
+            self.source = Source(deployment=deployment, name=name, epoch=epoch, max_subscribers=most)
         super().__init__(self.source)
 
     def put(self, now: float, lane: str, key: str, value: bytes | None) -> Neutral:
@@ -344,7 +364,7 @@
         if most is None:
             made = Relay(deployment=deployment, name=name, upstream=upstream, rng=rng)
         else:
-            made = Relay(deployment=deployment, name=name, upstream=upstream, rng=rng, most_subscribers=most)
+            made = Relay(deployment=deployment, name=name, upstream=upstream, rng=rng, max_subscribers=most)
         Answering.__init__(self, made)
         Sender.__init__(self, made, made.subscriber)
         self.relay = made
@@ -355,7 +375,7 @@
         if store is None:
             return [number(self.relay.age(now)), None]
         lanes = [
-            [lane.last, lane.floor, [entry_word(lane.entries[key]) for key in lane.keys]]
+            [lane.last_number, lane.compacted_up_to, [entry_word(lane.entries[key]) for key in lane.keys]]
             for lane in store.lanes.values()
         ]
         return [number(self.relay.age(now)), store.epoch, lanes]
@@ -375,21 +395,26 @@
         self, now: float, entries: Sequence[tuple[str, int, int, bytes | None]], last: int, floor: int
     ) -> None:
         """Take a whole copy."""
-        self.store.load(now, [make_entry(*one) for one in entries], last=last, floor=floor)
+        self.store.load(now, [make_entry(*one) for one in entries], last_number=last, compacted_up_to=floor)
 
     def changes(self, since: int, most: int) -> Neutral:
         """What is newer, and up to which number."""
-        found, last = self.store.changes(since, most)
+        found, last = self.store.changes_since(since, most)
         return [[entry_word(one) for one in found], last]
 
     def page(self, after: str, most: int, removals: bool) -> Neutral:
         """A page of keys, and up to which key."""
-        found, end = self.store.page(after, most, removals)
+        found, end = self.store.page_after(after, most, with_tombstones=removals)
         return [[entry_word(one) for one in found], end]
 
     def state(self) -> Neutral:
         """Bounds and size."""
-        return [self.store.last, self.store.floor, len(self.store.entries), len(self.store.keys)]
+        return [
+            self.store.last_number,
+            self.store.compacted_up_to,
+            len(self.store.entries),
+            len(self.store.keys),
+        ]
 
 
 def settings_word(
@@ -422,9 +447,9 @@
 
     def look(self) -> Neutral:
         """Changes since the last look, and faults."""
-        found = self.folder.look()
+        found = self.folder.scan()
         changes = [[key, value_word(value)] for key, value in sorted(found.changes.items())]
-        return [changes, [fault_text(text) for text in found.bad]]
+        return [changes, [fault_text(text) for text in found.rejected]]
 
 
 def next_epoch(path: Path, unix: float) -> Neutral:
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -12,7 +12,13 @@
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.distribution.contents import DistributedSettings, listed_nodes, settings_entries
 from cleatyoke.distribution.contents import lane_of as lane_of_key
-from cleatyoke.distribution.folder import EpochError, ConfigFolder, next_epoch
+from cleatyoke.distribution.errors import (
+    EpochError,
+)
+from cleatyoke.distribution.folder import (
+    ConfigFolder,
+    next_epoch,
+)
 from cleatyoke.distribution.records import Entry, Lane
 from cleatyoke.distribution.relay import Source
 from cleatyoke.durability import records
@@ -182,7 +188,7 @@
 
     def look(self, base: dict[str, Any]) -> Neutral:
         """Take what changed in the folder; all that the source has then. ``base``: a front's own settings."""
-        found = self.folder.look()
+        found = self.folder.scan()
         for key, value in found.changes.items():
             self.source.put(0.0, lane_of_key(key), key, value)
         entries = [entry for lane in Lane for entry in self.source.store.lanes[lane].entries.values()]
@@ -191,8 +197,8 @@
             "changes": {
                 key: None if value is None else value.decode() for key, value in found.changes.items()
             },
-            "refused": list(found.bad),
-            "last number": self.source.number,
+            "refused": list(found.rejected),
+            "last number": self.source.last_number,
             "kept": {
                 LANE_TITLES[lane]: [
                     neutral_entry(one) for one in self.source.store.lanes[lane].entries.values()
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -23,38 +23,47 @@
 )
 
 from cleatyoke.distribution import records, store
+from cleatyoke.distribution.errors import (
+    InvalidChangeError,
+)
 from cleatyoke.distribution.records import (
-    FORM,
-    MARK,
+    FORMAT_VERSION,
+    MESSAGE_MARK,
     Entry,
     Lane,
     Poll,
     Position,
-    Refusal,
+    Rejection,
     Reply,
     Version,
     decode_poll,
     decode_reply,
     encode,
 )
-from cleatyoke.distribution.relay import ChangeServer, InvalidChangeError, Relay, Source
+from cleatyoke.distribution.relay import (
+    ChangeServer,
+    Relay,
+    Source,
+)
 from cleatyoke.distribution.server import PollAdmission
-from cleatyoke.distribution.store import LaneStore
+from cleatyoke.distribution.store import ChangeBatch, LaneStore
 from cleatyoke.distribution.subscriber import (
+    Subscriber,
+)
+from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
     EpochRestarted,
     LaneComplete,
     PollAnswered,
     RelayChanged,
     SendPoll,
-    Subscriber,
     SubscriberAction,
     SubscriberTiming,
 )
 from cleatyoke.emulation.distribution import SOURCE, Links, Measured, Tree
 from cleatyoke.membership.wire import WireError
 
-AMPLE = SubscriberTiming(rate=1e6, burst=1e6, jitter=0.0)
+AMPLE = SubscriberTiming(bytes_per_second=1e6, burst_bytes=1e6, jitter=0.0)
 S, N = Lane.SETTINGS, Lane.NODES
 
 
@@ -97,12 +106,12 @@
         poll = self.poll()
         data = server.answer(self.now, poll.data)
         assert data
-        self.step(PollAnswered(poll.number, data))
+        self.step(PollAnswered(poll.poll_id, data))
         return decode_reply("d", data)
 
     def ask_until_whole(self, server: ChangeServer, most: int = 1000) -> int:
         for count in range(1, most):
-            if not self.ask(server).more:
+            if not self.ask(server).has_more:
                 return count
         raise AssertionError("there is always more")
 
@@ -153,7 +162,7 @@
     front.delivered.clear()
     reply = front.ask(source)
     assert [(entry.key, entry.value) for entry in front.delivered] == [("k/0001", b"9")]
-    assert len(reply.parts[S].changes) == 1
+    assert len(reply.lanes[S].changes) == 1
 
 
 def test_the_log_does_not_grow_with_the_changes() -> None:
@@ -161,9 +170,9 @@
     for number in range(5000):
         source.put(1.0, S, f"k/{number % 10:04d}", b"x")
     lane = source.store.lanes[S]
-    assert len(lane.logged) <= 2 * 10 + store.SLACK + 1
+    assert len(lane.log_keys) <= 2 * 10 + store.MAX_STALE_SLOTS + 1
     assert len(lane.entries) == 10
-    assert lane.numbers == sorted(lane.numbers)
+    assert lane.log_numbers == sorted(lane.log_numbers)
 
 
 def test_a_subscriber_1833_changes_behind_gets_each_key_once_nodes_first_within_its_bytes() -> None:
@@ -175,14 +184,14 @@
     for number in range(5):
         source.put(1.0, N, f"nodes/{number}", b"drains")
     front.delivered.clear()
-    began, before = front.now, front.subscriber.bytes
+    began, before = front.now, front.subscriber.bytes_exchanged
     first = front.ask(source)
     assert [entry.key[:5] for entry in front.delivered[:5]] == ["nodes"] * 5
-    assert first.more
+    assert first.has_more
     front.ask_until_whole(source)
     assert front.values == true_values(source)
     assert max(Counter(entry.key for entry in front.delivered).values()) == 1
-    took, sent = front.now - began, front.subscriber.bytes - before
+    took, sent = front.now - began, front.subscriber.bytes_exchanged - before
     assert sent <= 2300 * took + 4000
     assert sent < 300 * 300 * 1.5
 
@@ -192,18 +201,18 @@
     one, other = relay_of(source, "one"), relay_of(source, "other")
     front = Front(["one", "other"], timing=SubscriberTiming(jitter=0.0))
     front.ask(one)
-    after = front.subscriber.lanes[S].position.after
+    after = front.subscriber.lanes[S].position.cursor
     assert after, "only a part has come"
     source.put(1.0, S, "k/0001", b"changed, in what has come")
     source.put(1.0, S, "k/0002", None)
     source.put(1.0, S, "k/0399", b"changed, in what has not")
     source.put(1.0, S, "k/0398", None)
     for _ in range(2):  # one is gone
-        front.step(PollAnswered(front.poll().number, None))
+        front.step(PollAnswered(front.poll().poll_id, None))
     sync(other, source, 10.0)
     reply = front.ask(other)
-    assert not reply.parts[S].restart
-    assert reply.parts[S].page_after == after
+    assert not reply.lanes[S].restarts
+    assert reply.lanes[S].page_after == after
     front.ask_until_whole(other)
     assert front.values == true_values(source)
 
@@ -212,25 +221,25 @@
     source, front = a_source(50), Front()
     front.ask(source)
     source.put(1.0, S, "k/0007", None)
-    source.put(1.0 + store.KEEP, S, "k/0008", None)
-    source.put(2.0 + store.KEEP, S, "k/0009", None)
-    assert source.store.lanes[S].floor > 0, "the first removal is forgotten"
+    source.put(1.0 + store.TOMBSTONE_RETENTION, S, "k/0008", None)
+    source.put(2.0 + store.TOMBSTONE_RETENTION, S, "k/0009", None)
+    assert source.store.lanes[S].compacted_up_to > 0, "the first removal is forgotten"
     assert "k/0007" in front.values
     reply = front.ask(source)
-    assert reply.parts[S].restart
-    assert not reply.parts[N].restart
+    assert reply.lanes[S].restarts
+    assert not reply.lanes[N].restarts
     assert front.values == true_values(source)
     assert "k/0007" not in front.values
 
 
 def test_too_many_removals_are_forgotten_too() -> None:
-    with mock.patch.object(store, "MOST_REMOVED", 3):
+    with mock.patch.object(store, "MAX_TOMBSTONES", 3):
         source = a_source(10)
         for number in range(5):
             source.put(1.0, S, f"k/{number:04d}", None)
     lane = source.store.lanes[S]
-    assert len(lane.removed) == 3
-    assert lane.floor == 12
+    assert len(lane.tombstones) == 3
+    assert lane.compacted_up_to == 12
     assert len(lane.entries) == 8
     assert len(lane.keys) == 8
 
@@ -239,7 +248,7 @@
     source, front = a_source(3), Front()
     source.put(1.0, S, "k/0001", None)
     source.put(2.0, S, "k/0001", b"back")
-    source.put(2.0 + 2 * store.KEEP, S, "k/0002", None)
+    source.put(2.0 + 2 * store.TOMBSTONE_RETENTION, S, "k/0002", None)
     front.ask(source)
     assert front.values == {"k/0000": b"v0", "k/0001": b"back"}
 
@@ -257,11 +266,11 @@
     poll = front.poll()
     data = old.answer(front.now, poll.data)
     assert data
-    assert decode_reply("d", data).refusal is Refusal.OLDER
-    front.step(PollAnswered(poll.number, data))
+    assert decode_reply("d", data).rejection is Rejection.OLDER_EPOCH
+    front.step(PollAnswered(poll.poll_id, data))
     assert front.values == before
     assert front.epoch == 6
-    assert front.subscriber.refused[Refusal.OLDER.value] == 1
+    assert front.subscriber.rejected[Rejection.OLDER_EPOCH.value] == 1
 
 
 def test_a_relay_that_pretends_not_to_know_of_a_newer_epoch_is_fenced_by_the_subscriber() -> None:
@@ -271,10 +280,10 @@
     asked = msgspec.structs.replace(decode_poll("d", poll.data), epoch=5, positions=[Position(), Position()])
     data = old.answer(front.now, encode(asked))
     assert data
-    front.step(PollAnswered(poll.number, data))
+    front.step(PollAnswered(poll.poll_id, data))
     assert front.values == true_values(new)
     assert front.epoch == 6
-    assert front.subscriber.refused[Refusal.OLDER.value] == 1
+    assert front.subscriber.rejected[Rejection.OLDER_EPOCH.value] == 1
 
 
 def test_while_a_new_epoch_comes_by_pages_what_was_known_stays_in_force() -> None:
@@ -282,7 +291,7 @@
     front = Front(timing=SubscriberTiming(jitter=0.0))
     front.ask_until_whole(old)
     reply = front.ask(new)
-    assert reply.more
+    assert reply.has_more
     assert len(front.values) == 300
     front.ask_until_whole(new)
     assert front.values == true_values(new)
@@ -301,15 +310,15 @@
 def test_a_reply_that_comes_twice_or_late_changes_nothing() -> None:
     source, front = a_source(), Front()
     poll, data = exchange(front, source)
-    front.step(PollAnswered(poll.number, data))
+    front.step(PollAnswered(poll.poll_id, data))
     source.put(1.0, S, "k/0000", b"newer")
     front.ask(source)
     before = dict(front.values), front.subscriber.lanes[S].position
-    front.step(PollAnswered(poll.number, data))
+    front.step(PollAnswered(poll.poll_id, data))
     late = front.poll()
-    front.step(PollAnswered(late.number, data))  # as if it answered this one
+    front.step(PollAnswered(late.poll_id, data))  # as if it answered this one
     assert (front.values, front.subscriber.lanes[S].position) == before
-    assert front.subscriber.refused["late or twice"] == 2
+    assert front.subscriber.rejected["late or twice"] == 2
 
 
 def test_every_cut_and_every_spoilt_byte_is_refused_whole() -> None:
@@ -318,13 +327,15 @@
     for place in range(len(whole)):
         for bad in (whole[:place], whole[:place] + bytes([whole[place] ^ 0x21]) + whole[place + 1 :]):
             front = Front(["a", "b"])
-            front.step(PollAnswered(front.poll().number, bad))
+            front.step(PollAnswered(front.poll().poll_id, bad))
             assert not front.values
             assert front.epoch == 0
-            assert sum(front.subscriber.refused.values()) == 1
-            assert front.subscriber.tried_again and front.subscriber.place == 0, "it is asked once more"
-            front.step(PollAnswered(front.poll().number, bad))
-            assert front.subscriber.place == 1, "then another one is asked"
+            assert sum(front.subscriber.rejected.values()) == 1
+            assert front.subscriber.has_retried and front.subscriber.relays.place == 0, (
+                "it is asked once more"
+            )
+            front.step(PollAnswered(front.poll().poll_id, bad))
+            assert front.subscriber.relays.place == 1, "then another one is asked"
 
 
 @pytest.mark.parametrize(
@@ -332,21 +343,21 @@
     [
         (b"", "foreign"),
         (b"\x93\x01\x02\x03", "foreign"),
-        (MARK + b"\x00" * 2_000_000, "too long"),
-        (MARK + records.sealed(b"\xc1"), "unreadable"),
-        (MARK + records.sealed(msgspec.msgpack.encode([1, 2])), "unreadable"),
-        (encode(Poll("other", FORM, "f", 1, 0, [Position(), Position()], 9)), "foreign"),
-        (encode(Poll("d", FORM + 1, "f", 1, 0, [Position(), Position()], 9)), "version"),
-        (encode(Poll("d", FORM, "f", 1, 0, [Position()], 9)), "unreadable"),
-        (encode(Poll("d", FORM, "f", 1, 0, [Position(), Position()], -1)), "unreadable"),
+        (MESSAGE_MARK + b"\x00" * 2_000_000, "too long"),
+        (MESSAGE_MARK + records.sealed(b"\xc1"), "unreadable"),
+        (MESSAGE_MARK + records.sealed(msgspec.msgpack.encode([1, 2])), "unreadable"),
+        (encode(Poll("other", FORMAT_VERSION, "f", 1, 0, [Position(), Position()], 9)), "foreign"),
+        (encode(Poll("d", FORMAT_VERSION + 1, "f", 1, 0, [Position(), Position()], 9)), "version"),
+        (encode(Poll("d", FORMAT_VERSION, "f", 1, 0, [Position()], 9)), "unreadable"),
+        (encode(Poll("d", FORMAT_VERSION, "f", 1, 0, [Position(), Position()], -1)), "unreadable"),
     ],
 )
 def test_a_poll_that_is_not_ours_is_refused_by_reason(data: bytes, reason: str) -> None:
     source = a_source()
-    before = source.store.last
+    before = [lane.last_number for lane in source.store.lanes.values()]
     assert source.answer(0.0, data) is None
-    assert source.refused == {reason: 1}
-    assert source.store.last == before
+    assert source.rejected == {reason: 1}
+    assert [lane.last_number for lane in source.store.lanes.values()] == before
     with pytest.raises(WireError):
         decode_reply("d", data)
 
@@ -356,27 +367,27 @@
     front.ask(source)
     source.put(1.0, S, "k/0009", b"x")
     for wrong in (
-        {"first": 1},
-        {"last": 2},
+        {"since": 1},
+        {"up_to": 2},
         {"page_after": "k/0001"},
-        {"restart": True, "page_after": "k/0001"},
+        {"restarts": True, "page_after": "k/0001"},
     ):
         poll, data = exchange(front, source)
         reply = decode_reply("d", data)
-        parts = [reply.parts[N], msgspec.structs.replace(reply.parts[S], **wrong)]
-        front.step(PollAnswered(poll.number, encode(msgspec.structs.replace(reply, parts=parts))))
+        parts = [reply.lanes[N], msgspec.structs.replace(reply.lanes[S], **wrong)]
+        front.step(PollAnswered(poll.poll_id, encode(msgspec.structs.replace(reply, lanes=parts))))
         assert "k/0009" not in front.values, wrong
-    assert front.subscriber.refused["unreadable"] == 4
+    assert front.subscriber.rejected["unreadable"] == 4
     front.ask(source)
     assert front.values == true_values(source)
 
 
 def test_a_change_that_no_message_could_carry_is_refused_at_the_source() -> None:
     source = a_source()
-    for key, value in (("", b""), ("k" * 129, b""), ("k", b"x" * (records.MOST_VALUE + 1))):
+    for key, value in (("", b""), ("k" * 129, b""), ("k", b"x" * (records.MAX_VALUE_BYTES + 1))):
         with pytest.raises(InvalidChangeError):
             source.put(0.0, S, key, value)
-    assert source.number == 3
+    assert source.last_number == 3
 
 
 # Relays
@@ -395,8 +406,8 @@
         for action in relay.step(now):
             if isinstance(action, SendPoll):
                 data = source.answer(now, action.data) if source else None
-                relay.step(now, [PollAnswered(action.number, data)])
-                if data and not decode_reply("d", data).more:
+                relay.step(now, [PollAnswered(action.poll_id, data)])
+                if data and not decode_reply("d", data).has_more:
                     return now
                 if source is None:
                     return now
@@ -405,10 +416,10 @@
 
 def test_a_relay_serves_nothing_before_it_has_a_whole_copy() -> None:
     relay, front = Relay("d", "relay", [[SOURCE]], random.Random(1)), Front(["a", "b"])
-    assert front.ask(relay).refusal is Refusal.NOT_READY
-    assert front.subscriber.place == 1
+    assert front.ask(relay).rejection is Rejection.NOT_READY
+    assert front.subscriber.relays.place == 1
     sync(relay, a_source(), 0.0)
-    assert front.ask(relay).refusal is Refusal.NONE
+    assert front.ask(relay).rejection is Rejection.NONE
 
 
 def test_a_relay_passes_on_changes_removals_and_how_old_it_is() -> None:
@@ -421,7 +432,7 @@
     front.now = 9.0
     reply = front.ask(relay)
     assert front.values == true_values(source)
-    assert reply.age == pytest.approx(front.now - relay.subscriber.fresh_at)
+    assert reply.age == pytest.approx(front.now - relay.subscriber.current_as_of)
     assert front.subscriber.age(front.now) == pytest.approx(reply.age)
 
 
@@ -435,8 +446,8 @@
     source.put(1.0, S, "brief", b"")
     source.put(1.0, S, "brief", None)
     reply = front.ask(relay_of(source, "fresh", 2.0))
-    assert not reply.parts[S].restart
-    assert len(reply.parts[S].changes) == 3
+    assert not reply.lanes[S].restarts
+    assert len(reply.lanes[S].changes) == 3
     assert front.values == true_values(source)
 
 
@@ -455,18 +466,18 @@
 def test_a_relay_goes_on_serving_its_epoch_until_it_has_the_new_one_whole() -> None:
     old, new = a_source(4000, epoch=5), a_source(4000, epoch=6)
     relay = relay_of(old)
-    relay.subscriber.timing = SubscriberTiming(rate=50_000, burst=50_000)
-    relay.subscriber.level = 50_000
+    relay.subscriber.timing = SubscriberTiming(bytes_per_second=50_000, burst_bytes=50_000)
+    relay.subscriber.budget.level = 50_000
     for _ in range(3):
         now = relay.due()
         for action in relay.step(now):
             if isinstance(action, SendPoll):
                 data = new.answer(now, action.data)
-                relay.step(now, [PollAnswered(action.number, data)])
-    serving = relay.serving()
-    assert serving and serving.epoch == 5 and relay.building, "not whole yet"
+                relay.step(now, [PollAnswered(action.poll_id, data)])
+    serving = relay.served_store()
+    assert serving and serving.epoch == 5 and relay.next_store, "not whole yet"
     sync(relay, new, now)
-    serving = relay.serving()
+    serving = relay.served_store()
     assert serving
     assert serving.epoch == 6
     assert len(serving.lanes[S].entries) == 4000
@@ -478,11 +489,11 @@
     source.put(1.0, S, "k/0000", b"newer")
     front.ask(source)
     reply = front.ask(relay)
-    assert reply.refusal is Refusal.BEHIND
+    assert reply.rejection is Rejection.BEHIND
     assert front.values == true_values(source)
     sync(relay, source, front.now + 5)
     front.now += 5
-    assert front.ask(relay).refusal is Refusal.NONE
+    assert front.ask(relay).rejection is Rejection.NONE
 
 
 def test_two_relays_of_differing_epochs_leave_a_subscriber_with_the_newer() -> None:
@@ -496,19 +507,19 @@
 
 def test_a_relay_takes_a_bounded_number_and_those_that_left_make_room() -> None:
     admission = PollAdmission(2)
-    assert admission.takes(0.0, "a")
-    assert admission.takes(0.0, "b")
-    assert not admission.takes(1.0, "c")
-    assert admission.takes(10.0, "a")
-    assert admission.takes(16.0, "c"), "b has not asked for long"
-    assert not admission.takes(16.0, "d")
-    assert len(admission.seen) == 2
+    assert admission.admit(0.0, "a")
+    assert admission.admit(0.0, "b")
+    assert not admission.admit(1.0, "c")
+    assert admission.admit(10.0, "a")
+    assert admission.admit(16.0, "c"), "b has not asked for long"
+    assert not admission.admit(16.0, "d")
+    assert len(admission.last_polled_at) == 2
 
 
 def test_one_that_is_refused_as_the_relay_is_full_asks_the_next() -> None:
     source = a_source()
-    full, front = Source("d", "full", 5, most_subscribers=0), Front(["a", "b"])
-    assert front.ask(full).refusal is Refusal.FULL
+    full, front = Source("d", "full", 5, max_subscribers=0), Front(["a", "b"])
+    assert front.ask(full).rejection is Rejection.FULL
     assert isinstance(front.actions[-1], RelayChanged)
     front.ask(source)
     assert front.values == true_values(source)
@@ -519,12 +530,12 @@
     relay = relay_of(source)
     lane = relay.store.lanes[S] if relay.store else None
     assert lane
-    before = len(lane.numbers), len(lane.entries)
+    before = len(lane.log_numbers), len(lane.entries)
     for number in range(2000):
-        poll = Poll("d", FORM, f"f{number % 500}", 1, 0, [Position(), Position()], 300)
+        poll = Poll("d", FORMAT_VERSION, f"f{number % 500}", 1, 0, [Position(), Position()], 300)
         relay.answer(number * 0.001, encode(poll))
-    assert (len(lane.numbers), len(lane.entries)) == before
-    assert len(relay.admission.seen) <= 160
+    assert (len(lane.log_numbers), len(lane.entries)) == before
+    assert len(relay.admission.last_polled_at) <= 160
 
 
 # Time and bytes
@@ -536,7 +547,7 @@
     began, asked = front.now, Counter[str]()
     while front.now < began + 600:
         asked[front.poll().relay] += 1
-        front.step(PollAnswered(front.subscriber.polls, None))
+        front.step(PollAnswered(front.subscriber.poll_count, None))
     assert front.values == true_values(source)
     assert set(asked) == {"a", "b", "c"}
     assert 600 / 9 < sum(asked.values()) < 600, "8 s at the most between two, and no storm"
@@ -547,45 +558,45 @@
     front = Front(["a", "b"])
     front.poll()
     asked = front.now
-    assert front.subscriber.due() == asked + AMPLE.answer
-    front.now = asked + AMPLE.answer
+    assert front.subscriber.due() == asked + AMPLE.answer_timeout
+    front.now = asked + AMPLE.answer_timeout
     front.step()
-    assert front.subscriber.place == 0
-    assert front.subscriber.due() <= front.now + AMPLE.again
+    assert front.subscriber.relays.place == 0
+    assert front.subscriber.due() <= front.now + AMPLE.retry_spread
     front.poll()
-    front.now += AMPLE.answer
+    front.now += AMPLE.answer_timeout
     front.step()
-    assert front.subscriber.place == 1
-    assert front.subscriber.due() <= front.now + AMPLE.spread
+    assert front.subscriber.relays.place == 1
+    assert front.subscriber.due() <= front.now + AMPLE.failover_spread
 
 
 def test_a_relay_that_failed_is_avoided_for_a_while_where_there_is_another() -> None:
     source, front = a_source(), Front(["a", "b"], ["far"])
     first = front.poll()
-    front.step(PollAnswered(first.number, None))
+    front.step(PollAnswered(first.poll_id, None))
     second = front.poll()
     assert second.relay == first.relay
-    front.step(PollAnswered(second.number, None))
+    front.step(PollAnswered(second.poll_id, None))
     third = front.poll()
     assert third.relay in "ab"
     assert third.relay != first.relay
-    front.step(PollAnswered(third.number, None))
-    front.step(PollAnswered(front.poll().number, None))
+    front.step(PollAnswered(third.poll_id, None))
+    front.step(PollAnswered(front.poll().poll_id, None))
     fourth = front.poll()
     assert fourth.relay == "far", "both of the own region have failed"
-    front.step(PollAnswered(fourth.number, source.answer(front.now, fourth.data)))
+    front.step(PollAnswered(fourth.poll_id, source.answer(front.now, fourth.data)))
     assert front.values == true_values(source)
 
 
 def test_one_that_moved_to_another_region_comes_home() -> None:
     source, front = a_source(), Front(["home"], ["far"], timing=SubscriberTiming(jitter=0.0))
     for _ in range(2):
-        front.step(PollAnswered(front.poll().number, None))
+        front.step(PollAnswered(front.poll().poll_id, None))
     relays = []
     for _ in range(40):
         poll = front.poll()
         relays.append(poll.relay)
-        front.step(PollAnswered(poll.number, source.answer(front.now, poll.data)))
+        front.step(PollAnswered(poll.poll_id, source.answer(front.now, poll.data)))
     assert relays[0] == "far"
     assert relays[-1] == "home"
 
@@ -594,10 +605,10 @@
     source, front = a_source(2000), Front(timing=SubscriberTiming())
     spent: list[tuple[float, int]] = []
     while front.now < 120:
-        before = front.subscriber.bytes
+        before = front.subscriber.bytes_exchanged
         poll, data = exchange(front, source)
-        front.step(PollAnswered(poll.number, data))
-        spent.append((front.now, front.subscriber.bytes - before))
+        front.step(PollAnswered(poll.poll_id, data))
+        spent.append((front.now, front.subscriber.bytes_exchanged - before))
     for at, _ in spent:
         assert sum(size for when, size in spent if at <= when < at + 13) <= 39_000
 
@@ -653,7 +664,7 @@
     tree.start_relay("relay-00")
     tree.run(tree.now + 120)
     home = [front for name, front in tree.subscribers.items() if tree.regions[name] == 0]
-    assert sum(front.order[front.place] == "relay-00" for front in home) >= 5, "they come home"
+    assert sum(front.relays.current == "relay-00" for front in home) >= 5, "they come home"
 
 
 def test_all_relays_down_while_fronts_restart_and_then_back_without_a_herd() -> None:
@@ -690,10 +701,12 @@
     tree.run(tree.now + 3601)
     behind = [front for name, front in tree.subscribers.items() if tree.regions[name] == 2]
     assert behind[0].age(tree.now) > 3590
-    before = {name: front.bytes for name, front in tree.subscribers.items()}
+    before = {name: front.bytes_exchanged for name, front in tree.subscribers.items()}
     tree.cut = set()
     assert tree.settle(120) is not None
-    grew = [front.bytes - before[name] for name, front in tree.subscribers.items() if front in behind]
+    grew = [
+        front.bytes_exchanged - before[name] for name, front in tree.subscribers.items() if front in behind
+    ]
     assert max(grew) < 150 * 260 * 1.6 + 40 * 700, "each key once"
 
 
@@ -754,7 +767,7 @@
     def remove(self, key: int, lane: Lane) -> None:
         self.source.put(self.now, lane, f"{lane.name}/{key}", None)
 
-    @rule(seconds=st.sampled_from([0.5, 3.0, store.KEEP + 1.0]))
+    @rule(seconds=st.sampled_from([0.5, 3.0, store.TOMBSTONE_RETENTION + 1.0]))
     def wait(self, seconds: float) -> None:
         self.now += seconds
 
@@ -768,7 +781,7 @@
             relay, now = self.relays[number], max(self.now, self.relays[number].due())
             for action in relay.step(now):
                 if isinstance(action, SendPoll):
-                    relay.step(now, [PollAnswered(action.number, self.dead[-1].answer(now, action.data))])
+                    relay.step(now, [PollAnswered(action.poll_id, self.dead[-1].answer(now, action.data))])
             self.now = now
 
     @rule(number=st.integers(0, 1))
@@ -797,20 +810,20 @@
         if fate == "kept":
             self.old.append((front, poll, data))
         if fate in ("lost", "kept"):
-            one.step(PollAnswered(poll.number, None))
+            one.step(PollAnswered(poll.poll_id, None))
             return
         if fate == "spoilt":
             data = data[:-1] + bytes([data[-1] ^ 1])
         self.look(data)
         for _ in range(2 if fate == "twice" else 1):
-            one.step(PollAnswered(poll.number, data))
+            one.step(PollAnswered(poll.poll_id, data))
 
     def look(self, data: bytes) -> None:
         try:
             reply = decode_reply("d", data)
         except WireError:
             return
-        for part in reply.parts:
+        for part in reply.lanes:
             names = [entry.key for entry in part.changes]
             assert len(names) == len(set(names)), "a key is sent once"
 
@@ -818,7 +831,7 @@
     @rule()
     def an_old_reply_comes(self) -> None:
         front, poll, data = self.old.pop()
-        self.fronts[front].step(PollAnswered(poll.number, data))
+        self.fronts[front].step(PollAnswered(poll.poll_id, data))
 
     @invariant()
     def nothing_goes_back(self) -> None:
@@ -839,7 +852,7 @@
         for front in self.fronts:
             front.now = self.now + 20.0
             for _ in range(200):
-                if front.ask(self.source).more is False and front.subscriber.failures == 0:
+                if front.ask(self.source).has_more is False and front.subscriber.failures == 0:
                     break
             assert front.values == true_values(self.source)
             assert front.epoch == self.epoch
@@ -865,13 +878,13 @@
 class Unfenced(Subscriber):
     """Takes every epoch for the newest."""
 
-    def poll(self, now: float) -> None:
+    def send_poll(self, now: float) -> None:
         self.epoch = 0
-        super().poll(now)
+        super().send_poll(now)
 
-    def hear(self, now: float, event: PollAnswered) -> None:
+    def receive(self, now: float, event: PollAnswered) -> None:
         self.epoch = 0
-        super().hear(now, event)
+        super().receive(now, event)
 
 
 class Gullible(Subscriber):
@@ -880,29 +893,29 @@
     def step(self, now: float, events: Iterable[PollAnswered] = ()) -> list[SubscriberAction]:
         found = list(events)
         for event in found:
-            self.asked = event.number
+            self.pending_poll = event.poll_id
         return super().step(now, found)
 
-    def fits(self, reply: Reply) -> bool:
+    def continues_position(self, reply: Reply) -> bool:
         return True
 
-    def take(self, now: float, reply: Reply) -> None:
+    def apply_reply(self, now: float, reply: Reply) -> None:
         for known in self.lanes.values():
             known.versions = dict.fromkeys(known.versions, Version(0, 0))
-        super().take(now, reply)
+        super().apply_reply(now, reply)
 
 
 class EveryChange(LaneStore):
     """A log without coalescing."""
 
-    def changes(self, since: int, most: int) -> tuple[list[Entry], int]:
-        places = range(len(self.numbers))
+    def changes_since(self, since: int, max_bytes: int) -> ChangeBatch:  # noqa: ARG002 (it ignores the bound)
+        places = range(len(self.log_numbers))
         found = [
-            replace_version(self.entries[self.logged[place]], self.numbers[place])
+            replace_version(self.entries[self.log_keys[place]], self.log_numbers[place])
             for place in places
-            if self.numbers[place] > since and self.logged[place] in self.entries
+            if self.log_numbers[place] > since and self.log_keys[place] in self.entries
         ]
-        return found, self.last
+        return ChangeBatch(found, self.last_number)
 
 
 def replace_version(entry: Entry, number: int) -> Entry:
@@ -912,9 +925,9 @@
 class NoRemovals(Subscriber):
     """Keeps what a page no longer names."""
 
-    def take_part(self, lane: Lane, part: records.LaneChanges) -> None:
+    def apply_lane(self, lane: Lane, part: records.LaneChanges) -> None:
         with mock.patch.object(type(self.lanes[lane]), "missing_in_page", lambda *_: []):
-            super().take_part(lane, part)
+            super().apply_lane(lane, part)
 
 
 @pytest.mark.parametrize(
@@ -932,12 +945,12 @@
     for whole in (False, True):
         source, front = a_source(1000), Front()
         front.ask_until_whole(source)
-        before = front.subscriber.bytes
+        before = front.subscriber.bytes_exchanged
         source.put(1.0, S, "k/0001", b"one change")
         if whole:
             front.subscriber.epoch, front.subscriber.lanes[S].position = 0, Position()
         front.ask_until_whole(source)
-        grew.append(front.subscriber.bytes - before)
+        grew.append(front.subscriber.bytes_exchanged - before)
     assert grew[0] < 1000 < 20 * grew[0] < grew[1]
 
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -25,15 +25,23 @@
 from cleatyoke.distribution.__main__ import main
 from cleatyoke.distribution.contents import (
     DistributedSettings,
-    InvalidValueError,
     lane_of,
     listed_nodes,
     settings_entries,
 )
-from cleatyoke.distribution.folder import ConfigFolder, EpochError, next_epoch
-from cleatyoke.distribution.network import Subscription
-from cleatyoke.distribution.records import MOST_VALUE, Entry, Lane, Version
-from cleatyoke.distribution.subscriber import DeliverChanges
+from cleatyoke.distribution.errors import (
+    EpochError,
+    InvalidValueError,
+)
+from cleatyoke.distribution.folder import (
+    ConfigFolder,
+    next_epoch,
+)
+from cleatyoke.distribution.records import MAX_VALUE_BYTES, Entry, Lane, Version
+from cleatyoke.distribution.subscriber_messages import (
+    DeliverChanges,
+)
+from cleatyoke.distribution.subscription import Subscription
 from cleatyoke.emulation.network import Network
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
@@ -307,20 +315,20 @@
     (tmp_path / "settings.json").write_text("{}")
     (tmp_path / "settings" / "a.json").write_text("1")
     (tmp_path / "notes.txt").write_text("no key")
-    assert folder.look().changes == {"settings": b"{}", "settings/a": b"1"}
-    assert not folder.look().changes
+    assert folder.scan().changes == {"settings": b"{}", "settings/a": b"1"}
+    assert not folder.scan().changes
     (tmp_path / "settings" / "a.json").write_text("{")
-    (tmp_path / "large.json").write_text("1" * (MOST_VALUE + 1))
+    (tmp_path / "large.json").write_text("1" * (MAX_VALUE_BYTES + 1))
     (tmp_path / ("k" * 130 + ".json")).write_text("1")
-    found = folder.look()
+    found = folder.scan()
     assert not found.changes
-    assert [line.partition(":")[0] for line in found.bad] == [
+    assert [line.partition(":")[0] for line in found.rejected] == [
         "k" * 40,
         "large",
         "settings/a",
     ]
     (tmp_path / "settings" / "a.json").unlink()
-    assert folder.look().changes == {"settings/a": None}
+    assert folder.scan().changes == {"settings/a": None}
 
 
 def test_an_epoch_only_rises_and_stands_on_the_disk(tmp_path: Path) -> None:
@@ -367,14 +375,14 @@
         relays = DistributionSettings("d", [Address("127.0.0.1", 1)], [], False, 2.0, 2300.0)
         subscription = Subscription(relays, "n", 1, Faults(Metrics()), put, lambda listing: None)
         entries = [entry("settings/bad", 2, 1), entry("settings/a", 1, 1), entry("settings/c", 3, 3)]
-        subscription.act(DeliverChanges(Lane.SETTINGS, entries))
-        subscription.act(DeliverChanges(Lane.SETTINGS, [entry("settings/a", 4, 2)]))
+        subscription.handle_action(DeliverChanges(Lane.SETTINGS, entries))
+        subscription.handle_action(DeliverChanges(Lane.SETTINGS, [entry("settings/a", 4, 2)]))
         return subscription
 
     status = asyncio.run(play()).status
     assert taken == [{"a": 1}, {"a": 1, "c": 3}, {"a": 2, "c": 3}]
     assert status.in_force == Version(1, 4)
-    assert [(key, one.version.number, one.why) for key, one in status.refused.items()] == [
+    assert [(key, one.version.number, one.reason) for key, one in status.rejected.items()] == [
         ("settings/bad", 2, "bad: is never valid")
     ]
     assert "config.refused.settings/bad=2 bad: is never valid" in status.lines(0.0)
