--- a/cleatyoke/distribution/network.py
+++ b/cleatyoke/distribution/network.py
@@ -69,7 +69,7 @@
             for action in self.client.step(self.loop.time(), events):
                 self._handle(action)
             delay = max(0.0, self.client.due() - self.loop.time())
-        except Exception as error:  # noqa: BLE001 (the timer is set again whatever failed, and the fault logged)
+        except Exception as error:  # noqa: BLE001 (logged; the timer is set whatever failed)
             self.faults.told("distribution_fault", error)
         if self._timer:
             self._timer.cancel()
--- a/cleatyoke/distribution/records.py
+++ b/cleatyoke/distribution/records.py
@@ -79,8 +79,8 @@
     """A subscriber's request for what is new.
 
     ``poll_id`` returns with the reply. ``epoch`` and ``positions`` (by lane) are what the subscriber has.
-    ``max_bytes``: of entries in the reply. ``wants_tombstones``: pages are to name removed keys too, as a relay
-    needs them for its own subscribers.
+    ``max_bytes``: of entries in the reply. ``wants_tombstones``: pages are to name removed keys too, as a
+    relay needs them for its own subscribers.
     """
 
     deployment: Text
@@ -99,8 +99,8 @@
     ``changes``: all with numbers over ``since`` up to ``up_to``, the latest one of each key.
     ``compacted_up_to``: tombstones with numbers up to this one may have been discarded.
     ``restarts``: the subscriber's position is of no use, and the pages begin anew.
-    ``page``: all keys over ``page_after`` (None: there is no page) up to ``page_to`` (None: to the end), as of
-    ``up_to`` or later.
+    ``page``: all keys over ``page_after`` (None: there is no page) up to ``page_to`` (None: to the end), as
+    of ``up_to`` or later.
     """
 
     since: Count
--- a/cleatyoke/distribution/relay.py
+++ b/cleatyoke/distribution/relay.py
@@ -174,7 +174,7 @@
                 self._finish_lane(now, lane)
 
     def _begin_lane(self, lane: Lane, epoch: int) -> None:
-        """Begin the next copy if none is begun: all lanes are replaced together, as they are served as one."""
+        """Begin the next copy if none is begun: lanes are replaced together, as they are served as one."""
         if self.next_store is None or self.next_store.epoch != epoch:
             self.next_store = ChangeStore(epoch)
             retained = self.store if self.store and self.store.epoch == epoch else None
--- a/cleatyoke/distribution/server.py
+++ b/cleatyoke/distribution/server.py
@@ -51,8 +51,8 @@
 def answer_poll(poll: Poll, source: str, store: ChangeStore, age: float) -> Reply:
     """Return the reply to a poll. ``age``: of the store, in seconds.
 
-    Changes go before pages, and changes of nodes before those of settings. Pages of settings go first, as they
-    are few.
+    Changes go before pages, and changes of nodes before those of settings. Pages of settings go first, as
+    they are few.
     """
     if poll.epoch > store.epoch:
         return reject_poll(poll, source, store.epoch, Rejection.OLDER_EPOCH)
--- a/cleatyoke/distribution/status.py
+++ b/cleatyoke/distribution/status.py
@@ -44,7 +44,7 @@
         self.rejected[key] = RejectedVersion(version, reason)
 
     def check_staleness(self, now: float) -> bool | None:
-        """Return whether the configuration is outdated, if that has changed since the last call; else None."""
+        """Return whether the configuration is outdated if that has changed since the last call, else None."""
         is_stale = self.subscriber.age(now) > MAX_AGE
         if is_stale == self.reported_stale:
             return None
--- a/cleatyoke/distribution/subscriber.py
+++ b/cleatyoke/distribution/subscriber.py
@@ -56,7 +56,7 @@
     first complete reply. ``source_name``: who sent the last reply.
     """
 
-    def __init__(  # noqa: PLR0913 (identity and options of the one state machine; options are keywords)
+    def __init__(  # noqa: PLR0913 (identity and options of the one state machine)
         self,
         deployment: str,
         name: str,
--- a/cleatyoke/distribution/subscriber_messages.py
+++ b/cleatyoke/distribution/subscriber_messages.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DeliverChanges:
-    """Action: use these entries, which are newer than what was known; those of removed keys are tombstones."""
+    """Action: use these entries, which are newer than what was known; tombstones are of removed keys."""
 
     lane: Lane
     entries: list[Entry]
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -1,5 +1,4 @@
-"""The distribution as processes: a source, two relays behind links that lose, cut and spoil, eight fronts;
-its parts at the edge: the folder, the contents, the status, what operators are told."""
+"""The distribution as processes: a source, two relays behind faulty links, and eight fronts."""
 
 from __future__ import annotations
 
@@ -18,36 +17,9 @@
 from pathlib import Path
 from typing import Any
 
-import pytest
-
-from cleatyoke.admin.control import ControlCommands, answer
-from cleatyoke.config.deployment import Address, ConfigError, DistributionSettings, read_config, read_fronts
-from cleatyoke.distribution.__main__ import main
-from cleatyoke.distribution.contents import (
-    DistributedSettings,
-    lane_of,
-    listed_nodes,
-    settings_entries,
-)
-from cleatyoke.distribution.errors import (
-    EpochError,
-    InvalidValueError,
-)
-from cleatyoke.distribution.folder import (
-    ConfigFolder,
-    next_epoch,
-)
-from cleatyoke.distribution.records import MAX_VALUE_BYTES, Entry, Lane, Version
-from cleatyoke.distribution.subscriber_messages import (
-    DeliverChanges,
-)
-from cleatyoke.distribution.subscription import Subscription
 from cleatyoke.emulation.network import Network
-from cleatyoke.process.faults import Faults
-from cleatyoke.process.metrics import Metrics
 from cleatyoke.testbed.peer import Peer, hold_port
 from cleatyoke.testbed.scenario import make_scenario, settings_of
-from cleatyoke.transport.framing import MessageTooLongError, read_message
 
 ROOT = Path(__file__).resolve().parent.parent
 FRONTS = 8
@@ -61,7 +33,7 @@
 
 
 class FaultLink(Peer):
-    """Between fronts and one relay: of the exchanges some are lost, cut off or spoilt, by their draws."""
+    """Between fronts and one relay: some exchanges are lost, cut off or garbled, by seeded draws."""
 
     def __init__(self, target: int, network: Network) -> None:
         super().__init__()
@@ -87,11 +59,11 @@
 
 
 class Process:
-    """One of the processes; its log is kept."""
+    """One of the processes; its log is retained."""
 
     def __init__(self, words: Iterable[str], env: dict[str, str] | None = None) -> None:
         kept = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-        self.log = tempfile.TemporaryFile("a+b")  # noqa: SIM115
+        self.log = tempfile.TemporaryFile("a+b")  # noqa: SIM115 (closed by the test)
         self.process = subprocess.Popen(
             [sys.executable, "-m", *words],
             cwd=ROOT,
@@ -174,10 +146,11 @@
         if found := what():
             return found
         time.sleep(0.05)
-    raise AssertionError("it never came")
+    msg = "it never came"
+    raise AssertionError(msg)
 
 
-class Fleet(unittest.TestCase):
+class TestProcesses(unittest.TestCase):
     def setUp(self) -> None:
         self.enterContext(contextlib.closing(contextlib.ExitStack()))
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -234,6 +207,12 @@
         return [link.port for link in links]
 
     def test_eight_fronts_two_relays_faults_kills_and_a_change_that_is_not_valid(self) -> None:
+        """Everything at once: faulty links, relays killed amid changes, and a change that is not valid.
+
+        Links lose, cut and garble exchanges. All fronts must put the same valid settings in force, reject the
+        invalid change by name, and go on by what they have while no relay runs. A front that restarts
+        meanwhile serves by its file.
+        """
         held = [hold_port() for _ in range(3)]
         for one in held:
             self.stack.callback(one.close)
@@ -285,6 +264,7 @@
         assert source.stop(signal.SIGTERM) == 0
 
     def test_a_front_with_no_relay_at_all_starts_and_says_so(self) -> None:
+        """A control plane that is down must not keep a front from starting."""
         front = self.run_process(FrontProcess(0, self.folder / "n0", [port()]))
         wait_for(lambda: "event='ready'" in front.text())
         found = front.config()
@@ -292,7 +272,8 @@
         wait_for(lambda: "event='config_old'" in front.text())
         assert front.stop(signal.SIGTERM) == 0
 
-    def test_a_source_begins_each_life_with_a_higher_epoch_and_refuses_files_by_name(self) -> None:
+    def test_a_source_starts_with_a_higher_epoch_and_rejects_files_by_name(self) -> None:
+        """A source whose epoch came twice would be taken for the old one by all fronts."""
         self.write("settings", facts())
         self.write("settings/broken", "{")
         listen = port()
@@ -304,164 +285,3 @@
         second = self.start_source(listen)
         wait_for(lambda: "event='ready'" in second.text())
         assert int((self.folder / "epoch").read_text()) > epoch
-
-
-# The edges
-
-
-def test_a_folder_tells_what_changed_and_keeps_what_it_can_t_take_as_it_was(tmp_path: Path) -> None:
-    folder = ConfigFolder(tmp_path)
-    (tmp_path / "settings").mkdir()
-    (tmp_path / "settings.json").write_text("{}")
-    (tmp_path / "settings" / "a.json").write_text("1")
-    (tmp_path / "notes.txt").write_text("no key")
-    assert folder.scan().changes == {"settings": b"{}", "settings/a": b"1"}
-    assert not folder.scan().changes
-    (tmp_path / "settings" / "a.json").write_text("{")
-    (tmp_path / "large.json").write_text("1" * (MAX_VALUE_BYTES + 1))
-    (tmp_path / ("k" * 130 + ".json")).write_text("1")
-    found = folder.scan()
-    assert not found.changes
-    assert [line.partition(":")[0] for line in found.rejected] == [
-        "k" * 40,
-        "large",
-        "settings/a",
-    ]
-    (tmp_path / "settings" / "a.json").unlink()
-    assert folder.scan().changes == {"settings/a": None}
-
-
-def test_an_epoch_only_rises_and_stands_on_the_disk(tmp_path: Path) -> None:
-    path = tmp_path / "epoch"
-    assert next_epoch(path, 5.0) == 5000
-    assert next_epoch(path, 1.0) == 5001, "whatever the clock did"
-    assert path.read_text() == "5001\n"
-    path.write_text("soon")
-    with pytest.raises(EpochError, match="epoch"):
-        next_epoch(path, 9.0)
-
-
-def entry(key: str, number: int, value: Any) -> Entry:
-    return Entry(key, Version(1, number), None if value is None else json.dumps(value).encode())
-
-
-def test_settings_are_the_whole_with_parts_that_win_and_go() -> None:
-    none = DistributedSettings()
-    assert none.merged({"a": 1}) == {"a": 1}
-    part = none.with_entries([entry("settings/b", 2, 5)])
-    assert part.merged({"a": 1}) == {"a": 1, "b": 5}
-    assert none.merged({"a": 1}) == {"a": 1}
-    whole = part.with_entries([entry("settings", 3, {"b": 1, "c": 2})])
-    assert whole.merged({"a": 1}) == {"b": 5, "c": 2}
-    assert whole.version == Version(1, 3)
-    assert whole.with_entries([entry("settings/b", 4, None)]).merged({}) == {"b": 1, "c": 2}
-    with pytest.raises(InvalidValueError, match="settings"):
-        whole.with_entries([entry("settings", 5, [1])]).merged({})
-    mixed = [entry("settings/x", 9, 1), entry("nodes/a", 8, {}), entry("settings", 7, {})]
-    assert [one.key for one in settings_entries(mixed)] == ["settings", "settings/x"]
-
-
-def test_a_change_that_is_not_valid_holds_up_no_other() -> None:
-    taken: list[dict[str, Any]] = []
-
-    def put(settings: DistributedSettings) -> str:
-        merged = settings.merged({})
-        if merged.get("bad"):
-            return "bad: is never valid"
-        taken.append(merged)
-        return ""
-
-    async def play() -> Subscription:
-        relays = DistributionSettings("d", [Address("127.0.0.1", 1)], [], False, 2.0, 2300.0)
-        subscription = Subscription(relays, "n", 1, Faults(Metrics()), put, lambda listing: None)
-        entries = [entry("settings/bad", 2, 1), entry("settings/a", 1, 1), entry("settings/c", 3, 3)]
-        subscription.handle_action(DeliverChanges(Lane.SETTINGS, entries))
-        subscription.handle_action(DeliverChanges(Lane.SETTINGS, [entry("settings/a", 4, 2)]))
-        return subscription
-
-    status = asyncio.run(play()).status
-    assert taken == [{"a": 1}, {"a": 1, "c": 3}, {"a": 2, "c": 3}]
-    assert status.in_force == Version(1, 4)
-    assert [(key, one.version.number, one.reason) for key, one in status.rejected.items()] == [
-        ("settings/bad", 2, "bad: is never valid")
-    ]
-    assert "config.refused.settings/bad=2 bad: is never valid" in status.lines(0.0)
-
-
-def test_nodes_are_read_one_by_one_and_those_that_can_t_be_are_named() -> None:
-    bad = Entry("nodes/x", Version(1, 1), b"{")
-    found, names = listed_nodes([entry("nodes/a", 1, {"x": 1}), bad, entry("nodes/b", 2, None)])
-    assert (found, names) == ([{"x": 1}], ["nodes/x"])
-    assert lane_of("nodes/a") is Lane.NODES
-    assert lane_of("settings/a") is Lane.SETTINGS
-
-
-def test_a_message_over_the_bound_is_refused_before_it_is_read() -> None:
-    async def read() -> None:
-        reader = asyncio.StreamReader()
-        reader.feed_data((101).to_bytes(4, "big"))
-        with pytest.raises(MessageTooLongError):
-            await read_message(reader, 100)
-
-    asyncio.run(read())
-
-
-def test_show_config_without_a_distribution_is_a_failure() -> None:
-    commands = ControlCommands(
-        ready=bool, figures=list, disable=bool, enable=bool, drain=lambda: None, resume=lambda: None
-    )
-    assert answer(commands, "show-config")[0].startswith("FAILURE")
-
-
-@pytest.mark.parametrize(
-    ("line", "key"),
-    [
-        ('relays = ["127.0.0.1:1"]\ndeployment = ""', "deployment"),
-        ('relays = []\ndeployment = "d"', "relays"),
-        ('relays = ["here"]\ndeployment = "d"', "relays"),
-        ('relays = [5]\ndeployment = "d"', "relays"),
-        ('relays = ["127.0.0.1:1"]\nothers = ["x"]\ndeployment = "d"', "others"),
-        ('relays = ["127.0.0.1:1"]\ndeployment = "d"\npoll_s = 0', "poll_s"),
-        ('relays = ["127.0.0.1:1"]\ndeployment = "d"\npoll_s = nan', "poll_s"),
-        ('relays = ["127.0.0.1:1"]\ndeployment = "d"\nbytes_s = 10', "bytes_s"),
-        ('relays = ["127.0.0.1:1"]\ndeployment = "d"\nodd = 10', "odd"),
-    ],
-)
-def test_a_fault_in_the_fronts_file_names_its_key(tmp_path: Path, line: str, key: str) -> None:
-    path = tmp_path / "fronts.toml"
-    path.write_text(f"[distribution]\nenabled = true\n{line}\n")
-    with pytest.raises(ConfigError, match=key):
-        read_fronts(path, {}, {})
-
-
-def test_settings_that_lack_what_the_file_had_change_nothing(tmp_path: Path) -> None:
-    path = tmp_path / "config.json"
-    values = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": facts()}
-    path.write_text(json.dumps(values))
-    config = read_config({"RELAY_CONFIG": str(path)}, tmp_path / "none.toml")
-    less = {key: value for key, value in facts().items() if key != "Safety"}
-    with pytest.raises(ConfigError, match="Safety"):
-        config.reload(read_config({"RELAY_CONFIG": str(path)}, tmp_path / "none.toml", lambda own: less))
-
-
-@pytest.mark.parametrize(
-    ("words", "begins"),
-    [
-        ("source", "--listen"),
-        ("relay --listen here --deployment d --name r --upstream 127.0.0.1:1", "--listen"),
-        ("relay --listen 127.0.0.1:0 --deployment d --name r", "--upstream"),
-        ("relay --listen 127.0.0.1:0 --deployment d --name r --upstream 127.0.0.1:1 --most 0", "--most"),
-        ("source --listen 127.0.0.1:0 --deployment d --folder /nowhere --epoch e", "--folder"),
-        ("source --listen 127.0.0.1:0 --deployment d --folder . --epoch /nowhere/e", "--epoch"),
-    ],
-)
-def test_a_bad_option_ends_with_one_line_that_begins_with_its_name(
-    words: str, begins: str, capsys: pytest.CaptureFixture[str]
-) -> None:
-    before = signal.getsignal(signal.SIGHUP)
-    try:
-        assert main(words.split()) == 2
-    finally:
-        signal.signal(signal.SIGHUP, before)
-    told = capsys.readouterr().err.splitlines()
-    assert len(told) == 1 and told[0].startswith(begins), told
