--- a/cleatyoke/discovery/discovery.py
+++ b/cleatyoke/discovery/discovery.py
@@ -130,7 +130,7 @@
         await asyncio.sleep(0)
         not_live = [instance for instance in latest.values() if instance.state is not EndpointState.LIVE]
         removed = self._removed_by(endpoint_list, names, watch)
-        self.apply(EndpointList(version, False, not_live + removed), None, watch)
+        self.apply(EndpointList(version, is_complete=False, instances=not_live + removed), None, watch)
         for instance in not_live:
             del latest[instance.name]
         while latest:
@@ -140,11 +140,11 @@
             part = [latest.popitem()[1] for _ in range(min(MAX_NODES_PER_TURN, len(latest)))]
             changed = [instance for instance in part if self.directory.find(instance.name) != instance]
             if changed:
-                self.apply(EndpointList(version, False, changed), None, watch)
+                self.apply(EndpointList(version, is_complete=False, instances=changed), None, watch)
         await asyncio.sleep(0)
         # Once more, as another watch may have listed more nodes meanwhile.
         removed = self._removed_by(endpoint_list, names, watch)
-        self.apply(EndpointList(endpoint_list.version, False, removed), None, watch)
+        self.apply(EndpointList(endpoint_list.version, is_complete=False, instances=removed), None, watch)
 
     # Parts of these
 
@@ -165,7 +165,7 @@
         loop = asyncio.get_running_loop()
         if watch in self.retired:  # only drains and removals count
             not_live = [one for one in endpoint_list.instances if one.state is not EndpointState.LIVE]
-            endpoint_list = EndpointList(self.directory.version or 0, False, not_live)
+            endpoint_list = EndpointList(self.directory.version or 0, is_complete=False, instances=not_live)
         guarded = self.guard.filter(endpoint_list, watch, loop.time())
         for instance in guarded.withheld:
             loop.call_later(self.guard.max_reporting_delay, self._release, instance, watch)
@@ -174,4 +174,8 @@
     def _release(self, instance: Instance, watch: Watch) -> None:
         """Apply an entry that was withheld, if its agent has not said something else meanwhile."""
         if self.guard.release(instance):
-            self.apply(EndpointList(self.directory.version or 0, False, [instance]), None, watch)
+            self.apply(
+                EndpointList(self.directory.version or 0, is_complete=False, instances=[instance]),
+                None,
+                watch,
+            )
--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -63,7 +63,7 @@
 
 
 class Watch:
-    """The watch on one agent, kept up until ``task`` is cancelled.
+    """The watch on one agent. ``task`` calls the agent again whenever a call ends, until it is cancelled.
 
     ``version``: that of the agent's latest list or change that was applied; None requests the complete list
     first. Wherever a change may have been missed, the complete list is requested again.
@@ -100,7 +100,7 @@
         ) as session:
             while not self.owner.is_retired(self):
                 is_timeout = await self._call_once(session)
-                await asyncio.sleep(self._delay(is_timeout))
+                await asyncio.sleep(self._delay(is_timeout=is_timeout))
 
     async def _call_once(self, session: aiohttp.ClientSession) -> bool:
         """Call the agent and watch until that ends; whether it ended by a timeout."""
@@ -121,7 +121,7 @@
             return isinstance(error, TimeoutError)
         return False
 
-    def _delay(self, is_timeout: bool) -> float:
+    def _delay(self, *, is_timeout: bool) -> float:
         """Seconds until the next call."""
         elapsed = asyncio.get_running_loop().time() - self.call_began_at
         end = CallEnd(self.has_answered, is_timeout, elapsed, self.list_rejected)
--- a/cleatyoke/distribution/server.py
+++ b/cleatyoke/distribution/server.py
@@ -62,7 +62,9 @@
     remaining = poll.max_bytes
     lanes: dict[Lane, LaneChanges] = {}
     for lane in Lane:
-        lanes[lane] = _lane_changes(store.lanes[lane], poll.positions[lane], is_same_epoch, remaining)
+        lanes[lane] = _lane_changes(
+            store.lanes[lane], poll.positions[lane], remaining, is_same_epoch=is_same_epoch
+        )
         remaining -= _wire_size(lanes[lane].changes)
     has_more = any(changes.up_to < store.lanes[lane].last_number for lane, changes in lanes.items())
     for lane in reversed(Lane):
@@ -108,7 +110,7 @@
 
 
 def _lane_changes(
-    store: LaneStore, position: Position, is_same_epoch: bool, remaining_bytes: int
+    store: LaneStore, position: Position, remaining_bytes: int, *, is_same_epoch: bool
 ) -> LaneChanges:
     """Return a lane's changes after a subscriber's position.
 
--- a/cleatyoke/distribution/subscriber_messages.py
+++ b/cleatyoke/distribution/subscriber_messages.py
@@ -13,9 +13,7 @@
 
     poll_interval: float = 2.0  # between two polls while there is nothing new
     answer_timeout: float = 1.0  # until a poll without an answer has failed
-    retry_spread: float = (
-        0.5  # over which the retry at the same relay is drawn: one lost answer proves nothing
-    )
+    retry_spread: float = 0.5  # over which the retry is drawn: one lost answer proves nothing
     avoid_duration: float = 10.0  # for which a relay that failed is polled only if there is no other
     failover_spread: float = 2.0  # over which the first failover is drawn, doubled with each failure ...
     max_failover_spread: float = 8.0  # ... up to this
--- a/cleatyoke/distribution/subscription.py
+++ b/cleatyoke/distribution/subscription.py
@@ -152,4 +152,4 @@
         if invalid:
             log.warning("config_nodes_refused", why=invalid[0], count=len(invalid))
         if not_live := [instance for instance in found if instance.state is not EndpointState.LIVE]:
-            self.notify_nodes(EndpointList(0, False, not_live))
+            self.notify_nodes(EndpointList(0, is_complete=False, instances=not_live))
--- a/cleatyoke/emulation/distribution.py
+++ b/cleatyoke/emulation/distribution.py
@@ -13,9 +13,7 @@
 
 from cleatyoke.distribution.records import Lane
 from cleatyoke.distribution.relay import RELAY_TIMING, ChangeServer, Relay, Source
-from cleatyoke.distribution.subscriber import (
-    Subscriber,
-)
+from cleatyoke.distribution.subscriber import Subscriber
 from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
     PollAnswered,
--- a/cleatyoke/emulation/distribution_measure.py
+++ b/cleatyoke/emulation/distribution_measure.py
@@ -19,9 +19,7 @@
 import click
 
 from cleatyoke.distribution.records import FORMAT_VERSION, Lane, Poll, Position, decode_reply, encode
-from cleatyoke.distribution.subscriber_messages import (
-    SubscriberTiming,
-)
+from cleatyoke.distribution.subscriber_messages import SubscriberTiming
 from cleatyoke.emulation.capacity.command import BadOption, checked_folder
 from cleatyoke.emulation.capacity.page import BEGIN, END, short, table
 from cleatyoke.emulation.capacity.plan import HOUR, PLAN
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -55,12 +55,8 @@
 from cleatyoke.distribution.server import answer_poll as answer_poll
 from cleatyoke.distribution.status import SubscriptionStatus as ConfigStatus
 from cleatyoke.distribution.store import ChangeStore
-from cleatyoke.distribution.subscriber_messages import (
-    SendPoll,
-)
-from cleatyoke.distribution.subscriber import (
-    Subscriber,
-)
+from cleatyoke.distribution.subscriber_messages import SendPoll
+from cleatyoke.distribution.subscriber import Subscriber
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.coordination import replicated_holds as replicas
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -15,9 +15,7 @@
 from cleatyoke.discovery.backoff import Backoff
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.distribution import contents, folder
-from cleatyoke.distribution.errors import (
-    InvalidChangeError,
-)
+from cleatyoke.distribution.errors import InvalidChangeError
 from cleatyoke.distribution.records import (
     FORMAT_VERSION,
     Entry,
@@ -39,9 +37,7 @@
 )
 from cleatyoke.distribution.status import SubscriptionStatus
 from cleatyoke.distribution.store import LaneStore
-from cleatyoke.distribution.subscriber import (
-    Subscriber,
-)
+from cleatyoke.distribution.subscriber import Subscriber
 from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
     EpochRestarted,
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -12,9 +12,7 @@
 from cleatyoke.discovery.directory import Directory
 from cleatyoke.distribution.contents import DistributedSettings, listed_nodes, settings_entries
 from cleatyoke.distribution.contents import lane_of as lane_of_key
-from cleatyoke.distribution.errors import (
-    EpochError,
-)
+from cleatyoke.distribution.errors import EpochError
 from cleatyoke.distribution.folder import (
     ConfigFolder,
     next_epoch,
--- a/tests/test_distribution_contents.py
+++ b/tests/test_distribution_contents.py
@@ -15,13 +15,9 @@
     listed_nodes,
     settings_entries,
 )
-from cleatyoke.distribution.errors import (
-    InvalidValueError,
-)
+from cleatyoke.distribution.errors import InvalidValueError
 from cleatyoke.distribution.records import Entry, Lane, Version
-from cleatyoke.distribution.subscriber_messages import (
-    DeliverChanges,
-)
+from cleatyoke.distribution.subscriber_messages import DeliverChanges
 from cleatyoke.distribution.subscription import Subscription
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
--- a/tests/test_distribution_fleet.py
+++ b/tests/test_distribution_fleet.py
@@ -7,9 +7,7 @@
 from typing import Any
 from unittest import mock
 
-from cleatyoke.distribution.records import (
-    Lane,
-)
+from cleatyoke.distribution.records import Lane
 from cleatyoke.distribution.relay import ChangeServer, Source
 from cleatyoke.emulation.distribution import SOURCE, Links, Measured, Tree
 from tests.distribution import (
--- a/tests/test_distribution_polling.py
+++ b/tests/test_distribution_polling.py
@@ -8,6 +8,7 @@
 import pytest
 
 from cleatyoke.distribution.errors import NoRelayError
+from cleatyoke.distribution.relay_selection import RelaySelector
 from cleatyoke.distribution.subscriber import Subscriber
 from cleatyoke.distribution.subscriber_messages import (
     PollAnswered,
@@ -84,6 +85,24 @@
     assert relays[-1] == "home"
 
 
+def test_a_subscriber_whose_return_fails_tries_again_an_interval_after_that_return() -> None:
+    """A subscriber returns to its own region while that is still down, and goes back to the other one.
+
+    The interval counts from the return that failed, so that a region that is down is not polled all the time.
+    """
+    relays = RelaySelector([["home"], ["far"]], random.Random(1))
+    relays.fail_over(0.0, 10.0)
+    assert relays.current == "far"
+    assert not relays.return_to_own_region(59.9, 60.0)
+    assert relays.return_to_own_region(60.0, 60.0)
+    assert relays.current == "home"
+    relays.fail_over(70.0, 10.0)
+    assert relays.current == "far"
+    assert not relays.return_to_own_region(119.9, 60.0)
+    assert relays.return_to_own_region(120.0, 60.0)
+    assert relays.current == "home"
+
+
 def test_a_subscriber_keeps_to_its_bytes_in_any_13_seconds() -> None:
     source, front = a_source(2000), Front(timing=SubscriberTiming())
     spent: list[tuple[float, int]] = []
--- a/tests/test_distribution_source_files.py
+++ b/tests/test_distribution_source_files.py
@@ -6,9 +6,7 @@
 
 import pytest
 
-from cleatyoke.distribution.errors import (
-    EpochError,
-)
+from cleatyoke.distribution.errors import EpochError
 from cleatyoke.distribution.folder import (
     ConfigFolder,
     next_epoch,
