--- a/cleatyoke/discovery/listings.py
+++ b/cleatyoke/discovery/listings.py
@@ -17,7 +17,7 @@
 
 from cleatyoke.config.deployment import ConfigError, read_address
 from cleatyoke.discovery.directory import EndpointList, Instance
-from cleatyoke.http.messages import MessageError
+from cleatyoke.discovery.errors import InvalidListError, ListTooLongError
 from cleatyoke.scheduling.events import EndpointState
 
 MAX_LIST_BYTES = 16 * 1024 * 1024  # 25,000 nodes at four times what one takes on the wire
@@ -30,17 +30,6 @@
 }
 
 
-class DiscoveryError(ValueError):
-    """Base of the errors of endpoint discovery."""
-
-
-class ListTooLongError(DiscoveryError):
-    """A list of more than ``MAX_LIST_BYTES`` bytes, which is not read to its end."""
-
-    def __init__(self) -> None:
-        super().__init__(f"a list of more than {MAX_LIST_BYTES} bytes")
-
-
 class ListHeader(NamedTuple):
     """What a list says besides its nodes."""
 
@@ -71,7 +60,7 @@
     async for chunk in content.iter_any():
         body += chunk
         if len(body) > MAX_LIST_BYTES:
-            raise ListTooLongError
+            raise ListTooLongError(MAX_LIST_BYTES)
     return bytes(body)
 
 
@@ -85,7 +74,7 @@
         for piece in chunk.splitlines(keepends=True):  # of bytes: LF, CR and CRLF end a line
             line += piece
             if len(line) > MAX_LIST_BYTES:
-                raise ListTooLongError
+                raise ListTooLongError(MAX_LIST_BYTES)
             if piece.endswith(b"\n"):
                 yield bytes(line)
                 line.clear()
@@ -111,20 +100,20 @@
             instances += [read_instance(msgspec.json.decode(raw)) for raw in part]
             await asyncio.sleep(0)
     except msgspec.MsgspecError as error:
-        raise MessageError(str(error)) from error
+        raise InvalidListError(str(error)) from error
     return EndpointList(header.version, header.is_complete, instances)
 
 
 def decode_endpoint_list(text: str | bytes) -> EndpointList:
-    """Decode a list from JSON. Raises ``MessageError``, whose text begins with the invalid key."""
+    """Decode a list from JSON. Raises ``InvalidListError``, whose text begins with the invalid key."""
     try:
         return read_endpoint_list(json.loads(text))
     except ValueError as error:
-        raise MessageError(str(error)) from error
+        raise InvalidListError(str(error)) from error
 
 
 def read_endpoint_list(value: Any) -> EndpointList:
-    """Convert a decoded JSON value to a list. Raises ``MessageError`` as ``decode_endpoint_list`` does."""
+    """Convert a decoded JSON value to a list. Raises as ``decode_endpoint_list`` does."""
     header = _read_header(value)
     instances = [read_instance(entry) for entry in value["instances"]]
     return EndpointList(header.version, header.is_complete, instances)
@@ -133,43 +122,43 @@
 def _read_header(value: Any) -> ListHeader:
     if not isinstance(value, dict):
         msg = "want an object"
-        raise MessageError(msg)
+        raise InvalidListError(msg)
     version, entries = value.get("generation"), value.get("instances")
     if not isinstance(version, int) or isinstance(version, bool):
         msg = f"generation: want a whole number, found {version!r}"
-        raise MessageError(msg)
+        raise InvalidListError(msg)
     if not isinstance(entries, list):
         msg = "instances: want a list"
-        raise MessageError(msg)
+        raise InvalidListError(msg)
     return ListHeader(version, value.get("reset") is True)
 
 
 def read_instance(entry: Any) -> Instance:
     """Convert one entry of a list's decoded JSON to a node.
 
-    Raises ``MessageError``, whose text begins with the invalid key.
+    Raises ``InvalidListError``, whose text begins with the invalid key.
     """
     if not isinstance(entry, dict):
         msg = "instances: want objects"
-        raise MessageError(msg)
+        raise InvalidListError(msg)
     name, state, cell = entry.get("instanceId"), entry.get("lifecycle"), entry.get("cell")
     started = entry.get("startedAtMs") or 0
     if not isinstance(name, str) or not name:
         msg = f"instanceId: want a text, found {name!r}"
-        raise MessageError(msg)
+        raise InvalidListError(msg)
     if state not in STATES:
         msg = f"lifecycle: unknown state {state!r}"
-        raise MessageError(msg)
+        raise InvalidListError(msg)
     if cell is not None and (isinstance(cell, bool) or not isinstance(cell, int)):
         msg = f"cell: want a whole number, found {cell!r}"
-        raise MessageError(msg)
+        raise InvalidListError(msg)
     if isinstance(started, bool) or not isinstance(started, int | float):
         msg = f"startedAtMs: want a number, found {started!r}"
-        raise MessageError(msg)
+        raise InvalidListError(msg)
     try:
         address = read_address(str(entry.get("hostPort")), "hostPort")
     except ConfigError as error:
-        raise MessageError(str(error)) from error
+        raise InvalidListError(str(error)) from error
     return Instance(
         name, address, str(entry.get("zone")), -1 if cell is None else cell, STATES[state], started / 1000
     )
--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -11,10 +11,10 @@
 
 from cleatyoke.config.deployment import Address
 from cleatyoke.discovery.directory import EndpointList
+from cleatyoke.discovery.errors import InvalidListError, ListTooLongError
 from cleatyoke.discovery.listings import (
     LONG_LIST_BYTES,
     MAX_NODES_PER_TURN,
-    ListTooLongError,
     decode_endpoint_list,
     decode_long_endpoint_list,
     garbage_collection_paused,
@@ -28,7 +28,6 @@
     CallEnd,
     CallSchedule,
 )
-from cleatyoke.http.messages import MessageError
 from cleatyoke.process.faults import Faults, keep_up
 from cleatyoke.scheduling.events import UpdateKind
 
@@ -113,7 +112,7 @@
             log.info("discovery_ended", address=self.url)
         except ListTooLongError as error:
             self._reject_list(error)
-        except MessageError as error:
+        except InvalidListError as error:
             log.warning("discovery_line_skipped", why=str(error))
             self.version = None  # the line may have held a change: request the complete list
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
@@ -247,7 +246,7 @@
     # Lists
 
     async def apply_text(self, text: bytes, kind: UpdateKind | None = None) -> None:
-        """Decode and apply a list or change, short or long. Raises ``MessageError``."""
+        """Decode and apply a list or change, short or long. Raises ``InvalidListError``."""
         if len(text) < LONG_LIST_BYTES:
             self.apply(decode_endpoint_list(text), kind)
         else:
--- a/cleatyoke/distribution/subscription.py
+++ b/cleatyoke/distribution/subscription.py
@@ -10,6 +10,7 @@
 
 from cleatyoke.config.deployment import DistributionSettings
 from cleatyoke.discovery.directory import EndpointList
+from cleatyoke.discovery.errors import InvalidListError
 from cleatyoke.discovery.listings import read_instance
 from cleatyoke.distribution.contents import DistributedSettings, listed_nodes, settings_entries
 from cleatyoke.distribution.network import RelayPoller
@@ -22,7 +23,6 @@
     SubscriberAction,
     SubscriberTiming,
 )
-from cleatyoke.http.messages import MessageError
 from cleatyoke.process.faults import Faults, keep_up
 from cleatyoke.scheduling.events import EndpointState
 
@@ -147,7 +147,7 @@
         for value in values:
             try:
                 found.append(read_instance(value))
-            except MessageError as error:
+            except InvalidListError as error:
                 invalid.append(str(error))
         if invalid:
             log.warning("config_nodes_refused", why=invalid[0], count=len(invalid))
--- a/tests/test_discovery_long_lists.py
+++ b/tests/test_discovery_long_lists.py
@@ -19,10 +19,10 @@
 from cleatyoke.discovery import listings
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.discovery.discovery import Discovery
+from cleatyoke.discovery.errors import InvalidListError
 from cleatyoke.discovery.listings import MAX_NODES_PER_TURN, decode_endpoint_list
 from cleatyoke.discovery.watch import Watch
 from cleatyoke.emulation.capacity import nodes
-from cleatyoke.http.messages import MessageError
 from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, SchedulerEvent, UpdateKind
 from tests.wire import DiscoveryAgent
 
@@ -117,12 +117,12 @@
         value = json.loads(nodes.list_text(3000, version=2, draining=2000))
         for malformed in ({"lifecycle": "ASLEEP"}, {"hostPort": 5}, {"cell": "x"}):
             value["instances"][2500].update(malformed)
-            with self.subTest(malformed=malformed), pytest.raises(MessageError):
+            with self.subTest(malformed=malformed), pytest.raises(InvalidListError):
                 await watch.apply_text(json.dumps(value).encode())
         whole = nodes.list_text(3000)
         number = b'{"generation":1,"instances":7' + b" " * 200_000 + b"}"
         for text in (b"[" * 200_000, number, whole[:-2], whole.replace(b'n": 1,', b'n": "1",', 1)):
-            with self.subTest(text=text[:40]), pytest.raises(MessageError):
+            with self.subTest(text=text[:40]), pytest.raises(InvalidListError):
                 await watch.apply_text(text)
         assert (listed_states(self.directory), self.updates, self.directory.version) == (before, [], 1)
         assert gc.isenabled()
