--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -63,7 +63,7 @@
         self.idle_timeout = idle_close * IDLE_FRACTION
         self.pools: dict[int, ConnectionPool] = {}
         self.open_connections = 0
-        directory.watchers.append(self.retire_pool)
+        directory.listeners.append(self.retire_pool)
 
     async def attempt(
         self, node: int, request: ClientRequest, not_after: float, may_begin: MayBegin
@@ -76,7 +76,7 @@
         ending that is not proven harmless may have run. A long answer counts as served with its first bytes;
         whoever gets its ``StreamedBody`` closes it.
         """
-        if not self.directory.serves(node):
+        if not self.directory.is_serving(node):
             return AttemptResult(AttemptOutcome.NOT_SENT)
         pool = self._pool(node)
         connection: BackendConnection | None = None
@@ -86,7 +86,7 @@
         try:
             connection = self.take_idle(pool) or await self.connect(pool)
             max_wait = not_after - asyncio.get_running_loop().time()
-            if pool.is_retired or not self.directory.serves(node) or not may_begin():
+            if pool.is_retired or not self.directory.is_serving(node) or not may_begin():
                 is_unused = True
                 return AttemptResult(AttemptOutcome.NOT_SENT)
             pieces = encode_attempt(request, pool.address, max_wait)
@@ -112,7 +112,7 @@
         Returns the fraction of its power in use, or None where no report came or all connections are taken:
         those left are for requests.
         """
-        if not self.directory.serves(node) or self.open_connections >= self.max_connections:
+        if not self.directory.is_serving(node) or self.open_connections >= self.max_connections:
             return None
         pool = self._pool(node)
         connection: BackendConnection | None = None
@@ -173,7 +173,7 @@
 
     def _pool(self, node: int) -> ConnectionPool:
         if node not in self.pools:
-            self.pools[node] = ConnectionPool(self.directory.boxes[node].address)
+            self.pools[node] = ConnectionPool(self.directory.instances[node].address)
         return self.pools[node]
 
     def _settle(
--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -17,8 +17,8 @@
 from cleatyoke.config.fronts_file import FRONTS_FILE
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.discovery.listings import read_listing
-from cleatyoke.discovery.watch import Discovery
+from cleatyoke.discovery.discovery import Discovery
+from cleatyoke.discovery.listings import read_endpoint_list
 from cleatyoke.http.backends import BackendPools
 from cleatyoke.http.messages import MessageError
 from cleatyoke.http.server import HttpServer
@@ -36,7 +36,7 @@
 
 if TYPE_CHECKING:
     from cleatyoke.admin.prometheus import MetricsListener
-    from cleatyoke.distribution.network import Subscription
+    from cleatyoke.distribution.subscription import Subscription
     from cleatyoke.fleet.startup import StagedStartRunner
     from cleatyoke.fleet.view import FleetView
     from cleatyoke.http.load_probes import LoadProbeRunner
@@ -78,8 +78,8 @@
             config.settings.front_count,
             config.seed,
             self.faults,
-            pushed=not config.settings.watches_endpoints,
-            grace=config.drain_grace,
+            own_agent=not config.settings.watches_endpoints,
+            drain_grace=config.drain_grace,
         )
         self.reloader = Reloader(config, fronts, self.metrics, self._on_reloaded)
         self.file_service = FileService()
@@ -98,7 +98,7 @@
 
     def node_counts(self) -> NodeCounts:
         """Return how many nodes are listed and how many receive nothing."""
-        return NodeCounts(len(self.directory.boxes), self.directory.down())
+        return NodeCounts(len(self.directory.instances), self.directory.count_unavailable())
 
     def shutdown_deadlines(self) -> ShutdownDeadlines:
         """Return the deadlines of a shutdown by the present settings."""
@@ -136,8 +136,8 @@
         if not self.config.cached_endpoints:
             return
         try:
-            listing = read_listing(self.config.cached_endpoints)
-            self.discovery.take(listing, UpdateKind.CACHED)
+            listing = read_endpoint_list(self.config.cached_endpoints)
+            self.discovery.apply(listing, UpdateKind.CACHED)
         except MessageError as error:
             log.warning("known_list_skipped", why=str(error))
 
@@ -147,13 +147,13 @@
         A fleet whose fronts all restart at once would otherwise wait for an overloaded discovery, and all
         requests meanwhile would be lost, which costs more than stale entries of the list.
         """
-        timeout = 0.0 if self.directory.boxes else FIRST_LIST_TIMEOUT
+        timeout = 0.0 if self.directory.instances else FIRST_LIST_TIMEOUT
         ready_at = self.loop.time() + timeout
         self.http_server = HttpServer(
             self.config,
             self.core,
             self.backends,
-            lambda: self.discovery.heard.is_set() or self.loop.time() >= ready_at,
+            lambda: self.discovery.first_answer.is_set() or self.loop.time() >= ready_at,
         )
 
     async def _listen(self) -> None:
@@ -184,9 +184,9 @@
             self.lifecycle.set_deadlines(self.shutdown_deadlines())
             if self.fleet:
                 self.fleet.announce_settings(settings)
-        self.discovery.keep_pace(self.config.drain_grace)
+        self.discovery.set_drain_grace(self.config.drain_grace)
         if result.discovery_moved:
-            self.discovery.move(self.config.discovery)
+            self.discovery.migrate(self.config.discovery)
 
     # Service and shutdown
 
@@ -197,13 +197,16 @@
         gc.enable()  # ``fast_import`` left it off
         gc.freeze()  # objects made by the start are not collected; later collections skip them
         log.info(
-            "ready", name=self.config.name, listen=self.http_server.address, nodes=len(self.directory.boxes)
+            "ready",
+            name=self.config.name,
+            listen=self.http_server.address,
+            nodes=len(self.directory.instances),
         )
         await self.shutdown_requested.wait()
         log.info("leaving", open=len(self.core.pending))
         self.http_server.begin_shutdown(self._seconds_until_answers_due())
         await self._shut_down()
-        stat_lines = self.metrics.stat_lines(list(self.config.classes), len(self.directory.boxes), 0)
+        stat_lines = self.metrics.stat_lines(list(self.config.classes), len(self.directory.instances), 0)
         log.info("left", faults=self.metrics.faults, figures=" ".join(stat_lines))
         self.lifecycle.finish()
 
--- a/cleatyoke/process/hold_file.py
+++ b/cleatyoke/process/hold_file.py
@@ -96,12 +96,12 @@
 
     def _apply(self, name: str, disable: bool) -> bool:
         holds = self.directory.holds
-        known = self.directory.knows(name)
+        known = self.directory.has_seen(name)
         return holds.disable(name, known) if disable else holds.enable(name, known, self.core.now())
 
     def _notify(self, names: Iterable[str]) -> None:
         """On the loop: report nodes whose hold has changed to the scheduler and the backend pools."""
-        if entries := self.directory.changed(list(names)):
+        if entries := self.directory.refresh(list(names)):
             self.core.notify(EndpointUpdate(UpdateKind.DELTA, entries))
 
     def _read_changes(self) -> list[str]:
--- a/cleatyoke/process/optional_parts.py
+++ b/cleatyoke/process/optional_parts.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from cleatyoke.admin.prometheus import MetricsListener
-    from cleatyoke.distribution.network import Subscription
+    from cleatyoke.distribution.subscription import Subscription
     from cleatyoke.http.load_probes import LoadProbeRunner
     from cleatyoke.process.daemon import Daemon
 
@@ -35,7 +35,7 @@
 def subscribe(daemon: Daemon, relays: DistributionSettings) -> Subscription:
     """Start to receive distributed configuration. Serving waits for none of it."""
     try:
-        from cleatyoke.distribution.network import Subscription
+        from cleatyoke.distribution.subscription import Subscription
     except ImportError as error:
         msg = f"distribution: {error}"
         raise ConfigError(msg) from error
@@ -46,7 +46,7 @@
         config.seed,
         daemon.faults,
         daemon.reloader.apply_distributed,
-        daemon.discovery.take,
+        daemon.discovery.apply,
     )
     subscription.start()
     return subscription
@@ -80,7 +80,7 @@
         from cleatyoke.fleet.view import FleetView
 
         config = daemon.config
-        nodes = daemon.directory.boxes
+        nodes = daemon.directory.instances
         staged_start = StagedStartRunner()
         daemon.staged_start = staged_start
         state = await staged_start.restore_durable_state(peers, config.name, daemon.faults)
@@ -98,4 +98,6 @@
         raise ConfigError(msg) from error
     daemon.fleet = view
     await staged_start.wait_for_peers(view)
-    await staged_start.wait_for_endpoint_list(has_cached_list=bool(nodes), received=daemon.discovery.heard)
+    await staged_start.wait_for_endpoint_list(
+        has_cached_list=bool(nodes), received=daemon.discovery.first_answer
+    )
--- a/cleatyoke/sftp/backends.py
+++ b/cleatyoke/sftp/backends.py
@@ -40,7 +40,7 @@
         self.idle_timeout = idle_close * IDLE_FRACTION
         self.max_idle = max_idle
         self._idle: defaultdict[int, list[SftpConnection]] = defaultdict(list)
-        directory.watchers.append(self.drop_idle)
+        directory.listeners.append(self.drop_idle)
 
     def drop_idle(self, node: int) -> None:
         """Close the idle connections to a backend that drains, went or restarted."""
@@ -64,7 +64,7 @@
         is_done = False
         try:
             connection = await self._connect(node, must_be_new=is_write(command))
-            if not (self.directory.serves(node) and may_begin()):  # it may have taken long to come up
+            if not (self.directory.is_serving(node) and may_begin()):  # it may have taken long to come up
                 return AttemptResult(AttemptOutcome.NOT_SENT)
             has_begun = True
             reply = await run_command(connection, command)
@@ -89,8 +89,8 @@
         Prevents lost or doubled writes: a write takes a new connection, because on one that was idle a break
         can't be told from a break after the backend had stored the change.
         """
-        backend = self.directory.boxes.get(node)
-        if backend is None or not self.directory.serves(node):
+        backend = self.directory.instances.get(node)
+        if backend is None or not self.directory.is_serving(node):
             raise NotServingError
         if not must_be_new:
             connection = self._take_idle(node)
@@ -126,7 +126,7 @@
 
     def _put_back(self, node: int, connection: SftpConnection) -> bool:
         """Keep a connection for the next command, if it may be."""
-        if not connection.is_usable() or not self.directory.serves(node):
+        if not connection.is_usable() or not self.directory.is_serving(node):
             return False
         if len(self._idle[node]) >= MAX_IDLE_PER_BACKEND:
             return False
--- a/cleatyoke/transport/framing.py
+++ b/cleatyoke/transport/framing.py
@@ -1,4 +1,4 @@
-"""Messages on a stream: the length in four bytes, then as many bytes."""
+"""Messages on a stream: the length in four bytes, big-endian, then as many bytes."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class MessageTooLongError(ValueError):
-    """A message is longer than any that is accepted."""
+    """A message of more bytes than are accepted."""
 
 
 async def read_message(reader: asyncio.StreamReader, max_bytes: int) -> bytes:
-    """Return the next message of at most ``max_bytes``.
+    """Read one message.
 
-    Raises ``MessageTooLongError`` before any of the message is read, so that a peer can't make this process
-    hold more, and ``EOFError`` where the stream ends before the message does.
+    Raises ``MessageTooLongError`` before any of a longer message is read, ``EOFError`` if the stream ends
+    before the message does.
     """
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     if length > max_bytes:
@@ -25,6 +25,6 @@
 
 
 async def write_message(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Write a message with its length, and wait while the stream's buffer is full."""
+    """Write one message and wait until the transport accepts more."""
     writer.write(len(data).to_bytes(LENGTH_BYTES, "big") + data)
     await writer.drain()
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -55,10 +55,11 @@
 from cleatyoke.core import Core, Failed, Rejected, Served
 from cleatyoke.discovery.directory import Directory, Instance, EndpointList
 from cleatyoke.distribution import contents, records
-from cleatyoke.distribution.server import answer as answer_poll
+from cleatyoke.distribution.server import answer_poll as answer_poll
 from cleatyoke.distribution.status import SubscriptionStatus as ConfigStatus
 from cleatyoke.distribution.store import ChangeStore
-from cleatyoke.distribution.subscriber import SendPoll, Subscriber
+from cleatyoke.distribution.subscriber_messages import SendPoll
+from cleatyoke.distribution.subscriber import Subscriber
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.coordination import replicated_holds as replicas
@@ -70,10 +71,10 @@
 from cleatyoke.admin.maintenance import FrontDrain
 from cleatyoke.http import answers, messages, requests
 from cleatyoke.http.backends import BackendPools
-from cleatyoke.discovery.watch import Discovery
+from cleatyoke.discovery.discovery import Discovery
 from cleatyoke.fleet.view import FleetView
 from cleatyoke.transport.framing import MessageTooLongError, read_message, write_message
-from cleatyoke.discovery.listings import decode_listing, decode_long_listing
+from cleatyoke.discovery.listings import decode_endpoint_list, decode_long_endpoint_list
 from cleatyoke.admin.prometheus import MetricsListener
 from cleatyoke.admin.control import ControlCommands, ControlListener
 from cleatyoke.http.server import HttpServer
@@ -389,19 +390,19 @@
 def encode_poll(value: Plain) -> bytes:
     """A subscriber's poll."""
     positions = [
-        records.Position(number=one[0], after=one[1]) if one else records.Position()
+        records.Position(number=one[0], cursor=one[1]) if one else records.Position()
         for one in value["positions"]
     ]
-    optional = {"removals": value["with removals"]} if "with removals" in value else {}
+    optional = {"wants_tombstones": value["with removals"]} if "with removals" in value else {}
     return records.encode(
         records.Poll(
             deployment=value.get("deployment", DEPLOYMENT),
-            form=value.get("form", 1),
+            format_version=value.get("form", 1),
             subscriber=value["subscriber"],
-            number=value["number"],
+            poll_id=value["number"],
             epoch=value["epoch"],
             positions=positions,
-            most=value["bytes"],
+            max_bytes=value["bytes"],
             **optional,
         )
     )
@@ -415,22 +416,22 @@
         return {"refused": str(refused)}
     return {
         "deployment": poll.deployment,
-        "form": poll.form,
+        "form": poll.format_version,
         "subscriber": poll.subscriber,
-        "number": poll.number,
+        "number": poll.poll_id,
         "epoch": poll.epoch,
-        "positions": [[one.number, one.after] for one in poll.positions],
-        "bytes": poll.most,
-        "with removals": poll.removals,
+        "positions": [[one.number, one.cursor] for one in poll.positions],
+        "bytes": poll.max_bytes,
+        "with removals": poll.wants_tombstones,
     }
 
 
 REFUSALS = {
-    "none": records.Refusal.NONE,
-    "too many subscribers": records.Refusal.FULL,
-    "no whole copy": records.Refusal.NOT_READY,
-    "newer epoch known": records.Refusal.OLDER,
-    "newer changes known": records.Refusal.BEHIND,
+    "none": records.Rejection.NONE,
+    "too many subscribers": records.Rejection.FULL,
+    "no whole copy": records.Rejection.NOT_READY,
+    "newer epoch known": records.Rejection.OLDER_EPOCH,
+    "newer changes known": records.Rejection.BEHIND,
 }
 
 
@@ -440,27 +441,29 @@
     if "changes" in value:
         optional["changes"] = [entry_of(one) for one in value["changes"]]
     if "anew" in value:
-        optional["restart"] = value["anew"]
+        optional["restarts"] = value["anew"]
     if "page" in value:
         optional["page"] = [entry_of(one) for one in value["page"]]
         optional["page_after"], optional["page_to"] = value["page range"]
-    return records.LaneChanges(first=value["first"], last=value["last"], floor=value["floor"], **optional)
+    return records.LaneChanges(
+        since=value["first"], up_to=value["last"], compacted_up_to=value["floor"], **optional
+    )
 
 
 def encode_reply(value: Plain) -> bytes:
     """A relay's reply."""
     optional: dict[str, Any] = {}
     if "refusal" in value:
-        optional["refusal"] = REFUSALS[value["refusal"]]
+        optional["rejection"] = REFUSALS[value["refusal"]]
     if "parts" in value:
-        optional["parts"] = [part_of(one) for one in value["parts"]]
+        optional["lanes"] = [part_of(one) for one in value["parts"]]
     if "more" in value:
-        optional["more"] = value["more"]
+        optional["has_more"] = value["more"]
     return records.encode(
         records.Reply(
             deployment=value.get("deployment", DEPLOYMENT),
-            form=value.get("form", 1),
-            number=value["number"],
+            format_version=value.get("form", 1),
+            poll_id=value["number"],
             source=value["source"],
             epoch=value["epoch"],
             age=value["age"],
@@ -477,25 +480,25 @@
         return {"refused": str(refused)}
     return {
         "deployment": reply.deployment,
-        "form": reply.form,
-        "number": reply.number,
+        "form": reply.format_version,
+        "number": reply.poll_id,
         "source": reply.source,
         "epoch": reply.epoch,
         "age": reply.age,
-        "refusal": next(word for word, one in REFUSALS.items() if one is reply.refusal),
+        "refusal": next(word for word, one in REFUSALS.items() if one is reply.rejection),
         "parts": [
             {
-                "first": part.first,
-                "last": part.last,
-                "floor": part.floor,
+                "first": part.since,
+                "last": part.up_to,
+                "floor": part.compacted_up_to,
                 "changes": [plain_entry(one) for one in part.changes],
-                "anew": part.restart,
+                "anew": part.restarts,
                 "page range": [part.page_after, part.page_to],
                 "page": [plain_entry(one) for one in part.page],
             }
-            for part in reply.parts
+            for part in reply.lanes
         ],
-        "more": reply.more,
+        "more": reply.has_more,
     }
 
 
@@ -909,33 +912,33 @@
 
 async def capture_node_answer(value: Plain) -> Plain:
     """What is understood of a node's answer, which comes in pieces; ``closed``: then its connection ends."""
-    reader, answer = answers.AnswerReader(), None
+    reader, answer_poll = answers.AnswerReader(), None
     rest: list[Plain] = []
     try:
         for piece in value["pieces"]:
-            if answer is None:
-                answer = reader.feed(unpack(piece))
+            if answer_poll is None:
+                answer_poll = reader.feed(unpack(piece))
             else:
                 rest.append(pack(reader.feed_body(unpack(piece))))
-        if answer is None and value.get("closed"):
-            answer = reader.feed_eof()
+        if answer_poll is None and value.get("closed"):
+            answer_poll = reader.feed_eof()
     except messages.MalformedAnswerError as error:
         return {"spoilt": str(error)}
-    if answer is None:
+    if answer_poll is None:
         return {"more is to come": True}
     return {
-        "status": answer.status,
-        "headers": [[name, text] for name, text in answer.headers.items()],
-        "body": pack(answer.body),
-        "reusable": answer.connection_reusable,
-        "length": answer.length,
-        "long": answer.is_streamed,
+        "status": answer_poll.status,
+        "headers": [[name, text] for name, text in answer_poll.headers.items()],
+        "body": pack(answer_poll.body),
+        "reusable": answer_poll.connection_reusable,
+        "length": answer_poll.length,
+        "long": answer_poll.is_streamed,
         "rest": rest,
         "whole": reader.is_complete,
-        "means": OUTCOMES[answers.decode_outcome(answer.status, answer.headers)],
-        "served by other fronts": answers.decode_served_elsewhere(answer.headers),
-        "load in the head": answers.decode_utilization(answer.headers),
-        "load in the body": answers.decode_load_probe(answer),
+        "means": OUTCOMES[answers.decode_outcome(answer_poll.status, answer_poll.headers)],
+        "served by other fronts": answers.decode_served_elsewhere(answer_poll.headers),
+        "load in the head": answers.decode_utilization(answer_poll.headers),
+        "load in the body": answers.decode_load_probe(answer_poll),
     }
 
 
@@ -962,9 +965,9 @@
         name="s-a",
         address=Address(LOCAL, port),
         zone="basement",
-        cell=0,
+        shard=0,
         state=EndpointState.LIVE,
-        started=0.0,
+        started_at=0.0,
     )
 
 
@@ -1052,7 +1055,7 @@
         config = front_config()
         core, directory = ScriptedCore(config.settings), Directory({"basement": 0})
         core.fates = list(value.get("fates", []))
-        directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
+        directory.apply(EndpointList(version=1, is_complete=True, instances=[node_instance(port)]))
         nodes, drain = BackendPools(directory, PATIENCE, 30.0, 32), FrontDrain()
         front = HttpServer(config, core, nodes, lambda: value.get("ready", True), drain)
         if value.get("draining"):
@@ -1075,7 +1078,7 @@
     heard: list[bytes] = []
     async with scripted_node([value["node answer"]], heard) as port:
         directory = Directory({"basement": 0})
-        directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
+        directory.apply(EndpointList(version=1, is_complete=True, instances=[node_instance(port)]))
         nodes = BackendPools(directory, PATIENCE, 30.0, 32)
         load = await nodes.probe_load(1, PATIENCE)
         nodes.close()
@@ -1095,15 +1098,15 @@
     """Every field of a list."""
     return {
         "version": listing.version,
-        "whole": listing.whole,
+        "whole": listing.is_complete,
         "nodes": [
             {
                 "name": one.name,
                 "address": [one.address.host, one.address.port],
                 "zone": one.zone,
-                "shard": shard_number(one.cell),
+                "shard": shard_number(one.shard),
                 "state": NODE_STATES[one.state],
-                "started": one.started,
+                "started": one.started_at,
             }
             for one in listing.instances
         ],
@@ -1114,11 +1117,11 @@
     """A list as it is read in one go and in parts, which come to the same, or why it is refused."""
     both: list[Plain] = []
     try:
-        both.append(plain_listing(decode_listing(data)))
+        both.append(plain_listing(decode_endpoint_list(data)))
     except messages.MessageError as error:
         both.append({"refused": str(error)})
     try:
-        both.append(plain_listing(await decode_long_listing(data)))
+        both.append(plain_listing(await decode_long_endpoint_list(data)))
     except messages.MessageError as error:
         both.append({"refused": str(error)})
     return {"in one go": both[0], "in parts": both[1]}
@@ -1158,7 +1161,7 @@
     async with listening(converse) as port:
         directory = Directory({"basement": 0})
         directory.version = value.get("known version")
-        watch = Discovery(Address(LOCAL, port), directory, heard, pushed=value["own agent"])
+        watch = Discovery(Address(LOCAL, port), directory, heard, own_agent=value["own agent"])
         watch.start()
         try:
             async with asyncio.timeout(PATIENCE):
@@ -1192,14 +1195,14 @@
 def config_status() -> ConfigStatus:
     """What of distributed configuration is in force, with one change that is not valid."""
     one = Subscriber(DEPLOYMENT, "n0", [["192.0.2.1:1"]], random.Random(1))
-    one.epoch, one.source, one.polls, one.bytes = 3, "source-1", 11, 4096
-    one.fresh_at = 90.0
-    one.refused["unreadable"], one.refused["older epoch"] = 2, 1
-    one.lanes[records.Lane.SETTINGS].position = records.Position(number=25, after=None)
-    one.lanes[records.Lane.NODES].position = records.Position(number=24, after=None)
+    one.epoch, one.source_name, one.poll_count, one.bytes_exchanged = 3, "source-1", 11, 4096
+    one.current_as_of = 90.0
+    one.rejected["unreadable"], one.rejected["older epoch"] = 2, 1
+    one.lanes[records.Lane.SETTINGS].position = records.Position(number=25, cursor=None)
+    one.lanes[records.Lane.NODES].position = records.Position(number=24, cursor=None)
     status = ConfigStatus(one)
-    status.took(records.Version(epoch=3, number=25), ["settings"])
-    status.turned_down("settings/Limits", records.Version(epoch=3, number=23), "Limits: want an object")
+    status.settings_applied(records.Version(epoch=3, number=25), ["settings"])
+    status.settings_rejected("settings/Limits", records.Version(epoch=3, number=23), "Limits: want an object")
     return status
 
 
@@ -1308,7 +1311,7 @@
     """What a front for files answers its client, where its node is at this port."""
     core, directory = ScriptedCore(all_settings()), Directory({"basement": 0})
     core.fates = list(value["fates"])
-    directory.apply(EndpointList(version=1, whole=True, instances=[node_instance(port)]))
+    directory.apply(EndpointList(version=1, is_complete=True, instances=[node_instance(port)]))
     nodes = SftpBackends(directory, 0, PATIENCE, 2 * PATIENCE, 32)
     config = SftpSettings(
         listen=Address(LOCAL, 0),
--- a/tests/test_bounded_records.py
+++ b/tests/test_bounded_records.py
@@ -20,13 +20,13 @@
     def test_removed_nodes_are_forgotten_and_numbers_are_never_given_twice(self) -> None:
         directory = Directory({})
         listed(directory, instance("s-stays", 1))
-        with mock.patch.object(directory_module, "MOST_GONE", 3):
+        with mock.patch.object(directory_module, "MAX_REMOVED_NODES", 3):
             for life in range(9):
                 listed(directory, instance(f"s-{life}", 1))
                 listed(directory, instance(f"s-{life}", 1, EndpointState.REMOVED))
-        assert directory.numbers == {"s-stays": 1, "s-6": 8, "s-7": 9, "s-8": 10}
+        assert directory.node_ids == {"s-stays": 1, "s-6": 8, "s-7": 9, "s-8": 10}
         listed(directory, instance("s-6", 1), instance("s-new", 1))
-        assert (directory.numbers["s-6"], directory.numbers["s-new"]) == (8, 11)
+        assert (directory.node_ids["s-6"], directory.node_ids["s-new"]) == (8, 11)
 
     def test_shards_that_only_requests_name_leave_nothing_behind(self) -> None:
         policy = Scheduler(config().settings)
--- a/tests/test_discovery_over_http.py
+++ b/tests/test_discovery_over_http.py
@@ -9,8 +9,8 @@
 
 from cleatyoke.config.addresses import Address
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.discovery.listings import read_listing
-from cleatyoke.discovery.watch import Discovery
+from cleatyoke.discovery.discovery import Discovery
+from cleatyoke.discovery.listings import read_endpoint_list
 from cleatyoke.scheduling.events import (
     EndpointState,
     EndpointUpdate,
@@ -39,7 +39,7 @@
         full = (UpdateKind.SNAPSHOT, EndpointState.LIVE)
         assert kinds == [full, full, (UpdateKind.DELTA, EndpointState.DRAINING)]
         assert len({one.endpoints[0].node_id for one in news if isinstance(one, EndpointUpdate)}) == 1
-        assert not directory.serves(1)
+        assert not directory.is_serving(1)
 
     async def test_a_move_to_another_agent_keeps_the_old_watch_until_the_new_list_has_come(self) -> None:
         old_list = {"generation": 70, "reset": True, "instances": [listing_entry("SERVING")]}
@@ -57,17 +57,17 @@
             await told.get()
             while len(old.asked) < 2:  # the list, then the watch
                 await asyncio.sleep(0.005)
-            discovery.move(Address("127.0.0.1", silent.sockets[0].getsockname()[1]))
+            discovery.migrate(Address("127.0.0.1", silent.sockets[0].getsockname()[1]))
             for writer in old.writers:  # the new one is silent: the old one still counts
                 line = json.dumps(later).encode()
                 writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
             await told.get()
-            assert not directory.serves(1)
-            discovery.move(Address("127.0.0.1", new.port))
+            assert not directory.is_serving(1)
+            discovery.migrate(Address("127.0.0.1", new.port))
             await told.get()
             while old.open or len(new.asked) < 2:
                 await asyncio.sleep(0.005)
-        assert directory.boxes[1].address.port == 10
+        assert directory.instances[1].address.port == 10
         assert new.asked == ["/discovery/hosts", "/discovery/hosts?watch=1&after=7"]
         assert len(discovery.watches) == 1
         discovery.stop()
@@ -99,20 +99,20 @@
         server = await asyncio.start_server(agent, "127.0.0.1", 0)
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
         hosts = []
-        with unittest.mock.patch("cleatyoke.discovery.watch.SILENCE", 0.6):
+        with unittest.mock.patch("cleatyoke.discovery.watch.IDLE_TIMEOUT", 0.6):
             for seed in range(12):
                 directory = Directory({})
-                hosts.append(Discovery(address, directory, lambda _event: None, 200, seed, pushed=True))
+                hosts.append(Discovery(address, directory, lambda _event: None, 200, seed, own_agent=True))
                 hosts[-1].start()
             async with asyncio.timeout(3):
-                while not all(host.directory.boxes for host in hosts):
+                while not all(host.directory.instances for host in hosts):
                     await asyncio.sleep(0.01)
             down.set()
             await asyncio.sleep(2.5)
             down.clear()
             told = drain
             await asyncio.sleep(1.0)  # what the settings allow from then on
-            late = [host for host in hosts if host.directory.serves(1)]
+            late = [host for host in hosts if host.directory.is_serving(1)]
             for host in hosts:
                 host.stop()
         server.close()
@@ -129,10 +129,12 @@
         server = await asyncio.start_server(refuse, "127.0.0.1", 0)
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
         directory, hosts = Directory({}), []
-        listing = read_listing({"generation": 7, "reset": True, "instances": [listing_entry("SERVING")]})
+        listing = read_endpoint_list(
+            {"generation": 7, "reset": True, "instances": [listing_entry("SERVING")]}
+        )
         for seed in range(40):
-            hosts.append(Discovery(address, directory, lambda _event: None, hosts=40, seed=seed))
-            hosts[-1].take(listing)
+            hosts.append(Discovery(address, directory, lambda _event: None, fronts=40, seed=seed))
+            hosts[-1].apply(listing)
             hosts[-1].start()
         await asyncio.sleep(1.3)
         for host in hosts:
@@ -141,4 +143,4 @@
         # A pause of 0.25 s would make five calls of each in this time.
         assert len(calls) >= 40
         assert len(calls) < 80
-        assert directory.serves(1)
+        assert directory.is_serving(1)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -8,7 +8,7 @@
 
 from cleatyoke.config.addresses import Address
 from cleatyoke.discovery.directory import Directory
-from cleatyoke.discovery.watch import Discovery
+from cleatyoke.discovery.discovery import Discovery
 from cleatyoke.process.faults import Faults, PeriodicCall
 from cleatyoke.process.metrics import Metrics
 from tests.scripted_peers import ScriptedDiscovery
--- a/tests/test_operated_front.py
+++ b/tests/test_operated_front.py
@@ -119,4 +119,4 @@
             assert other.holds.is_held("s-a")
             assert await asyncio.to_thread(self.hold_file.enable, "s-a")
             await asyncio.sleep(0.01)
-            assert self.directory.serves(1)
+            assert self.directory.is_serving(1)
--- a/tests/test_operator_holds.py
+++ b/tests/test_operator_holds.py
@@ -37,11 +37,11 @@
     entry = listed(directory, instance("s-a", 1), whole=True).endpoints[0]
     assert entry.state == EndpointState.LIVE
     directory.holds.disable("s-a", True)
-    assert not directory.serves(entry.node_id)
-    assert directory.down() == 1
+    assert not directory.is_serving(entry.node_id)
+    assert directory.count_unavailable() == 1
     held = listed(directory, instance("s-a", 1), whole=True).endpoints[0]  # whatever discovery says
     assert held.state == EndpointState.DRAINING
     directory.holds.enable("s-a", True, 70.0)
-    back = directory.changed(["s-a"])[0]
+    back = directory.refresh(["s-a"])[0]
     assert (back.state, back.started_at) == (EndpointState.LIVE, 70.0)
-    assert directory.serves(entry.node_id)
+    assert directory.is_serving(entry.node_id)
