--- a/tests/recorded/fleet_adapter.py
+++ b/tests/recorded/fleet_adapter.py
@@ -12,14 +12,15 @@
 from cleatyoke.coordination import replicated_holds as replicas
 from cleatyoke.coordination.demand import DemandMeters
 from cleatyoke.coordination.hold_replication import HoldReplication
-from cleatyoke.coordination.quota_leases import (
+from cleatyoke.coordination.lease_accounts import ResourceAccount
+from cleatyoke.coordination.lease_events import (
     DemandChanged,
     LeaseEvent,
     LeaseMessageReceived,
     PeersChanged,
     QuotaFractionChanged,
-    QuotaLeases,
 )
+from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.coordination.rate_limit_leases import RateLimitLeases
 from cleatyoke.coordination.slow_start_leases import SlowStartLeases
 from cleatyoke.coordination.staged_start import Evidence, StagedStart, StagePassed, StartStage
@@ -74,8 +75,8 @@
 STAGES = {
     "disk": StartStage.DISK,
     "peers": StartStage.PEERS,
-    "list": StartStage.LIST,
-    "lent": StartStage.LENT,
+    "list": StartStage.ENDPOINT_LIST,
+    "lent": StartStage.OLD_LEASES,
     "open": StartStage.OPEN,
 }
 STAGE_WORDS = {stage: word for word, stage in STAGES.items()}
@@ -281,11 +282,11 @@
         case ("came", sender, message):
             return LeaseMessageReceived(sender=life_id(sender), message=lease_message(message))
         case ("need", parts):
-            return DemandChanged(parts=dict(parts))
+            return DemandChanged(demand=dict(parts))
         case ("peers", ids):
-            return PeersChanged(ids=tuple(map(life_id, ids)))
+            return PeersChanged(peers=tuple(map(life_id, ids)))
         case ("part", part):
-            return QuotaFractionChanged(part=part)
+            return QuotaFractionChanged(fraction=part)
     raise ValueError(plain)
 
 
@@ -302,15 +303,16 @@
 
     def usable(self, resource: str, now: float) -> int:
         """Parts that may be used now."""
-        return self.inner.usable(resource, now)
+        return self.inner.usable_parts(resource, now)
 
     def next_change(self, now: float) -> float:
         """When that changes next by time alone."""
-        return self.inner.next_change(now)
+        unused = ResourceAccount("", self.inner.home_available_at)
+        return min(account.next_expiry(now) for account in (unused, *self.inner.accounts.values()))
 
     def refused(self) -> int:
         """Messages on more resources than are kept account of."""
-        return self.inner.refused
+        return self.inner.refused_resources
 
 
 class Demand:
@@ -321,11 +323,11 @@
 
     def note(self, now: float, key: str, units: float, home: float) -> None:
         """Something was asked for."""
-        self.inner.asked(now, key, units, home)
+        self.inner.record(now, key, units, home)
 
     def needs(self, now: float) -> dict[str, float]:
         """Needs by key."""
-        return self.inner.needs(now)
+        return self.inner.demand(now)
 
 
 def arrival(cell: int, units: float, plan: int = 0, volume: int = 0, hosts: int = 1) -> RequestArrived:
@@ -369,7 +371,7 @@
     def __init__(self, leases: Leases, limits: list[float]) -> None:
         self.limits = limits
         self.inner = RateLimitLeases(
-            rights=leases.inner, plans=lambda: [plan(limit) for limit in self.limits]
+            leases=leases.inner, plans=lambda: [plan(limit) for limit in self.limits]
         )
 
     def heard(self, now: float, arrivals: Iterable[tuple[int, int, float, int]]) -> None:
@@ -378,15 +380,15 @@
             arrival(0, units, plan=index, volume=volume, hosts=hosts)
             for index, volume, units, hosts in arrivals
         ]
-        self.inner.heard(now, events)
+        self.inner.observe(now, events)
 
     def needs(self, now: float) -> dict[str, float]:
         """Needs by resource."""
-        return self.inner.needs(now)
+        return self.inner.demand(now)
 
     def changes(self, now: float) -> list[Plain]:
         """What the policy hears, in order of the volumes."""
-        return sorted(lent(one) for one in self.inner.changes(now))
+        return sorted(lent(one) for one in self.inner.quota_changes(now))
 
 
 class ColdNodes:
@@ -420,7 +422,7 @@
             mean_request_units=1.0,
             unreserved_value=1.0,
         )
-        self.inner = SlowStartLeases(rights=leases.inner, settings=lambda: settings, name=names.get)
+        self.inner = SlowStartLeases(leases=leases.inner, settings=lambda: settings, node_name=names.get)
 
     def listed(
         self, now: float, unix: float, kind: str, nodes: Iterable[tuple[int, int, str, float]]
@@ -430,19 +432,19 @@
             Endpoint(node_id=node, shard=cell, zone=0, state=NODE_STATES[state], started_at=since)
             for node, cell, state, since in nodes
         ]
-        self.inner.heard(now, unix, [EndpointUpdate(kind=LISTS[kind], endpoints=entries)])
+        self.inner.observe(now, unix, [EndpointUpdate(kind=LISTS[kind], endpoints=entries)])
 
     def heard(self, now: float, unix: float, arrivals: Iterable[tuple[int, float]]) -> None:
         """Requests that came: cell, units."""
-        self.inner.heard(now, unix, [arrival(cell, units) for cell, units in arrivals])
+        self.inner.observe(now, unix, [arrival(cell, units) for cell, units in arrivals])
 
     def needs(self, now: float) -> dict[str, float]:
         """Needs by resource."""
-        return self.inner.needs(now)
+        return self.inner.demand(now)
 
     def changes(self, now: float) -> list[Plain]:
         """What the policy hears, in order of the nodes."""
-        return sorted(lent(one) for one in self.inner.changes(now))
+        return sorted(lent(one) for one in self.inner.quota_changes(now))
 
 
 # Shared holds
@@ -468,12 +470,12 @@
 
     def has(self, other: HoldSet) -> bool:
         """Whether all that the other knows is known here."""
-        return self.inner.has(other.inner)
+        return self.inner.includes(other.inner)
 
     def forget(self, stopped: Iterable[str], everywhere: Iterable[HoldSet]) -> HoldSet:
         """Without the numbers of lives that are over."""
         return HoldSet(
-            self.inner.forget([life_id(one) for one in stopped], [copy.inner for copy in everywhere])
+            self.inner.forget_actors([life_id(one) for one in stopped], [copy.inner for copy in everywhere])
         )
 
     def state(self) -> Plain:
@@ -481,9 +483,9 @@
         clock = sorted((life_word(life), number) for life, number in self.inner.clock.items())
         held = sorted(
             (box, sorted((life_word(life), number) for life, number in dots))
-            for box, dots in self.inner.held.items()
+            for box, dots in self.inner.dots_by_node.items()
         )
-        return clock, held, sorted(self.inner.boxes())
+        return clock, held, sorted(self.inner.held_nodes())
 
 
 class Sayings:
@@ -494,7 +496,7 @@
 
     def say(self, life: str, value: str, at: float) -> Sayings:
         """With a new word of this origin."""
-        return Sayings(self.inner.say(life_id(life), value, at))
+        return Sayings(self.inner.assign(life_id(life), value, at))
 
     def merge(self, other: Sayings) -> Sayings:
         """Both in one."""
@@ -504,7 +506,8 @@
         """The words by origin."""
         return tuple(
             sorted(
-                (life_word(life), word.number, word.value, word.at) for life, word in self.inner.words.items()
+                (life_word(life), word.number, word.value, word.at)
+                for life, word in self.inner.values.items()
             )
         )
 
@@ -517,7 +520,7 @@
 
     def raised(self, key: str, number: int) -> Heights:
         """With this number told."""
-        return Heights(self.inner.raised(key, number))
+        return Heights(self.inner.raise_to(key, number))
 
     def merge(self, other: Heights) -> Heights:
         """Both in one."""
@@ -525,7 +528,7 @@
 
     def state(self) -> Plain:
         """The numbers by key."""
-        return tuple(sorted(self.inner.numbers.items()))
+        return tuple(sorted(self.inner.values.items()))
 
 
 def decoded(kind: str, data: bytes) -> Plain:
@@ -544,8 +547,8 @@
 
     def __init__(self, life: Callable[[], str], heard: Callable[[list[str], list[str]], None]) -> None:
         self.inner = HoldReplication(
-            me=lambda: life_id(life()),
-            changed=lambda held, released: heard(sorted(held), sorted(released)),
+            self_id=lambda: life_id(life()),
+            on_change=lambda held, released: heard(sorted(held), sorted(released)),
         )
 
     def hold(self, box: str) -> None:
@@ -577,11 +580,11 @@
 
     def lacks(self, life: str) -> bool:
         """Whether this life is not known to have all of it."""
-        return self.inner.lacks(life_id(life))
+        return self.inner.is_behind(life_id(life))
 
     def merged(self) -> int:
         """Copies that differed."""
-        return self.inner.merged
+        return self.inner.merges
 
     def state(self) -> Plain:
         """What is known, and what is held."""
@@ -595,22 +598,26 @@
     """One start, by its stages."""
 
     def __init__(self, began: float, lent_until: float) -> None:
-        self.inner = StagedStart(began=began, lent_until=lent_until)
+        self.inner = StagedStart(began=began, old_leases_end=lent_until)
 
     def step(self, now: float, evidence: Iterable[tuple[str, str]]) -> list[Plain]:
         """Run one step: the stages passed, by what, after how long."""
-        events = [Evidence(stage=STAGES[stage], what=what) for stage, what in evidence]
+        events = [Evidence(stage=STAGES[stage], description=what) for stage, what in evidence]
         return [self.passed(one) for one in self.inner.step(now, events)]
 
     @staticmethod
     def passed(one: StagePassed) -> Plain:
         """A stage that was passed."""
-        return STAGE_WORDS[one.stage], one.what, one.waited
+        return STAGE_WORDS[one.stage], one.passed_by, one.waited_seconds
 
     def state(self) -> Plain:
         """The stage, whether requests are taken, and when the stage ends by itself."""
-        return STAGE_WORDS[self.inner.stage], self.inner.door_open(), self.inner.ends_at()
+        return (
+            STAGE_WORDS[self.inner.stage],
+            self.inner.stage in (StartStage.OLD_LEASES, StartStage.OPEN),
+            self.inner.stage_ends_at(),
+        )
 
     def lines(self, now: float) -> list[str]:
         """The lines for operators."""
-        return self.inner.lines(now)
+        return self.inner.status_lines(now)
