--- a/tests/test_connection_flood.py
+++ b/tests/test_connection_flood.py
@@ -131,7 +131,8 @@
             .replace(b"GET", b"PUT"),
         ]
         with tempfile.TemporaryDirectory() as folder:
-            # The flood may last for longer than a usual aim, past which no attempt is waited for.
+            # The backend is silent until the flood ends. A backend that is silent for a whole latency
+            # objective loses its attempts by the attempt timeout, with and without a flood.
             lanes = [{**lane, "AimS": 4.0, "GiveUpS": 8.0} for lane in FACTS["Lanes"]]
             daemon = await self.start_daemon(folder, known=known, settings={**FACTS, "Lanes": lanes})
             line = await self.wait_for_line(daemon, b"event='ready'")
