--- a/cleatyoke/core.py
+++ b/cleatyoke/core.py
@@ -1,7 +1,7 @@
-"""The core of a front: one scheduler, its clock and timer, and the life of a request. It knows no protocol.
+"""The core of a front: one scheduler, its clock and timer, and the lifecycle of a request.
 
-A server brings a ``RequestArrived`` and a function that makes one attempt at a node; ``Core.serve`` asks the
-scheduler where and when, and returns how the request ended.
+It knows no protocol. A server brings a ``RequestArrived`` and a function that makes one attempt at a node;
+``Core.serve`` asks the scheduler where and when, and returns how the request ended.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 from cleatyoke.scheduling.settings import SchedulerSettings
 
 T = TypeVar("T")
-# Margins in seconds. The first two are in no setting: they are what this process's own loop may run late by.
+# Times in seconds, in no setting. The two margins are what this process's own loop may run late by.
 ATTEMPT_MARGIN = 0.04  # an attempt ends this long before the client's deadline, so that the answer beats it
 ANSWER_MARGIN = 0.015  # the core answers by itself where the scheduler has not until so long before it
-MIN_ANSWER_TIME = 0.005  # the scheduler decides in the next turn of the loop, however short the deadline
+MIN_DECISION_TIME = 0.005  # the scheduler decides in the next turn of the loop, however short the deadline
 log = structlog.get_logger()
 
 
@@ -59,7 +59,7 @@
 
 
 MayBegin = Callable[[], bool]  # whether an attempt may begin: asked directly before its first byte
-Attempt = Callable[[int, MayBegin], Awaitable[AttemptResult[T]]]  # takes the node's id
+AttemptFunction = Callable[[int, MayBegin], Awaitable[AttemptResult[T]]]  # takes the node's id
 BeforeStep = Callable[[float, list[SchedulerEvent]], list[SchedulerEvent]]
 
 
@@ -105,16 +105,16 @@
 class Core:
     """Owner of the one scheduler. Every event of one turn of the loop goes into one step.
 
-    ``unix``: Unix time at the loop's 0, where it is not the system's, as in virtual time. ``pending``:
-    requests being served, by id. ``endpoint_listeners``: are passed every endpoint update. ``before_step``:
-    takes the time and the events of a step, and returns them with those that the scheduler must know of
-    before it decides anything at that time, such as leases that have ended.
+    ``unix_at_loop_zero``: Unix time at the loop's 0, where it is not the system's, as in virtual time.
+    ``pending``: requests being served, by id. ``endpoint_listeners``: are passed every endpoint update.
+    ``before_step``: takes the time and the events of a step, and returns them with those that the scheduler
+    must know of before it decides anything at that time, such as leases that have ended.
     """
 
-    def __init__(self, settings: SchedulerSettings, unix: float | None = None) -> None:
+    def __init__(self, settings: SchedulerSettings, unix_at_loop_zero: float | None = None) -> None:
         self.loop = asyncio.get_running_loop()
         # Read once: this clock goes on evenly if the system's jumps.
-        self.unix_offset = time.time() - self.loop.time() if unix is None else unix
+        self.unix_offset = time.time() - self.loop.time() if unix_at_loop_zero is None else unix_at_loop_zero
         self.scheduler = Scheduler(settings)
         self.pending: dict[str, PendingRequest] = {}
         self.endpoint_listeners: list[Callable[[EndpointUpdate], None]] = []
@@ -167,7 +167,7 @@
                     self.timer.cancel()
                 self.timer = self.loop.call_at(self.loop.time() + delay, self.notify, TimerFired(token))
             case WatchEndpoints():
-                pass  # the platform's discovery is watched from the start
+                pass  # only the simulator polls; the core watches discovery by itself
 
     def _cancel_attempt(self, request_id: str, attempt: int) -> None:
         pending = self.pending.get(request_id)
@@ -187,19 +187,21 @@
             self._shorten(pending.answer_timeout, answers_due_at - ANSWER_MARGIN)
             self._shorten(pending.attempt_timeout, answers_due_at - ATTEMPT_MARGIN)
 
-    def _shorten(self, timeout: asyncio.Timeout | None, unix: float) -> None:
-        at = unix - self.unix_offset
+    def _shorten(self, timeout: asyncio.Timeout | None, unix_time: float) -> None:
+        at = unix_time - self.unix_offset
         if timeout and not timeout.expired() and (timeout.when() or 0.0) > at:
             timeout.reschedule(at)
 
-    async def serve(self, arrival: RequestArrived, attempt: Attempt[T]) -> Served[T] | Rejected | Failed:
+    async def serve(
+        self, arrival: RequestArrived, attempt: AttemptFunction[T]
+    ) -> Served[T] | Rejected | Failed:
         """Serve a request, from its arrival to its one answer. Cancelled: its client has disconnected."""
         pending = self.pending[arrival.request_id] = PendingRequest()
         self.notify(arrival)
         try:
             due = min(arrival.deadline, self.answers_due_at) - ANSWER_MARGIN - self.unix_offset
             # A client that waits for less than the margin still gets the scheduler's decision.
-            due = max(due, self.loop.time() + MIN_ANSWER_TIME)
+            due = max(due, self.loop.time() + MIN_DECISION_TIME)
             async with asyncio.timeout_at(due) as pending.answer_timeout:
                 return await self._follow_decisions(arrival, pending, attempt)
         except asyncio.CancelledError:
@@ -213,7 +215,7 @@
             self._report_unused_decisions(arrival, pending)
 
     async def _follow_decisions(
-        self, arrival: RequestArrived, pending: PendingRequest, attempt: Attempt[T]
+        self, arrival: RequestArrived, pending: PendingRequest, attempt: AttemptFunction[T]
     ) -> Served[T] | Rejected | Failed:
         while True:
             match await pending.decisions.get():
@@ -250,7 +252,11 @@
         )
 
     async def _attempt(
-        self, arrival: RequestArrived, pending: PendingRequest, decision: SendAttempt, attempt: Attempt[T]
+        self,
+        arrival: RequestArrived,
+        pending: PendingRequest,
+        decision: SendAttempt,
+        attempt: AttemptFunction[T],
     ) -> AttemptResult[T]:
         """Make one attempt, until its timeout ends it, or the scheduler cancels it by the same timeout.
 
@@ -267,7 +273,7 @@
 
         pending.attempts += 1
         result = AttemptResult[T](AttemptOutcome.CANCELLED)
-        settled = True  # unless one of the below: a client that disconnects settles its request
+        settled = True  # also when cancelled by a disconnect; the except branches below set it to False
         try:
             timeout = asyncio.timeout_at(self.attempt_deadline(arrival) - self.unix_offset)
             async with timeout as pending.attempt_timeout:
--- a/cleatyoke/scheduling/actions.py
+++ b/cleatyoke/scheduling/actions.py
@@ -25,7 +25,7 @@
 class Reject:
     """Final answer: rejected, a retry by the client is harmless, best after ``retry_after`` seconds.
 
-    ``rule``: what held the request until it was hopeless, or forbids another attempt.
+    ``rule``: what delayed the request until waiting was useless, or forbids another attempt.
     """
 
     request_id: str
--- a/cleatyoke/scheduling/admission.py
+++ b/cleatyoke/scheduling/admission.py
@@ -16,13 +16,14 @@
 OTHERS_AVERAGED_OVER = 1.0  # seconds over which a volume's use through other fronts is averaged
 SLACK_FRACTION = 0.5  # of the settings' slack of a limit, which fronts that start may use at once
 MIN_MULTIPLIER = 1e-9  # of a leased quota: a rate is divided by
+ASSUMED_UNUSED = RETENTION / 2  # seconds for which a volume is taken to be unused before its first use here
 
 
 class RateLimits:
     """Keep each volume within its rate limit, over all fronts together.
 
     Symptom without it: one volume's surge takes the nodes' capacity, and its owner is served more than was
-    booked. It holds because each front has an even part of the limit, or what fronts lease of it to each
+    booked. Why it works: each front has an even part of the limit, or what fronts lease of it to each
     other. Another process of this front may have used all of it just before, so a bucket starts with a part
     of the slack only, and fills from when this process, and so no other of this front, can send.
 
@@ -35,7 +36,7 @@
         self._multipliers = QuotaLeaseMultipliers()
 
     def on_lease_changed(self, event: QuotaLeaseChanged) -> None:
-        """Count this front's even share of a volume's limit so many times from now on."""
+        """Set the lease multiplier on this front's even share of a volume's limit."""
         state = self._state
         now = state.quota_clock.time(state.now)
         self._multipliers.change(event.volume_id, event.multiplier, state.volumes, now)
@@ -43,7 +44,7 @@
     def add_volume(self, volume_id: int, plan: VolumePlan, front_count: int, reserve: TokenBucket) -> Volume:
         """Add a volume that is used for the first time, with the bucket of its limit."""
         state = self._state
-        filled_at = max(0.0, state.quota_clock.time(state.now) - RETENTION / 2)  # since when none is used
+        filled_at = max(0.0, state.quota_clock.time(state.now) - ASSUMED_UNUSED)
         slack = 0.0 if state.settings.replaces_process else plan.rate_limit_slack * SLACK_FRACTION
         bucket = TokenBucket(slack / front_count, filled_at)
         volume = Volume(reserve, bucket, self._multipliers.before_first_use(volume_id))
@@ -62,23 +63,26 @@
         if not plan.rate_limit or request.attempts:
             return ALLOWED
         fraction = state.quota_clock.fraction
-        bucket, clock = request.volume.rate_limit, request.volume.lease_clock
+        bucket = request.volume.rate_limit
+        lease_clock = request.volume.lease_clock
         rate = plan.rate_limit / request.front_count
         ceiling = plan.rate_limit_burst * fraction / request.front_count
-        bucket.fill(rate, ceiling, clock.time(state.quota_clock.time(state.now)))
+        front_time = state.quota_clock.time(state.now)
+        lease_time = lease_clock.time(front_time)
+        bucket.fill(rate, ceiling, lease_time)
         missing = request.units - bucket.level
         if missing <= 0:
             return ALLOWED
-        wait = missing / (rate * fraction * max(clock.fraction, MIN_MULTIPLIER))
+        wait = missing / (rate * fraction * max(lease_clock.fraction, MIN_MULTIPLIER))
         return Verdict(state.now + wait, Rule.RATE_LIMIT)
 
 
 class ReservedRates:
     """Serve each volume at full value up to its reserved rate, over all fronts together.
 
-    This front's part of a reserve is an even one, or more by what the other fronts leave of theirs, as the
-    nodes report. Symptom without the reports: the reserve of a volume that uses its fronts unevenly is not
-    met. For a moment, where the lead changes, two fronts spend the same part.
+    This front's part = max(reserve / fronts, reserve - rates of the other fronts as the nodes report them).
+    Symptom without the reports: the reserve of a volume that uses its fronts unevenly is not met. For a
+    moment, when the front with the most use changes, two fronts spend the same part.
     """
 
     def __init__(self, state: SchedulerState) -> None:
@@ -139,14 +143,14 @@
             weight = 1 - math.exp(-span / OTHERS_AVERAGED_OVER)
             reported[node.shard] = RateByOthers(rate + weight * (units / span - rate), now)
         elif node.shard not in reported:
-            reported[node.shard] = RateByOthers(rate + 0.0, now)
+            reported[node.shard] = assumed
 
 
 class SurplusRates:
     """Share a node's surplus among the volumes by weight: what they send beyond their reserves, or late.
 
     Symptom without it: fronts that each see a free slot overfill a node together, and a volume with many
-    requests crowds out the others. It holds because all fronts see the node's queue, and so come to similar
+    requests crowds out the others. Why it works: all fronts see the node's queue, and so come to similar
     rates by weight. A new object, open to every node, has its rate at all of them together and is never sent
     late. It does harm to a volume that uses its fronts very unevenly.
     """
@@ -184,7 +188,9 @@
             not is_new_object or self._estimates.meets_objective(request, node)
         )
         weight = self._state.settings.plans[request.arrival.plan_index].fair_share_weight
-        rate = node.surplus_rate * weight / places * is_wanted
+        rate = node.surplus_rate * weight / places
+        if not is_wanted:
+            rate = 0.0  # the bucket is filled all the same
         bucket = request.volume.surplus.get(node.id)
         if bucket is None:
             bucket = request.volume.surplus[node.id] = TokenBucket(rate, now)
@@ -199,6 +205,6 @@
         """Take what an attempt costs: more, the less it is worth and the fewer slots its class may use."""
         if self.is_within_reserve(request, node):
             return
-        bound = max(MAX_BOUND_STEP, self._concurrency.bounds[request.class_index])
+        bound = max(MAX_BOUND_STEP, self._concurrency.slot_shares[request.class_index])
         price = self._state.max_value / self.value(request, node) / bound
         request.volume.surplus[node.id].level -= request.units * price
--- a/cleatyoke/scheduling/endpoint_updates.py
+++ b/cleatyoke/scheduling/endpoint_updates.py
@@ -10,6 +10,9 @@
 from cleatyoke.scheduling.state import CONTROL_INTERVAL
 from cleatyoke.scheduling.timers import Poll
 
+# Polls in a poll interval while discovery does not answer: its return is seen early.
+POLLS_WHILE_UNAVAILABLE = 4
+
 
 class EndpointUpdates:
     """Add, remove and restart nodes as discovery lists them."""
@@ -24,10 +27,10 @@
         state, slow_start = self._state, self._rules.slow_start
         if event.kind is UpdateKind.UNAVAILABLE:
             interval = state.safety.poll_interval or CONTROL_INTERVAL
-            state.timers.add(state.now + interval / 4, Poll.ENDPOINTS)
+            state.timers.add(state.now + interval / POLLS_WHILE_UNAVAILABLE, Poll.ENDPOINTS)
             return
         if event.kind is not UpdateKind.DELTA:
-            state.table.unlist_all_but({endpoint.node_id for endpoint in event.endpoints})
+            state.table.mark_not_live_except({endpoint.node_id for endpoint in event.endpoints})
         for endpoint in event.endpoints:
             self._apply_endpoint(endpoint)
         for before in state.table.choose_holders(slow_start.is_warming):
@@ -39,7 +42,7 @@
         state, table = self._state, self._state.table
         if endpoint.node_id not in table.nodes:
             limit = self._rules.outliers.initial_concurrency_limit()
-            classes = len(self._rules.concurrency.bounds)
+            classes = len(self._rules.concurrency.slot_shares)
             queue_delay = state.queue_delay_target / 2
             table.add(Node(endpoint, classes, limit, queue_delay, state.base_surplus_rate))
         node = table.nodes[endpoint.node_id]
--- a/cleatyoke/scheduling/events.py
+++ b/cleatyoke/scheduling/events.py
@@ -24,6 +24,7 @@
 class EndpointState(Enum):
     """State of a node in the endpoint list; only a live one is sent requests."""
 
+    # The values are those of older releases; nothing reads them.
     LIVE = "live"
     DRAINING = "draining"
     REMOVED = "gone"
@@ -32,6 +33,7 @@
 class UpdateKind(Enum):
     """How an endpoint update relates to the list that is known."""
 
+    # The values are those of older releases; nothing reads them.
     DELTA = "changes"
     SNAPSHOT = "full"
     CACHED = "old_copy"  # a complete list that may be out of date
@@ -85,9 +87,9 @@
 class AttemptFinished:
     """An attempt has ended after ``elapsed`` seconds.
 
-    ``settled``: the request has its final answer too. ``units_by_others``: units that the node says it has
-    served the volume through other fronts since its last answer to this one. ``utilization``: fraction of the
-    node's capacity in use by all fronts, from its load report.
+    ``settled``: the scheduler must not decide on this request any more. ``units_by_others``: units that the
+    node says it has served the volume through other fronts since its last answer to this one.
+    ``utilization``: fraction of the node's capacity in use by all fronts, from its load report.
     """
 
     request_id: str
@@ -109,7 +111,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected; no answer is owed."""
+    """No answer is owed any more: the client has disconnected, or the core has answered by itself."""
 
     request_id: str
 
--- a/cleatyoke/scheduling/node_table.py
+++ b/cleatyoke/scheduling/node_table.py
@@ -80,10 +80,10 @@
     """All nodes, the holder of each shard, and which nodes have something to count in the next round.
 
     ``nodes``: by id. ``holders``: by shard, the live node that is sent its requests.
-    ``total_concurrency_limit``: of all holders. ``active``: nodes with something to count in the next control
-    round. ``even_slots``: slots by class of all nodes that are not in use. ``usual_rate``: by shard, units a
-    second that warm nodes served for this front. ``reserved_rate``: by shard, units a second that came within
-    reserves; ``reserved_units``: such units since the last control round.
+    ``total_concurrency_limit``: of all holders. ``touched_nodes``: nodes with something to count in the next
+    control round. ``even_slots``: slots by class of all nodes that are not in use. ``usual_rate``: by shard,
+    units a second that warm nodes served for this front. ``reserved_rate``: by shard, units a second that
+    came within reserves; ``reserved_units``: such units since the last control round.
     """
 
     MAX_OFFERED = 256  # holders that a new object is offered to at one time, drawn where there are more
@@ -92,13 +92,13 @@
         self.nodes: dict[int, Node] = {}
         self.holders: dict[Shard, Node] = {}
         self.total_concurrency_limit = 0.0
-        self.active: dict[int, Node] = {}
+        self.touched_nodes: dict[int, Node] = {}
         self.even_slots = [1] * classes
         self.usual_rate = DecayingRates()
         self.reserved_rate = DecayingRates()
         self.reserved_units: dict[Shard, float] = {}
         self._rounds: RandomRounds[Shard] = RandomRounds(random.Random(seed))  # shards that have a holder
-        self._unlisted: dict[int, Node] = {}  # nodes that are not live
+        self._not_live: dict[int, Node] = {}  # nodes that are not live
         self._nodes_by_shard: dict[Shard, list[Node]] = {}  # in the order in which they were listed
         self._with_own_slots: dict[int, Node] = {}
         self._changed_shards: dict[Shard, None] = {}  # whose holder has to be chosen anew
@@ -116,12 +116,12 @@
         node.is_live = live
         self._changed_shards[node.shard] = None
         if live:
-            self._unlisted.pop(node.id, None)
+            self._not_live.pop(node.id, None)
         else:
-            self._unlisted[node.id] = node
+            self._not_live[node.id] = node
 
-    def unlist_all_but(self, listed: set[int]) -> None:
-        """Take all other nodes for not live: a complete list does not name them."""
+    def mark_not_live_except(self, listed: set[int]) -> None:
+        """Mark all other nodes as not live: a complete list does not name them."""
         for node in self.nodes.values():
             if node.is_live and node.id not in listed:
                 self.set_live(node, live=False)
@@ -146,7 +146,7 @@
                 self.holders[shard] = after
                 self.total_concurrency_limit += after.concurrency_limit
                 if is_warming(after):
-                    self.active[after.id] = after
+                    self.touched_nodes[after.id] = after
             self._resume_or_freeze_rates(shard, after, is_warming)
             replaced += [before] if before else []
         return replaced
@@ -176,9 +176,9 @@
 
     def forget_idle(self, since: float) -> list[Node]:
         """Forget and return the nodes that are not live and have not answered since then."""
-        idle = [node for node in self._unlisted.values() if node.last_answer_at <= since]
+        idle = [node for node in self._not_live.values() if node.last_answer_at <= since]
         for node in idle:
-            del self.nodes[node.id], self._unlisted[node.id]
+            del self.nodes[node.id], self._not_live[node.id]
             self._with_own_slots.pop(node.id, None)
             self._nodes_by_shard[node.shard].remove(node)
             if not self._nodes_by_shard[node.shard]:
@@ -198,7 +198,7 @@
         for node in self._with_own_slots.values():
             node.class_slots = self.even_slots
         self._with_own_slots = {
-            node.id: node for node in self.active.values() if self.holders.get(node.shard) is node
+            node.id: node for node in self.touched_nodes.values() if self.holders.get(node.shard) is node
         }
         for node in self._with_own_slots.values():
             node.class_slots = list(self.even_slots)
@@ -209,7 +209,7 @@
         self.even_slots = self.even_slots + [1] * count
         for node in self.nodes.values() if count else ():
             node.add_classes(count)
-            self._with_own_slots[node.id] = self.active[node.id] = node
+            self._with_own_slots[node.id] = self.touched_nodes[node.id] = node
 
     def update_rates(self, passed: float, span: float, reserved_span: float, is_warming: IsWarming) -> None:
         """Decay both rates by the time that passed, and add what came meanwhile.
@@ -223,13 +223,13 @@
             if shard in self.holders:
                 self.reserved_rate.add(shard, units / reserved_span)
         self.reserved_units = {}
-        counted = self.active
-        self.active = {}
+        counted = self.touched_nodes
+        self.touched_nodes = {}
         for node in counted.values():
             if self.holders.get(node.shard) is not node:
                 continue
             if is_warming(node):
-                self.active[node.id] = node
+                self.touched_nodes[node.id] = node
             else:
                 self.usual_rate.resume(node.shard)
                 self.usual_rate.add(node.shard, node.served_units / span)
--- a/cleatyoke/scheduling/ordering.py
+++ b/cleatyoke/scheduling/ordering.py
@@ -8,17 +8,17 @@
 
 
 class KeyOrdering:
-    """Send only the oldest open request of a key, and none while the key rests.
+    """Send only the oldest open request of a key, and none while the key is paused.
 
-    Symptom without it: two writes to one item overtake each other, and the older one's data stays. It holds
-    because a request keeps its place until it is closed and nothing of it is in flight, and because after an
-    attempt that may still be executing the key rests for ``ordering_pause`` seconds.
+    Symptom without it: two writes to one item overtake each other, and the older one's data stays. Why it
+    works: a request keeps its place until it is closed and nothing of it is in flight, and after an
+    attempt that may still be executing the key is paused for ``ordering_pause`` seconds.
     """
 
     def __init__(self, state: SchedulerState) -> None:
         self._state = state
         self.open_requests: dict[int, list[Request]] = {}  # by key, oldest first
-        self.rests_until: dict[int | None, float] = {}
+        self.paused_until: dict[int | None, float] = {}
 
     def add(self, request: Request) -> None:
         """Note a request that arrived."""
@@ -34,23 +34,23 @@
         for follower in queue[:1]:
             self._state.offer(follower.shard)
 
-    def rest(self, request: Request) -> None:
-        """Let the key rest: an attempt has ended that may still be executing."""
-        # The key is None for every unordered request, and for one of an ordered class without an item: the
-        # latter lets all of them rest.
+    def pause_key(self, request: Request) -> None:
+        """Pause the key: an attempt has ended that may still be executing."""
+        # Known fault, kept as it was: the key is None for every unordered request, and also for one of an
+        # ordered class without an item. The latter pauses all unordered requests.
         ends_at = self._state.now + self._state.safety.ordering_pause
-        self.rests_until[request.order_key] = ends_at if request.request_class.ordered else 0.0
+        self.paused_until[request.order_key] = ends_at if request.request_class.ordered else 0.0
 
     def check(self, request: Request) -> Verdict:
         """When the request may be sent as far as its key says."""
         key = request.order_key
         if key is not None and self.open_requests[key][0] is not request:
             return Verdict(NEVER, Rule.KEY_ORDER)
-        rests_until = self.rests_until.get(key, 0.0)
-        return ALLOWED if rests_until <= self._state.now else Verdict(rests_until, Rule.KEY_ORDER)
+        paused_until = self.paused_until.get(key, 0.0)
+        return ALLOWED if paused_until <= self._state.now else Verdict(paused_until, Rule.KEY_ORDER)
 
     def forget_idle(self) -> None:
-        """Drop keys with no open request, and those that have rested."""
+        """Drop keys with no open request, and pauses that are over."""
         self.open_requests = {key: queue for key, queue in self.open_requests.items() if queue}
         now = self._state.now
-        self.rests_until = {key: ends_at for key, ends_at in self.rests_until.items() if ends_at > now}
+        self.paused_until = {key: ends_at for key, ends_at in self.paused_until.items() if ends_at > now}
--- a/cleatyoke/scheduling/outlier_detection.py
+++ b/cleatyoke/scheduling/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: how many attempts a node may have in flight, and the pause after failures."""
+"""Adaptive limits by node: concurrency limit (AIMD), growth of the surplus rate, backoff after failures."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
     def has_free_slot(self, node: Node) -> bool:
         """Whether the node may have one more attempt in flight."""
-        return sum(node.in_flight) < int(node.concurrency_limit)
+        return sum(node.in_flight_by_class) < int(node.concurrency_limit)
 
     def check(self, node: Node) -> Verdict:
         """When the pause after the node's failures is over."""
@@ -62,7 +62,7 @@
         node.consecutive_failures = 0
         self._estimates.learn(node, event.elapsed, request, max(GAIN, gap / 2))
         node.served_units += request.units
-        state.table.active[node.id] = node
+        state.table.touched_nodes[node.id] = node
         if node.queue_delay < target or node.concurrency_limit <= 1:
             rate = node.surplus_rate * clamp(target / max(node.queue_delay, 1e-9), 0.1, 10.0) ** gap
             base = state.base_surplus_rate
@@ -70,7 +70,7 @@
         limit = node.concurrency_limit
         if node.queue_delay > target:
             state.table.set_concurrency_limit(node, max(1.0, limit - 0.5 / limit))
-        elif sum(node.in_flight) + 1 >= int(limit):
+        elif sum(node.in_flight_by_class) + 1 >= int(limit):
             state.table.set_concurrency_limit(node, min(MAX_CONCURRENCY, limit + 1 / limit))
 
     def _on_failed(self, node: Node, event: AttemptFinished, request: Request) -> None:
--- a/cleatyoke/scheduling/placement.py
+++ b/cleatyoke/scheduling/placement.py
@@ -37,29 +37,34 @@
                 heappop(heap)
 
     def choose(self, node: Node) -> Request | None:
-        """Return the queued request that the node takes next, or set a timer where all are held."""
+        """Return the queued request that the node takes next, or set a timer where all are delayed."""
         state, now = self._state, self._state.now
         queued = state.queues.get(node.shard, []) + state.queues.get(None, [])
         if not queued or not self._rules.outliers.has_free_slot(node):
             return None
-        best, best_rank, earliest = None, (False, 0.0, 0.0), NEVER
+        best: Request | None = None
+        best_rank: tuple[bool, float, float] | None = None
+        earliest = NEVER
         for request in queued:
             index = request.class_index
-            is_within_slots = node.in_flight[index] < node.class_slots[index]
+            is_within_slots = node.in_flight_by_class[index] < node.class_slots[index]
             rank = is_within_slots, self._rules.surplus.value(request, node), -request.objective_at
-            if best is not None and rank <= best_rank:
+            if best_rank is not None and rank <= best_rank:
                 continue
             verdict = request.verdict = self._rules.check(request, node)
             if verdict.allowed_at <= now:
-                best, best_rank = request, rank
+                best = request
+                best_rank = rank
             earliest = min(earliest, verdict.allowed_at)
-        if best is None and earliest < NEVER and not now < node.next_check_at <= earliest:
-            node.next_check_at = earliest
-            state.timers.add(earliest, node)
+        if best is None and earliest < NEVER:
+            has_earlier_timer = now < node.next_check_at <= earliest
+            if not has_earlier_timer:
+                node.next_check_at = earliest
+                state.timers.add(earliest, node)
         return best
 
     def explain(self, request: Request) -> Verdict:
-        """Why a queued request waits: the verdict that holds it, as of its latest check."""
+        """Why a queued request waits: the verdict that delays it, as of its latest check."""
         nodes = list(self._state.table.holders_to_offer(request.shard))
         if not nodes:
             return Verdict(NEVER, Rule.NO_NODE)
@@ -72,7 +77,7 @@
         state = self._state
         service_time = node.service_time_per_unit or 0.0
         answer = node.queue_delay + service_time * state.settings.mean_request_units
-        backlog = sum(node.in_flight) + len(state.queues.get(node.shard, [])) + 1
+        backlog = sum(node.in_flight_by_class) + len(state.queues.get(node.shard, [])) + 1
         return answer * backlog / node.concurrency_limit
 
     def _send(self, request: Request, node: Node) -> None:
@@ -81,12 +86,12 @@
         rules.surplus.charge(request, node)
         rules.reserves.on_sent(request)
         rules.rate_limits.draw(request)
-        rules.attempt_budget.count_sent(request)
+        rules.retry_budget.count_sent(request)
         state.dequeue(request)
         request.in_flight[request.attempts] = Attempt(node, state.now)
         rules.attempt_timeouts.start(request, node)
         request.attempts += 1
-        node.in_flight[request.class_index] += 1
+        node.in_flight_by_class[request.class_index] += 1
         node.slow_start.level -= request.units
         not_after = rules.idempotency.remembered_until(request)
         state.actions.append(SendAttempt(request.id, node.id, not_after))
--- a/cleatyoke/scheduling/quotas.py
+++ b/cleatyoke/scheduling/quotas.py
@@ -22,10 +22,9 @@
 
 
 class QuotaClock:
-    """Time as the buckets of rate limits count it: it runs as fast as the fraction of each limit that counts.
+    """Virtual time, by which buckets of rate limits are filled: one second counts as ``fraction`` seconds.
 
-    A bucket that is filled after a change of the fraction has so filled by each fraction for as long as it
-    held.
+    A bucket filled by it gets rate * fraction, also across changes of the fraction.
     """
 
     def __init__(self, fraction: float, now: float) -> None:
--- a/cleatyoke/scheduling/records.py
+++ b/cleatyoke/scheduling/records.py
@@ -85,7 +85,7 @@
         "concurrency_limit",
         "consecutive_failures",
         "id",
-        "in_flight",
+        "in_flight_by_class",
         "is_live",
         "last_answer_at",
         "newest_answered_sent_at",
@@ -116,13 +116,15 @@
         self.started_at = 0.0
         self.is_live = True
         self.concurrency_limit = concurrency_limit
-        self.in_flight = [0] * classes  # attempts by class
+        self.in_flight_by_class = [0] * classes  # attempts by class
         self.class_slots = [1] * classes  # slots by class; idle nodes share one list
         self.class_demand = [0.0] * classes  # seconds that requests were queued or in flight this interval
         self.queue_delay = queue_delay  # mean wait in the node's queue
         self.service_time_per_unit: float | None = None  # of the lightest class; None: not known yet
         self.surplus_rate = surplus_rate  # that a volume of weight 1 may send beyond its reserve
-        self.slow_start = TokenBucket(0.0, 0.0)  # what this front may send after a start, 0 at most
+        # Units that may be sent while warming; negative: debt. Drawn for all nodes, read only while the node
+        # warms up.
+        self.slow_start = TokenBucket(0.0, 0.0)
         self.slow_start_multiplier = 1.0  # on this front's even share of it, as fronts lease it
         self.paused_until = 0.0
         self.consecutive_failures = 0
@@ -133,7 +135,7 @@
 
     def add_classes(self, count: int) -> None:
         """Make room for so many new request classes."""
-        self.in_flight += [0] * count
+        self.in_flight_by_class += [0] * count
         self.class_slots = self.class_slots + [1] * count
         self.class_demand += [0.0] * count
 
--- a/cleatyoke/scheduling/request_lifecycle.py
+++ b/cleatyoke/scheduling/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: its arrival, its one final answer, and when it is forgotten."""
+"""The lifecycle of a request: its arrival, its one final answer, and when it is forgotten."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     def open(self, event: RequestArrived) -> None:
         """Take in and queue a request that has arrived."""
         state, rules = self._state, self._rules
-        rules.attempt_budget.count_accepted()
+        rules.retry_budget.on_accepted()
         front_count = int(clamp(event.front_count, 1, state.front_count))
         state.max_front_count = max(state.max_front_count, event.front_count)
         volume = rules.reserves.fill(event, front_count, rules.rate_limits)
--- a/cleatyoke/scheduling/retries.py
+++ b/cleatyoke/scheduling/retries.py
@@ -23,11 +23,11 @@
 LOST_ANSWER_FRACTION = 0.4  # of the objective: the shortest timeout of an attempt whose answer seems lost
 
 
-class AttemptBudget:
-    """Limit retries to a share of the accepted requests, so that a failing fleet is not buried in repeats.
+class RetryBudget:
+    """Limit retries to a fraction of the accepted requests, so that a failing fleet is not buried in repeats.
 
     Symptom without it: where many attempts fail, each request is sent several times, the load multiplies just
-    when the nodes bear least, and they stay overloaded after the fault is gone. It holds because retries
+    when the nodes bear least, and they stay overloaded after the fault is gone. Why it works: retries
     within any window are counted against the requests that were accepted within it.
 
     Inputs: ``retry_budget_window`` (seconds; ``None``: no budget), ``retry_budget_minimum`` (retries) and
@@ -39,8 +39,8 @@
         self._accepted_at: deque[float] = deque()
         self._retried_at: deque[float] = deque()
 
-    def count_accepted(self) -> None:
-        """Note a request that arrived; the budget has grown, so queued retries may go."""
+    def on_accepted(self) -> None:
+        """Count a request that arrived, and offer all queues again: the budget has grown."""
         if self._state.safety.retry_budget_window is None:
             return
         self._accepted_at.append(self._state.now)
@@ -75,7 +75,7 @@
 class IdempotencyGuard:
     """Keep a request that may have executed where a second execution has no effect.
 
-    Symptom without it: a write is applied twice, after an attempt whose answer was lost. It holds because
+    Symptom without it: a write is applied twice, after an attempt whose answer was lost. Why it works:
     nodes discard the duplicate of a request with an idempotency key within its class's scope and window,
     and a request without a key that may have executed is not sent again.
     """
@@ -136,7 +136,8 @@
     Symptom without it: each lost answer and each hanging node holds slots until the clients' deadlines, and
     requests behind them wait. An attempt may be out for its class's objective at least, or for a fraction of
     that where one that was sent later is answered already, as nodes take requests in turn. Past the objective
-    it is waited for by what a late answer is still worth. It does harm where a node turns slow at once.
+    it may take ``LATE_PATIENCE`` * ``late_value`` times the expected answer time. It does harm where a node
+    turns slow at once.
     """
 
     def __init__(self, state: SchedulerState, estimates: ServiceEstimates) -> None:
@@ -151,20 +152,26 @@
     def cancel_overdue(self, request: Request) -> None:
         """Cancel the request's attempts that are overdue, and set timers for the others.
 
-        A cancelled attempt may have executed, so a request fails by it that must not be repeated, or only
-        where it was sent. Its attempt is cancelled only where its answer seems lost, past its objective.
+        A cancelled attempt may have executed, so cancelling fails a ``NOT_IDEMPOTENT`` request and limits a
+        ``KEYED`` one to its idempotency scope; for both it is cancelled only when a later attempt was
+        answered and the objective has passed.
         """
         state = self._state
         if not state.settings.can_cancel:
             return
         for number, attempt in request.in_flight.items():
-            due = self._overdue_at(request, attempt)
-            if due <= state.now:
+            next_check_at = self._next_check_at(request, attempt)
+            if next_check_at <= state.now:
                 state.actions.append(CancelAttempt(request.id, number))
-            elif due < request.deadline:
-                state.timers.add(due, request)
+            elif next_check_at < request.deadline:
+                state.timers.add(next_check_at, request)
 
-    def _overdue_at(self, request: Request, attempt: Attempt) -> float:
+    def _next_check_at(self, request: Request, attempt: Attempt) -> float:
+        """Time of the attempt's next check; it is overdue where that is not after now.
+
+        For an attempt of a ``KEYED`` or ``NOT_IDEMPOTENT`` request that is not overtaken it is one objective
+        from now: such an attempt is not overdue, and is checked again then.
+        """
         node, sent_at = attempt
         is_overtaken = node.newest_answered_sent_at > sent_at
         due = sent_at + self._timeout(request, node, is_overtaken=is_overtaken)
--- a/cleatyoke/scheduling/rules.py
+++ b/cleatyoke/scheduling/rules.py
@@ -9,7 +9,7 @@
 from cleatyoke.scheduling.ordering import KeyOrdering
 from cleatyoke.scheduling.outlier_detection import OutlierDetector
 from cleatyoke.scheduling.records import Node, Request
-from cleatyoke.scheduling.retries import AttemptBudget, AttemptTimeouts, IdempotencyGuard
+from cleatyoke.scheduling.retries import AttemptTimeouts, IdempotencyGuard, RetryBudget
 from cleatyoke.scheduling.service_estimates import ServiceEstimates
 from cleatyoke.scheduling.slow_start import SlowStart
 from cleatyoke.scheduling.state import SEND_MARGIN, SchedulerState
@@ -29,7 +29,7 @@
         self.concurrency = ConcurrencyController(state, self.slow_start)
         self.outliers = OutlierDetector(state, self.estimates)
         self.ordering = KeyOrdering(state)
-        self.attempt_budget = AttemptBudget(state)
+        self.retry_budget = RetryBudget(state)
         self.attempt_timeouts = AttemptTimeouts(state, self.estimates)
         self.idempotency = IdempotencyGuard(state)
         self.rate_limits = RateLimits(state)
@@ -37,10 +37,11 @@
         self.surplus = SurplusRates(state, self.estimates, self.concurrency)
 
     def check(self, request: Request, node: Node) -> Verdict:
-        """When every rule could allow the request at this node: the verdict of the one that holds it longest.
+        """When every rule could allow the request at this node: verdict of the one that delays it longest.
 
         An attempt whose answer would come too late for the client is never allowed: it would take a slot for
-        nothing. All rules are asked each time, as some count what time has brought.
+        nothing. The surplus bucket is always filled first, because its check has a side effect; the other
+        rules are skipped where the answer would be late or the node is out of the idempotency scope.
         """
         surplus = self.surplus.check(request, node)
         answered_at = self.state.now + self.estimates.answer_time(request, node)
@@ -52,7 +53,7 @@
             self.outliers.check(node),
             surplus,
             self.ordering.check(request),
-            self.attempt_budget.check(request),
+            self.retry_budget.check(request),
             self.rate_limits.check(request),
             self.slow_start.check(node),
         )
--- a/cleatyoke/scheduling/scheduler.py
+++ b/cleatyoke/scheduling/scheduler.py
@@ -38,7 +38,7 @@
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.scheduling.shedding import LoadShedding
 from cleatyoke.scheduling.state import SchedulerState
-from cleatyoke.scheduling.timers import Poll, TimerSubject
+from cleatyoke.scheduling.timers import AT_ONCE, Poll, TimerSubject
 from cleatyoke.scheduling.verdict import Rule, Verdict
 
 TIMER_TOKEN = 0  # of the scheduler's only timer
@@ -68,7 +68,7 @@
             SettingsReloaded: self._on_settings_reloaded,
         }
         if settings.watches_endpoints:
-            self.state.timers.add(-math.inf, Poll.ENDPOINTS)
+            self.state.timers.add(AT_ONCE, Poll.ENDPOINTS)
 
     @property
     def settings(self) -> SchedulerSettings:
@@ -144,7 +144,7 @@
         if request is None or event.attempt not in request.in_flight:
             return
         node, sent_at = request.in_flight.pop(event.attempt)
-        node.in_flight[request.class_index] -= 1
+        node.in_flight_by_class[request.class_index] -= 1
         rules.outliers.on_attempt_finished(node, event, request, sent_at)
         if event.utilization is not None:
             reported = clamp(event.utilization, 0.0, 1.0)
@@ -157,7 +157,7 @@
             rules.reserves.on_not_served(request)
             if event.outcome not in NEVER_EXECUTED:
                 rules.idempotency.note_may_have_executed(request, node, sent_at)
-                rules.ordering.rest(request)
+                rules.ordering.pause_key(request)
         if event.settled:
             self.lifecycle.close(request, None, served=is_served)
         elif not request.is_closed and not request.in_flight:
@@ -169,7 +169,7 @@
         state = self.state
         state.enqueue(request)
         if rule := self._forbids_retry(request, node, outcome):
-            self.shedding.reject(request, rule)
+            self.shedding.close_unserved(request, rule)
         state.to_review.append(request)
 
     def _forbids_retry(self, request: Request, node: Node, outcome: AttemptOutcome) -> Rule | None:
@@ -182,7 +182,7 @@
         return None
 
     def _on_settings_reloaded(self, event: SettingsReloaded) -> None:
-        added = len(event.settings.classes) - len(self.rules.concurrency.bounds)
+        added = len(event.settings.classes) - len(self.rules.concurrency.slot_shares)
         self.state.apply_settings(event.settings)
         self.rules.concurrency.change_classes(event)
         self.rules.estimates.add_classes(added)
@@ -207,7 +207,7 @@
             request for request in state.to_review if not request.is_closed and not request.in_flight
         ]
         for request in to_review:
-            self.shedding.reject_if_hopeless(request)
+            self.shedding.reject_if_waiting_is_useless(request)
         state.to_review = []
 
     def _set_timer(self) -> None:
@@ -218,7 +218,7 @@
             self.state.actions.append(SetTimer(due - self.state.now, TIMER_TOKEN))
 
     def forget_idle(self) -> None:
-        """Drop what no longer matters, so that a long life does not fill the memory."""
+        """Drop what no longer matters, so that a long-running process does not fill the memory."""
         longest = max(spec.latency_objective for spec in self.settings.classes)
         oldest = self.state.now - longest - 1
         self.state.forget_idle(oldest)
--- a/cleatyoke/scheduling/settings.py
+++ b/cleatyoke/scheduling/settings.py
@@ -13,6 +13,7 @@
 class Idempotency(Enum):
     """What a second execution of a request would do."""
 
+    # The values are those of older releases; nothing reads them.
     IDEMPOTENT = "free"
     KEYED = "keyed"  # harmless while the nodes remember its idempotency key
     NOT_IDEMPOTENT = "once"
@@ -21,6 +22,7 @@
 class IdempotencyScope(Enum):
     """Which nodes discard duplicates of a request with an idempotency key."""
 
+    # The values are those of the setting ``DedupScope``, by which ``config.settings`` reads it.
     ALL = "all"
     ZONE = "zone"
     SHARD = "cell"
@@ -68,12 +70,12 @@
 class SafetyLimits:
     """Limits that keep nodes and discovery from overload; ``None`` where the deployment sets no such rule.
 
-    ``slow_start_initial_fraction``: fraction of its usual load that a node takes directly after its
-    start. ``slow_start_duration``: seconds until it takes all of it. ``overload_multiple``: load as a
-    multiple of the allowed one at which a warming node fails, if it lasts for ``overload_after`` seconds.
-    ``poll_interval``: seconds between polls of discovery. ``ordering_pause``: seconds that an item rests
-    after an attempt that may still be executing. The retry budget allows ``retry_budget_minimum`` retries
-    plus ``retry_budget_ratio`` retries per accepted request, within ``retry_budget_window`` seconds.
+    ``slow_start_initial_fraction``: fraction of its usual load that a node takes directly after its start.
+    ``slow_start_duration``: seconds until it takes all of it. ``overload_multiple``: load as a multiple of
+    the allowed one at which a warming node fails, if it lasts for ``overload_after`` seconds.
+    ``poll_interval``: seconds between polls of discovery. ``ordering_pause``: seconds for which an item is
+    paused after an attempt that may still be executing. The retry budget allows ``retry_budget_minimum``
+    retries plus ``retry_budget_ratio`` retries per accepted request, within ``retry_budget_window`` seconds.
     """
 
     slow_start_initial_fraction: float
--- a/cleatyoke/scheduling/shedding.py
+++ b/cleatyoke/scheduling/shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: queued requests are rejected as soon as waiting has become hopeless."""
+"""Load shedding: queued requests are rejected as soon as waiting has become useless."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Keep a queued request while it can be answered in time; later it goes at once, or is rejected.
 
     Symptom without it: after a surge, or behind a silent, warming or unlisted node, a backlog of requests
-    that are late already is served first, and makes those behind it late as well. It holds because each
+    that are late already is served first, and makes those behind it late as well. Why it works: each
     queued request is reviewed when it arrives, after each attempt, and when its answer would become late.
     It does harm where answers become fast again just after.
     """
@@ -25,32 +25,32 @@
         self._rules = rules
         self._lifecycle = lifecycle
 
-    def reject_if_hopeless(self, request: Request) -> None:
+    def reject_if_waiting_is_useless(self, request: Request) -> None:
         """Reject a queued request, or set the timer for its next review."""
         state = self._state
         node = state.table.holders.get(request.shard)
         late_at = min(request.objective_at, request.deadline - SEND_MARGIN)
         allowed_at = NEVER
-        hopeless_by: Rule | None = None
+        useless_by: Rule | None = None
         if node:
             answer_time = self._rules.estimates.answer_time(request, node)
             late_at = min(request.objective_at - answer_time, request.deadline - SEND_MARGIN)
             verdict = self._rules.check_capacity(request, node)
             allowed_at = max(verdict.allowed_at, state.now)
             if allowed_at >= request.deadline:
-                hopeless_by = verdict.rule or Rule.DEADLINE
+                useless_by = verdict.rule or Rule.DEADLINE
             elif not self._rules.idempotency.is_in_scope(request, node):
-                hopeless_by = Rule.IDEMPOTENCY
+                useless_by = Rule.IDEMPOTENCY
         elif request.shard is not None or not state.table.holders:
-            hopeless_by = Rule.NO_NODE
-        if hopeless_by or late_at <= state.now:
-            rule = hopeless_by or request.verdict.rule or Rule.LATENCY_OBJECTIVE
-            self.reject(request, rule, allowed_at - state.now)
+            useless_by = Rule.NO_NODE
+        if useless_by or late_at <= state.now:
+            rule = useless_by or request.verdict.rule or Rule.LATENCY_OBJECTIVE
+            self.close_unserved(request, rule, allowed_at - state.now)
         else:
             state.timers.add(late_at, request)
 
-    def reject(self, request: Request, rule: Rule, wait: float = 0.0) -> None:
-        """Give the final answer at once: where a repeat by the client is harmless, one that says so.
+    def close_unserved(self, request: Request, rule: Rule, wait: float = 0.0) -> None:
+        """End the request: ``Reject`` where a client's retry is harmless, else ``FailRequest``.
 
         ``wait``: seconds after which a repeat may be sent to a node. ``rule``: what the request is rejected
         by.
--- a/cleatyoke/scheduling/slow_start.py
+++ b/cleatyoke/scheduling/slow_start.py
@@ -18,12 +18,18 @@
 
     Symptom without it: a node that comes back gets its usual load at once, is overloaded while its caches
     are empty, and goes down again. Each send puts this front in debt by its units, and nothing is sent
-    until this front's share of what the node bears has paid the debt off. The share is the largest of
-    three: an even part of the stated units by the number of fronts, growing as the node warms up; this
-    front's usual rate there, or its mean rate anywhere where it knows none; and what comes to it within
-    reserves, as a front that has just started knows no usual rate. It holds because all fronts' shares add
-    up to what a warm node serves, of which load reports tell the fraction in use. Some of it is saved up,
-    as a front's few requests come in bunches.
+    until this front's share of what the node bears has paid the debt off. The share, in units a second, is
+    the largest of
+
+    - ``slow_start_units / overload_after / fronts * quota fraction * lease multiplier * growth``, where
+      growth is ``fraction / slow_start_initial_fraction``;
+    - ``usual rate * fraction * overload_multiple / utilization`` (division by a half at least); the mean of
+      all shards' rates where the shard's usual rate is not known;
+    - ``reserved rate * fraction * overload_multiple``, as a front that has just started knows no usual rate.
+
+    ``fraction`` grows from ``slow_start_initial_fraction`` with the node's age. Why it works: all fronts'
+    shares add up to what a warm node serves, of which load reports tell the fraction in use. Some of it is
+    saved up, as a front's few requests come in bunches.
 
     Inputs: ``slow_start_initial_fraction``, ``slow_start_duration`` (seconds), ``overload_multiple`` and
     ``overload_after`` (seconds) of the safety limits; ``slow_start_units`` (units within ``overload_after``).
@@ -38,7 +44,7 @@
         return node.started_at > 0 and age < self._state.safety.slow_start_duration
 
     def on_lease_changed(self, event: SlowStartLeaseChanged) -> None:
-        """Count this front's even share of what the node bears so many times from now on."""
+        """Set the lease multiplier on this front's even share of what the node bears."""
         if node := self._state.table.nodes.get(event.node_id):
             self.check(node)  # pays off the debt until now by the multiplier before
             node.slow_start_multiplier = event.multiplier
@@ -69,7 +75,7 @@
         fronts = max(state.front_count, state.max_front_count)
         multiple = safety.overload_multiple
         usual = state.table.usual_rate.get_or_mean(node.shard) * fraction * multiple * idle_multiple
-        stated = (
+        configured = (
             state.settings.slow_start_units
             / safety.overload_after
             / fronts
@@ -78,7 +84,7 @@
         )
         growth = fraction / initial if initial else 1.0
         reserved = state.table.reserved_rate.get(node.shard) * fraction * multiple
-        rate = max(usual, stated * growth, reserved, MIN_RATE)
+        rate = max(usual, configured * growth, reserved, MIN_RATE)
         saved_up = usual * safety.overload_after * (1 - 1 / idle_multiple)
         node.slow_start.fill(rate, saved_up, state.now)
         return rate
--- a/cleatyoke/scheduling/state.py
+++ b/cleatyoke/scheduling/state.py
@@ -57,13 +57,15 @@
         """Take the settings, and what only they decide."""
         self.settings = settings
         self.safety = settings.safety
+        # The settings write an unknown number of fronts as 0; from here on it is infinite.
         self.front_count = settings.front_count if settings.front_count > 0 else UNKNOWN_FRONT_COUNT
         self.priority_weights = [spec.priority_weight for spec in settings.classes]
         # Seconds that a request should wait in a node's queue at the most.
         self.queue_delay_target = QUEUE_FRACTION * min(spec.latency_objective for spec in settings.classes)
-        weights = sum(plan.fair_share_weight for plan in settings.plans) / len(settings.classes) or 1.0
+        total_weight = sum(plan.fair_share_weight for plan in settings.plans)
+        weight_per_class = total_weight / len(settings.classes) or 1.0
         # Units a second by weight that a volume may send a node beyond its reserve; at first, and at least.
-        self.base_surplus_rate = sum(plan.base_rate for plan in settings.plans) / weights or 1.0
+        self.base_surplus_rate = sum(plan.base_rate for plan in settings.plans) / weight_per_class or 1.0
         # Value of the most valuable unit beyond a reserve.
         self.max_value = (
             max(self.priority_weights)
@@ -88,7 +90,7 @@
             del self.queues[request.shard]
 
     def forget_idle(self, oldest: float) -> None:
-        """Drop what no longer matters, so that a long life does not fill the memory.
+        """Drop what no longer matters, so that a long-running process does not fill the memory.
 
         ``oldest``: arrival (seconds) of the oldest request that can still matter.
         """
--- a/cleatyoke/scheduling/timers.py
+++ b/cleatyoke/scheduling/timers.py
@@ -5,6 +5,7 @@
 import math
 from enum import Enum
 from heapq import heappop, heappush
+from typing import Final
 
 from cleatyoke.scheduling.records import Node, Request
 
@@ -16,6 +17,7 @@
 
 
 TimerSubject = Request | Node | Poll
+AT_ONCE: Final = -math.inf  # time of a timer that fires in the next step
 
 
 class TimerQueue:
--- a/cleatyoke/scheduling/verdict.py
+++ b/cleatyoke/scheduling/verdict.py
@@ -1,4 +1,4 @@
-"""The answer of every rule that can hold a request back: from when it may go, and which rule says so."""
+"""The answer of every rule that can delay a request: from when it may go, and which rule says so."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class Rule(Enum):
-    """The rules that hold or reject a request, by the module that explains each."""
+    """The rules that delay or reject a request, each with the modules that name it."""
 
-    NO_NODE = "no_node"  # placement: no live node holds the shard
-    CONCURRENCY_LIMIT = "concurrency_limit"  # outlier_detection: all slots of the node are in use
-    NODE_PAUSED = "node_paused"  # outlier_detection: the node rests after failures
+    NO_NODE = "no_node"  # placement, shedding: no live node holds the shard
+    CONCURRENCY_LIMIT = "concurrency_limit"  # placement.explain: all slots of the node are in use
+    NODE_PAUSED = "node_paused"  # outlier_detection: the node is paused after failures
     SURPLUS_RATE = "surplus_rate"  # admission: beyond the reserve, at the node's surplus rate only
-    DEADLINE = "deadline"  # placement: the answer would come after the client's deadline
-    LATENCY_OBJECTIVE = "latency_objective"  # shedding: the answer would be late, so it goes at once or not
-    IDEMPOTENCY = "idempotency"  # retries: it may have executed where a repeat would not be discarded
-    KEY_ORDER = "key_order"  # ordering: an older request with its key is open, or the key rests
+    DEADLINE = "deadline"  # rules, shedding: too late for the client's deadline
+    LATENCY_OBJECTIVE = "latency_objective"  # shedding, scheduler: the answer would be late
+    IDEMPOTENCY = "idempotency"  # rules, shedding, scheduler: a repeat might execute twice
+    KEY_ORDER = "key_order"  # ordering: an older request with its key is open, or the key is paused
     RETRY_BUDGET = "retry_budget"  # retries: too many retries within the window
-    MAX_ATTEMPTS = "max_attempts"  # retries: it has had all its attempts
+    MAX_ATTEMPTS = "max_attempts"  # scheduler: it has had all its attempts
     RATE_LIMIT = "rate_limit"  # admission: the volume's rate limit
     SLOW_START = "slow_start"  # slow_start: the node is warming up
 
 
 class Verdict(NamedTuple):
-    """When a request is allowed, in seconds on the caller's clock, and the rule that holds it until then."""
+    """When a request is allowed, in seconds on the caller's clock, and the rule that delays it until then."""
 
     allowed_at: float
     rule: Rule | None
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -90,7 +90,7 @@
     paid = []
     for bounds in ([0.5, 0.5], [0.8, 0.2]):
         front = DrivenFront(settings([class_spec(), class_spec()]), [endpoint(1, 1)])
-        front.scheduler.rules.concurrency.bounds, front.scheduler.nodes[1].surplus_rate = bounds, 8.0
+        front.scheduler.rules.concurrency.slot_shares, front.scheduler.nodes[1].surplus_rate = bounds, 8.0
         front.step(front.arrival("a", units=6.0), front.arrival("b", units=6.0))
         paid.append(8.0 - front.scheduler.volumes[1].surplus[1].level)
     assert paid[0] == pytest.approx(paid[1] * 0.8 / 0.5)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -97,7 +97,7 @@
             await self.wait_until(lambda: not self.core.pending)
         await asyncio.sleep(0.05)
         assert dict(self.backend.counts) == {}
-        assert not any(sum(node.in_flight) for node in self.core.scheduler.nodes.values())
+        assert not any(sum(node.in_flight_by_class) for node in self.core.scheduler.nodes.values())
 
     async def test_a_client_that_disconnects_cancels_its_attempt(self) -> None:
         """A client closes while a backend works on its request.
@@ -109,7 +109,7 @@
         await self.wait_until(lambda: self.backend.counts["t"])
         asking.cancel()
         await self.wait_until(lambda: self.backend.open == 0 and not self.core.pending)
-        assert sum(sum(node.in_flight) for node in self.core.scheduler.nodes.values()) == 0
+        assert sum(sum(node.in_flight_by_class) for node in self.core.scheduler.nodes.values()) == 0
 
     async def test_a_decision_to_send_that_comes_too_late_frees_its_slot(self) -> None:
         """The client leaves in the turn of the loop in which the scheduler decides to send.
@@ -130,4 +130,4 @@
         with mock.patch.object(self.core, "step", step):
             await self.wait_until(lambda: late and not self.core.pending and not self.core.scheduler.requests)
         assert late == [True]
-        assert sum(sum(node.in_flight) for node in self.core.scheduler.nodes.values()) == 0
+        assert sum(sum(node.in_flight_by_class) for node in self.core.scheduler.nodes.values()) == 0
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -106,7 +106,7 @@
     front = DrivenFront(settings(), [endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)])
     for node, demand in zip(front.scheduler.nodes.values(), [6.0, 2.0, 0.0]):
         node.class_demand[0] = demand
-        front.scheduler.table.active[node.id] = node
+        front.scheduler.table.touched_nodes[node.id] = node
     front.scheduler.rules.concurrency.allocate(0, 6.0, front.scheduler.table.nodes_in_use())
     assert [node.class_slots[0] for node in front.scheduler.nodes.values()] == [5, 2, 1]
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -88,7 +88,7 @@
             class_spec(idempotency=Idempotency.NOT_IDEMPOTENT, priority_weight=3.0),
         ]
         front.step(SettingsReloaded(settings(kinds, front_count=1)))
-        assert sum(front.scheduler.rules.concurrency.bounds) == pytest.approx(1.0, rel=0, abs=5e-8)
+        assert sum(front.scheduler.rules.concurrency.slot_shares) == pytest.approx(1.0, rel=0, abs=5e-8)
         assert SendAttempt("n", 1) in front.request("n", class_index=2)
         front.now += 0.05
         assert FailRequest("n") in front.finish("n", AttemptOutcome.CONNECTION_RESET)  # it may have run
@@ -101,7 +101,7 @@
         front.request("old", class_index=1)
         gone = [class_spec(), class_spec(latency_objective=0.001, priority_weight=1e-9)]
         front.step(SettingsReloaded(settings(gone, front_count=1), frozenset({1})))
-        assert front.scheduler.rules.concurrency.bounds == [1.0, 0.0]
+        assert front.scheduler.rules.concurrency.slot_shares == [1.0, 0.0]
         assert (
             front.scheduler.requests["old"].request_class.latency_objective == class_spec().latency_objective
         )
@@ -110,9 +110,9 @@
         assert front.sent().count("old") == 2  # rejected by the node, it is sent again
         front.finish("old", AttemptOutcome.SERVED)
         front.run_until(front.now + 4)
-        assert front.scheduler.rules.concurrency.bounds[1] < 0.06
+        assert front.scheduler.rules.concurrency.slot_shares[1] < 0.06
         front.step(SettingsReloaded(settings([class_spec(), class_spec()], front_count=1)))  # it comes back
-        assert front.scheduler.rules.concurrency.bounds[1] > 0.3
+        assert front.scheduler.rules.concurrency.slot_shares[1] > 0.3
 
     def test_fewer_attempts_apply_to_requests_in_flight(self) -> None:
         front = self.front()
--- a/tests/test_scheduler_cost.py
+++ b/tests/test_scheduler_cost.py
@@ -101,7 +101,7 @@
     assert len(policy.nodes) < 100
     assert (
         len(policy.rules.ordering.open_requests)
-        + len(policy.rules.ordering.rests_until)
+        + len(policy.rules.ordering.paused_until)
         + len(policy.requests)
         < 10
     )
