--- a/cleatyoke/scheduling/concurrency.py
+++ b/cleatyoke/scheduling/concurrency.py
@@ -144,8 +144,8 @@
 class _Bid(NamedTuple):
     """What arbitration knows of a class.
 
-    ``bound``, ``ask``: present and wanted fraction of all slots; ``low`` and ``high``: what it may be granted.
-    ``slope``: performance by bound, ``None`` where not known. ``weight``: priority weight.
+    ``bound``, ``ask``: present and wanted fraction of all slots; ``low`` and ``high``: least and most that it
+    may be granted. ``slope``: performance by bound, ``None`` where not known. ``weight``: priority weight.
     """
 
     bound: float
