--- a/cleatyoke/scheduling/quotas.py
+++ b/cleatyoke/scheduling/quotas.py
@@ -48,7 +48,7 @@
 
 
 class QuotaLeaseMultipliers:
-    """How many times this front's even share of a volume's rate limit counts, as fronts lease it; else 1."""
+    """Lease multipliers on this front's even share of each volume's rate limit; 1 where none is leased."""
 
     def __init__(self) -> None:
         self._multipliers: dict[int, float] = {}
--- a/cleatyoke/scheduling/slow_start.py
+++ b/cleatyoke/scheduling/slow_start.py
@@ -23,7 +23,7 @@
 
     - ``slow_start_units / overload_after / fronts * quota fraction * lease multiplier * growth``, where
       growth is ``fraction / slow_start_initial_fraction``;
-    - ``usual rate * fraction * overload_multiple / utilization`` (division by a half at least); the mean of
+    - ``usual rate * fraction * overload_multiple / utilization`` (utilization: a half at least); the mean of
       all shards' rates where the shard's usual rate is not known;
     - ``reserved rate * fraction * overload_multiple``, as a front that has just started knows no usual rate.
 
