--- a/cleatyoke/scheduling/quotas.py
+++ b/cleatyoke/scheduling/quotas.py
@@ -22,10 +22,9 @@
 
 
 class QuotaClock:
-    """Time as the buckets of rate limits count it: it runs as fast as the fraction of each limit that counts.
+    """Virtual time, by which buckets of rate limits are filled: one second counts as ``fraction`` seconds.
 
-    A bucket that is filled after a change of the fraction has so filled by each fraction for as long as it
-    held.
+    A bucket filled by it gets rate * fraction, also across changes of the fraction.
     """
 
     def __init__(self, fraction: float, now: float) -> None:
@@ -49,7 +48,7 @@
 
 
 class QuotaLeaseMultipliers:
-    """How many times this front's even share of a volume's rate limit counts, as fronts lease it; else 1."""
+    """Lease multipliers on this front's even share of each volume's rate limit; 1 where none is leased."""
 
     def __init__(self) -> None:
         self._multipliers: dict[int, float] = {}
