--- a/tests/test_node_count_costs.py
+++ b/tests/test_node_count_costs.py
@@ -147,9 +147,9 @@
     front = nodes.ListedFront(600)
     tried: set[int] = set()
     for _ in range(6):
-        chosen = list(front.policy.table.holders_to_offer(-1))
+        chosen = list(front.policy.table.holders_to_offer(None))
         assert len({node.id for node in chosen}) >= 200
         tried |= {node.id for node in chosen}
     assert len(tried) == 600
     few = nodes.ListedFront(200)
-    assert len(list(few.policy.table.holders_to_offer(-1))) == 200, "all, where there are not so many"
+    assert len(list(few.policy.table.holders_to_offer(None))) == 200, "all, where there are not so many"
