--- a/cleatyoke/fleet/status.py
+++ b/cleatyoke/fleet/status.py
@@ -68,7 +68,8 @@
         f"replica.settings {membership.settings_checksum:08x} differ={','.join(differing) or 'none'}",
         *(f"replica.hold {node}" for node in sorted(replication.holds.dots_by_node)),
         *(f"replica.lacks {name}" for name in lacking[:MAX_LACKING_SHOWN]),
-        f"replica.rights resources={len(accounts)} loans={loans} refused={view.quota_leases.refused_resources}",
+        f"replica.rights resources={len(accounts)} loans={loans} "
+        f"refused={view.quota_leases.refused_resources}",
     ]
 
 
