--- a/cleatyoke/__init__.py
+++ b/cleatyoke/__init__.py
@@ -2,4 +2,4 @@
 
 import time
 
-BEGAN = time.time()  # before the other imports: no other life of this front sends anything from here on
+BEGAN = time.time()  # before the other imports: no other process of this front sends anything from here on
--- a/cleatyoke/coordination/hold_replication.py
+++ b/cleatyoke/coordination/hold_replication.py
@@ -25,14 +25,14 @@
 class HoldReplication:
     """What this front's operators hold and release, what peers report, and which peer knows how much.
 
-    ``self_id``: this front's present incarnation. ``on_change`` is called with the nodes that peers hold from
+    ``self_id``: this front's present process. ``on_change`` is called with the nodes that peers hold from
     now on and with those that they have released.
     """
 
     self_id: Callable[[], MemberId]
     on_change: Callable[[frozenset[str], frozenset[str]], None] = _ignore_change
     holds: HoldSet = field(default_factory=HoldSet)
-    received: dict[MemberId, HoldSet] = field(default_factory=dict)  # by incarnation, its last copy
+    received: dict[MemberId, HoldSet] = field(default_factory=dict)  # by process run, its last copy
     merges: int = 0  # copies that differed from ours and changed it
     _cached_digest: tuple[HoldSet, int] | None = None  # the holds it was computed of, and the digest
 
@@ -87,7 +87,7 @@
         return True
 
     def restore(self, data: bytes, held: frozenset[str]) -> None:
-        """Take at a start what the previous incarnation kept.
+        """Take at a start what the previous process kept.
 
         ``data``: its copy, by which a release that it missed still counts; a copy that can't be decoded is
         ignored. ``held``: the nodes that this front's own record holds; those that the copy lacks are held
@@ -98,9 +98,9 @@
         for node in held - self.holds.held_nodes():
             self.hold(node)
 
-    def is_behind(self, incarnation: MemberId) -> bool:
-        """Whether this incarnation is not known to have all that is known here."""
-        copy = self.received.get(incarnation)
+    def is_behind(self, member: MemberId) -> bool:
+        """Whether this member is not known to have all that is known here."""
+        copy = self.received.get(member)
         if copy is None or not copy.includes(self.holds):
             return True
         return copy.held_nodes() != self.holds.held_nodes()
--- a/cleatyoke/coordination/lease_accounts.py
+++ b/cleatyoke/coordination/lease_accounts.py
@@ -67,7 +67,7 @@
     """One shared resource: its demand here, the leases granted to others, and those borrowed from others.
 
     ``resource``: its name on the wire. ``home_available_at``: from then on the whole home quota belongs to
-    this incarnation, see ``QuotaLeases``. Whoever changes a lease calls ``invalidate``.
+    this process, see ``QuotaLeases``. Whoever changes a lease calls ``invalidate``.
     """
 
     resource: str
@@ -106,5 +106,5 @@
 
 
 def home_parts(now: float, home_available_at: float) -> int:
-    """The parts of the home quota that belong to this incarnation at this moment."""
+    """The parts of the home quota that belong to this process at this moment."""
     return HOME_PARTS if now >= home_available_at else NEVER_LEASED_PARTS
--- a/cleatyoke/coordination/lease_borrower.py
+++ b/cleatyoke/coordination/lease_borrower.py
@@ -33,7 +33,7 @@
         self.terms = terms
         self.rng = rng
         self.peers: Sequence[MemberId] = ()  # that can be asked
-        self.last_number = 0  # of all requests of this incarnation; only rises
+        self.last_number = 0  # of all requests of this process; only rises
 
     def accept_grant(
         self, now: float, account: ResourceAccount | None, lender: MemberId, grant: LeaseGrant
--- a/cleatyoke/coordination/lease_events.py
+++ b/cleatyoke/coordination/lease_events.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseMessageReceived:
-    """A message from another front's incarnation. It may be late, duplicated or out of order."""
+    """A message from another front's process. It may be late, duplicated or out of order."""
 
     sender: MemberId
     message: LeaseRequest | LeaseGrant
@@ -20,8 +20,10 @@
 class DemandChanged:
     """What this front could use of each resource now, in parts of a home quota.
 
-    The front has a home quota in the resources named here and in no others: a front that never had a
-    request for a volume may not be one of the volume's fronts. A demand of 0 names a resource to lend from.
+    The front lends from its home quota in the resources named here. One that is named no more counts as one
+    with a demand of 0, and is lent from until all leases in it have ended. Nothing is lent of resources that
+    were never named, as a front that never had a request for a volume may not be one of the volume's fronts.
+    A demand of 0 names a resource to lend from.
     """
 
     demand: Mapping[str, float]
@@ -29,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeersChanged:
-    """The incarnations that can be asked for a lease: alive, not suspected, without this one."""
+    """The processes that can be asked for a lease: alive, not suspected, without this one."""
 
     peers: tuple[MemberId, ...]
 
@@ -50,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendLeaseMessage:
-    """Action: send a message to another incarnation. It may be lost."""
+    """Action: send a message to another front's process. It may be lost."""
 
     receiver: MemberId
     message: LeaseRequest | LeaseGrant
--- a/cleatyoke/coordination/lease_terms.py
+++ b/cleatyoke/coordination/lease_terms.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-NEVER_LEASED_PARTS = 250  # of a front's home quota: never lent, so a new incarnation may use them at once
+NEVER_LEASED_PARTS = 250  # of a front's home quota: never lent, so a new process may use them at once
 
 
 @dataclass(slots=True, frozen=True)
--- a/cleatyoke/coordination/quota_leases.py
+++ b/cleatyoke/coordination/quota_leases.py
@@ -1,6 +1,6 @@
 """Quota leases: fronts lend each other unused parts of a shared quota, never more in all than there is.
 
-Every front has the same home quota in each resource, ``HOME`` parts. The homes add up to the whole resource,
+Every front has the same home quota in each resource, ``HOME_PARTS``. The homes add up to the whole resource,
 so that no agreement is needed on who begins with what. A front whose demand exceeds its home borrows from
 fronts with a surplus, by messages and for a short time (leases: Gray and Cheriton, 1989; the division of a
 bound into rights: O'Neil's escrow, 1986, and the bounded counter of Balegas and others, 2015).
@@ -33,7 +33,7 @@
 
 
 class QuotaLeases:
-    """The leases of one incarnation of a front, in all resources.
+    """The leases of one process run of a front, in all resources.
 
     It keeps the sum of what all fronts may use at or below the whole, in any partition, crash, pause, loss,
     duplication or delay of messages. A failure would show as a rate limit exceeded by the fleet, or as a
@@ -44,10 +44,10 @@
       side uses its own monotonic clock; ``LeaseTerms`` bounds how far two clocks may drift apart.
     - ``usable_parts`` compares with the clock at every use, so a process that was paused beyond a lease's
       expiry does not use it when it resumes.
-    - An incarnation does not know what the one before it had granted. Until all of that must have expired,
-      it uses only ``NEVER_LEASED_PARTS`` of its home and lends nothing.
+    - A process does not know what the front's process before it had granted. Until all of that must have
+      expired, it uses only ``NEVER_LEASED_PARTS`` of its home and lends nothing.
 
-    ``began``: when this incarnation started, seconds of its monotonic clock, the clock of all times here.
+    ``began``: when this process started, seconds of its monotonic clock, the clock of all times here.
     """
 
     def __init__(self, began: float, rng: random.Random, terms: LeaseTerms | None = None) -> None:
--- a/cleatyoke/coordination/rate_limit_leases.py
+++ b/cleatyoke/coordination/rate_limit_leases.py
@@ -30,7 +30,7 @@
         self.leases = leases
         self.plans = plans
         self.meters: DemandMeters[int] = DemandMeters()
-        self.reported_parts: dict[int, int] = {}  # by volume, where the scheduler was told other than HOME
+        self.reported_parts: dict[int, int] = {}  # by volume, where not HOME_PARTS
 
     def observe(self, now: float, events: Iterable[SchedulerEvent]) -> None:
         """Count the requests among these events."""
--- a/cleatyoke/coordination/replicated_holds.py
+++ b/cleatyoke/coordination/replicated_holds.py
@@ -24,11 +24,11 @@
 from cleatyoke.transport.encoding import Count, Text
 
 MAX_NODES = 4096  # entries of a copy; a larger one is rejected as a whole
-MAX_ACTORS = 4096  # incarnations in a copy
+MAX_ACTORS = 4096  # process runs in a copy
 MAX_VALUE_BYTES = 1024  # of an origin's value
 
 Dot = tuple[MemberId, Count]
-"""One hold that was placed: the incarnation that placed it, and its count of holds by then, from 1."""
+"""One hold that was placed: the process run that placed it, and its count of holds by then, from 1."""
 
 _Dots = Annotated[dict[Text, frozenset[Dot]], msgspec.Meta(max_length=MAX_NODES)]
 _Clock = Annotated[dict[MemberId, Count], msgspec.Meta(max_length=MAX_ACTORS)]
@@ -37,7 +37,7 @@
 class HoldSet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The nodes that operators disabled ("hold"): an add-wins set.
 
-    ``clock``: a version vector, by incarnation how many of its dots this copy knows of, held or released.
+    ``clock``: a version vector, by process run how many of its dots this copy knows of, held or released.
     ``dots_by_node``: the dots that hold a node. A node without a dot is not held.
 
     A hold that was placed without knowledge of a release outlives it, and a release takes away only the
@@ -87,12 +87,12 @@
         return all(self.clock.get(actor, 0) >= number for actor, number in other.clock.items())
 
     def forget_actors(self, stopped: Collection[MemberId], copies: Collection[HoldSet]) -> HoldSet:
-        """Shorten the clock by incarnations that have certainly stopped.
+        """Shorten the clock by processes that have certainly stopped.
 
         One is dropped where no hold of it is left and each of ``copies``, all that may still be merged,
         knows its dots. Should an older copy come back nevertheless, what was released there is held again,
-        which is the safe side. No front calls it yet: clocks grow with each incarnation that ever placed a
-        hold, up to ``MAX_ACTORS``.
+        which is the safe side. No front calls it yet: clocks grow with each process run that ever placed
+        a hold, up to ``MAX_ACTORS``.
         """
         holding = {actor for dots in self.dots_by_node.values() for actor, _ in dots}
         dropped = {
@@ -109,7 +109,7 @@
 class TimestampedValue(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What an origin says.
 
-    ``number`` rises with each value of its incarnation and decides. ``at`` is the origin's Unix time, which
+    ``number`` rises with each value of its process run and decides. ``at`` is the origin's Unix time, which
     is shown to people and decides only between values that are otherwise equal.
     """
 
@@ -122,7 +122,8 @@
     """A last-writer-wins register for each origin, which only the origin writes."""
 
     values: Annotated[dict[MemberId, TimestampedValue], msgspec.Meta(max_length=MAX_ACTORS)] = msgspec.field(
-        default_factory=dict, name="words"
+        default_factory=dict,
+        name="words",  # wire format
     )
 
     def assign(self, origin: MemberId, value: str, at: float) -> LatestValues:
@@ -148,7 +149,8 @@
     """A max register for each key."""
 
     values: Annotated[dict[Text, Count], msgspec.Meta(max_length=MAX_NODES)] = msgspec.field(
-        default_factory=dict, name="numbers"
+        default_factory=dict,
+        name="numbers",  # wire format
     )
 
     def raise_to(self, key: str, number: int) -> MaximumValues:
--- a/cleatyoke/coordination/slow_start_leases.py
+++ b/cleatyoke/coordination/slow_start_leases.py
@@ -1,7 +1,7 @@
 """Quota leases for nodes that are warming up: how much of such a node's capacity this front may use.
 
 No I/O and no clock. The home quota is an even part of the units that the settings state for a node that has
-just started, which the scheduler applies without leases. The resource is a node in one of its incarnations:
+just started, which the scheduler applies without leases. The resource is a node in one of its process runs:
 fronts that know different start times of a node lend each other nothing, and each keeps to its home quota,
 which is the safe side.
 """
@@ -38,10 +38,11 @@
 
 
 def warming_node_resource(name: str, started: float) -> str:
-    """The name on the wire of a node's incarnation.
+    """The name on the wire of a node's process run.
 
     ``started``: Unix time; milliseconds count, as discovery tells no more.
     """
+    # "cold:" is part of the wire format: fronts of older releases use the same name
     return "cold:" + hashlib.blake2s(f"{name}|{round(started * 1000)}".encode(), digest_size=12).hexdigest()
 
 
@@ -63,7 +64,7 @@
         self.node_name = node_name
         self.warming_nodes: dict[int, WarmingNode] = {}  # by node
         self.meters: DemandMeters[str] = DemandMeters()
-        self.reported_parts: dict[int, int] = {}  # by node, where the scheduler was told other than HOME
+        self.reported_parts: dict[int, int] = {}  # by node, where not HOME_PARTS
 
     def observe(self, now: float, unix_time: float, events: Iterable[SchedulerEvent]) -> None:
         """Follow the endpoint updates and count the requests among these events.
--- a/cleatyoke/coordination/staged_start.py
+++ b/cleatyoke/coordination/staged_start.py
@@ -3,19 +3,19 @@
 No I/O and no clock: ``step(now, events) -> actions``. It replaces nothing of the start's work; it says when a
 stage is passed. Each stage passes by its evidence, or without it at its bound:
 
-- ``disk``: the durable state was read, or none is kept; 0.5 s. Without it holds and the incarnation's number
+- ``disk``: the durable state was read, or none is kept; 0.5 s. Without it holds and the boot number
   come from peers, and the disk's count once they are read.
 - ``peers``: a peer's full state came, or there is no peer to ask; 1 s. Without it the front goes by its own
   holds.
 - ``list``: discovery answered, or a cached endpoint list is there; 1 s. Without it the front accepts
   requests and rejects those it has no node for.
-- ``lent``, with requests accepted: quota leases that the previous incarnation granted must have expired.
+- ``lent``, with requests accepted: quota leases that the previous process granted must have expired.
   Only time passes it: no message may shorten a lease, as its borrower would go on using it.
 - ``open``: complete.
 
-What this prevents: a front that serves before it knows holds, or with a used incarnation, sends requests to
+What this prevents: a front that serves before it knows holds, or with a used boot number, sends requests to
 nodes under repair; one that waits without a bound never serves after a power loss of the whole site.
-Nothing is carried over from one incarnation to the next, so a crash in any stage begins the start again.
+Nothing is carried over from one process to the next, so a crash in any stage begins the start again.
 """
 
 from __future__ import annotations
@@ -67,11 +67,11 @@
 
 
 class StagedStart:
-    """The start of one incarnation.
+    """The start of one process.
 
     Stages pass in their order and none is skipped; evidence that comes early is kept. ``began``: when the
-    process started. ``old_leases_end``: when all leases that the previous incarnation can have granted have
-    expired. Both are seconds of this incarnation's monotonic clock.
+    process started. ``old_leases_end``: when all leases that the previous process can have granted have
+    expired. Both are seconds of this process's monotonic clock.
     """
 
     def __init__(self, began: float, old_leases_end: float) -> None:
--- a/cleatyoke/discovery/backoff.py
+++ b/cleatyoke/discovery/backoff.py
@@ -59,5 +59,5 @@
         seconds, ``period`` by default.
         """
         span = min(self.span, self.period if max_delay is None else max_delay)
-        self.failures = 1
+        self.failures = 1  # the next failure counts as the second, as this disconnect was the first
         return self.rng.random() * span
--- a/cleatyoke/discovery/drain_guard.py
+++ b/cleatyoke/discovery/drain_guard.py
@@ -10,7 +10,7 @@
 from cleatyoke.scheduling.events import EndpointState
 
 
-class Incarnation(NamedTuple):
+class NodeRun(NamedTuple):
     """One run of a node's process: a node that is started anew is another one."""
 
     name: str
@@ -41,12 +41,12 @@
 
     Why it holds: an older list can lag by ``max_reporting_delay`` seconds at most, so a node goes on draining
     for that long, after which the new agent knows better and its own entry is released. An agent may revoke
-    its own report at once, and a node that was started anew is a new incarnation.
+    its own report at once, and a node that was started anew is a new run.
     """
 
     def __init__(self, max_reporting_delay: float) -> None:
         self.max_reporting_delay = max_reporting_delay
-        self._drains: dict[Incarnation, ReportedDrain] = {}
+        self._drains: dict[NodeRun, ReportedDrain] = {}
         self._withheld: dict[str, Instance] = {}  # by name: the entry that another agent's report overrides
 
     def filter(self, endpoint_list: EndpointList, agent: Hashable, now: float) -> GuardedList:
@@ -56,23 +56,23 @@
         """
         oldest = now - self.max_reporting_delay
         self._drains = {
-            incarnation: drain for incarnation, drain in self._drains.items() if drain.reported_at > oldest
+            node_run: drain for node_run, drain in self._drains.items() if drain.reported_at > oldest
         }
         accepted: list[Instance] = []
         withheld: list[Instance] = []
         for instance in endpoint_list.instances:
-            incarnation = Incarnation(instance.name, instance.started_at)
+            node_run = NodeRun(instance.name, instance.started_at)
             self._withheld.pop(instance.name, None)
-            drain = self._drains.get(incarnation)
+            drain = self._drains.get(node_run)
             if instance.state is not EndpointState.LIVE:
-                self._drains[incarnation] = ReportedDrain(now, agent)
+                self._drains[node_run] = ReportedDrain(now, agent)
                 accepted.append(instance)
             elif drain is not None and drain.agent is not agent:
                 self._withheld[instance.name] = instance
                 withheld.append(instance)
                 accepted.append(replace(instance, state=EndpointState.DRAINING))
             else:
-                self._drains.pop(incarnation, None)
+                self._drains.pop(node_run, None)
                 accepted.append(instance)
         return GuardedList(replace(endpoint_list, instances=accepted), withheld)
 
@@ -83,5 +83,5 @@
         """
         if self._withheld.get(instance.name) is not instance:
             return False
-        self._drains.pop(Incarnation(instance.name, instance.started_at), None)
+        self._drains.pop(NodeRun(instance.name, instance.started_at), None)
         return True
--- a/cleatyoke/discovery/listings.py
+++ b/cleatyoke/discovery/listings.py
@@ -142,7 +142,7 @@
     if not isinstance(entry, dict):
         msg = "instances: want objects"
         raise InvalidListError(msg)
-    name, state, cell = entry.get("instanceId"), entry.get("lifecycle"), entry.get("cell")
+    name, state, shard_number = entry.get("instanceId"), entry.get("lifecycle"), entry.get("cell")
     started = entry.get("startedAtMs") or 0
     if not isinstance(name, str) or not name:
         msg = f"instanceId: want a text, found {name!r}"
@@ -150,8 +150,8 @@
     if state not in STATES:
         msg = f"lifecycle: unknown state {state!r}"
         raise InvalidListError(msg)
-    if cell is not None and (isinstance(cell, bool) or not isinstance(cell, int)):
-        msg = f"cell: want a whole number, found {cell!r}"
+    if shard_number is not None and (isinstance(shard_number, bool) or not isinstance(shard_number, int)):
+        msg = f"cell: want a whole number, found {shard_number!r}"
         raise InvalidListError(msg)
     if isinstance(started, bool) or not isinstance(started, int | float):
         msg = f"startedAtMs: want a number, found {started!r}"
@@ -160,5 +160,5 @@
         address = read_address(str(entry.get("hostPort")), "hostPort")
     except ConfigError as error:
         raise InvalidListError(str(error)) from error
-    shard = None if cell is None else decode_shard(cell)
+    shard = None if shard_number is None else decode_shard(shard_number)
     return Instance(name, address, str(entry.get("zone")), shard, STATES[state], started / 1000)
--- a/cleatyoke/durability/records.py
+++ b/cleatyoke/durability/records.py
@@ -9,9 +9,9 @@
 - ``boot``: at any age, the greater boot number. It only ever raises the number.
 - ``peers``: as a hint whom to ask. That a peer is alive, or is not, is never trusted.
 
-Not stored, and why: quota leases (void until they must have expired by the clock of the new incarnation, so
+Not stored, and why: quota leases (void until they must have expired by the clock of the new process, so
 nothing is gained by knowing them); endpoints and when they started (discovery alone says so, and a cached
-list is the platform's own file); how much of a rate limit was used (a new incarnation begins with a part of
+list is the platform's own file); how much of a rate limit was used (a new process begins with a part of
 the burst).
 """
 
@@ -52,7 +52,7 @@
 class FrontState:
     """All that is stored.
 
-    ``boot_number``: the highest that an incarnation of this front has used; 0: none is known.
+    ``boot_number``: the highest that a process of this front has used; 0: none is known.
     ``peers``: addresses of fronts that were alive.
     """
 
@@ -165,9 +165,9 @@
 
 
 def next_boot_number(stored: int, unix_time: float) -> int:
-    """The boot number of a new incarnation: greater than the stored one, whatever the clock did.
+    """The boot number of a new process: greater than the stored one, whatever the clock did.
 
     By Unix time in milliseconds where that is greater, so that a front that lost its durable state seldom
-    begins with a number that its peers take for an old incarnation.
+    begins with a number that its peers take for an earlier process of this front.
     """
     return max(stored + 1, int(unix_time * 1000))
--- a/cleatyoke/durability/writer.py
+++ b/cleatyoke/durability/writer.py
@@ -35,9 +35,9 @@
 class RestoredState:
     """What the files held when the process began.
 
-    ``state.boot_number`` is the one of this incarnation. It was written before it is reported here, so that
-    no later incarnation uses it again, unless ``write_problems`` names all files. ``was_found``: a previous
-    incarnation had written there. ``problems``: what was not trusted.
+    ``state.boot_number`` is the one of this process. It was written before it is reported here, so that
+    no later process uses it again, unless ``write_problems`` names all files. ``was_found``: a previous
+    process had written there. ``problems``: what was not trusted.
     """
 
     state: FrontState
--- a/cleatyoke/fleet/restore.py
+++ b/cleatyoke/fleet/restore.py
@@ -40,7 +40,7 @@
 
 
 class DurableState:
-    """The durable state of this incarnation: holds, boot number and the peers it knew.
+    """The durable state of this process: holds, boot number and the peers it knew.
 
     To be made on the running event loop; all methods are called there but for ``has_written``. Reading
     begins at once and never blocks the loop.
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -23,7 +23,7 @@
 
 
 class StagedStartRunner:
-    """Wait in each stage of one incarnation's start for its evidence, or until its bound.
+    """Wait in each stage of one process's start for its evidence, or until its bound.
 
     The process opens its listeners after ``wait_for_endpoint_list``. To be made on the running event loop.
     """
--- a/cleatyoke/membership/anti_entropy.py
+++ b/cleatyoke/membership/anti_entropy.py
@@ -1,7 +1,7 @@
 """Anti-entropy: exchanges of full states by stream, which repair what gossip has missed.
 
 A full state goes to a random member now and then, to a peer whose checksum differs although nothing new has
-been heard for a while, and to one that is back after a cut. Replicated data travel with it.
+been heard for a while, and to one that is back after a partition. Replicated data travel with it.
 """
 
 from __future__ import annotations
@@ -75,7 +75,8 @@
     def merge_full_state(self, state: FullState, *, is_first: bool) -> None:
         """Merge a full state.
 
-        Who is dead in it may be so for its sender only, as after a cut: it is suspected here, and may refute.
+        Who is dead in it may be so for its sender only, as after a partition: it is suspected here, and
+        may refute.
         ``is_first``: nobody has told us anything before, so that a higher boot number of our name is not a
         successor's, as in an upgrade, but says that ours comes from an old memory.
         """
@@ -108,7 +109,7 @@
             self.start_exchange(self.records[self.rng.choice(active)].update.address)
 
     def exchange_if_allowed(self, address: str) -> None:
-        """Exchange with one from beyond a cut, once a second at most, as all meet somebody at once.
+        """Exchange outside the regular interval, at most once per ``failed_probe_interval``.
 
         What each side believes dead is suspected on the other, where it can refute.
         """
--- a/cleatyoke/membership/conclusions.py
+++ b/cleatyoke/membership/conclusions.py
@@ -37,8 +37,8 @@
 def conclude(own: Update, members: Iterable[ObservedMember], front_count: int, now: float) -> Conclusion:
     """Conclude from what is known at ``now``.
 
-    ``front_count``: of the settings. The result is never under it, as a front that started beyond a cut is in
-    nobody's view here: so nobody may start more fronts than the settings state.
+    ``front_count``: of the settings. The result is never under it, as a front that started beyond a partition
+    is in nobody's view here: so nobody may start more fronts than the settings state.
     """
     known = list(members)
     latest_boots = _latest_boots([own, *(member.update for member in known)])
--- a/cleatyoke/membership/dissemination.py
+++ b/cleatyoke/membership/dissemination.py
@@ -81,8 +81,8 @@
     def select_updates(self, receiver: MemberId | None) -> Iterator[MemberId]:
         """Yield whose updates go with a datagram.
 
-        First its receiver's own if that is suspected or dead, so that it may refute soon (Lifeguard's buddy
-        system); then those sent least.
+        First its receiver's own if that is suspected, dead or left, so that it may refute soon (Lifeguard's
+        buddy system); then those sent least.
         """
         if receiver in self.records and self.records[receiver].update.state is not MemberState.ALIVE:
             yield receiver
--- a/cleatyoke/membership/member_records.py
+++ b/cleatyoke/membership/member_records.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """Another member as this one knows it. Times are seconds on the caller's clock."""
+    """Another member as this one knows it. Times are seconds on the corrected clock (``now``)."""
 
     update: Update  # the latest by precedence
     state_since: float
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -1,15 +1,15 @@
 """Who is in the fleet: membership in the SWIM family, as one member's state machine.
 
-``step(now, events) -> actions``, with time, randomness and messages passed in. ``Membership`` owns the layers
-below, each with one job and using only those before it:
+``step(now, events) -> actions``, with time, randomness and messages passed in. ``Membership`` is the last
+class of an inheritance chain of layers, each with one job and using only those before it:
 
-- ``member_table``: the records of all members, by state;
-- ``dissemination``: updates on every datagram, and gossip;
-- ``suspicion``: how long a suspicion lasts, and telling its subject;
-- ``merging``: which update holds (``merge_rules``), and refutation;
-- ``probing``: failure detection by direct and indirect pings;
-- ``anti_entropy``: exchanges of full states and of replicated data;
-- ``joining``: join by seeds, leave, announce a change.
+- ``member_table`` (``MemberTable``): the records of all members, by state;
+- ``dissemination`` (``Dissemination``): updates on every datagram, and gossip;
+- ``suspicion`` (``Suspicion``): how long a suspicion lasts, and telling its subject;
+- ``merging`` (``UpdateMerging``): which update wins (``merge_rules``), and refutation;
+- ``probing`` (``Probing``): failure detection by direct and indirect pings;
+- ``anti_entropy`` (``AntiEntropy``): exchanges of full states and of replicated data;
+- ``joining`` (``Joining``): join by seeds, leave, announce a change.
 
 Here are the step, its timers and the dispatch of messages. Sources: SWIM (Das, Gupta, Motivala 2002),
 Lifeguard (Dadgar, Phillips, Currey 2017), page ``fleet-view.md``.
@@ -17,7 +17,6 @@
 
 from __future__ import annotations
 
-import itertools
 import math
 import random
 from collections.abc import Iterable, Sequence
@@ -74,7 +73,7 @@
     ) -> None:
         identity = OwnIdentity(deployment, name, boot, address, owns_address)
         super().__init__(identity, seeds, rng, timing or MembershipTiming())
-        self.expected_step_at = -math.inf  # by the caller's clock
+        self.expected_step_at = -math.inf  # on the corrected clock, as self.now
         self.clock_correction = 0.0  # seconds by which the caller's clock has jumped back
 
     # The step
@@ -114,8 +113,8 @@
             due = min(due, probe.deadline if probe.helpers_asked else probe.indirect_at)
         for relayed in self.relayed_pings.values():
             due = min(due, relayed.nack_at)
-        for at in itertools.islice(self.recheck_at.values(), 1):
-            due = min(due, max(at, self.due_at.recheck))
+        first_recheck_at = next(iter(self.recheck_at.values()), math.inf)
+        due = min(due, max(first_recheck_at, due_at.recheck))
         deadlines = map(self.suspicion_deadline, self.suspected_members.values())
         return max(self.now, min(due, min(deadlines, default=math.inf))) - self.clock_correction
 
@@ -228,7 +227,7 @@
         self.notify_suspect(record, sender)
 
     def _rejoin(self, address: str) -> None:
-        """Go on after a cut: look for more members beyond it, and exchange full states across it."""
+        """Go on after a partition: look for more members beyond it, and exchange full states across it."""
         for _ in range(REJOIN_PROBES):
             self.probe_failed_member()
         self.exchange_if_allowed(address)
--- a/cleatyoke/membership/probing.py
+++ b/cleatyoke/membership/probing.py
@@ -2,7 +2,7 @@
 
 From SWIM: the probe of one member an interval, and the indirect probe by helpers of one that is silent. From
 Lifeguard: local health, by which a member that misses answers itself waits longer before it suspects others.
-Besides, members believed dead are probed, so that a cut heals with no operator.
+Besides, members believed dead are probed, so that a partition heals with no operator.
 """
 
 from __future__ import annotations
@@ -119,8 +119,8 @@
     def probe_failed_member(self) -> None:
         """Ping one member that is believed dead, or one that left and has no successor at its address.
 
-        Prevents that the two sides of a cut stay apart after it has healed, and that a front that is back
-        finds nobody where all seeds are gone. The rate is one member's, however many have failed.
+        Prevents that the two sides of a partition stay apart after it has healed, and that a front that is
+        back finds nobody where all seeds are gone. The rate is one member's, however many have failed.
         """
         choices = [choice for choice in (list(self.failed_members), self._left_without_successor()) if choice]
         if choices:
--- a/cleatyoke/membership/suspicion.py
+++ b/cleatyoke/membership/suspicion.py
@@ -35,15 +35,18 @@
     def recheck_suspect(self) -> None:
         """Ping one member that has been suspected for a probe interval, at most one a gossip interval.
 
-        Prevents false deaths after a cut has healed: gossip reaches nearly all members and not all, so that a
-        few would miss the refutation. The ack carries the suspect's incarnation. No answer suspects nobody.
+        Prevents false deaths after a partition has healed: gossip reaches nearly all members and not all, so
+        that a few would miss the refutation. The ack carries the suspect's incarnation. No answer suspects
+        nobody.
         """
-        for member, at in self.recheck_at.items():
-            if self.now >= at:
-                del self.recheck_at[member]
-                self.due_at.recheck = self.now + self.timing.gossip_interval
-                self.send_ping(member)
+        if not self.recheck_at:
             return
+        member, recheck_at = next(iter(self.recheck_at.items()))
+        if self.now < recheck_at:
+            return
+        del self.recheck_at[member]
+        self.due_at.recheck = self.now + self.timing.gossip_interval
+        self.send_ping(member)
 
     def notify_suspect(self, record: MemberRecord, sender: Update) -> None:
         """Tell the sender of a message at once that it is suspected or believed dead, so that it may refute.
--- a/cleatyoke/membership/timing.py
+++ b/cleatyoke/membership/timing.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class DueTimes:
-    """When each duty is due next: seconds on the caller's clock, infinite where it never is."""
+    """When each duty is due next: seconds on the corrected clock (``now``), infinite where it never is."""
 
     probe: float = math.inf  # of the next member of the round
     gossip: float = math.inf  # while there are updates to send
--- a/cleatyoke/membership/wire.py
+++ b/cleatyoke/membership/wire.py
@@ -38,7 +38,7 @@
 
     ALIVE = 0
     SUSPECT = 1  # it did not answer somebody, and may still refute that
-    DEAD = 2  # believed to have failed: silence proves nothing
+    DEAD = 2  # its suspicion timed out; the process may still run behind a partition
     LEFT = 3  # by its own message: certain
 
 
--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -216,7 +216,7 @@
     async def _shut_down(self) -> None:
         """Carry out each step of the lifecycle when it is due, whatever fault another step had."""
         while True:
-            sessions = self._open_file_sessions()
+            sessions = self._file_service_sessions()
             for step in self.lifecycle.step(self.loop.time(), self.http_server.open_connections(), sessions):
                 with self.faults.contain(step.value):
                     self._carry_out(step)
@@ -225,8 +225,8 @@
             seconds = max(0.0, self.lifecycle.next_step_at() - self.loop.time())
             await asyncio.sleep(min(DRAIN_POLL_INTERVAL, seconds))
 
-    def _open_file_sessions(self) -> int:
-        """Return 1 while the file service is closing, as if all its sessions were one."""
+    def _file_service_sessions(self) -> int:
+        """Return 1 while the file service is closing, however many sessions it has, and 0 otherwise."""
         return int(self._file_service_closing is not None and not self._file_service_closing.done())
 
     def _carry_out(self, step: ShutdownStep) -> None:
@@ -244,7 +244,7 @@
 
     def _release(self) -> None:
         """Release each resource by itself: one that fails must not keep the others, nor fail the exit."""
-        steps = {
+        steps = {  # by the name that a fault of the step has in the log
             "discovery": self.discovery.stop,
             "fleet": self.fleet.stop if self.fleet else None,
             "distribution": self.subscription.stop if self.subscription else None,
--- a/cleatyoke/process/sibling_processes.py
+++ b/cleatyoke/process/sibling_processes.py
@@ -13,7 +13,8 @@
 from cleatyoke.scheduling.events import QuotaShareChanged, SchedulerEvent
 from cleatyoke.scheduling.settings import SchedulerSettings
 
-MARKER_PREFIX = "cleatyoke-life-"  # then the process id; the file is empty and stands in $TMPDIR
+# Then the process id; the file is empty and stands in $TMPDIR. Older releases look for this name too.
+MARKER_PREFIX = "cleatyoke-life-"
 TAKEOVER_DELAY = (
     0.15  # seconds after its marker from which a new process uses its share: the others saw it by then
 )
