--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -318,6 +318,6 @@
         ack_timeout=seconds["answer"],
         gossip_interval=seconds["gossip"],
         exchange_interval=seconds["sync"],
-        failed_probe_interval=seconds["departed"],
+        dead_member_probe_interval=seconds["departed"],
         join_interval=seconds["join"],
     )
--- a/cleatyoke/membership/anti_entropy.py
+++ b/cleatyoke/membership/anti_entropy.py
@@ -109,12 +109,12 @@
             self.start_exchange(self.records[self.rng.choice(active)].update.address)
 
     def exchange_if_allowed(self, address: str) -> None:
-        """Exchange outside the regular interval, at most once per ``failed_probe_interval``.
+        """Exchange outside the regular interval, at most once per ``dead_member_probe_interval``.
 
         What each side believes dead is suspected on the other, where it can refute.
         """
         if self.now >= self.due_at.extra_exchange:
-            self.due_at.extra_exchange = self.now + self.timing.failed_probe_interval
+            self.due_at.extra_exchange = self.now + self.timing.dead_member_probe_interval
             self.start_exchange(address)
 
     def compare_checksums(self, theirs: int, address: str) -> None:
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -104,7 +104,7 @@
         if self.has_left:
             return math.inf
         due_at = self.due_at
-        due = min(due_at.probe, due_at.exchange, due_at.failed_probe, due_at.join)
+        due = min(due_at.probe, due_at.exchange, due_at.dead_member_probe, due_at.join)
         if self.transmit_counts or self.is_leaving:
             due = min(due, due_at.gossip)
         if self.now < self.push_deadline:
@@ -129,7 +129,7 @@
             probe=now + draw() * timing.probe_interval,
             gossip=now + draw() * timing.gossip_interval,
             exchange=now + draw() * timing.exchange_interval,
-            failed_probe=now + draw() * timing.failed_probe_interval,
+            dead_member_probe=now + draw() * timing.dead_member_probe_interval,
             join=math.inf if self.has_joined else now,
             push=now,
             extra_exchange=now,
@@ -170,8 +170,8 @@
             self.recheck_suspect()
         if self.due_at.push <= now < self.push_deadline:
             self.push_replicas()
-        if now >= self.due_at.failed_probe:
-            self.due_at.failed_probe = now + self.timing.failed_probe_interval
+        if now >= self.due_at.dead_member_probe:
+            self.due_at.dead_member_probe = now + self.timing.dead_member_probe_interval
             self.probe_dead_member()
         if now >= self.due_at.exchange:
             self.exchange_at_interval()
--- a/cleatyoke/membership/timing.py
+++ b/cleatyoke/membership/timing.py
@@ -19,7 +19,7 @@
     suspicion_multiplier: float = 4.0  # shortest suspicion in probe intervals, by the logarithm
     max_suspicion_multiplier: float = 6.0  # longest suspicion, with one suspector only, by the shortest
     exchange_interval: float = 10.0  # between two exchanges of full states with a random member
-    failed_probe_interval: float = 1.0  # between two probes of members believed dead
+    dead_member_probe_interval: float = 1.0  # between two probes of members believed dead
     join_interval: float = 1.0  # between two attempts to join by a seed
     pause_threshold: float = 1.5  # a step late by more says that this process was stopped
     left_retention: float = 3600.0  # for which a member that left is remembered
@@ -32,7 +32,7 @@
     probe: float = math.inf  # of the next member of the round
     gossip: float = math.inf  # while there are updates to send
     exchange: float = math.inf  # with a random member
-    failed_probe: float = math.inf  # of a member believed dead
+    dead_member_probe: float = math.inf  # of a member believed dead
     join: float = math.inf  # by a seed
     push: float = math.inf  # of replicated data, while members lack a change made here
     extra_exchange: float = -math.inf  # no exchange outside the interval before
@@ -43,7 +43,7 @@
         self.probe = max(self.probe, now)
         self.gossip = max(self.gossip, now)
         self.exchange = max(self.exchange, now)
-        self.failed_probe = max(self.failed_probe, now)
+        self.dead_member_probe = max(self.dead_member_probe, now)
         self.join = max(self.join, now)
         self.push = max(self.push, now)
         self.extra_exchange = max(self.extra_exchange, now)
--- a/cleatyoke/process/sibling_processes.py
+++ b/cleatyoke/process/sibling_processes.py
@@ -14,7 +14,7 @@
 from cleatyoke.scheduling.settings import SchedulerSettings
 
 # Then the process id; the file is empty and stands in $TMPDIR. Older releases look for this name too.
-MARKER_PREFIX = "cleatyoke-life-"
+MARKER_PREFIX = "cleatyoke-life-"  # "life" and "lives", here and in the log: processes
 TAKEOVER_DELAY = (
     0.15  # seconds after its marker from which a new process uses its share: the others saw it by then
 )
--- a/tests/membership_fleets.py
+++ b/tests/membership_fleets.py
@@ -22,7 +22,7 @@
         pass
 
 
-class NeverProbesFailedMembers(Membership):
+class NeverProbesDeadMembers(Membership):
     """Lets members that are believed dead rest."""
 
     def probe_dead_member(self) -> None:
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -15,7 +15,7 @@
     SETTLE_SECONDS,
     SIZE,
     ForgetsBoot,
-    NeverProbesFailedMembers,
+    NeverProbesDeadMembers,
     NeverProbesIndirectly,
     NeverRefutes,
     NotifiesWithoutBound,
@@ -70,7 +70,7 @@
     assert (raised > 0) == (most > 0)
 
 
-@pytest.mark.parametrize(("make", "caught"), [(Membership, False), (NeverProbesFailedMembers, True)])
+@pytest.mark.parametrize(("make", "caught"), [(Membership, False), (NeverProbesDeadMembers, True)])
 def test_a_group_that_was_cut_off_is_one_fleet_again(make: type[Membership], caught: bool) -> None:
     """Five fronts are cut off for 30 s, and each side believes the other dead. No seed helps.
 
