--- a/cleatyoke/coordination/lease_accounts.py
+++ b/cleatyoke/coordination/lease_accounts.py
@@ -40,7 +40,7 @@
         return self.highest_number is not None and number <= self.highest_number
 
 
-class PendingRequest(NamedTuple):
+class PendingLeaseRequest(NamedTuple):
     """A request for a lease that has not been answered."""
 
     number: int
@@ -52,10 +52,10 @@
 class BorrowedLease:
     """The lease held from one lender, and the request for it or for its renewal that is pending."""
 
-    number: int | None = None  # of the request that was granted; None before the first grant
+    granted_request_number: int | None = None  # None before the first grant
     parts: int = 0
     expires_at: float = -math.inf  # for the borrower
-    pending: PendingRequest | None = None
+    pending: PendingLeaseRequest | None = None
 
     def usable_parts(self, now: float) -> int:
         """The parts of this lease that may be used at this moment."""
@@ -67,7 +67,7 @@
     """One shared resource: its demand here, the leases granted to others, and those borrowed from others.
 
     ``resource``: its name on the wire. ``home_available_at``: from then on the whole home quota belongs to
-    this incarnation, see ``QuotaLeases``. Whoever changes a lease calls ``invalidate``.
+    this process, see ``QuotaLeases``. Whoever changes a lease calls ``invalidate``.
     """
 
     resource: str
@@ -76,7 +76,7 @@
     is_home: bool = False  # whether this front has a home quota in the resource
     granted: dict[MemberId, GrantedLeases] = field(default_factory=dict)  # by borrower
     borrowed: dict[MemberId, BorrowedLease] = field(default_factory=dict)  # by lender
-    exhausted_until: dict[MemberId, float] = field(default_factory=dict)  # lenders not to be asked before
+    not_asked_until: dict[MemberId, float] = field(default_factory=dict)  # lenders: too little, or no answer
     cached_parts: int = 0
     cached_until: float = -math.inf
 
@@ -106,5 +106,5 @@
 
 
 def home_parts(now: float, home_available_at: float) -> int:
-    """The parts of the home quota that belong to this incarnation at this moment."""
+    """The parts of the home quota that belong to this process at this moment."""
     return HOME_PARTS if now >= home_available_at else NEVER_LEASED_PARTS
--- a/cleatyoke/membership/dissemination.py
+++ b/cleatyoke/membership/dissemination.py
@@ -64,7 +64,7 @@
         replicas = self.store.digest() if self.store else 0
         return self.active_checksum ^ member_checksum(self.own_update()) ^ replicas
 
-    def digest(self) -> int:
+    def operator_view_checksum(self) -> int:
         """Return a number that is the same wherever the same is believed of every member.
 
         Operators compare it between fronts, also of different releases: the text that is summed up has names
@@ -81,8 +81,8 @@
     def select_updates(self, receiver: MemberId | None) -> Iterator[MemberId]:
         """Yield whose updates go with a datagram.
 
-        First its receiver's own if that is suspected or dead, so that it may refute soon (Lifeguard's buddy
-        system); then those sent least.
+        First its receiver's own if that is suspected, dead or left, so that it may refute soon (Lifeguard's
+        buddy system); then those sent least.
         """
         if receiver in self.records and self.records[receiver].update.state is not MemberState.ALIVE:
             yield receiver
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -1,15 +1,15 @@
 """Who is in the fleet: membership in the SWIM family, as one member's state machine.
 
-``step(now, events) -> actions``, with time, randomness and messages passed in. ``Membership`` owns the layers
-below, each with one job and using only those before it:
+``step(now, events) -> actions``, with time, randomness and messages passed in. ``Membership`` is the last
+class of an inheritance chain of layers, each with one job and using only those before it:
 
-- ``member_table``: the records of all members, by state;
-- ``dissemination``: updates on every datagram, and gossip;
-- ``suspicion``: how long a suspicion lasts, and telling its subject;
-- ``merging``: which update holds (``merge_rules``), and refutation;
-- ``probing``: failure detection by direct and indirect pings;
-- ``anti_entropy``: exchanges of full states and of replicated data;
-- ``joining``: join by seeds, leave, announce a change.
+- ``member_table`` (``MemberTable``): the records of all members, by state;
+- ``dissemination`` (``Dissemination``): updates on every datagram, and gossip;
+- ``suspicion`` (``Suspicion``): how long a suspicion lasts, and telling its subject;
+- ``merging`` (``UpdateMerging``): which update wins (``merge_rules``), and refutation;
+- ``probing`` (``Probing``): failure detection by direct and indirect pings;
+- ``anti_entropy`` (``AntiEntropy``): exchanges of full states and of replicated data;
+- ``joining`` (``Joining``): join by seeds, leave, announce a change.
 
 Here are the step, its timers and the dispatch of messages. Sources: SWIM (Das, Gupta, Motivala 2002),
 Lifeguard (Dadgar, Phillips, Currey 2017), page ``fleet-view.md``.
@@ -17,7 +17,6 @@
 
 from __future__ import annotations
 
-import itertools
 import math
 import random
 from collections.abc import Iterable, Sequence
@@ -55,7 +54,7 @@
 )
 from cleatyoke.transport.encoding import WireError
 
-REJOIN_PROBES = 3  # of failed members that are sent at once where one has returned
+REJOIN_PROBES = 3  # of dead members that are sent at once where one has returned
 
 
 class Membership(Joining):
@@ -74,7 +73,7 @@
     ) -> None:
         identity = OwnIdentity(deployment, name, boot, address, owns_address)
         super().__init__(identity, seeds, rng, timing or MembershipTiming())
-        self.expected_step_at = -math.inf  # by the caller's clock
+        self.expected_step_at = -math.inf  # on the corrected clock, as self.now
         self.clock_correction = 0.0  # seconds by which the caller's clock has jumped back
 
     # The step
@@ -105,7 +104,7 @@
         if self.has_left:
             return math.inf
         due_at = self.due_at
-        due = min(due_at.probe, due_at.exchange, due_at.failed_probe, due_at.join)
+        due = min(due_at.probe, due_at.exchange, due_at.dead_member_probe, due_at.join)
         if self.transmit_counts or self.is_leaving:
             due = min(due, due_at.gossip)
         if self.now < self.push_deadline:
@@ -114,8 +113,8 @@
             due = min(due, probe.deadline if probe.helpers_asked else probe.indirect_at)
         for relayed in self.relayed_pings.values():
             due = min(due, relayed.nack_at)
-        for at in itertools.islice(self.recheck_at.values(), 1):
-            due = min(due, max(at, self.due_at.recheck))
+        first_recheck_at = next(iter(self.recheck_at.values()), math.inf)
+        due = min(due, max(first_recheck_at, due_at.recheck))
         deadlines = map(self.suspicion_deadline, self.suspected_members.values())
         return max(self.now, min(due, min(deadlines, default=math.inf))) - self.clock_correction
 
@@ -130,10 +129,10 @@
             probe=now + draw() * timing.probe_interval,
             gossip=now + draw() * timing.gossip_interval,
             exchange=now + draw() * timing.exchange_interval,
-            failed_probe=now + draw() * timing.failed_probe_interval,
+            dead_member_probe=now + draw() * timing.dead_member_probe_interval,
             join=math.inf if self.has_joined else now,
             push=now,
-            rejoin_exchange=now,
+            extra_exchange=now,
             recheck=now,
         )
 
@@ -159,7 +158,7 @@
         """Do whatever is due at ``now``, in this order."""
         self.check_probes()
         self.check_relayed_pings()
-        self.fail_expired_suspects()
+        self.declare_expired_suspects_dead()
         self.drop_expired_left_members()
         now = self.now
         if now >= self.due_at.join:
@@ -171,9 +170,9 @@
             self.recheck_suspect()
         if self.due_at.push <= now < self.push_deadline:
             self.push_replicas()
-        if now >= self.due_at.failed_probe:
-            self.due_at.failed_probe = now + self.timing.failed_probe_interval
-            self.probe_failed_member()
+        if now >= self.due_at.dead_member_probe:
+            self.due_at.dead_member_probe = now + self.timing.dead_member_probe_interval
+            self.probe_dead_member()
         if now >= self.due_at.exchange:
             self.exchange_at_interval()
         if now >= self.due_at.gossip and (self.transmit_counts or self.is_leaving):
@@ -211,14 +210,14 @@
         sender = message.sender
         if sender.id == self.id:
             return
-        was_failed = sender.id in self.failed_members
+        was_dead = sender.id in self.dead_members
         incarnation = self.incarnation
         self.merge_update(sender)
         record = self.records.get(sender.id)
         if record is None:
             return
         record.last_heard = self.now
-        if was_failed and sender.id in self.active_members:
+        if was_dead and sender.id in self.active_members:
             self._rejoin(sender.address)
         for update in message.updates:
             self.merge_update(update)
@@ -228,9 +227,9 @@
         self.notify_suspect(record, sender)
 
     def _rejoin(self, address: str) -> None:
-        """Go on after a cut: look for more members beyond it, and exchange full states across it."""
+        """Go on after a partition: look for more members beyond it, and exchange full states across it."""
         for _ in range(REJOIN_PROBES):
-            self.probe_failed_member()
+            self.probe_dead_member()
         self.exchange_if_allowed(address)
 
     def _handle_body(self, sender: Update, body: Body) -> None:
--- a/tests/membership_fleets.py
+++ b/tests/membership_fleets.py
@@ -22,10 +22,10 @@
         pass
 
 
-class NeverProbesFailedMembers(Membership):
+class NeverProbesDeadMembers(Membership):
     """Lets members that are believed dead rest."""
 
-    def probe_failed_member(self) -> None:
+    def probe_dead_member(self) -> None:
         pass
 
 
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -15,7 +15,7 @@
     SETTLE_SECONDS,
     SIZE,
     ForgetsBoot,
-    NeverProbesFailedMembers,
+    NeverProbesDeadMembers,
     NeverProbesIndirectly,
     NeverRefutes,
     NotifiesWithoutBound,
@@ -70,7 +70,7 @@
     assert (raised > 0) == (most > 0)
 
 
-@pytest.mark.parametrize(("make", "caught"), [(Membership, False), (NeverProbesFailedMembers, True)])
+@pytest.mark.parametrize(("make", "caught"), [(Membership, False), (NeverProbesDeadMembers, True)])
 def test_a_group_that_was_cut_off_is_one_fleet_again(make: type[Membership], caught: bool) -> None:
     """Five fronts are cut off for 30 s, and each side believes the other dead. No seed helps.
 
@@ -83,8 +83,8 @@
     for _ in range(30):
         fleet.run(fleet.now + 1.0)
         fleet.check_counts()
-    assert len(membership_of(fleet, 0).failed_members) == 7
-    assert len(membership_of(fleet, 11).failed_members) == 5
+    assert len(membership_of(fleet, 0).dead_members) == 7
+    assert len(membership_of(fleet, 11).dead_members) == 5
     fleet.heal()
     assert (fleet.settle(HEAL_SECONDS) is None) == caught
     assert not fleet.broken
