--- a/tests/test_http_requests.py
+++ b/tests/test_http_requests.py
@@ -112,7 +112,7 @@
         assert (await first)[0] == 200
         assert (await self.send_request("t"))[0] == 400, "nor just after it"
         assert self.backend.counts["t"] == 1
-        with mock.patch.object(self.core, "offset", self.core.unix_offset + 60):
+        with mock.patch.object(self.core, "unix_offset", self.core.unix_offset + 60):
             await self.send_request("u")
         assert self.front.trace_ids.known == {"u"}, "ids are forgotten in the end"
 
