--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -20,7 +20,7 @@
 
 from cleatyoke.core import Core
 from cleatyoke.emulation import value as earnings
-from cleatyoke.emulation.traffic import UNIX, Emulation, core_of, emulate
+from cleatyoke.emulation.traffic import UNIX_TIME_AT_START, Emulation, make_core, emulate
 from cleatyoke.emulation.value import RequestTemplate
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario, make_scenario
@@ -93,7 +93,7 @@
 def at_once(settings: SchedulerSettings) -> Core:
     """A front that takes every box for warm."""
     settings.safety = dataclasses.replace(settings.safety, slow_start_duration=0.0)
-    return Core(settings, UNIX)
+    return Core(settings, UNIX_TIME_AT_START)
 
 
 def row(fleet: str, kind: str, seed: int, figure: str, value: float | None) -> Row:
@@ -120,7 +120,7 @@
 
 
 def over_time(scenario: Scenario, wishes: Sequence[RequestTemplate], began: float) -> list[float]:
-    return earnings.over_time(wishes, earnings.earned(scenario, wishes), began)
+    return earnings.value_over_time(wishes, earnings.achieved_value(scenario, wishes), began)
 
 
 def quiet() -> None:
@@ -131,11 +131,11 @@
     """In virtual time."""
     quiet()
     scenario, fleet = make_scenario("loss", loss(fronts, seed, kind == "ours")), f"{fronts} in virtual time"
-    played = emulate(scenario, at_once if kind == "at once" else core_of)
-    best = earnings.over_time(
-        played.wishes, earnings.ideal(scenario, played.wishes, played.power), played.began
+    played = emulate(scenario, at_once if kind == "at once" else make_core)
+    best = earnings.value_over_time(
+        played.requests, earnings.ideal_value(scenario, played.requests, played.power), played.began
     )
-    rows = rows_of(fleet, kind, seed, over_time(scenario, played.wishes, played.began), best)
+    rows = rows_of(fleet, kind, seed, over_time(scenario, played.requests, played.began), best)
     if kind == "ours":
         rows += rows_of(fleet, "sees all", seed, best, [])
     return rows + kept(fleet, kind, seed, played)
@@ -143,8 +143,8 @@
 
 def kept(fleet: str, kind: str, seed: int, played: Emulation) -> list[Row]:
     return [
-        row(fleet, kind, seed, "most at a cold box", played.judge.most_cold(played.scenario.power.tip_after)),
-        row(fleet, kind, seed, "boxes that fell", sum(box.fell for box in played.boxes)),
+        row(fleet, kind, seed, "most at a cold box", played.checker.most_cold(played.scenario.power.tip_after)),
+        row(fleet, kind, seed, "boxes that fell", sum(box.has_fallen for box in played.backends)),
         row(fleet, kind, seed, "rules broken", len(played.broken())),
     ]
 
@@ -176,7 +176,7 @@
     quiet()
     scenario, fleet = make_scenario("skew", skewed(fronts, seed, kind == "lent")), f"{fronts} in virtual time"
     played = emulate(scenario)
-    later = [dataclasses.replace(wish, at=wish.at - played.began) for wish in played.wishes]
+    later = [dataclasses.replace(wish, at=wish.at - played.began) for wish in played.requests]
     steady = [wish for wish in later if wish.at >= BACK]
     served = sum(wish.volume == 0 and wish.served is not None for wish in steady)
     part = served / max(1, allowed(scenario, steady))
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -38,32 +38,32 @@
 from cleatyoke.testbed.scenario import FaultEvent, Scenario, settings_of
 from cleatyoke.testbed.workload import GeneratedRequest, requests
 
-UNIX = 1e9  # Unix time at the loop's 0
+UNIX_TIME_AT_START = 1e9  # Unix time at the loop's 0
 LATENCY = 0.001  # seconds to a box, and back
 LISTED = 0.2  # seconds until a change of the boxes is known to the fronts
 DRAIN = 1.5  # seconds for which a box that is replaced is listed as draining
 DOWN = 0.3  # seconds between a front's end and its next start
-Make = Callable[[SchedulerSettings], Core]
+CoreFactory = Callable[[SchedulerSettings], Core]
 
 
-def core_of(settings: SchedulerSettings) -> Core:
-    return Core(settings, UNIX)
+def make_core(settings: SchedulerSettings) -> Core:
+    return Core(settings, UNIX_TIME_AT_START)
 
 
 @dataclass(slots=True)
 class VirtualBackend:
     name: str
-    cell: int
+    shard: int
     zone: str
     model: BackendModel
     state: EndpointState = EndpointState.LIVE
-    up: bool = True
-    silent: bool = False
-    fell: bool = False
+    is_up: bool = True
+    is_silent: bool = False
+    has_fallen: bool = False
 
     def listed(self) -> Instance:
-        started = 0.0 if self.model.born is None else UNIX + self.model.born
-        return Instance(self.name, address_of(0), self.zone, self.cell, self.state, started)
+        started = 0.0 if self.model.born is None else UNIX_TIME_AT_START + self.model.born
+        return Instance(self.name, address_of(0), self.zone, self.shard, self.state, started)
 
 
 @dataclass(slots=True)
@@ -75,26 +75,26 @@
     core: Core | None = None
     directory: Directory | None = None
     view: VirtualView | None = None
-    open: set[asyncio.Task[Any]] = field(default_factory=set)
+    open_requests: set[asyncio.Task[Any]] = field(default_factory=set)
 
 
 class Emulation:
     """``tips``: a cold box that is sent more than it bears falls over and stays down (protocol page)."""
 
-    def __init__(self, scenario: Scenario, make: Make = core_of, tips: bool = True) -> None:
+    def __init__(self, scenario: Scenario, make: CoreFactory = make_core, tips: bool = True) -> None:
         self.scenario, self.make, self.tips = scenario, make, tips
         self.loop = asyncio.get_running_loop()
-        self.judge = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.units_most)))
+        self.checker = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.units_most)))
         self.network = Network(scenario.seed)
         self.ether = Ether(self.network)
         self.faults = Faults(Metrics())
-        self.boxes: list[VirtualBackend] = []
+        self.backends: list[VirtualBackend] = []
         self.retired: list[VirtualBackend] = []
         self.lives: list[tuple[int, float, float | None, float]] = []  # of boxes: cell, from, born, to
         self.fronts = [VirtualFront(number) for number in range(scenario.fronts)]
         self.version = 0
-        self.wishes: list[RequestTemplate] = []
-        self.refused: list[tuple[float, float]] = []  # when, and the wait that was told
+        self.requests: list[RequestTemplate] = []
+        self.rejections: list[tuple[float, float]] = []  # when, and the wait that was told
 
     # Boxes and lists
 
@@ -107,8 +107,8 @@
         return box
 
     def end_box(self, box: VirtualBackend) -> None:
-        box.up = False
-        place = max(place for place, life in enumerate(self.lives) if life[0] == box.cell)
+        box.is_up = False
+        place = max(place for place, life in enumerate(self.lives) if life[0] == box.shard)
         cell, since, born, _ = self.lives[place]
         self.lives[place] = cell, since, born, self.loop.time()
 
@@ -125,7 +125,7 @@
             return
         self.version += 1
         serves = box.state is EndpointState.LIVE
-        self.judge.drains(front.number, box.name, None if serves else self.loop.time())
+        self.checker.drains(front.number, box.name, None if serves else self.loop.time())
         entries = front.directory.apply(EndpointList(self.version, False, [box.listed()]))
         front.core.notify(EndpointUpdate(UpdateKind.DELTA, entries))
 
@@ -140,7 +140,7 @@
         scenario = self.scenario
         front.boot += 1
         settings = read_settings(settings_of(scenario), scenario.seed * 1000 + front.number)
-        settings.idle_since = UNIX + self.loop.time()
+        settings.idle_since = UNIX_TIME_AT_START + self.loop.time()
         front.core, front.directory = self.make(settings), Directory({})
         if scenario.view:
             every = scenario.view.period / DEFAULT_FLEET_TIMING["period"]
@@ -162,21 +162,21 @@
                 front.view.start_leasing(front.core, lambda node: boxes[node].name if node in boxes else None)
             await front.view.start()
         self.version += 1
-        known = [box.listed() for box in self.boxes]
+        known = [box.listed() for box in self.backends]
         entries = front.directory.apply(EndpointList(self.version, True, known))
-        for box in self.boxes:
+        for box in self.backends:
             serves = box.state is EndpointState.LIVE
-            self.judge.drains(front.number, box.name, None if serves else self.loop.time())
+            self.checker.drains(front.number, box.name, None if serves else self.loop.time())
         front.core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
 
     def kill(self, front: VirtualFront) -> None:
-        self.judge.killed(front.number, self.loop.time())
+        self.checker.killed(front.number, self.loop.time())
         if front.view:
             front.view.kill()
         if front.core and front.core.timer:
             front.core.timer.cancel()
         front.core = front.directory = front.view = None
-        for task in front.open:
+        for task in front.open_requests:
             task.cancel()
 
     async def attempt(
@@ -185,16 +185,16 @@
         """One attempt, as the wire would end it."""
         assert front.directory
         listed = front.directory.instances.get(node)
-        box = next((one for one in self.boxes if listed and one.name == listed.name), None)
+        box = next((one for one in self.backends if listed and one.name == listed.name), None)
         await asyncio.sleep(LATENCY)
-        if box is None or not box.up or box.fell:
+        if box is None or not box.is_up or box.has_fallen:
             return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
-        if box.silent:
+        if box.is_silent:
             await asyncio.sleep(3600)
         now = self.loop.time()
-        made = self.judge.attempt(trace, box.name, now, box.cell, box.zone, asked.form)
+        made = self.checker.attempt(trace, box.name, now, box.shard, box.zone, asked.form)
         self.count_cold(box, now, asked.units)
-        if box.fell:
+        if box.has_fallen:
             made.ended = now
             return AttemptResult(AttemptOutcome.RESET)
         ticket = box.model.take(now, trace, asked.units)
@@ -206,7 +206,7 @@
                 case RequestFate.UNREAD:
                     return AttemptResult(AttemptOutcome.CONNECTION_RESET)
             await asyncio.sleep(ticket.ends - now)
-            if box.fell or not box.up:
+            if box.has_fallen or not box.is_up:
                 return AttemptResult(AttemptOutcome.RESET)
             made.ran = True
             await asyncio.sleep(LATENCY)
@@ -231,10 +231,10 @@
         if model.born is None or now - model.born >= power.ramp:
             return
         bears = power.tip_multiple * model.rate(now) * power.tip_after
-        self.judge.bears(box.name, now, units, bears)
-        came = [(at, one) for at, one, _ in self.judge.cold[box.name][-512:] if at >= now - power.tip_after]
-        if self.tips and sum(one for _, one in came) > bears + self.judge.cold_slack:
-            box.fell = True
+        self.checker.bears(box.name, now, units, bears)
+        came = [(at, one) for at, one, _ in self.checker.cold[box.name][-512:] if at >= now - power.tip_after]
+        if self.tips and sum(one for _, one in came) > bears + self.checker.cold_slack:
+            box.has_fallen = True
             self.end_box(box)
 
     # Clients
@@ -249,14 +249,14 @@
             if status not in (None, 503):
                 break
             await asyncio.sleep(max(wait, load.retry_s))
-        self.wishes.append(RequestTemplate(first, drawn.volume, drawn.kind, drawn.units, served))
+        self.requests.append(RequestTemplate(first, drawn.volume, drawn.kind, drawn.units, served))
 
     async def once(self, drawn: GeneratedRequest, trace: str) -> tuple[int | None, float]:
         """Its status, None where no front was there, and the wait that was told."""
         front, now = self.fronts[drawn.front], self.loop.time()
         core, kind = front.core, drawn.kind
         asked = ClientRequestRecord(drawn.front, drawn.volume, kind, drawn.units, now, now + kind.deadline)
-        self.judge.took(trace, asked)
+        self.checker.took(trace, asked)
         if core is None:
             asked.excused = True
             return None, 0.0
@@ -275,8 +275,8 @@
         task = asyncio.ensure_future(
             core.serve(arrival, lambda node, may: self.attempt(front, node, trace, asked))
         )
-        front.open.add(task)
-        task.add_done_callback(front.open.discard)
+        front.open_requests.add(task)
+        task.add_done_callback(front.open_requests.discard)
         try:
             ending = await task
         except asyncio.CancelledError:  # its front was killed
@@ -284,14 +284,14 @@
         now = self.loop.time()
         match ending:
             case Served(value):
-                self.judge.answer(trace, 200, f"{trace} {value}".encode(), now)
+                self.checker.answer(trace, 200, f"{trace} {value}".encode(), now)
                 return 200, 0.0
             case Rejected(wait):
-                self.judge.answer(trace, 503, b"", now)
-                self.refused.append((now, wait))
+                self.checker.answer(trace, 503, b"", now)
+                self.rejections.append((now, wait))
                 return 503, wait
             case Failed():
-                self.judge.answer(trace, 502, b"", now)
+                self.checker.answer(trace, 502, b"", now)
                 return 502, 0.0
 
     # Troubles
@@ -316,36 +316,36 @@
                 await asyncio.sleep(trouble.lasts if trouble.kind == "powercut" else DOWN)
                 await self.start(front)
             case "restart":
-                box = self.boxes[subject]
+                box = self.backends[subject]
                 self.end_box(box)
                 await asyncio.sleep(trouble.lasts)
-                self.boxes[subject] = self.begin_box(subject, box.name, self.loop.time())
-                self.publish(self.boxes[subject])
+                self.backends[subject] = self.begin_box(subject, box.name, self.loop.time())
+                self.publish(self.backends[subject])
             case "replace":
-                box = self.boxes[subject]
+                box = self.backends[subject]
                 self.publish(box, EndpointState.DRAINING)
-                fresh = self.boxes[subject] = self.begin_box(subject, f"{box.name}+", self.loop.time())
-                self.boxes.append(box)  # it goes on with what it has
+                fresh = self.backends[subject] = self.begin_box(subject, f"{box.name}+", self.loop.time())
+                self.backends.append(box)  # it goes on with what it has
                 self.publish(fresh)
                 await asyncio.sleep(DRAIN)
                 self.publish(box, EndpointState.REMOVED)
                 await asyncio.sleep(max(kind.deadline for kind in self.scenario.kinds))
-                box.up = False
-                self.boxes.remove(box)
+                box.is_up = False
+                self.backends.remove(box)
             case "silence":
-                box = self.boxes[subject]
-                box.silent = True
+                box = self.backends[subject]
+                box.is_silent = True
                 await asyncio.sleep(trouble.lasts)
-                box.silent = False
+                box.is_silent = False
             case "reset" | "lose_answers" | "spoil" | "slow":
-                model = self.boxes[subject].model
+                model = self.backends[subject].model
                 model.ailing[trouble.kind] = trouble.share
                 await asyncio.sleep(trouble.lasts)
                 model.ailing.pop(trouble.kind, None)
             case "drain":
-                self.publish(self.boxes[subject], EndpointState.DRAINING)
+                self.publish(self.backends[subject], EndpointState.DRAINING)
                 await asyncio.sleep(trouble.lasts)
-                self.publish(self.boxes[subject])
+                self.publish(self.backends[subject])
             case other:
                 msg = f"trouble.kind: {other} is for real processes only"
                 raise ConfigError(msg)
@@ -368,10 +368,10 @@
 
     # The play
 
-    async def play(self, warm: float = 5.0) -> Emulation:
+    async def run(self, warm: float = 5.0) -> Emulation:
         """``warm``: seconds before the load begins, in which the view of the fleet settles."""
         scenario = self.scenario
-        self.boxes = [self.begin_box(cell, f"s-{cell:03d}", None) for cell in range(scenario.boxes)]
+        self.backends = [self.begin_box(cell, f"s-{cell:03d}", None) for cell in range(scenario.boxes)]
         for front in self.fronts:
             await self.start(front)
         await asyncio.sleep(warm if scenario.view else 0.1)
@@ -390,13 +390,13 @@
         return self
 
     def broken(self) -> list[str]:
-        return self.judge.broken(self.scenario.power.tip_after)
+        return self.checker.broken(self.scenario.power.tip_after)
 
 
-def emulate(scenario: Scenario, make: Make = core_of, tips: bool = True) -> Emulation:
+def emulate(scenario: Scenario, make: CoreFactory = make_core, tips: bool = True) -> Emulation:
     """Play it in virtual time; what came of it."""
 
     async def main() -> Emulation:
-        return await Emulation(scenario, make, tips).play()
+        return await Emulation(scenario, make, tips).run()
 
     return run(main())
--- a/cleatyoke/emulation/value.py
+++ b/cleatyoke/emulation/value.py
@@ -26,7 +26,7 @@
     units: float
     served: float | None  # when it got its answer
 
-    def late(self) -> bool:
+    def is_late(self) -> bool:
         return self.served is not None and self.served > self.at + self.kind.aim
 
     def value(self, scenario: Scenario) -> float:
@@ -62,17 +62,17 @@
         return worth
 
 
-def earned(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> list[float]:
+def achieved_value(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> list[float]:
     """By place, what each of them earned."""
     reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
     served = [place for place, wish in enumerate(wishes) if wish.served is not None]
-    for place in sorted(served, key=lambda place: (wishes[place].late(), wishes[place].served)):
+    for place in sorted(served, key=lambda place: (wishes[place].is_late(), wishes[place].served)):
         wish = wishes[place]
-        out[place] = reserves.take(wish) * (wish.kind.late_share if wish.late() else 1.0)
+        out[place] = reserves.take(wish) * (wish.kind.late_share if wish.is_late() else 1.0)
     return out
 
 
-def due(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> list[float]:
+def full_value(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> list[float]:
     """By place, what each would earn if all were served in time, in the order in which they came."""
     reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
     for place in sorted(range(len(wishes)), key=lambda place: wishes[place].at):
@@ -80,7 +80,7 @@
     return out
 
 
-def ideal(
+def ideal_value(
     scenario: Scenario, wishes: Sequence[RequestTemplate], power: Callable[[int, float], float]
 ) -> list[float]:
     """By place, what one that sees everything earns: of each cell, slot by slot, what its box can do at that
@@ -108,7 +108,7 @@
     return out
 
 
-def over_time(
+def value_over_time(
     wishes: Sequence[RequestTemplate], worth: Sequence[float], began: float, step: float = 1.0
 ) -> list[float]:
     """Sums of worth by the step of time, from ``began`` on, in which clients first asked."""
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -88,7 +88,7 @@
 def test_the_emulation_predicts_what_processes_do(runs: Runs, name: str) -> None:
     """The same scenario, the same requests, by processes on sockets and in virtual time."""
     report, emulated = runs.result(name), emulate(make_scenario(name, runs.values[name]))
-    there = [one for one in emulated.judge.asked.values() if not one.excused]
+    there = [one for one in emulated.checker.asked.values() if not one.excused]
     assert (emulated.broken(), len(there)) == ([], report.requests)
     served = sum(one.status == 200 for one in there) / len(there)
     assert abs(served - report.served) <= 0.08
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -15,7 +15,7 @@
 from cleatyoke.emulation import recovery
 from cleatyoke.emulation import value as earnings
 from cleatyoke.emulation.clock import Idle, run
-from cleatyoke.emulation.traffic import UNIX, Emulation, emulate
+from cleatyoke.emulation.traffic import UNIX_TIME_AT_START, Emulation, emulate
 from cleatyoke.emulation.value import RequestTemplate
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario, make_scenario
@@ -61,7 +61,7 @@
 
 
 def answers(played: Emulation) -> list[tuple[str, int | None, float | None]]:
-    return [(trace, one.status, one.answered) for trace, one in played.judge.asked.items()]
+    return [(trace, one.status, one.answered) for trace, one in played.checker.asked.items()]
 
 
 def test_a_play_keeps_the_rules_and_is_the_same_every_time() -> None:
@@ -91,7 +91,7 @@
 def opened_at_once(settings: SchedulerSettings) -> Core:
     """A front that takes every box for warm."""
     settings.safety = dataclasses.replace(settings.safety, slow_start_duration=0.0)
-    return Core(settings, UNIX)
+    return Core(settings, UNIX_TIME_AT_START)
 
 
 def test_a_loss_of_all_power_and_what_opening_everything_at_once_does_then() -> None:
@@ -102,12 +102,12 @@
     )
     ours, wrong = emulate(loss), emulate(loss, opened_at_once)
     assert ours.broken() == []
-    assert not any(box.fell for box in ours.boxes)
-    assert any(box.fell for box in wrong.boxes)
+    assert not any(box.has_fallen for box in ours.backends)
+    assert any(box.has_fallen for box in wrong.backends)
     assert any(line.startswith("cold:") for line in wrong.broken())
-    sums = [sum(earnings.earned(loss, played.wishes)) for played in (wrong, ours)]
-    best = sum(earnings.ideal(loss, ours.wishes, ours.power))
-    assert sums[0] < sums[1] < best <= 1.001 * sum(earnings.due(loss, ours.wishes))
+    sums = [sum(earnings.achieved_value(loss, played.requests)) for played in (wrong, ours)]
+    best = sum(earnings.ideal_value(loss, ours.requests, ours.power))
+    assert sums[0] < sums[1] < best <= 1.001 * sum(earnings.full_value(loss, ours.requests))
 
 
 def test_what_is_lent_by_the_view_is_lent_in_virtual_time_too() -> None:
@@ -116,7 +116,7 @@
     alone = emulate(scenario(restarts, load=hot, view={"enabled": True}))
     lent = emulate(scenario(restarts, load=hot, view={"enabled": True, "cold": True}))
     assert alone.broken() == lent.broken() == []
-    served = [sum(one.status == 200 for one in played.judge.asked.values()) for played in (alone, lent)]
+    served = [sum(one.status == 200 for one in played.checker.asked.values()) for played in (alone, lent)]
     assert served[1] > 1.1 * served[0]
 
 
@@ -131,13 +131,13 @@
     ]
     unit = kind.worth * 2
     late = 2 * 0.35 * unit * kind.late_share  # all of its second's reserve is taken by the two in time
-    assert earnings.earned(small, wishes) == pytest.approx([2 * unit, late, (2 + 2 * 0.35) * unit, 0.0])
-    assert sum(earnings.due(small, wishes)) == pytest.approx((4 + 4 * 0.35 + 4) * unit)
-    assert earnings.ideal(small, wishes, lambda cell, at: 0.0) == [0.0] * 4
-    few = earnings.ideal(small, wishes, lambda cell, at: 4.0 if at < 1 else 0.0)  # a unit a slot
+    assert earnings.achieved_value(small, wishes) == pytest.approx([2 * unit, late, (2 + 2 * 0.35) * unit, 0.0])
+    assert sum(earnings.full_value(small, wishes)) == pytest.approx((4 + 4 * 0.35 + 4) * unit)
+    assert earnings.ideal_value(small, wishes, lambda cell, at: 0.0) == [0.0] * 4
+    few = earnings.ideal_value(small, wishes, lambda cell, at: 4.0 if at < 1 else 0.0)  # a unit a slot
     assert few[3] == 0.0
-    assert 4 * unit <= sum(few) < sum(earnings.due(small, wishes[:3]))
-    assert earnings.over_time(wishes, [1.0, 2.0, 3.0, 4.0], 0.0) == [6.0, 4.0]
+    assert 4 * unit <= sum(few) < sum(earnings.full_value(small, wishes[:3]))
+    assert earnings.value_over_time(wishes, [1.0, 2.0, 3.0, 4.0], 0.0) == [6.0, 4.0]
 
 
 def test_each_part_of_the_measurement_ends_with_its_figures() -> None:
