--- /dev/null
+++ b/cleatyoke/emulation/fault_events.py
@@ -0,0 +1,143 @@
+"""The fault events of a scenario, applied to an emulated deployment at their virtual times.
+
+Kinds: ``roll``, ``kill`` and ``powercut`` end a front and start it again; ``restart``, ``replace``, ``drain``
+and ``silence`` concern a backend's process; ``reset``, ``lose_answers``, ``spoil`` and ``slow`` concern part
+of its requests; ``links`` the network among fronts. The keys are those of scenario files.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from cleatyoke.config.errors import ConfigError
+from cleatyoke.emulation.network import Fault
+from cleatyoke.emulation.view import address_of
+from cleatyoke.scheduling.events import EndpointState
+from cleatyoke.testbed.scenario import FaultEvent, LinkFault
+
+if TYPE_CHECKING:
+    from cleatyoke.emulation.traffic import Emulation
+
+DRAINING_LISTED_S = 1.5  # seconds for which a backend that is replaced is listed as draining
+FRONT_RESTART_S = 0.3  # seconds between a front's end and its next start
+
+
+class FaultInjector:
+    """Applies fault events to the fronts, backends and network of one emulation."""
+
+    def __init__(self, emulation: Emulation) -> None:
+        self._emulation = emulation
+        self._by_kind = {
+            "roll": self._restart_front,
+            "kill": self._restart_front,
+            "powercut": self._restart_front,
+            "restart": self._restart_backend,
+            "replace": self._replace_backend,
+            "silence": self._silence_backend,
+            "reset": self._impair_requests,
+            "lose_answers": self._impair_requests,
+            "spoil": self._impair_requests,
+            "slow": self._impair_requests,
+            "drain": self._drain_backend,
+        }
+
+    async def inject(self, event: FaultEvent) -> None:
+        """Wait until the event is due, apply it to each of its subjects in turn, and undo it.
+
+        Raises ConfigError for a kind that only real processes can meet.
+        """
+        await asyncio.sleep(event.at)
+        if event.links:
+            await self._impair_links(event, event.links)
+            return
+        step = event.over / max(1, len(event.of))
+
+        async def inject_one(place: int, subject: int) -> None:
+            await asyncio.sleep(place * step)
+            await self._apply(subject, event)
+
+        await asyncio.gather(*(inject_one(place, subject) for place, subject in enumerate(event.of)))
+
+    async def _apply(self, subject: int, event: FaultEvent) -> None:
+        act = self._by_kind.get(event.kind)
+        if act is None:
+            msg = f"trouble.kind: {event.kind} is for real processes only"
+            raise ConfigError(msg)
+        await act(subject, event)
+
+    async def _restart_front(self, subject: int, event: FaultEvent) -> None:
+        front = self._emulation.fronts[subject]
+        self._emulation.kill_front(front)
+        await asyncio.sleep(event.lasts if event.kind == "powercut" else FRONT_RESTART_S)
+        await self._emulation.start_front(front)
+
+    async def _restart_backend(self, subject: int, event: FaultEvent) -> None:
+        emulation = self._emulation
+        backend = emulation.backends[subject]
+        emulation.end_backend(backend)
+        await asyncio.sleep(event.lasts)
+        fresh = emulation.begin_backend(subject, backend.name, emulation.loop.time())
+        emulation.backends[subject] = fresh
+        emulation.publish(fresh)
+
+    async def _replace_backend(self, subject: int, _event: FaultEvent) -> None:
+        """Start a successor beside the backend, which finishes the requests that it has."""
+        emulation = self._emulation
+        old = emulation.backends[subject]
+        emulation.publish(old, EndpointState.DRAINING)
+        fresh = emulation.begin_backend(subject, f"{old.name}+", emulation.loop.time())
+        emulation.backends[subject] = fresh
+        emulation.backends.append(old)
+        emulation.publish(fresh)
+        await asyncio.sleep(DRAINING_LISTED_S)
+        emulation.publish(old, EndpointState.REMOVED)
+        await asyncio.sleep(max(kind.deadline for kind in emulation.scenario.kinds))
+        old.is_up = False
+        emulation.backends.remove(old)
+
+    async def _silence_backend(self, subject: int, event: FaultEvent) -> None:
+        backend = self._emulation.backends[subject]
+        backend.is_silent = True
+        await asyncio.sleep(event.lasts)
+        backend.is_silent = False
+
+    async def _impair_requests(self, subject: int, event: FaultEvent) -> None:
+        model = self._emulation.backends[subject].model
+        model.ailing[event.kind] = event.share
+        await asyncio.sleep(event.lasts)
+        model.ailing.pop(event.kind, None)
+
+    async def _drain_backend(self, subject: int, event: FaultEvent) -> None:
+        self._emulation.publish(self._emulation.backends[subject], EndpointState.DRAINING)
+        await asyncio.sleep(event.lasts)
+        self._emulation.publish(self._emulation.backends[subject])
+
+    async def _impair_links(self, event: FaultEvent, links: LinkFault) -> None:
+        near = _addresses(event.of)
+        far = _addresses(links.to)
+        faults = [_network_fault(near, far, links)]
+        if not links.one_way:
+            faults.append(_network_fault(far, near, links))
+        network = self._emulation.network
+        network.faults += faults
+        await asyncio.sleep(event.lasts)
+        for fault in faults:
+            network.faults.remove(fault)
+
+
+def _addresses(fronts: list[int]) -> frozenset[str]:
+    return frozenset(f"{one.host}:{one.port}" for one in map(address_of, fronts))
+
+
+def _network_fault(sources: frozenset[str], targets: frozenset[str], links: LinkFault) -> Fault:
+    return Fault(
+        sources,
+        targets,
+        links.cut,
+        links.loss,
+        links.doubles,
+        links.garbles,
+        links.delay,
+        links.jitter,
+    )
--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -20,8 +20,10 @@
 
 from cleatyoke.core import Core
 from cleatyoke.emulation import value as earnings
-from cleatyoke.emulation.traffic import UNIX_TIME_AT_START, Emulation, make_core, emulate
+from cleatyoke.emulation.traffic import Emulation, emulate
 from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.emulation.virtual_backend import UNIX_TIME_AT_START
+from cleatyoke.emulation.virtual_front import make_core
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario, make_scenario
 from cleatyoke.testbed.search import play_values
@@ -143,7 +145,9 @@
 
 def kept(fleet: str, kind: str, seed: int, played: Emulation) -> list[Row]:
     return [
-        row(fleet, kind, seed, "most at a cold box", played.checker.most_cold(played.scenario.power.tip_after)),
+        row(
+            fleet, kind, seed, "most at a cold box", played.checker.most_cold(played.scenario.power.tip_after)
+        ),
         row(fleet, kind, seed, "boxes that fell", sum(box.has_fallen for box in played.backends)),
         row(fleet, kind, seed, "rules broken", len(played.broken())),
     ]
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -1,402 +1,319 @@
-"""A scenario of the stand-in fleet in virtual time: boxes, lists, clients and troubles around the real core
-and policy of each front, by the hundred, with the same judge.
+"""A scenario of the testbed in virtual time.
 
-What the sockets do stays out: connections, heads and bodies, a busy processor, signals. A box takes a
-request when its last byte has come, ``LATENCY`` after it was sent. Troubles of processes that are stopped,
-lists that are spoilt and calls to hold are for real processes only.
+Hundreds of fronts run their real core and scheduling before modelled backends and clients, and the testbed's
+rule checker judges what came of it.
+
+What sockets do is left out: connections, request heads and bodies, a busy processor, signals. A backend
+takes a request when its last byte has arrived, ``LATENCY_S`` after it was sent. Faults that need a real
+process (stopped processes, malformed lists, held calls) are rejected.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any
+from typing import NamedTuple
 
-from cleatyoke.config.errors import ConfigError
-from cleatyoke.config.fronts_file import DEFAULT_FLEET_TIMING, FleetSettings
-from cleatyoke.config.settings import read_settings
 from cleatyoke.core import AttemptResult, Core, Failed, Rejected, Served
-from cleatyoke.discovery.directory import Directory, EndpointList, Instance
 from cleatyoke.emulation.clock import run
-from cleatyoke.emulation.network import Fault, Network
+from cleatyoke.emulation.fault_events import FaultInjector
+from cleatyoke.emulation.network import Network
 from cleatyoke.emulation.value import RequestTemplate
-from cleatyoke.emulation.view import Ether, VirtualView, address_of
+from cleatyoke.emulation.view import Ether
+from cleatyoke.emulation.virtual_backend import IncarnationHistory, VirtualBackend
+from cleatyoke.emulation.virtual_front import CoreFactory, VirtualFront, make_core
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
-from cleatyoke.scheduling.events import (
-    AttemptOutcome,
-    EndpointState,
-    EndpointUpdate,
-    RequestArrived,
-    UpdateKind,
-)
-from cleatyoke.scheduling.settings import SchedulerSettings
-from cleatyoke.testbed.backend_model import BackendModel, RequestFate
-from cleatyoke.testbed.checker import ClientRequestRecord, RuleChecker
-from cleatyoke.testbed.scenario import FaultEvent, Scenario, settings_of
+from cleatyoke.scheduling.events import AttemptOutcome, EndpointState, RequestArrived
+from cleatyoke.testbed.backend_model import BackendModel, RequestFate, Ticket
+from cleatyoke.testbed.checker import AttemptRecord, ClientRequestRecord, RuleChecker
+from cleatyoke.testbed.scenario import Scenario
 from cleatyoke.testbed.workload import GeneratedRequest, requests
 
-UNIX_TIME_AT_START = 1e9  # Unix time at the loop's 0
-LATENCY = 0.001  # seconds to a box, and back
-LISTED = 0.2  # seconds until a change of the boxes is known to the fronts
-DRAIN = 1.5  # seconds for which a box that is replaced is listed as draining
-DOWN = 0.3  # seconds between a front's end and its next start
-CoreFactory = Callable[[SchedulerSettings], Core]
-
-
-def make_core(settings: SchedulerSettings) -> Core:
-    return Core(settings, UNIX_TIME_AT_START)
+LATENCY_S = 0.001  # seconds from a front to a backend, and the same back
+LIST_DELAY_S = 0.2  # seconds until fronts know of a change of the backends
+NEVER_S = 3600.0  # seconds, longer than any deadline: an answer that does not come
+VIEW_SETTLES_S = 5.0  # seconds before the load begins, in which the fronts' view of one another settles
+LIST_SETTLES_S = 0.1  # the same without such a view
+COLD_REQUESTS_EXAMINED = 512  # latest requests of a warming backend that may lie within its tipping window
 
 
-@dataclass(slots=True)
-class VirtualBackend:
-    name: str
-    shard: int
-    zone: str
-    model: BackendModel
-    state: EndpointState = EndpointState.LIVE
-    is_up: bool = True
-    is_silent: bool = False
-    has_fallen: bool = False
+class Rejection(NamedTuple):
+    """A request that a front rejected with a Retry-After."""
 
-    def listed(self) -> Instance:
-        started = 0.0 if self.model.born is None else UNIX_TIME_AT_START + self.model.born
-        return Instance(self.name, address_of(0), self.zone, self.shard, self.state, started)
+    at: float  # seconds of the loop's time
+    retry_after: float  # seconds
 
 
-@dataclass(slots=True)
-class VirtualFront:
-    """A front over its lives."""
+class ClientAnswer(NamedTuple):
+    """What a client saw of one request."""
 
-    number: int
-    boot: int = 0
-    core: Core | None = None
-    directory: Directory | None = None
-    view: VirtualView | None = None
-    open_requests: set[asyncio.Task[Any]] = field(default_factory=set)
+    status: int | None  # HTTP status; None where the front was down
+    retry_after: float = 0.0  # seconds
 
 
 class Emulation:
-    """``tips``: a cold box that is sent more than it bears falls over and stays down (protocol page)."""
+    """One run of a scenario. Needs a running loop, that of ``emulation.clock``.
 
-    def __init__(self, scenario: Scenario, make: CoreFactory = make_core, tips: bool = True) -> None:
-        self.scenario, self.make, self.tips = scenario, make, tips
+    ``tips``: a warming backend that is sent more than it bears falls over and stays down (protocol page).
+    After ``run``: ``checker`` holds what each client saw, ``requests`` what each wanted and when it was
+    served, ``rejections`` what was shed, ``began`` the loop's time at which the load began.
+    """
+
+    def __init__(self, scenario: Scenario, make: CoreFactory = make_core, *, tips: bool = True) -> None:
+        self.scenario = scenario
         self.loop = asyncio.get_running_loop()
         self.checker = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.units_most)))
         self.network = Network(scenario.seed)
-        self.ether = Ether(self.network)
-        self.faults = Faults(Metrics())
-        self.backends: list[VirtualBackend] = []
-        self.retired: list[VirtualBackend] = []
-        self.lives: list[tuple[int, float, float | None, float]] = []  # of boxes: cell, from, born, to
-        self.fronts = [VirtualFront(number) for number in range(scenario.fronts)]
-        self.version = 0
+        self.backends: list[VirtualBackend] = []  # by shard; after them those that are being replaced
         self.requests: list[RequestTemplate] = []
-        self.rejections: list[tuple[float, float]] = []  # when, and the wait that was told
-
-    # Boxes and lists
-
-    def begin_box(self, cell: int, name: str, born: float | None) -> VirtualBackend:
-        seed = self.scenario.seed + cell
-        box = VirtualBackend(
-            name, cell, self.scenario.zone_of(cell), BackendModel(self.scenario.power, born, seed)
-        )
-        self.lives.append((cell, self.loop.time(), born, float("inf")))
-        return box
-
-    def end_box(self, box: VirtualBackend) -> None:
-        box.is_up = False
-        place = max(place for place, life in enumerate(self.lives) if life[0] == box.shard)
-        cell, since, born, _ = self.lives[place]
-        self.lives[place] = cell, since, born, self.loop.time()
-
-    def power(self, cell: int, at: float) -> float:
-        """Units a second that the boxes of a cell can do then."""
-        return sum(
-            BackendModel(self.scenario.power, born).rate(at)
-            for one, since, born, until in self.lives
-            if one == cell and since <= at < until
-        )
+        self.rejections: list[Rejection] = []
+        self.began = 0.0
+        self._make = make
+        self._tips = tips
+        self._incarnations = IncarnationHistory(scenario.power)
+        self._list_version = 0
+        ether = Ether(self.network)
+        faults = Faults(Metrics())
+        self.fronts = [VirtualFront(number, scenario, ether, faults) for number in range(scenario.fronts)]
+
+    # Backends and the endpoint list
+
+    def begin_backend(self, shard: int, name: str, born: float | None) -> VirtualBackend:
+        """Start an incarnation; ``born``: the loop's time when its warming up begins, None for a warm one."""
+        model = BackendModel(self.scenario.power, born, self.scenario.seed + shard)
+        self._incarnations.record_start(shard, self.loop.time(), born)
+        return VirtualBackend(name, shard, self.scenario.zone_of(shard), model)
+
+    def end_backend(self, backend: VirtualBackend) -> None:
+        """End a backend's incarnation at once; what it was working on is lost."""
+        backend.is_up = False
+        self._incarnations.record_end(backend.shard, self.loop.time())
+
+    def power(self, shard: int, at: float) -> float:
+        """Return how many units a second the backends of a shard could do at the loop's time ``at``."""
+        return self._incarnations.power(shard, at)
+
+    def publish(self, backend: VirtualBackend, state: EndpointState = EndpointState.LIVE) -> None:
+        """Change the listed state of a backend; every front knows it ``LIST_DELAY_S`` later."""
+        backend.state = state
+        for front in self.fronts:
+            self.loop.call_later(LIST_DELAY_S, self._notify_change, front, backend)
 
-    def tell(self, front: VirtualFront, box: VirtualBackend) -> None:
-        if front.core is None or front.directory is None:
+    def _notify_change(self, front: VirtualFront, backend: VirtualBackend) -> None:
+        if front.core is None:
             return
-        self.version += 1
-        serves = box.state is EndpointState.LIVE
-        self.checker.drains(front.number, box.name, None if serves else self.loop.time())
-        entries = front.directory.apply(EndpointList(self.version, False, [box.listed()]))
-        front.core.notify(EndpointUpdate(UpdateKind.DELTA, entries))
-
-    def publish(self, box: VirtualBackend, state: EndpointState = EndpointState.LIVE) -> None:
-        box.state = state
-        for front in self.fronts:
-            self.loop.call_later(LISTED, self.tell, front, box)
+        self._list_version += 1
+        self._check_draining(front, backend)
+        front.notify_change(self._list_version, backend.instance())
+
+    def _check_draining(self, front: VirtualFront, backend: VirtualBackend) -> None:
+        """Let the checker know from when on this front must send the backend nothing new."""
+        serves = backend.state is EndpointState.LIVE
+        self.checker.drains(front.number, backend.name, None if serves else self.loop.time())
 
     # Fronts
 
-    async def start(self, front: VirtualFront) -> None:
-        scenario = self.scenario
-        front.boot += 1
-        settings = read_settings(settings_of(scenario), scenario.seed * 1000 + front.number)
-        settings.idle_since = UNIX_TIME_AT_START + self.loop.time()
-        front.core, front.directory = self.make(settings), Directory({})
-        if scenario.view:
-            every = scenario.view.period / DEFAULT_FLEET_TIMING["period"]
-            peers = FleetSettings(
-                "emulated",
-                address_of(front.number),
-                address_of(front.number),
-                [address_of(one) for one in scenario.view.seeds],
-                front.boot,
-                {name: time * every for name, time in DEFAULT_FLEET_TIMING.items()},
-                scenario.view.limits,
-                scenario.view.cold,
-            )
-            front.view = VirtualView(
-                self.ether, peers, f"n{front.number}", scenario.fronts, scenario.seed, self.faults
-            )
-            if scenario.view.limits or scenario.view.cold:
-                boxes = front.directory.instances
-                front.view.start_leasing(front.core, lambda node: boxes[node].name if node in boxes else None)
-            await front.view.start()
-        self.version += 1
-        known = [box.listed() for box in self.backends]
-        entries = front.directory.apply(EndpointList(self.version, True, known))
-        for box in self.backends:
-            serves = box.state is EndpointState.LIVE
-            self.checker.drains(front.number, box.name, None if serves else self.loop.time())
-        front.core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
-
-    def kill(self, front: VirtualFront) -> None:
+    async def start_front(self, front: VirtualFront) -> None:
+        """Start an incarnation of a front and give it the endpoint list."""
+        await front.start(self._make)
+        self._list_version += 1
+        for backend in self.backends:
+            self._check_draining(front, backend)
+        front.notify_snapshot(self._list_version, [backend.instance() for backend in self.backends])
+
+    def kill_front(self, front: VirtualFront) -> None:
+        """End a front as SIGKILL would."""
         self.checker.killed(front.number, self.loop.time())
-        if front.view:
-            front.view.kill()
-        if front.core and front.core.timer:
-            front.core.timer.cancel()
-        front.core = front.directory = front.view = None
-        for task in front.open_requests:
-            task.cancel()
-
-    async def attempt(
-        self, front: VirtualFront, node: int, trace: str, asked: ClientRequestRecord
+        front.kill()
+
+    # Attempts at backends
+
+    async def _attempt(
+        self, front: VirtualFront, node: int, trace: str, request: ClientRequestRecord
     ) -> AttemptResult[str]:
-        """One attempt, as the wire would end it."""
-        assert front.directory
-        listed = front.directory.instances.get(node)
-        box = next((one for one in self.backends if listed and one.name == listed.name), None)
-        await asyncio.sleep(LATENCY)
-        if box is None or not box.is_up or box.has_fallen:
+        """Make one attempt for a front, with the outcome that its connection would have had."""
+        backend = self._backend_of(front, node)
+        await asyncio.sleep(LATENCY_S)
+        if backend is None or not backend.is_up or backend.has_fallen:
             return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
-        if box.is_silent:
-            await asyncio.sleep(3600)
+        if backend.is_silent:
+            await asyncio.sleep(NEVER_S)
         now = self.loop.time()
-        made = self.checker.attempt(trace, box.name, now, box.shard, box.zone, asked.form)
-        self.count_cold(box, now, asked.units)
-        if box.has_fallen:
-            made.ended = now
-            return AttemptResult(AttemptOutcome.RESET)
-        ticket = box.model.take(now, trace, asked.units)
+        record = self.checker.attempt(trace, backend.name, now, backend.shard, backend.zone, request.form)
+        self._count_cold(backend, now, request.units)
+        if backend.has_fallen:
+            record.ended = now
+            return AttemptResult(AttemptOutcome.CONNECTION_RESET)
+        ticket = backend.model.take(now, trace, request.units)
         try:
-            match ticket.fate:
-                case RequestFate.FULL:
-                    made.refused = True
-                    return AttemptResult(AttemptOutcome.QUEUE_FULL)
-                case RequestFate.UNREAD:
-                    return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-            await asyncio.sleep(ticket.ends - now)
-            if box.has_fallen or not box.is_up:
-                return AttemptResult(AttemptOutcome.RESET)
-            made.ran = True
-            await asyncio.sleep(LATENCY)
-            match ticket.fate:
-                case RequestFate.RESET:
-                    return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-                case RequestFate.LOST:
-                    await asyncio.sleep(3600)
-                case RequestFate.SPOILT:
-                    return AttemptResult(AttemptOutcome.ERROR)
-            busy = box.model.busy(self.loop.time()) if self.scenario.terms.report == "answers" else None
-            return AttemptResult(AttemptOutcome.SERVED, box.name, utilization=busy)
+            return await self._work(backend, ticket, record, now)
         except asyncio.CancelledError:
-            if not made.ran:
-                made.ran = not box.model.withdraw(self.loop.time(), ticket)
+            if not record.ran:
+                record.ran = not backend.model.withdraw(self.loop.time(), ticket)
             raise
         finally:
-            made.ended = self.loop.time()
+            record.ended = self.loop.time()
+
+    def _backend_of(self, front: VirtualFront, node: int) -> VirtualBackend | None:
+        assert front.directory
+        instance = front.directory.instances.get(node)
+        if instance is None:
+            return None
+        return next((backend for backend in self.backends if backend.name == instance.name), None)
 
-    def count_cold(self, box: VirtualBackend, now: float, units: float) -> None:
-        power, model = self.scenario.power, box.model
+    async def _work(
+        self, backend: VirtualBackend, ticket: Ticket, record: AttemptRecord, now: float
+    ) -> AttemptResult[str]:
+        """Let the backend work on a request that it was sent."""
+        if ticket.fate is RequestFate.FULL:
+            record.refused = True
+            return AttemptResult(AttemptOutcome.QUEUE_FULL)
+        if ticket.fate is RequestFate.UNREAD:
+            return AttemptResult(AttemptOutcome.CONNECTION_RESET)
+        await asyncio.sleep(ticket.ends - now)
+        if backend.has_fallen or not backend.is_up:
+            return AttemptResult(AttemptOutcome.CONNECTION_RESET)
+        record.ran = True
+        await asyncio.sleep(LATENCY_S)
+        return await self._answer(backend, ticket.fate)
+
+    async def _answer(self, backend: VirtualBackend, fate: RequestFate) -> AttemptResult[str]:
+        """End an attempt whose request ran."""
+        if fate is RequestFate.RESET:
+            return AttemptResult(AttemptOutcome.CONNECTION_RESET)
+        if fate is RequestFate.SPOILT:
+            return AttemptResult(AttemptOutcome.ERROR)
+        if fate is RequestFate.LOST:
+            await asyncio.sleep(NEVER_S)
+        reports = self.scenario.terms.report == "answers"
+        utilization = backend.model.busy(self.loop.time()) if reports else None
+        return AttemptResult(AttemptOutcome.SERVED, backend.name, utilization=utilization)
+
+    def _count_cold(self, backend: VirtualBackend, now: float, units: float) -> None:
+        """Count a request at a warming backend, which falls over if it was sent too much of late."""
+        power = self.scenario.power
+        model = backend.model
         if model.born is None or now - model.born >= power.ramp:
             return
         bears = power.tip_multiple * model.rate(now) * power.tip_after
-        self.checker.bears(box.name, now, units, bears)
-        came = [(at, one) for at, one, _ in self.checker.cold[box.name][-512:] if at >= now - power.tip_after]
-        if self.tips and sum(one for _, one in came) > bears + self.checker.cold_slack:
-            box.has_fallen = True
-            self.end_box(box)
+        self.checker.bears(backend.name, now, units, bears)
+        recent = [
+            sent
+            for at, sent, _ in self.checker.cold[backend.name][-COLD_REQUESTS_EXAMINED:]
+            if at >= now - power.tip_after
+        ]
+        if self._tips and sum(recent) > bears + self.checker.cold_slack:
+            backend.has_fallen = True
+            self.end_backend(backend)
 
     # Clients
 
-    async def ask(self, drawn: GeneratedRequest) -> None:
-        """A request, with the tries that its client makes."""
-        served, load, first = None, self.scenario.load, self.loop.time()
+    async def _run_client(self, drawn: GeneratedRequest) -> None:
+        """Send a request and repeat it as its client would."""
+        load = self.scenario.load
+        first = self.loop.time()
+        served = None
         for number in range(1 + load.retries):
-            status, wait = await self.once(drawn, drawn.trace_of(number))
-            if status == 200:
+            answer = await self._request(drawn, drawn.trace_of(number))
+            if answer.status == 200:
                 served = self.loop.time()
-            if status not in (None, 503):
+            if answer.status not in (None, 503):
                 break
-            await asyncio.sleep(max(wait, load.retry_s))
+            await asyncio.sleep(max(answer.retry_after, load.retry_s))
         self.requests.append(RequestTemplate(first, drawn.volume, drawn.kind, drawn.units, served))
 
-    async def once(self, drawn: GeneratedRequest, trace: str) -> tuple[int | None, float]:
-        """Its status, None where no front was there, and the wait that was told."""
-        front, now = self.fronts[drawn.front], self.loop.time()
-        core, kind = front.core, drawn.kind
-        asked = ClientRequestRecord(drawn.front, drawn.volume, kind, drawn.units, now, now + kind.deadline)
-        self.checker.took(trace, asked)
+    async def _request(self, drawn: GeneratedRequest, trace: str) -> ClientAnswer:
+        """Send a request once."""
+        front = self.fronts[drawn.front]
+        now = self.loop.time()
+        deadline = now + drawn.kind.deadline
+        request = ClientRequestRecord(drawn.front, drawn.volume, drawn.kind, drawn.units, now, deadline)
+        self.checker.took(trace, request)
+        core = front.core
         if core is None:
-            asked.excused = True
-            return None, 0.0
-        plans, kinds = self.scenario.plans, self.scenario.kinds
-        arrival = RequestArrived(
+            request.excused = True
+            return ClientAnswer(None)
+        arrival = self._arrival(core, drawn)
+        task = asyncio.ensure_future(
+            core.serve(arrival, lambda node, _not_after: self._attempt(front, node, trace, request))
+        )
+        front.open_requests.add(task)
+        task.add_done_callback(front.open_requests.discard)
+        try:
+            result = await task
+        except asyncio.CancelledError:  # its front was killed
+            return ClientAnswer(None)
+        return self._client_answer(trace, result)
+
+    def _arrival(self, core: Core, drawn: GeneratedRequest) -> RequestArrived:
+        return RequestArrived(
             request_id=core.new_id(),
-            class_index=kinds.index(kind),
-            plan_index=drawn.volume % len(plans),
+            class_index=self.scenario.kinds.index(drawn.kind),
+            plan_index=drawn.volume % len(self.scenario.plans),
             volume_id=drawn.volume,
             item=int(drawn.block, 16),
             shard=drawn.volume % self.scenario.boxes,
             units=drawn.units,
-            deadline=core.now() + kind.deadline,
+            deadline=core.now() + drawn.kind.deadline,
             front_count=self.scenario.load.hosts,
         )
-        task = asyncio.ensure_future(
-            core.serve(arrival, lambda node, may: self.attempt(front, node, trace, asked))
-        )
-        front.open_requests.add(task)
-        task.add_done_callback(front.open_requests.discard)
-        try:
-            ending = await task
-        except asyncio.CancelledError:  # its front was killed
-            return None, 0.0
+
+    def _client_answer(self, trace: str, result: Served[str] | Rejected | Failed) -> ClientAnswer:
+        """Give the checker the answer of a front and return what the client sees of it."""
         now = self.loop.time()
-        match ending:
+        match result:
             case Served(value):
                 self.checker.answer(trace, 200, f"{trace} {value}".encode(), now)
-                return 200, 0.0
-            case Rejected(wait):
+                return ClientAnswer(200)
+            case Rejected(retry_after):
                 self.checker.answer(trace, 503, b"", now)
-                self.rejections.append((now, wait))
-                return 503, wait
+                self.rejections.append(Rejection(now, retry_after))
+                return ClientAnswer(503, retry_after)
             case Failed():
                 self.checker.answer(trace, 502, b"", now)
-                return 502, 0.0
-
-    # Troubles
-
-    async def trouble(self, trouble: FaultEvent) -> None:
-        await asyncio.sleep(trouble.at)
-        if trouble.links:
-            return await self.trouble_links(trouble)
-        step = trouble.over / max(1, len(trouble.of))
-
-        async def one(place: int, subject: int) -> None:
-            await asyncio.sleep(place * step)
-            await self.act(subject, trouble)
-
-        await asyncio.gather(*(one(place, subject) for place, subject in enumerate(trouble.of)))
-
-    async def act(self, subject: int, trouble: FaultEvent) -> None:
-        match trouble.kind:
-            case "roll" | "kill" | "powercut":
-                front = self.fronts[subject]
-                self.kill(front)
-                await asyncio.sleep(trouble.lasts if trouble.kind == "powercut" else DOWN)
-                await self.start(front)
-            case "restart":
-                box = self.backends[subject]
-                self.end_box(box)
-                await asyncio.sleep(trouble.lasts)
-                self.backends[subject] = self.begin_box(subject, box.name, self.loop.time())
-                self.publish(self.backends[subject])
-            case "replace":
-                box = self.backends[subject]
-                self.publish(box, EndpointState.DRAINING)
-                fresh = self.backends[subject] = self.begin_box(subject, f"{box.name}+", self.loop.time())
-                self.backends.append(box)  # it goes on with what it has
-                self.publish(fresh)
-                await asyncio.sleep(DRAIN)
-                self.publish(box, EndpointState.REMOVED)
-                await asyncio.sleep(max(kind.deadline for kind in self.scenario.kinds))
-                box.is_up = False
-                self.backends.remove(box)
-            case "silence":
-                box = self.backends[subject]
-                box.is_silent = True
-                await asyncio.sleep(trouble.lasts)
-                box.is_silent = False
-            case "reset" | "lose_answers" | "spoil" | "slow":
-                model = self.backends[subject].model
-                model.ailing[trouble.kind] = trouble.share
-                await asyncio.sleep(trouble.lasts)
-                model.ailing.pop(trouble.kind, None)
-            case "drain":
-                self.publish(self.backends[subject], EndpointState.DRAINING)
-                await asyncio.sleep(trouble.lasts)
-                self.publish(self.backends[subject])
-            case other:
-                msg = f"trouble.kind: {other} is for real processes only"
-                raise ConfigError(msg)
-
-    async def trouble_links(self, trouble: FaultEvent) -> None:
-        links = trouble.links
-        assert links
-        here, there = (
-            frozenset(f"{one.host}:{one.port}" for one in map(address_of, numbers))
-            for numbers in (trouble.of, links.to)
-        )
-        faults = [
-            Fault(one, other, links.cut, links.loss, links.doubles, links.garbles, links.delay, links.jitter)
-            for one, other in ([(here, there)] if links.one_way else [(here, there), (there, here)])
-        ]
-        self.network.faults += faults
-        await asyncio.sleep(trouble.lasts)
-        for fault in faults:
-            self.network.faults.remove(fault)
+                return ClientAnswer(502)
+
+    # The run
 
-    # The play
+    async def run(self, settles: float = VIEW_SETTLES_S) -> Emulation:
+        """Run the scenario to its end.
 
-    async def run(self, warm: float = 5.0) -> Emulation:
-        """``warm``: seconds before the load begins, in which the view of the fleet settles."""
+        ``settles``: seconds before the load begins for the fronts' view of one another to settle.
+        """
         scenario = self.scenario
-        self.backends = [self.begin_box(cell, f"s-{cell:03d}", None) for cell in range(scenario.boxes)]
+        self.backends = [self.begin_backend(shard, f"s-{shard:03d}", None) for shard in range(scenario.boxes)]
         for front in self.fronts:
-            await self.start(front)
-        await asyncio.sleep(warm if scenario.view else 0.1)
-        began = self.began = self.loop.time()
-        tasks = [asyncio.ensure_future(self.trouble(one)) for one in scenario.troubles]
+            await self.start_front(front)
+        await asyncio.sleep(settles if scenario.view else LIST_SETTLES_S)
+        self.began = self.loop.time()
+        injector = FaultInjector(self)
+        tasks = [asyncio.ensure_future(injector.inject(event)) for event in scenario.troubles]
         for drawn in requests(scenario):
-            await asyncio.sleep(max(0.0, began + drawn.at - self.loop.time()))
-            tasks.append(asyncio.ensure_future(self.ask(drawn)))
+            await asyncio.sleep(max(0.0, self.began + drawn.at - self.loop.time()))
+            tasks.append(asyncio.ensure_future(self._run_client(drawn)))
         await asyncio.gather(*tasks)
         for front in self.fronts:
-            self.kill(front)
-        for task in asyncio.all_tasks() - {asyncio.current_task()}:
-            task.cancel()
-            with contextlib.suppress(asyncio.CancelledError):
-                await task
+            self.kill_front(front)
+        await _cancel_other_tasks()
         return self
 
     def broken(self) -> list[str]:
+        """Return a line for each rule that did not hold."""
         return self.checker.broken(self.scenario.power.tip_after)
 
 
-def emulate(scenario: Scenario, make: CoreFactory = make_core, tips: bool = True) -> Emulation:
-    """Play it in virtual time; what came of it."""
+async def _cancel_other_tasks() -> None:
+    for task in asyncio.all_tasks() - {asyncio.current_task()}:
+        task.cancel()
+        with contextlib.suppress(asyncio.CancelledError):
+            await task
+
+
+def emulate(scenario: Scenario, make: CoreFactory = make_core, *, tips: bool = True) -> Emulation:
+    """Run a scenario in virtual time, in a loop of its own, and return the finished run."""
 
     async def main() -> Emulation:
-        return await Emulation(scenario, make, tips).run()
+        return await Emulation(scenario, make, tips=tips).run()
 
     return run(main())
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -15,8 +15,9 @@
 from cleatyoke.emulation import recovery
 from cleatyoke.emulation import value as earnings
 from cleatyoke.emulation.clock import Idle, run
-from cleatyoke.emulation.traffic import UNIX_TIME_AT_START, Emulation, emulate
+from cleatyoke.emulation.traffic import Emulation, emulate
 from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.emulation.virtual_backend import UNIX_TIME_AT_START
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario, make_scenario
 
@@ -131,7 +132,9 @@
     ]
     unit = kind.worth * 2
     late = 2 * 0.35 * unit * kind.late_share  # all of its second's reserve is taken by the two in time
-    assert earnings.achieved_value(small, wishes) == pytest.approx([2 * unit, late, (2 + 2 * 0.35) * unit, 0.0])
+    assert earnings.achieved_value(small, wishes) == pytest.approx(
+        [2 * unit, late, (2 + 2 * 0.35) * unit, 0.0]
+    )
     assert sum(earnings.full_value(small, wishes)) == pytest.approx((4 + 4 * 0.35 + 4) * unit)
     assert earnings.ideal_value(small, wishes, lambda cell, at: 0.0) == [0.0] * 4
     few = earnings.ideal_value(small, wishes, lambda cell, at: 4.0 if at < 1 else 0.0)  # a unit a slot
