--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -121,8 +121,8 @@
     return rows
 
 
-def over_time(scenario: Scenario, wishes: Sequence[RequestTemplate], began: float) -> list[float]:
-    return earnings.value_over_time(wishes, earnings.achieved_value(scenario, wishes), began)
+def over_time(scenario: Scenario, requests: Sequence[RequestTemplate], began: float) -> list[float]:
+    return earnings.value_over_time(requests, earnings.achieved_value(scenario, requests), began)
 
 
 def quiet() -> None:
@@ -165,13 +165,15 @@
     ]
 
 
-def allowed(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> int:
+def allowed(scenario: Scenario, requests: Sequence[RequestTemplate]) -> int:
     """How many requests one counter that all see at once would let through."""
     plan, level, last, passed = scenario.plans[0], scenario.plans[0].burst, 0.0, 0
-    for wish in sorted((wish for wish in wishes if wish.volume == 0), key=lambda wish: wish.at):
-        level, last = min(plan.burst, level + plan.limit * (wish.at - last)), wish.at
-        if level >= wish.units - plan.slack:
-            level, passed = level - wish.units, passed + 1
+    for request in sorted(
+        (request for request in requests if request.volume == 0), key=lambda request: request.at
+    ):
+        level, last = min(plan.burst, level + plan.limit * (request.at - last)), request.at
+        if level >= request.units - plan.slack:
+            level, passed = level - request.units, passed + 1
     return passed
 
 
@@ -180,9 +182,9 @@
     quiet()
     scenario, fleet = make_scenario("skew", skewed(fronts, seed, kind == "lent")), f"{fronts} in virtual time"
     played = emulate(scenario)
-    later = [dataclasses.replace(wish, at=wish.at - played.began) for wish in played.requests]
-    steady = [wish for wish in later if wish.at >= BACK]
-    served = sum(wish.volume == 0 and wish.served is not None for wish in steady)
+    later = [dataclasses.replace(request, at=request.at - played.began) for request in played.requests]
+    steady = [request for request in later if request.at >= BACK]
+    served = sum(request.volume == 0 and request.served is not None for request in steady)
     part = served / max(1, allowed(scenario, steady))
     return [row(fleet, kind, seed, "part of the limit used", part), *kept(fleet, kind, seed, played)]
 
--- a/cleatyoke/emulation/value.py
+++ b/cleatyoke/emulation/value.py
@@ -1,8 +1,8 @@
-"""What a play earned over time, and what could have been earned by one that sees everything. No clock.
+"""The value that a run achieved over time, and the value that it could have achieved. No clock.
 
-For each volume and second, units within the reserve earn the full worth of their class and plan, the rest
-the settings' part of it. A request that is served in time takes the best that is still due of its second, a
-late one what is then left, at its class's part (protocol page, Score).
+For each volume and second, units within the reserve are worth the full weight of their class and plan, the
+others the fraction ``WITHIN`` of it. A request served in time takes the best units still left of its second;
+a late one then takes what remains, at its class's ``late_share`` (protocol page, Score).
 """
 
 from __future__ import annotations
@@ -13,106 +13,120 @@
 
 from cleatyoke.testbed.scenario import WITHIN, RequestKind, Scenario
 
-SLOT = 0.25  # seconds, of the ideal's time
+SLOT_S = 0.25  # seconds; the ideal assigns the backends' power in slots of this length
 
 
 @dataclass(slots=True, frozen=True)
 class RequestTemplate:
-    """What a client wants, over all its tries."""
+    """What a client wanted, over all its attempts, and when it got it. Times are in seconds."""
 
-    at: float  # of its first try
+    at: float  # when it was first sent
     volume: int
     kind: RequestKind
     units: float
-    served: float | None  # when it got its answer
+    served: float | None  # when its answer came; None: it never did
 
     def is_late(self) -> bool:
+        """Return whether it was served, but after its latency objective."""
         return self.served is not None and self.served > self.at + self.kind.aim
 
     def value(self, scenario: Scenario) -> float:
-        """Of a unit that is due in full."""
+        """Return the full value of one of its units."""
         return self.kind.worth * scenario.plan_of(self.volume).worth
 
 
 @dataclass(slots=True)
 class Reserves:
-    """Units that are due in full and not taken yet, by volume and second."""
+    """Units within the reserve that no request has taken yet, by volume and second."""
 
     scenario: Scenario
     left: dict[tuple[int, int], float] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, scenario: Scenario, wishes: Iterable[RequestTemplate]) -> Reserves:
-        asked: defaultdict[tuple[int, int], float] = defaultdict(float)
-        for wish in wishes:
-            asked[wish.volume, int(wish.at)] += wish.units
+    def of(cls, scenario: Scenario, requests: Iterable[RequestTemplate]) -> Reserves:
+        """Return the reserves that these requests may take from, all untouched."""
+        wanted: defaultdict[tuple[int, int], float] = defaultdict(float)
+        for request in requests:
+            wanted[_second_of(request)] += request.units
         return cls(
             scenario,
-            {second: min(units, scenario.plan_of(second[0]).reserve) for second, units in asked.items()},
+            {second: min(units, scenario.plan_of(second[0]).reserve) for second, units in wanted.items()},
         )
 
-    def density(self, wish: RequestTemplate) -> float:
-        """What a unit of it would earn, if it were served in time now."""
-        full = min(1.0, self.left.get((wish.volume, int(wish.at)), 0.0) / wish.units)
-        return wish.value(self.scenario) * (full + (1 - full) * WITHIN)
+    def unit_value(self, request: RequestTemplate) -> float:
+        """Return what a unit of the request is worth on average if it is served in time now."""
+        within = min(1.0, self.left.get(_second_of(request), 0.0) / request.units)
+        return request.value(self.scenario) * (within + (1 - within) * WITHIN)
 
-    def take(self, wish: RequestTemplate) -> float:
-        worth, second = self.density(wish) * wish.units, (wish.volume, int(wish.at))
-        self.left[second] = max(0.0, self.left.get(second, 0.0) - wish.units)
-        return worth
+    def take(self, request: RequestTemplate) -> float:
+        """Serve the request from the reserves and return its value."""
+        value = self.unit_value(request) * request.units
+        second = _second_of(request)
+        self.left[second] = max(0.0, self.left.get(second, 0.0) - request.units)
+        return value
 
 
-def achieved_value(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> list[float]:
-    """By place, what each of them earned."""
-    reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
-    served = [place for place, wish in enumerate(wishes) if wish.served is not None]
-    for place in sorted(served, key=lambda place: (wishes[place].is_late(), wishes[place].served)):
-        wish = wishes[place]
-        out[place] = reserves.take(wish) * (wish.kind.late_share if wish.is_late() else 1.0)
-    return out
+def _second_of(request: RequestTemplate) -> tuple[int, int]:
+    return request.volume, int(request.at)
 
 
-def full_value(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> list[float]:
-    """By place, what each would earn if all were served in time, in the order in which they came."""
-    reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
-    for place in sorted(range(len(wishes)), key=lambda place: wishes[place].at):
-        out[place] = reserves.take(wishes[place])
-    return out
+def achieved_value(scenario: Scenario, requests: Sequence[RequestTemplate]) -> list[float]:
+    """Return what each request, by its place in the sequence, contributed to the run's value."""
+    reserves = Reserves.of(scenario, requests)
+    values = [0.0] * len(requests)
+    served = [place for place, request in enumerate(requests) if request.served is not None]
+    for place in sorted(served, key=lambda place: (requests[place].is_late(), requests[place].served)):
+        request = requests[place]
+        values[place] = reserves.take(request) * (request.kind.late_share if request.is_late() else 1.0)
+    return values
+
+
+def full_value(scenario: Scenario, requests: Sequence[RequestTemplate]) -> list[float]:
+    """Return what each request would contribute if all were served in time, in the order of their arrival."""
+    reserves = Reserves.of(scenario, requests)
+    values = [0.0] * len(requests)
+    for place in sorted(range(len(requests)), key=lambda place: requests[place].at):
+        values[place] = reserves.take(requests[place])
+    return values
 
 
 def ideal_value(
-    scenario: Scenario, wishes: Sequence[RequestTemplate], power: Callable[[int, float], float]
+    scenario: Scenario, requests: Sequence[RequestTemplate], power: Callable[[int, float], float]
 ) -> list[float]:
-    """By place, what one that sees everything earns: of each cell, slot by slot, what its box can do at that
-    moment goes to what earns most a unit, as long as it is not late. ``power``: units a second of a cell.
+    """Return what each request would contribute under a scheduler that sees everything.
+
+    Of each shard, slot by slot, what its backend can do at that moment goes to the requests with the most
+    value a unit that have not missed their latency objective. ``power``: units a second of a shard at a time.
     """
-    reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
-    cells: defaultdict[int, list[int]] = defaultdict(list)
-    for place in sorted(range(len(wishes)), key=lambda place: wishes[place].at, reverse=True):
-        cells[wishes[place].volume % scenario.boxes].append(place)
-    for cell, upcoming in cells.items():
+    reserves = Reserves.of(scenario, requests)
+    values = [0.0] * len(requests)
+    by_shard: defaultdict[int, list[int]] = defaultdict(list)
+    for place in sorted(range(len(requests)), key=lambda place: requests[place].at, reverse=True):
+        by_shard[requests[place].volume % scenario.boxes].append(place)
+    for shard, upcoming in by_shard.items():
         waiting: list[int] = []
-        slot, room = 0, 0.0
+        slot = 0
+        capacity = 0.0
         while upcoming or waiting:
-            now = slot * SLOT
-            while upcoming and wishes[upcoming[-1]].at < now + SLOT:
+            now = slot * SLOT_S
+            while upcoming and requests[upcoming[-1]].at < now + SLOT_S:
                 waiting.append(upcoming.pop())
-            waiting = [one for one in waiting if wishes[one].at + wishes[one].kind.aim > now]
-            room = min(0.0, room) + power(cell, now + SLOT / 2) * SLOT
-            while waiting and room > 0:
-                best = max(waiting, key=lambda one: reserves.density(wishes[one]))
+            waiting = [one for one in waiting if requests[one].at + requests[one].kind.aim > now]
+            capacity = min(0.0, capacity) + power(shard, now + SLOT_S / 2) * SLOT_S
+            while waiting and capacity > 0:
+                best = max(waiting, key=lambda one: reserves.unit_value(requests[one]))
                 waiting.remove(best)
-                room -= wishes[best].units
-                out[best] = reserves.take(wishes[best])
+                capacity -= requests[best].units
+                values[best] = reserves.take(requests[best])
             slot += 1
-    return out
+    return values
 
 
 def value_over_time(
-    wishes: Sequence[RequestTemplate], worth: Sequence[float], began: float, step: float = 1.0
+    requests: Sequence[RequestTemplate], values: Sequence[float], began: float, step: float = 1.0
 ) -> list[float]:
-    """Sums of worth by the step of time, from ``began`` on, in which clients first asked."""
-    steps: defaultdict[int, float] = defaultdict(float)
-    for wish, value in zip(wishes, worth):
-        steps[int((wish.at - began) / step)] += value
-    return [steps[step] for step in range(max(steps, default=0) + 1)]
+    """Return the sums of ``values`` by the step, of ``step`` seconds from ``began`` on, of the first send."""
+    sums: defaultdict[int, float] = defaultdict(float)
+    for request, value in zip(requests, values):
+        sums[int((request.at - began) / step)] += value
+    return [sums[place] for place in range(max(sums, default=0) + 1)]
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -1,5 +1,7 @@
-"""The emulator of boxes and traffic: virtual time, the same play every time, the rules judged as on
-sockets, and what is counted as earned."""
+"""The emulation of backends and traffic.
+
+Virtual time, the same run for the same seed, the rules checked as on sockets, and the value that is counted.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +14,7 @@
 import structlog
 
 from cleatyoke.core import Core
-from cleatyoke.emulation import recovery
-from cleatyoke.emulation import value as earnings
+from cleatyoke.emulation import recovery, value
 from cleatyoke.emulation.clock import Idle, run
 from cleatyoke.emulation.traffic import Emulation, emulate
 from cleatyoke.emulation.value import RequestTemplate
@@ -39,7 +40,7 @@
     return make_scenario("emulated", {**tables, "trouble": troubles, "plan": plans})
 
 
-def test_time_passes_only_where_everything_waits() -> None:
+def test_virtual_time_passes_only_while_every_task_waits() -> None:
     async def main() -> tuple[float, list[int]]:
         loop, order = asyncio.get_running_loop(), list[int]()
 
@@ -61,11 +62,11 @@
         run(forever())
 
 
-def answers(played: Emulation) -> list[tuple[str, int | None, float | None]]:
-    return [(trace, one.status, one.answered) for trace, one in played.checker.asked.items()]
+def answers(finished: Emulation) -> list[tuple[str, int | None, float | None]]:
+    return [(trace, one.status, one.answered) for trace, one in finished.checker.asked.items()]
 
 
-def test_a_play_keeps_the_rules_and_is_the_same_every_time() -> None:
+def test_a_run_keeps_the_rules_and_repeats_itself() -> None:
     met = (
         "roll 1 0 2",
         "roll 2 1 0",
@@ -89,42 +90,44 @@
     assert {status for _, status, _ in answers(one)} == {200, 502, 503, None}
 
 
-def opened_at_once(settings: SchedulerSettings) -> Core:
-    """A front that takes every box for warm."""
+def make_core_without_slow_start(settings: SchedulerSettings) -> Core:
+    """A front that takes every backend for warm."""
     settings.safety = dataclasses.replace(settings.safety, slow_start_duration=0.0)
     return Core(settings, UNIX_TIME_AT_START)
 
 
-def test_a_loss_of_all_power_and_what_opening_everything_at_once_does_then() -> None:
+def test_backends_fall_after_a_power_loss_only_if_fronts_skip_the_slow_start() -> None:
     loss = scenario(
         [{"kind": "powercut", "at": 1, "lasts_s": 1.3}, {"kind": "restart", "at": 1, "lasts_s": 1}],
         load={"rate": 170, "hosts": 6, "retries": 2},
         box={"ramp_s": 5, "cold_from": 0.1},
     )
-    ours, wrong = emulate(loss), emulate(loss, opened_at_once)
+    ours, wrong = emulate(loss), emulate(loss, make_core_without_slow_start)
     assert ours.broken() == []
     assert not any(box.has_fallen for box in ours.backends)
     assert any(box.has_fallen for box in wrong.backends)
     assert any(line.startswith("cold:") for line in wrong.broken())
-    sums = [sum(earnings.achieved_value(loss, played.requests)) for played in (wrong, ours)]
-    best = sum(earnings.ideal_value(loss, ours.requests, ours.power))
-    assert sums[0] < sums[1] < best <= 1.001 * sum(earnings.full_value(loss, ours.requests))
+    sums = [sum(value.achieved_value(loss, finished.requests)) for finished in (wrong, ours)]
+    best = sum(value.ideal_value(loss, ours.requests, ours.power))
+    assert sums[0] < sums[1] < best <= 1.001 * sum(value.full_value(loss, ours.requests))
 
 
-def test_what_is_lent_by_the_view_is_lent_in_virtual_time_too() -> None:
+def test_fronts_lease_quotas_of_a_warming_backend_in_virtual_time() -> None:
     hot = {"rate": 60, "hosts": 6, "hot": 0.8, "skew": 0.9, "volumes": 4}
     restarts: list[dict[str, object]] = [{"kind": "restart", "at": 1, "of": [0], "lasts_s": 0.2}]
-    alone = emulate(scenario(restarts, load=hot, view={"enabled": True}))
-    lent = emulate(scenario(restarts, load=hot, view={"enabled": True, "cold": True}))
-    assert alone.broken() == lent.broken() == []
-    served = [sum(one.status == 200 for one in played.checker.asked.values()) for played in (alone, lent)]
+    unleased = emulate(scenario(restarts, load=hot, view={"enabled": True}))
+    leased = emulate(scenario(restarts, load=hot, view={"enabled": True, "cold": True}))
+    assert unleased.broken() == leased.broken() == []
+    served = [
+        sum(one.status == 200 for one in finished.checker.asked.values()) for finished in (unleased, leased)
+    ]
     assert served[1] > 1.1 * served[0]
 
 
-def test_worth_goes_to_the_reserve_first_and_to_those_in_time() -> None:
+def test_value_goes_to_the_reserve_first_and_to_requests_in_time() -> None:
     small = scenario([])
     kind = small.kinds[0]
-    wishes = [
+    requests = [
         RequestTemplate(0.1, 0, kind, 2.0, 0.2),
         RequestTemplate(0.2, 0, kind, 2.0, 0.2 + kind.aim + 0.1),
         RequestTemplate(0.3, 0, kind, 4.0, 0.4),
@@ -132,15 +135,15 @@
     ]
     unit = kind.worth * 2
     late = 2 * 0.35 * unit * kind.late_share  # all of its second's reserve is taken by the two in time
-    assert earnings.achieved_value(small, wishes) == pytest.approx(
+    assert value.achieved_value(small, requests) == pytest.approx(
         [2 * unit, late, (2 + 2 * 0.35) * unit, 0.0]
     )
-    assert sum(earnings.full_value(small, wishes)) == pytest.approx((4 + 4 * 0.35 + 4) * unit)
-    assert earnings.ideal_value(small, wishes, lambda cell, at: 0.0) == [0.0] * 4
-    few = earnings.ideal_value(small, wishes, lambda cell, at: 4.0 if at < 1 else 0.0)  # a unit a slot
+    assert sum(value.full_value(small, requests)) == pytest.approx((4 + 4 * 0.35 + 4) * unit)
+    assert value.ideal_value(small, requests, lambda _shard, _at: 0.0) == [0.0] * 4
+    few = value.ideal_value(small, requests, lambda _shard, at: 4.0 if at < 1 else 0.0)  # a unit a slot
     assert few[3] == 0.0
-    assert 4 * unit <= sum(few) < sum(earnings.full_value(small, wishes[:3]))
-    assert earnings.value_over_time(wishes, [1.0, 2.0, 3.0, 4.0], 0.0) == [6.0, 4.0]
+    assert 4 * unit <= sum(few) < sum(value.full_value(small, requests[:3]))
+    assert value.value_over_time(requests, [1.0, 2.0, 3.0, 4.0], 0.0) == [6.0, 4.0]
 
 
 def test_each_part_of_the_measurement_ends_with_its_figures() -> None:
