--- a/cleatyoke/emulation/capacity/needs.py
+++ b/cleatyoke/emulation/capacity/needs.py
@@ -28,8 +28,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Need:
-    """``need`` and ``budget`` are in ``unit``. ``mechanism``: the file and function that carries it today;
-    empty where nothing does.
+    """What one duty takes at the design size, and what it may take.
+
+    ``need`` and ``budget`` are in ``unit``. ``mechanism``: the function and module that carries the duty
+    today; empty where nothing does.
     """
 
     duty: str
@@ -43,21 +45,23 @@
 
     @property
     def factor(self) -> float:
+        """Return the need as a multiple of the budget; infinite where nothing carries the duty."""
         return self.need / self.budget if self.mechanism else math.inf
 
 
 def workers(results: Results, plan: Plan = PLAN) -> int:
-    """Processes of a front that its statements take."""
+    """Return how many processes a front needs for its statements."""
     each = results.at("data path", "cpu") / plan.front_statements
     return math.ceil(plan.front_statements * each / LOAD) if math.isfinite(each) else 1
 
 
 def entry_bytes(results: Results) -> float:
+    """Return the bytes of one node in the complete list."""
     return results.at("node list", "list_bytes") / PLAN.nodes
 
 
 def missing(spreads: Sequence[Spread], plan: Plan = PLAN) -> Iterator[Need]:
-    """What nothing carries today. ``spreads``: of the distribution, where it was measured."""
+    """Yield what nothing carries today. ``spreads``: of the distribution, where it was measured."""
 
     def lacks(duty: str, asked: str, why: str) -> Need:
         return Need(duty, math.nan, math.nan, "", Kind.PAPER.value, "", why, asked)
@@ -86,12 +90,18 @@
 
 
 def list_needs(results: Results, plan: Plan = PLAN) -> Iterator[Need]:
-    node = "Directory.apply (directory.py), NodeTable (node_table.py)"
-    long = "Discovery.take_long (net/discovery.py)"
+    """Yield the needs of the list of nodes and of the node table."""
+    node = "Directory.apply (discovery/directory.py), NodeTable (scheduling/node_table.py)"
+    long = "Discovery.apply_in_parts (discovery/discovery.py)"
     whole, entry, real = results.at("node list", "list_bytes"), entry_bytes(results), Kind.REAL.value
     yield Need("list of nodes, whole, at 3 KB/s", whole / plan.bytes_s, plan.config_within, "s", real, long)
     yield Need(
-        "list of nodes, whole, size", whole, MAX_LIST_BYTES, "bytes", real, "read_lines (net/listings.py)"
+        "list of nodes, whole, size",
+        whole,
+        MAX_LIST_BYTES,
+        "bytes",
+        real,
+        "read_lines (discovery/listings.py)",
     )
     zone = 2 * plan.zone_nodes * entry
     yield Need("zone of nodes lost and back", zone / plan.bytes_s, plan.primary_within, "s", real, node)
@@ -110,13 +120,14 @@
     lost = results.at("node list", "new_object") / results.at("node list", "request")
     yield Need(
         "a new object, against another request",
-        *(lost, 2.0, "times", real, "NodeTable.holders_to_try (node_table.py)"),
+        *(lost, 2.0, "times", real, "NodeTable.holders_to_offer (scheduling/node_table.py)"),
         "256 holders are offered each; all of them before",
     )
 
 
 def member_needs(results: Results, plan: Plan = PLAN) -> Iterator[Need]:
-    members, hollow, real = "Members (fleet/members.py)", Kind.HOLLOW.value, Kind.REAL.value
+    """Yield the needs of membership, at rest and after each event that the plan names."""
+    members, hollow, real = "Membership (membership/members.py)", Kind.HOLLOW.value, Kind.REAL.value
     window = 13.0 * plan.bytes_s
     yield Need(
         "membership, at rest", results.at("members, quiet", "bytes"), plan.bytes_s, "bytes/s", hollow, members
@@ -140,19 +151,25 @@
         settled = results.at(name, "settled")
         yield Need(f"membership, {duty}, until all agree", settled, plan.config_within, "s", hollow, members)
     view = results.at("whole view", "bytes")
-    yield Need("a whole view, size", view, MAX_STREAM_BYTES, "bytes", real, "encode_view (fleet/wire.py)")
+    yield Need(
+        "a whole view, size", view, MAX_STREAM_BYTES, "bytes", real, "encode_full_state (membership/wire.py)"
+    )
     all_workers = plan.fronts * workers(results)
     wide = results.at("whole view", "bytes", all_workers)
     yield Need(
         "a whole view, with each worker a member",
-        *(wide, MAX_STREAM_BYTES, "bytes", real, "encode_view (fleet/wire.py)"),
+        *(wide, MAX_STREAM_BYTES, "bytes", real, "encode_full_state (membership/wire.py)"),
         f"{workers(results)} processes a front",
     )
 
 
 def shared_needs(results: Results, plan: Plan = PLAN) -> Iterator[Need]:
-    """Holds, parts of limits and of cold nodes, probes, discovery, the disk."""
-    real, paper, hold = Kind.REAL.value, Kind.PAPER.value, "Sharing, Holds (fleet/sharing.py, replicas.py)"
+    """Yield the needs of holds, quota leases, slow start leases, load probes, discovery and the disk."""
+    real, paper, hold = (
+        Kind.REAL.value,
+        Kind.PAPER.value,
+        "HoldSharing (fleet/hold_sharing.py), HoldSet (coordination/replicated_holds.py)",
+    )
     all_workers = plan.fronts * workers(results)
     yield Need("holds, lives that ever placed one", all_workers, MAX_ACTORS, "lives", paper, hold)
     yield Need(
@@ -164,47 +181,75 @@
         hold,
     )
     rights = results.at("parts of limits", "cpu")
-    yield Need("parts of limits, at rest", rights, plan.core, "core", real, "Rights.step (fleet/rights.py)")
+    yield Need(
+        "parts of limits, at rest",
+        rights,
+        plan.core,
+        "core",
+        real,
+        "QuotaLeases.step (coordination/quota_leases.py)",
+    )
     wait = results.at("a limit's part", "wait")
     yield Need(
         "a limit of 8 units/s, one front's part, a request of 2 units",
-        *(wait, plan.config_within, "s", paper, "Policy.within_limit_at (rules.py)"),
+        *(wait, plan.config_within, "s", paper, "RateLimits.check (scheduling/admission.py)"),
         "borrowing from one front after the other takes thousands of steps",
     )
     cold = results.at("a cold node's part", "wait")
     yield Need(
         "a cold node, one front's part, a request of 2 units",
-        *(cold, plan.primary_within, "s", real, "Policy.bears_at (rules.py)"),
+        *(cold, plan.primary_within, "s", real, "SlowStart.check (scheduling/slow_start.py)"),
     )
     probes = duties.probes_a_second(plan.fronts, plan.nodes, 1)
-    prober = "Prober (load/probes.py)"
+    prober = "LoadProber (scheduling/load_probes.py)"
     yield Need("probes while a node is cold", probes * PROBE_BYTES, plan.bytes_s, "bytes/s", real, prober)
-    pace = "Pace (recovery.py)"
+    pace = "Backoff (discovery/backoff.py)"
     calls = results.at("calls at discovery", "calls")
     yield Need("calls at a shared discovery that is down", calls, 1 / SECONDS_PER_CALL, "calls/s", real, pace)
     beats = all_workers / HEARTBEAT_INTERVAL
     yield Need(
         "beats of a shared discovery's watches",
-        *(beats, plan.control_machines / SECONDS_PER_CALL, "lines/s", paper, "Watch (net/discovery.py)"),
+        *(beats, plan.control_machines / SECONDS_PER_CALL, "lines/s", paper, "Watch (discovery/watch.py)"),
     )
     rows = results.at("holds by hand", "rows")
-    yield Need("durable state, one write", rows, 1 << 20, "bytes", real, "rows_of (durable/records.py)")
+    yield Need(
+        "durable state, one write", rows, 1 << 20, "bytes", real, "encode_state (durability/records.py)"
+    )
     told = plan.machine_rate * ENTRIES * LOG_LINE
-    yield Need("log, of members and nodes", told, plan.bytes_s, "bytes/s", paper, "log (net/fleet.py)")
+    yield Need("log, of members and nodes", told, plan.bytes_s, "bytes/s", paper, "log (fleet/view.py)")
     scraped = duties.metrics_bytes(CLASSES) / SCRAPE_EVERY
     yield Need(
-        "metrics, a scrape every 15 s", scraped, plan.bytes_s, "bytes/s", real, "Figures.lines (figures.py)"
+        "metrics, a scrape every 15 s",
+        scraped,
+        plan.bytes_s,
+        "bytes/s",
+        real,
+        "MetricsCollector.collect (admin/prometheus.py)",
     )
     moved = plan.primary_changes_a_day / DAY * 2 * entry_bytes(results)
-    yield Need("changes of primary, bytes", moved, plan.bytes_s, "bytes/s", real, "NodeTable (node_table.py)")
+    yield Need(
+        "changes of primary, bytes",
+        moved,
+        plan.bytes_s,
+        "bytes/s",
+        real,
+        "NodeTable (scheduling/node_table.py)",
+    )
     yield Need(
         "a change of primary, until a front has heard",
-        *(6.0, plan.primary_within, "s", paper, "Watch (net/discovery.py), tests/test_told.py"),
+        *(
+            6.0,
+            plan.primary_within,
+            "s",
+            paper,
+            "Watch (discovery/watch.py), tests/test_discovery_deadlines.py",
+        ),
         "by the rule of 6 s; at 3,100 fronts before one discovery it was not run",
     )
 
 
 def distribution_needs(spreads: Sequence[Spread], plan: Plan = PLAN) -> Iterator[Need]:
+    """Yield the needs of the distribution of settings and primaries, for each measured load."""
     carrier, hollow = "Subscriber, Relay (distribution/)", Kind.HOLLOW.value
     for one in spreads:
         within = plan.config_within if one.lane == "settings" else plan.primary_within
@@ -215,8 +260,9 @@
 
 
 def data_needs(results: Results, plan: Plan = PLAN) -> Iterator[Need]:
+    """Yield the needs of the data path: statements, connections, and the start of a front."""
     real, paper = Kind.REAL.value, Kind.PAPER.value
-    server, count = "Front (net/server.py)", workers(results)
+    server, count = "HttpServer (http/server.py)", workers(results)
     busy = results.at("data path", "cpu")
     yield Need("statements of a front, one process", busy, LOAD, "core", real, server, f"{count} processes")
     held = results.at("client connections", "bytes") * plan.front_connections / count
@@ -227,21 +273,28 @@
     each = plan.front_statements / count / plan.nodes  # a second, of one process at one node
     rested = plan.nodes * (1 - math.exp(-each * KEPT_OPEN))
     boxes = SocketBudget.divide(1024, False).backends
-    yield Need("connections to nodes, of a process", rested, boxes, "sockets", paper, "Boxes (net/boxes.py)")
+    yield Need(
+        "connections to nodes, of a process",
+        rested,
+        boxes,
+        "sockets",
+        paper,
+        "BackendPools (http/backends.py)",
+    )
     at_node = plan.fronts * count * (1 - math.exp(-each * KEPT_OPEN))
     yield Need(
         "idle connections at one node",
-        *(at_node, 1024.0, "sockets", paper, "Boxes (net/boxes.py)"),
+        *(at_node, 1024.0, "sockets", paper, "BackendPools (http/backends.py)"),
         "against the 1,024 descriptors of a machine on the platform",
     )
     started = results.at("start of a front", "cpu")
-    yield Need("start of a front, processor", started, 10.0, "s", real, "Daemon (__main__.py)")
+    yield Need("start of a front, processor", started, 10.0, "s", real, "Daemon (process/daemon.py)")
     restarts = plan.front_restarts_a_day * results.at("node list", "list_bytes") / DAY / plan.fronts
     yield Need("whole lists of restarted fronts", restarts, plan.bytes_s, "bytes/s", real, server)
 
 
 def all_needs(results: Results) -> list[Need]:
-    """Those that nothing carries first, then by their factor; what was not measured last."""
+    """Return what nothing carries, then the needs by descending factor, then what was not measured."""
     found = [*missing(results.spreads), *list_needs(results), *member_needs(results)]
     found += [*shared_needs(results), *data_needs(results), *distribution_needs(results.spreads)]
     return sorted(found, key=lambda one: -one.factor if not math.isnan(one.factor) else math.inf)
--- a/cleatyoke/emulation/capacity/situations.py
+++ b/cleatyoke/emulation/capacity/situations.py
@@ -1,111 +1,158 @@
-"""What a front sends and takes, and how long it takes, in the situations that the plan names."""
+"""What a front sends and receives, and how long it takes, in the situations that the plan names."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from cleatyoke.emulation.capacity import duties
 from cleatyoke.emulation.capacity.needs import ENTRIES, ENTRY_HEAD, PROBE_BYTES, entry_bytes
 from cleatyoke.emulation.capacity.plan import PLAN, Plan
 from cleatyoke.emulation.capacity.results import Results
 
-WINDOW = 13.0
-NONE = "no mechanism"
+WINDOW_S = 13.0  # seconds: the worst such window is counted
+LIST_KNOWN_S = 6.0  # seconds until a front knows of a change of the list (protocol page)
+CONFIG_LACKS = "configuration: no mechanism"
+ON_PAPER = "hollow members, paper"  # what the figures rest on
 
 
 @dataclass(slots=True, frozen=True)
 class Situation:
-    """Of one front: bytes in the worst 13 s, processor seconds in the worst 13 s, seconds until all is in
-    force at 3 KB/s; and what of it nothing carries.
-    """
+    """What a situation takes of one front."""
 
     name: str
-    bytes: float
-    cpu: float
-    settles: float
-    lacks: str
+    bytes: float  # in the worst 13 s
+    cpu: float  # processor seconds in the worst 13 s
+    settles: float  # seconds until all is in force at 3 KB/s
+    lacks: str  # what of it nothing carries; empty: nothing is lacking
     kind: str
 
 
-def after_event(results: Results, duty: str) -> tuple[float, float, float]:
-    """Bytes, processor seconds and seconds until all members agree."""
-    return results.at(duty, "mean_bytes"), results.at(duty, "cpu"), results.at(duty, "settled")
+class EventCost(NamedTuple):
+    """What an event among the members takes of one of them."""
+
+    bytes: float
+    cpu: float  # processor seconds
+    settled: float  # seconds until all members agree
+
+
+class BaseCosts(NamedTuple):
+    """What the situations have in common."""
+
+    quiet: float  # bytes in 13 s in which nothing happens
+    quiet_cpu: float  # processor seconds of the same
+    entry: float  # bytes of a node's entry in the list
+    change: float  # processor seconds for a change of one entry
+    machine: float  # bytes of the changes for a machine that is replaced
+    probes: float  # bytes of load probes in 13 s, while a node is warming up
+    whole_list: float  # bytes
 
 
 def situations(results: Results, plan: Plan = PLAN) -> Iterator[Situation]:
-    entry = entry_bytes(results)
-    quiet = results.at("members, quiet", "bytes") * WINDOW
-    quiet_cpu = (results.at("members, quiet", "cpu") + results.at("node list", "rest")) * WINDOW
-    change = results.at("node list", "change")
-    machine = ENTRIES * (entry + ENTRY_HEAD)
-    probes = duties.probes_a_second(plan.fronts, plan.nodes, 1) * PROBE_BYTES * WINDOW
-    paper = "hollow members, paper"
-
-    ordinary = quiet + plan.node_rate * machine * WINDOW
-    usual = [one for one in results.spreads if one.what == "mean rate"]
-    ordinary += usual[0].worst_window if usual else 0.0
-    settles = max(6.0, usual[0].worst) if usual else 6.0
-    lacking = "" if usual else f"configuration: {NONE}"
-    yield Situation("an ordinary second, times 13", ordinary, quiet_cpu, settles, lacking, paper)
+    """Yield each situation, in the order of the page."""
+    base = _base_costs(results, plan)
+    yield _ordinary(results, plan, base)
     yield Situation(
         "a burst of configuration, 500 in a minute",
-        quiet,
-        quiet_cpu,
+        base.quiet,
+        base.quiet_cpu,
         math.nan,
-        f"configuration: {NONE}",
-        paper,
+        CONFIG_LACKS,
+        ON_PAPER,
     )
-    one = quiet + machine + probes
-    yield Situation("one machine", one, quiet_cpu + ENTRIES * change, 6.0 + machine / plan.bytes_s, "", paper)
-    rack = quiet + plan.rack_nodes * machine + probes
+    yield _machines_lost("one machine", 1, plan, base)
+    yield _machines_lost("a rack", plan.rack_nodes, plan, base)
+    for name, entries in (("a zone lost", plan.zone_nodes), ("a zone back", 2 * plan.zone_nodes)):
+        yield _zone_changed(name, entries, results, plan, base)
+    yield _regions_apart(results, plan, base)
     yield Situation(
-        "a rack",
-        rack,
-        quiet_cpu + plan.rack_nodes * ENTRIES * change,
-        6.0 + plan.rack_nodes * machine / plan.bytes_s,
+        "all control machines down for an hour",
+        base.quiet,
+        base.quiet_cpu,
+        0.0,
+        "nothing is needed to serve on; a front that restarts meanwhile has its file alone",
+        ON_PAPER,
+    )
+    yield _power_loss(results, plan, base)
+
+
+def _base_costs(results: Results, plan: Plan) -> BaseCosts:
+    entry = entry_bytes(results)
+    quiet_cpu = results.at("members, quiet", "cpu") + results.at("node list", "rest")
+    return BaseCosts(
+        quiet=results.at("members, quiet", "bytes") * WINDOW_S,
+        quiet_cpu=quiet_cpu * WINDOW_S,
+        entry=entry,
+        change=results.at("node list", "change"),
+        machine=ENTRIES * (entry + ENTRY_HEAD),
+        probes=duties.probes_a_second(plan.fronts, plan.nodes, 1) * PROBE_BYTES * WINDOW_S,
+        whole_list=results.at("node list", "list_bytes"),
+    )
+
+
+def _event_cost(results: Results, duty: str) -> EventCost:
+    return EventCost(results.at(duty, "mean_bytes"), results.at(duty, "cpu"), results.at(duty, "settled"))
+
+
+def _ordinary(results: Results, plan: Plan, base: BaseCosts) -> Situation:
+    sent = base.quiet + plan.node_rate * base.machine * WINDOW_S
+    settles = LIST_KNOWN_S
+    lacks = CONFIG_LACKS
+    usual = [one for one in results.spreads if one.what == "mean rate"]
+    if usual:
+        sent += usual[0].worst_window
+        settles = max(LIST_KNOWN_S, usual[0].worst)
+        lacks = ""
+    return Situation("an ordinary second, times 13", sent, base.quiet_cpu, settles, lacks, ON_PAPER)
+
+
+def _machines_lost(name: str, machines: int, plan: Plan, base: BaseCosts) -> Situation:
+    return Situation(
+        name,
+        base.quiet + machines * base.machine + base.probes,
+        base.quiet_cpu + machines * ENTRIES * base.change,
+        LIST_KNOWN_S + machines * base.machine / plan.bytes_s,
         "",
-        paper,
+        ON_PAPER,
     )
-    for name, duty, entries in (
-        ("a zone lost", "members, a zone lost", plan.zone_nodes),
-        ("a zone back", "members, a zone back", 2 * plan.zone_nodes),
-    ):
-        sent, cpu, settled = after_event(results, duty)
-        listed = entries * entry
-        yield Situation(
-            name,
-            sent + listed + probes,
-            cpu + entries * change,
-            6.0 + max(settled, (sent + listed) / plan.bytes_s),
-            "subset of nodes",
-            "hollow members, real list",
-        )
-    sent, cpu, settled = after_event(results, "members, a region back")
-    whole = results.at("node list", "list_bytes")
-    yield Situation(
+
+
+def _zone_changed(name: str, entries: float, results: Results, plan: Plan, base: BaseCosts) -> Situation:
+    event = _event_cost(results, f"members, {name}")
+    listed = entries * base.entry
+    return Situation(
+        name,
+        event.bytes + listed + base.probes,
+        event.cpu + entries * base.change,
+        LIST_KNOWN_S + max(event.settled, (event.bytes + listed) / plan.bytes_s),
+        "subset of nodes",
+        "hollow members, real list",
+    )
+
+
+def _regions_apart(results: Results, plan: Plan, base: BaseCosts) -> Situation:
+    event = _event_cost(results, "members, a region back")
+    sent = event.bytes + base.whole_list
+    return Situation(
         "regions apart for an hour and back",
-        sent + whole,
-        cpu + results.at("node list", "again_cpu"),
-        max(settled, (sent + whole) / plan.bytes_s),
+        sent,
+        event.cpu + results.at("node list", "again_cpu"),
+        max(event.settled, sent / plan.bytes_s),
         "nodes that were missed come as discovery's whole list",
         "hollow members (40 s apart), real list",
     )
-    yield Situation(
-        "all control machines down for an hour",
-        quiet,
-        quiet_cpu,
-        0.0,
-        "nothing is needed to serve on; a front that restarts meanwhile has its file alone",
-        paper,
-    )
-    sent, cpu, settled = after_event(results, "members, power loss")
-    yield Situation(
+
+
+def _power_loss(results: Results, plan: Plan, base: BaseCosts) -> Situation:
+    event = _event_cost(results, "members, power loss")
+    sent = event.bytes + base.whole_list
+    return Situation(
         "the whole fleet from a power loss",
-        sent + whole,
-        cpu + results.at("start of a front", "cpu") + results.at("node list", "take_cpu"),
-        max(settled, (sent + whole) / plan.bytes_s),
+        sent,
+        event.cpu + results.at("start of a front", "cpu") + results.at("node list", "take_cpu"),
+        max(event.settled, sent / plan.bytes_s),
         "a durable copy of nodes and configuration",
         "hollow members, real list and start",
     )
