--- a/cleatyoke/emulation/durability.py
+++ b/cleatyoke/emulation/durability.py
@@ -141,7 +141,7 @@
     """A script of this number; what broke once all are back and the fleet has settled."""
     rng = random.Random(f"kept:{seed}:{size}")
     loss = rng.choice((0.0, 0.2))
-    fleet = Keeping(size, seed, network=Network(seed, loss=loss, doubles=0.05), **make)
+    fleet = Keeping(size, seed, network=Network(seed, loss=loss, duplication=0.05), **make)
     fleet.start_all()
     fleet.run(8.0)
     for _ in range(steps):
--- a/cleatyoke/emulation/fault_script.py
+++ b/cleatyoke/emulation/fault_script.py
@@ -62,7 +62,7 @@
         case "cut":
             fleet.cut(fronts)
         case "deaf" if len(fronts) == 2:
-            fleet.network.deaf.add((fleet.address(fronts[1]), fleet.address(fronts[0])))
+            fleet.network.cut_one_way.add((fleet.address(fronts[1]), fleet.address(fronts[0])))
         case "heal":
             fleet.heal()
 
@@ -70,7 +70,7 @@
 def play(script: Script, make: Make = Membership, timing: MembershipTiming | None = None) -> list[str]:
     """What broke, each beginning with its rule: ``back``, ``count``, ``stopped`` or ``one view``."""
     size = int(script["size"])
-    network = Network(script["seed"], loss=script["loss"], doubles=0.02, garbles=0.01)
+    network = Network(script["seed"], loss=script["loss"], duplication=0.02, corruption=0.01)
     fleet = Fleet(size, script["seed"], timing, network, make)
     fleet.start_all()
     fleet.run(START)
--- a/cleatyoke/emulation/fleet.py
+++ b/cleatyoke/emulation/fleet.py
@@ -130,12 +130,12 @@
 
     def cut(self, *sides: Iterable[int]) -> None:
         """Part these groups from each other and from the rest."""
-        self.network.cut = {
+        self.network.sides = {
             self.address(front): number for number, side in enumerate(sides, 1) for front in side
         }
 
     def heal(self) -> None:
-        self.network.cut, self.network.deaf = {}, set()
+        self.network.sides, self.network.cut_one_way = {}, set()
 
     # Time
 
--- a/cleatyoke/emulation/measure.py
+++ b/cleatyoke/emulation/measure.py
@@ -84,7 +84,7 @@
     fleet = started(kind, size, seed, loss)
     faint = range(size - max(1, int(size * slow)), size) if slow else range(0)
     for front in faint:
-        fleet.network.slow[fleet.address(front)] = BEHIND
+        fleet.network.extra_delay[fleet.address(front)] = BEHIND
     fleet.run(fleet.now + 10.0)
     fleet.journal.deaths.clear()
     fleet.run(fleet.now + WATCHED)
--- a/cleatyoke/emulation/network.py
+++ b/cleatyoke/emulation/network.py
@@ -1,5 +1,8 @@
-"""Links among addresses, with their faults. What becomes of a message is drawn from the message, its link
-and the seed, never from a generator that runs on: a fault elsewhere changes nothing here.
+"""Links among addresses, with their faults, in virtual time or behind a relay.
+
+What becomes of a message is derived from the message, its link and the seed, never drawn from a generator
+that advances: a fault on one link changes nothing on another, and a run with the same messages meets the
+same faults.
 """
 
 from __future__ import annotations
@@ -7,95 +10,126 @@
 import zlib
 from collections.abc import Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-MOST_MET = 100_000  # messages whose earlier passages are remembered
+MAX_PASSAGES = 100_000  # messages whose earlier passages are remembered
+STREAM_LOSS_DELAYS = 5  # delays more of a stream whose every message is lost once
+CORRUPTION_MASK = 0x55  # the bits of a byte that corruption flips
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """On every link from one of ``sources`` to one of ``targets``, on top of what the network does anyway."""
+    """A fault on every link from one of ``sources`` to one of ``targets``, on top of the network's own.
+
+    Delays are in seconds; loss, duplication and corruption are fractions of the messages.
+    """
 
     sources: frozenset[str]
     targets: frozenset[str]
     cut: bool = False
     loss: float = 0.0
-    doubles: float = 0.0
-    garbles: float = 0.0
+    duplication: float = 0.0
+    corruption: float = 0.0
     delay: float = 0.0
     jitter: float = 0.0
 
 
+class Delivery(NamedTuple):
+    """A copy of a datagram that arrives."""
+
+    after: float  # seconds
+    data: bytes
+
+
 @dataclass(slots=True)
 class Network:
-    """Delays in seconds; shares from 0 to 1. A stream is a message that is not lost but by a cut."""
+    """Links with delays in seconds and faults as fractions of the messages, from 0 to 1.
+
+    A datagram may be lost, duplicated or corrupted. A stream's message is lost by a cut only.
+    """
 
     seed: int = 0
     delay: float = 0.002
     jitter: float = 0.003
     loss: float = 0.0
-    doubles: float = 0.0
-    garbles: float = 0.0
-    cut: dict[str, int] = field(default_factory=dict)  # address: its side, 0 if it has none
-    deaf: set[tuple[str, str]] = field(default_factory=set)  # from, to: one way cut
-    slow: dict[str, float] = field(default_factory=dict)  # address: seconds more for its messages
+    duplication: float = 0.0
+    corruption: float = 0.0
+    sides: dict[str, int] = field(default_factory=dict)  # address: its side of a partition, 0 if not named
+    cut_one_way: set[tuple[str, str]] = field(default_factory=set)  # from, to
+    extra_delay: dict[str, float] = field(default_factory=dict)  # address: seconds more for its messages
     faults: list[Fault] = field(default_factory=list)
-    met: dict[int, int] = field(default_factory=dict)  # message on its link: how often it came before
+    passages: dict[int, int] = field(default_factory=dict)  # message on its link: how often it came before
 
     def passage(self, source: str, target: str, data: bytes) -> int:
-        """A number that stands for this message, on this link, the so-manieth time."""
+        """Return a number for this message on this link; each repetition of it has another one."""
         key = zlib.crc32(data, zlib.crc32(f"{self.seed}:{source}:{target}:".encode()))
-        if len(self.met) >= MOST_MET:
-            self.met.clear()
-        times = self.met[key] = self.met.get(key, 0) + 1
+        if len(self.passages) >= MAX_PASSAGES:
+            self.passages.clear()
+        times = self.passages.get(key, 0) + 1
+        self.passages[key] = times
         return zlib.crc32(times.to_bytes(4, "big"), key)
 
     @staticmethod
     def chance(passage: int, what: str) -> float:
+        """Return a number from 0 to 1 that decides ``what`` for this passage."""
         return zlib.crc32(what.encode(), passage) / 2**32
 
-    def on(self, source: str, target: str) -> Iterator[Fault]:
+    def faults_on(self, source: str, target: str) -> Iterator[Fault]:
+        """Return the faults of this link, in the order in which they were added."""
         return (one for one in self.faults if source in one.sources and target in one.targets)
 
-    def parted(self, source: str, target: str) -> bool:
-        if (source, target) in self.deaf or self.cut.get(source, 0) != self.cut.get(target, 0):
+    def is_cut(self, source: str, target: str) -> bool:
+        """Return whether no message passes from ``source`` to ``target``."""
+        if (source, target) in self.cut_one_way or self.sides.get(source, 0) != self.sides.get(target, 0):
             return True
-        return any(fault.cut for fault in self.on(source, target))
+        return any(fault.cut for fault in self.faults_on(source, target))
 
-    def takes(self, source: str, target: str, draw: float) -> float:
-        delay = self.delay + self.slow.get(source, 0.0) + self.slow.get(target, 0.0)
+    def transit_time(self, source: str, target: str, draw: float) -> float:
+        """Return the seconds that a message takes; ``draw`` is its part of the jitter."""
+        delay = self.delay + self.extra_delay.get(source, 0.0) + self.extra_delay.get(target, 0.0)
         jitter = self.jitter
-        for fault in self.on(source, target):
-            delay, jitter = delay + fault.delay, jitter + fault.jitter
+        for fault in self.faults_on(source, target):
+            delay += fault.delay
+            jitter += fault.jitter
         return delay + jitter * draw
 
-    def share(self, what: str, source: str, target: str) -> float:
-        """Of messages on this link that meet this: ``loss``, ``doubles`` or ``garbles``."""
+    def fraction(self, what: str, source: str, target: str) -> float:
+        """Return the fraction of messages on this link that meet ``what``.
+
+        ``what``: "loss", "duplication" or "corruption".
+        """
         spared = 1.0 - float(getattr(self, what))
-        for fault in self.on(source, target):
+        for fault in self.faults_on(source, target):
             spared *= 1.0 - getattr(fault, what)
         return 1.0 - spared
 
-    def datagram(self, source: str, target: str, data: bytes) -> list[tuple[float, bytes]]:
-        """What arrives of it, each after so many seconds; nothing, or twice, or not as it was."""
-        one = self.passage(source, target, data)
-        if self.parted(source, target) or self.chance(one, "loss") < self.share("loss", source, target):
+    def datagram(self, source: str, target: str, data: bytes) -> list[Delivery]:
+        """Return what arrives of a datagram: nothing, one copy or two."""
+        passage = self.passage(source, target, data)
+        if self.is_cut(source, target):
             return []
-        out = [(self.takes(source, target, self.chance(one, "delay")), data)]
-        if self.chance(one, "double") < self.share("doubles", source, target):
-            out.append((self.takes(source, target, 3 * self.chance(one, "again")), data))
-        garbles = self.share("garbles", source, target)
-        if data and (draw := self.chance(one, "garble")) < garbles:
-            place = int(draw / garbles * len(data))
-            bad = data[:place] + bytes([data[place] ^ 0x55]) + data[place + 1 :]
-            out = [(after, bad) for after, _ in out]
-        return out
+        if self.chance(passage, "loss") < self.fraction("loss", source, target):
+            return []
+        first = self.transit_time(source, target, self.chance(passage, "delay"))
+        copies = [Delivery(first, data)]
+        if self.chance(passage, "double") < self.fraction("duplication", source, target):
+            again = self.transit_time(source, target, 3 * self.chance(passage, "again"))
+            copies.append(Delivery(again, data))
+        corruption = self.fraction("corruption", source, target)
+        draw = self.chance(passage, "garble")
+        if data and draw < corruption:
+            place = int(draw / corruption * len(data))
+            corrupted = data[:place] + bytes([data[place] ^ CORRUPTION_MASK]) + data[place + 1 :]
+            copies = [Delivery(after, corrupted) for after, _ in copies]
+        return copies
 
     def stream(self, source: str, target: str, data: bytes) -> float | None:
-        """Seconds until it has come whole; None: it never does. A cut one way parts both, as nothing is
-        acknowledged; loss only makes it slower.
+        """Return the seconds until a stream's message has arrived complete, or None if it never does.
+
+        A cut in one direction breaks both, as nothing is acknowledged; loss only makes the stream slower.
         """
-        if self.parted(source, target) or self.parted(target, source):
+        if self.is_cut(source, target) or self.is_cut(target, source):
             return None
-        again = 1 + 5 * self.share("loss", source, target)
-        one = self.passage(source, target, data)
-        return again * self.takes(source, target, self.chance(one, "delay"))
+        slowdown = 1 + STREAM_LOSS_DELAYS * self.fraction("loss", source, target)
+        passage = self.passage(source, target, data)
+        return slowdown * self.transit_time(source, target, self.chance(passage, "delay"))
--- a/cleatyoke/testbed/fault_relay.py
+++ b/cleatyoke/testbed/fault_relay.py
@@ -104,7 +104,7 @@
 
     def parted(self, source: int, target: int) -> bool:
         one, other = str(source), str(target)
-        return self.network.parted(one, other) or self.network.parted(other, one)
+        return self.network.is_cut(one, other) or self.network.is_cut(other, one)
 
     async def pump(
         self, source: int, target: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -186,7 +186,7 @@
 
     def links(self, relays: list[int]) -> list[int]:
         """Ports of fault links before the relays, in a loop of their own."""
-        network = Network(7, loss=0.02, garbles=0.02)
+        network = Network(7, loss=0.02, corruption=0.02)
         links = [FaultLink(relay, network) for relay in relays]
         loop = asyncio.new_event_loop()
         import threading
--- a/tests/test_fleet_testbed.py
+++ b/tests/test_fleet_testbed.py
@@ -52,7 +52,7 @@
 
     Otherwise a run that fails could not be repeated.
     """
-    fault = Fault(frozenset("a"), frozenset("b"), loss=0.5, doubles=0.5, garbles=0.2, jitter=1.0)
+    fault = Fault(frozenset("a"), frozenset("b"), loss=0.5, duplication=0.5, corruption=0.2, jitter=1.0)
     messages = [bytes([number]) * 9 for number in range(200)]
     one, other = Network(3, faults=[fault]), Network(3, faults=[fault])
     for number in range(50):
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -63,7 +63,7 @@
 def test_a_link_that_fails_one_way_is_bridged_by_helpers(make: type[Membership], most: int) -> None:
     """One front does not hear another for a minute; helpers that hear both keep it from suspicion."""
     fleet = started_fleet(make=make)
-    fleet.network.deaf.add((fleet.address(4), fleet.address(7)))
+    fleet.network.cut_one_way.add((fleet.address(4), fleet.address(7)))
     fleet.run(fleet.now + 60.0)
     raised = membership_of(fleet, 4).counters.suspicions + membership_of(fleet, 7).counters.suspicions
     assert count_false_deaths(fleet) == 0
@@ -95,7 +95,7 @@
     fleet = started_fleet()
     for here, there in itertools.product((1, 2, 3, 4, 5), (6, 7, 8, 9, 10, 11)):
         one, other = fleet.address(here), fleet.address(there)
-        fleet.network.deaf |= {(one, other), (other, one)}
+        fleet.network.cut_one_way |= {(one, other), (other, one)}
     fleet.run(fleet.now + 30.0)
     fleet.check_counts()
     assert membership_of(fleet, 0).counters.deaths == 0
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize("loss", [0.3])
 def test_heavy_loss_leaves_one_view(loss: float) -> None:
     """Links lose three datagrams of ten, double some and garble some for a minute."""
-    fleet = started_fleet(loss=loss, doubles=0.02, garbles=0.02)
+    fleet = started_fleet(loss=loss, duplication=0.02, corruption=0.02)
     fleet.run(fleet.now + 60.0)
     assert fleet.settle(SETTLE_SECONDS) is not None
     assert not fleet.broken
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -27,7 +27,7 @@
     """Random demand, restarts, pauses, loss, duplicates and long delays; ends with the last event."""
     rng = random.Random(f"play:{seed}")
     network = Network(
-        seed, delay=0.001, jitter=rng.choice((0.01, 0.5, 3.0)), loss=rng.choice((0.0, 0.3)), doubles=0.05
+        seed, delay=0.001, jitter=rng.choice((0.01, 0.5, 3.0)), loss=rng.choice((0.0, 0.3)), duplication=0.05
     )
     simulation = LeaseSimulation(6, seed, network, make=make)
     while simulation.now < seconds:
@@ -38,9 +38,9 @@
             case 1:
                 simulation.stop(front, rng.uniform(0.5, 5.0))
             case 2:
-                network.cut = {str(one): rng.randrange(2) for one in range(simulation.size)}
+                network.sides = {str(one): rng.randrange(2) for one in range(simulation.size)}
             case 3:
-                network.cut = {}
+                network.sides = {}
         simulation.needs = [rng.choice((0.0, 200.0, 900.0, 4000.0)) for _ in range(simulation.size)]
         simulation.run(simulation.now + rng.uniform(0.2, 3.0))
     return simulation
