--- a/cleatyoke/emulation/capacity/hollow.py
+++ b/cleatyoke/emulation/capacity/hollow.py
@@ -74,16 +74,16 @@
     rng = random.Random(f"settled:{size}:{seed}")
     for front in range(size):
         members = settled_members(fleet, front, rumours, marks, rng)
-        fleet.boots[front] = 1
+        fleet.boot_numbers[front] = 1
         process = fleet.running[fleet.address(front)] = Process(front, members, 0.0)
-        process.alarm = members.next_step_at()
-        fleet.at(process.alarm, wake_up(fleet, process))
+        process.timer_at = members.next_step_at()
+        fleet.schedule(process.timer_at, wake_up(fleet, process))
     return fleet
 
 
 def wake_up(fleet: Fleet, process: Process) -> Callable[[], None]:
-    address, due = process.members.address, process.alarm
-    return lambda: fleet.rung(address, process, due)
+    address, due = process.members.address, process.timer_at
+    return lambda: fleet.fire_timer(address, process, due)
 
 
 def settled_members(
@@ -219,7 +219,7 @@
         fleet = settled_fleet(size, seed)
         fleet.cut(range(round(size * CUT_SHARE)))
         fleet.run(CUT_SECONDS)
-        fleet.heal()
+        fleet.end_cuts()
         return Watcher(fleet).until_agreed()
 
 
--- a/cleatyoke/emulation/durability.py
+++ b/cleatyoke/emulation/durability.py
@@ -71,7 +71,7 @@
                 )
                 then()
 
-        self.at(self.now + DISK, kept)
+        self.schedule(self.now + DISK, kept)
 
     @staticmethod
     def store(members: Membership) -> HoldReplication:
@@ -119,7 +119,7 @@
             case "cut":
                 self.cut(range(front + 1))
             case "heal":
-                self.heal()
+                self.end_cuts()
 
     def elsewhere(self, name: str) -> bool:
         """Whether all that must stand is on other disks too: of one copy alone the loss is for good."""
@@ -147,7 +147,7 @@
     for _ in range(steps):
         fleet.act(rng.choice(FAULTS), rng.randrange(size), f"s-{rng.randrange(4)}")
         fleet.run(fleet.now + rng.choice((0.005, 0.1, 1.0, 6.0)))
-    fleet.heal()
+    fleet.end_cuts()
     for front in range(size):
         if fleet.address(front) not in fleet.running:
             fleet.start(front)
--- a/cleatyoke/emulation/fault_script.py
+++ b/cleatyoke/emulation/fault_script.py
@@ -64,7 +64,7 @@
         case "deaf" if len(fronts) == 2:
             fleet.network.cut_one_way.add((fleet.address(fronts[1]), fleet.address(fronts[0])))
         case "heal":
-            fleet.heal()
+            fleet.end_cuts()
 
 
 def play(script: Script, make: Make = Membership, timing: MembershipTiming | None = None) -> list[str]:
@@ -80,7 +80,7 @@
             fleet.check_counts()
         fleet.run(START + at)
         act(fleet, what, fronts)
-    fleet.heal()
+    fleet.end_cuts()
     fleet.network.loss = 0.0
     fleet.run(fleet.now + STOP)
     fleet.check_counts()
--- a/cleatyoke/emulation/measure.py
+++ b/cleatyoke/emulation/measure.py
@@ -64,7 +64,7 @@
         fleet.kill(front)
         fleet.journal.suspected.pop(id, None)
         began, known = fleet.now, len(fleet.journal.deaths)
-        while fleet.now < began + 60 and fleet.knows_dead(id) < 1.0:
+        while fleet.now < began + 60 and fleet.fraction_knowing_dead(id) < 1.0:
             fleet.run(fleet.now + 0.05)
         of_it = [at for at, _, dead, _ in fleet.journal.deaths[known:] if dead == id]
         doubts.append(fleet.journal.suspected[id] - began)
@@ -103,7 +103,7 @@
     fleet = started(kind, size, seed)
     fleet.cut(range(size * 2 // 5))
     fleet.run(fleet.now + 40.0)
-    fleet.heal()
+    fleet.end_cuts()
     took = fleet.settle(HEAL_LIMIT)
     return {"one view s": math.inf if took is None else took}
 
--- a/cleatyoke/emulation/network.py
+++ b/cleatyoke/emulation/network.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import zlib
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
@@ -93,29 +93,28 @@
             jitter += fault.jitter
         return delay + jitter * draw
 
-    def fraction(self, what: str, source: str, target: str) -> float:
-        """Return the fraction of messages on this link that meet ``what``.
+    def _loss(self, source: str, target: str) -> float:
+        return _combine(self.loss, (fault.loss for fault in self.faults_on(source, target)))
 
-        ``what``: "loss", "duplication" or "corruption".
-        """
-        spared = 1.0 - float(getattr(self, what))
-        for fault in self.faults_on(source, target):
-            spared *= 1.0 - getattr(fault, what)
-        return 1.0 - spared
+    def _duplication(self, source: str, target: str) -> float:
+        return _combine(self.duplication, (fault.duplication for fault in self.faults_on(source, target)))
+
+    def _corruption(self, source: str, target: str) -> float:
+        return _combine(self.corruption, (fault.corruption for fault in self.faults_on(source, target)))
 
     def datagram(self, source: str, target: str, data: bytes) -> list[Delivery]:
         """Return what arrives of a datagram: nothing, one copy or two."""
         passage = self.passage(source, target, data)
         if self.is_cut(source, target):
             return []
-        if self.chance(passage, "loss") < self.fraction("loss", source, target):
+        if self.chance(passage, "loss") < self._loss(source, target):
             return []
         first = self.transit_time(source, target, self.chance(passage, "delay"))
         copies = [Delivery(first, data)]
-        if self.chance(passage, "double") < self.fraction("duplication", source, target):
+        if self.chance(passage, "double") < self._duplication(source, target):
             again = self.transit_time(source, target, 3 * self.chance(passage, "again"))
             copies.append(Delivery(again, data))
-        corruption = self.fraction("corruption", source, target)
+        corruption = self._corruption(source, target)
         draw = self.chance(passage, "garble")
         if data and draw < corruption:
             place = int(draw / corruption * len(data))
@@ -130,6 +129,14 @@
         """
         if self.is_cut(source, target) or self.is_cut(target, source):
             return None
-        slowdown = 1 + STREAM_LOSS_DELAYS * self.fraction("loss", source, target)
+        slowdown = 1 + STREAM_LOSS_DELAYS * self._loss(source, target)
         passage = self.passage(source, target, data)
         return slowdown * self.transit_time(source, target, self.chance(passage, "delay"))
+
+
+def _combine(own: float, others: Iterable[float]) -> float:
+    """Return the fraction of messages that meet at least one of these faults."""
+    spared = 1.0 - own
+    for fraction in others:
+        spared *= 1.0 - fraction
+    return 1.0 - spared
--- a/cleatyoke/emulation/quota_leases.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -1,10 +1,11 @@
-"""Rights among many fronts in virtual time: real ``fleet.rights`` on a network with faults, clocks that run
-apart, crashes and stops; at each event the sum of what all may use against the whole.
+"""Quota leases among many fronts in virtual time.
+
+The real ``coordination.quota_leases`` of each front, on a network with faults, with clocks that drift apart,
+crashes and stopped processes. After each event the sum of what all may use is compared with the total.
 """
 
 from __future__ import annotations
 
-import heapq
 import math
 import random
 from collections.abc import Callable
@@ -15,33 +16,42 @@
 from cleatyoke.coordination.lease_events import DemandChanged, LeaseMessageReceived, PeersChanged
 from cleatyoke.coordination.lease_terms import LeaseTerms
 from cleatyoke.coordination.quota_leases import QuotaLeases
+from cleatyoke.emulation.event_queue import EventQueue
 from cleatyoke.emulation.network import Network
 from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
 
 RESOURCE = "limit:1"
-TICK = 0.05  # seconds between two steps that nothing else brings about
-Make = Callable[[float, random.Random, LeaseTerms], QuotaLeases]
-decoder: msgspec.msgpack.Decoder[LeaseRequest | LeaseGrant] = msgspec.msgpack.Decoder(
+TICK_S = 0.05  # seconds between two steps of a front without other cause
+LONG_AGO = -3600.0  # start of the fronts that a run begins with
+LeasesFactory = Callable[[float, random.Random, LeaseTerms], QuotaLeases]
+
+_decoder: msgspec.msgpack.Decoder[LeaseRequest | LeaseGrant] = msgspec.msgpack.Decoder(
     LeaseRequest | LeaseGrant
 )
-encoder = msgspec.msgpack.Encoder()
+_encoder = msgspec.msgpack.Encoder()
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """A front's life."""
+    """One incarnation of a front."""
 
     id: MemberId
-    rights: QuotaLeases
-    pace: float  # of its clock against the true one
+    leases: QuotaLeases
+    clock_rate: float  # of its own clock against true time
     stopped_until: float = -math.inf
 
-    def clock(self, now: float) -> float:
-        return now * self.pace
+    def local_time(self, now: float) -> float:
+        """Return what its own clock shows at the true time ``now``."""
+        return now * self.clock_rate
+
 
+class LeaseSimulation(EventQueue):
+    """``size`` fronts that share one resource.
 
-class LeaseSimulation:
-    """``size`` fronts that share one resource; ``needs`` in parts of a home each."""
+    ``demands``, by front, are in parts of which each front's own quota has ``HOME_PARTS``; set them between
+    two calls of ``run``. ``max_usable_parts``: the most that all together could use after any event, which
+    must not exceed ``total_parts``.
+    """
 
     def __init__(
         self,
@@ -49,86 +59,85 @@
         seed: int,
         network: Network,
         terms: LeaseTerms | None = None,
-        make: Make = QuotaLeases,
+        make: LeasesFactory = QuotaLeases,
     ) -> None:
-        self.size, self.seed, self.network, self.make = size, seed, network, make
-        self.terms, self.rng, self.now = terms or LeaseTerms(), random.Random(f"market:{seed}"), 0.0
-        self.heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.entries = self.messages = 0
-        self.traders: dict[int, LeaseHolder] = {}
-        self.needs = [0.0] * size
-        self.most = 0  # parts that all together could use, at any event
+        super().__init__()
+        self.size = size
+        self.network = network
+        self.holders: dict[int, LeaseHolder] = {}  # by front
+        self.demands = [0.0] * size
+        self.max_usable_parts = 0
+        self._seed = seed
+        self._make = make
+        self._terms = terms or LeaseTerms()
+        self._rng = random.Random(f"market:{seed}")
         for front in range(size):
-            self.start(front, began=-3600.0)
-            self.at(self.rng.random() * TICK, lambda front=front: self.tick(front))  # type: ignore[misc]
+            self.start(front, began=LONG_AGO)
+            self._schedule_tick(front, self._rng.random() * TICK_S)
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        self.entries += 1
-        heapq.heappush(self.heap, (when, self.entries, act))
+    def after_event(self) -> None:
+        """Note the most that could be used."""
+        self.max_usable_parts = max(self.max_usable_parts, self.usable_parts())
 
-    def run(self, until: float) -> None:
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, act = heapq.heappop(self.heap)
-            act()
-            self.most = max(self.most, self.usable())
-        self.now = until
-
-    def usable(self) -> int:
+    def usable_parts(self) -> int:
+        """Return the parts that all fronts that are not stopped could use together now."""
         return sum(
-            one.rights.usable_parts(RESOURCE, one.clock(self.now))
-            for one in self.traders.values()
+            one.leases.usable_parts(RESOURCE, one.local_time(self.now))
+            for one in self.holders.values()
             if self.now >= one.stopped_until
         )
 
-    def whole(self) -> int:
+    def total_parts(self) -> int:
+        """Return the parts that there are."""
         return self.size * HOME_PARTS
 
     # Faults
 
     def start(self, front: int, began: float | None = None) -> None:
-        """A new life; ``began`` long ago: the fleet has run for a while."""
-        boot = self.traders[front].id.boot + 1 if front in self.traders else 1
-        drift = self.terms.clock_drift / 2
-        pace = 1 + self.rng.uniform(-drift, drift)
-        since = (self.now if began is None else began) * pace
-        rights = self.make(since, random.Random(f"{self.seed}:{front}:{boot}"), self.terms)
-        self.traders[front] = LeaseHolder(MemberId(f"front-{front}", boot), rights, pace)
-        for trader in self.traders.values():
-            others = tuple(one.id for one in self.traders.values() if one is not trader)
-            trader.rights.step(trader.clock(self.now), [PeersChanged(others)])
+        """Begin a new incarnation, now or at ``began``, and let all know who is there."""
+        boot = self.holders[front].id.boot + 1 if front in self.holders else 1
+        drift = self._terms.clock_drift / 2
+        clock_rate = 1 + self._rng.uniform(-drift, drift)
+        since = (self.now if began is None else began) * clock_rate
+        leases = self._make(since, random.Random(f"{self._seed}:{front}:{boot}"), self._terms)
+        self.holders[front] = LeaseHolder(MemberId(f"front-{front}", boot), leases, clock_rate)
+        for holder in self.holders.values():
+            others = tuple(one.id for one in self.holders.values() if one is not holder)
+            holder.leases.step(holder.local_time(self.now), [PeersChanged(others)])
 
     def stop(self, front: int, seconds: float) -> None:
-        self.traders[front].stopped_until = self.now + seconds
+        """Stop a front's process as SIGSTOP would, for so long."""
+        self.holders[front].stopped_until = self.now + seconds
 
     # Steps
 
-    def tick(self, front: int) -> None:
-        self.at(self.now + TICK, lambda: self.tick(front))
-        self.step(front, DemandChanged({RESOURCE: self.needs[front]}))
+    def _schedule_tick(self, front: int, when: float) -> None:
+        self.schedule(when, lambda: self._tick(front))
+
+    def _tick(self, front: int) -> None:
+        self._schedule_tick(front, self.now + TICK_S)
+        self._step(front, DemandChanged({RESOURCE: self.demands[front]}))
 
-    def step(self, front: int, event: DemandChanged | LeaseMessageReceived) -> None:
-        trader = self.traders[front]
-        if self.now < trader.stopped_until:
-            if isinstance(event, LeaseMessageReceived):  # its socket holds it
-                self.at(trader.stopped_until, lambda: self.reach(trader, front, event))
+    def _step(self, front: int, event: DemandChanged | LeaseMessageReceived) -> None:
+        holder = self.holders[front]
+        if self.now < holder.stopped_until:
+            if isinstance(event, LeaseMessageReceived):  # it waits in the socket
+                self.schedule(holder.stopped_until, lambda: self._receive_when_resumed(holder, front, event))
             return
-        for post in trader.rights.step(trader.clock(self.now), [event]):
-            data = encoder.encode(post.message)
-            self.messages += 1
-            target = int(post.receiver.name.partition("-")[2])
-            for after, came in self.network.datagram(str(front), str(target), data):
-                if came == data:  # what is not as it was sent is refused by its checksum
-                    self.at(
-                        self.now + after,
-                        lambda came=came, to=post.receiver, target=target: (  # type: ignore[misc]
-                            self.deliver(target, to, trader.id, came)
-                        ),
-                    )
-
-    def deliver(self, target: int, to: MemberId, sender: MemberId, data: bytes) -> None:
-        if self.traders[target].id == to:
-            self.step(target, LeaseMessageReceived(sender, decoder.decode(data)))
-
-    def reach(self, trader: LeaseHolder, front: int, event: LeaseMessageReceived) -> None:
-        if self.traders[front] is trader:
-            self.step(front, event)
+        for post in holder.leases.step(holder.local_time(self.now), [event]):
+            self._send(front, holder.id, post.receiver, _encoder.encode(post.message))
+
+    def _send(self, front: int, sender: MemberId, receiver: MemberId, data: bytes) -> None:
+        target = int(receiver.name.partition("-")[2])
+        for after, arrived in self.network.datagram(str(front), str(target), data):
+            if arrived != data:  # the receiver rejects a corrupted datagram by its checksum
+                continue
+            self.schedule(self.now + after, lambda: self._deliver(target, receiver, sender, data))
+
+    def _deliver(self, target: int, receiver: MemberId, sender: MemberId, data: bytes) -> None:
+        if self.holders[target].id == receiver:
+            self._step(target, LeaseMessageReceived(sender, _decoder.decode(data)))
+
+    def _receive_when_resumed(self, holder: LeaseHolder, front: int, event: LeaseMessageReceived) -> None:
+        if self.holders[front] is holder:
+            self._step(front, event)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -111,7 +111,7 @@
     fleet.network = Network(2)
     fleet.run(20.0)
     assert hollow.agreed(fleet)
-    assert fleet.one_view()
+    assert fleet.has_one_view()
     assert not fleet.journal.deaths
 
 
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -29,7 +29,7 @@
 def test_killed_members_are_known_to_all_and_nobody_else_is_believed_dead(dead: list[int]) -> None:
     """One front, a third of all, or all seeds are killed at once."""
     fleet = started_fleet()
-    assert fleet.one_view()
+    assert fleet.has_one_view()
     for front in dead:
         fleet.kill(front)
     assert fleet.settle(SETTLE_SECONDS) is not None
@@ -49,7 +49,7 @@
     id = membership_of(fleet, 3).id
     fleet.stop(3, 16.0)
     fleet.run(fleet.now + 15.9)
-    assert fleet.knows_dead(id) > 0.5
+    assert fleet.fraction_knowing_dead(id) > 0.5
     fleet.check_counts()  # it is counted all the same
     fleet.run(fleet.now + 0.2)
     assert membership_of(fleet, 3).incarnation > 0  # and went beyond what was said of it, unasked
@@ -85,7 +85,7 @@
         fleet.check_counts()
     assert len(membership_of(fleet, 0).failed_members) == 7
     assert len(membership_of(fleet, 11).failed_members) == 5
-    fleet.heal()
+    fleet.end_cuts()
     assert (fleet.settle(HEAL_SECONDS) is None) == caught
     assert not fleet.broken
 
@@ -99,7 +99,7 @@
     fleet.run(fleet.now + 30.0)
     fleet.check_counts()
     assert membership_of(fleet, 0).counters.deaths == 0
-    fleet.heal()
+    fleet.end_cuts()
     # What was suspected just before may still be declared dead, and be taken back: 0.1 to 3.4 s over 8 seeds.
     assert fleet.settle(2 * HEAL_SECONDS) is not None
     assert not fleet.broken
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -41,7 +41,7 @@
                 network.sides = {str(one): rng.randrange(2) for one in range(simulation.size)}
             case 3:
                 network.sides = {}
-        simulation.needs = [rng.choice((0.0, 200.0, 900.0, 4000.0)) for _ in range(simulation.size)]
+        simulation.demands = [rng.choice((0.0, 200.0, 900.0, 4000.0)) for _ in range(simulation.size)]
         simulation.run(simulation.now + rng.uniform(0.2, 3.0))
     return simulation
 
@@ -54,34 +54,34 @@
     At no moment may all fronts together use more than the whole resource.
     """
     simulation = simulate(seed)
-    assert simulation.most <= simulation.whole()
+    assert simulation.max_usable_parts <= simulation.total_parts()
 
 
 @pytest.mark.parametrize("make", [KeptOverRestart, EndsAfterGrant])
 def test_wrong_variants_are_caught_by_random_faults(make: type[QuotaLeases]) -> None:
-    assert any(simulate(seed, make).most > 6 * HOME_PARTS for seed in range(12))
+    assert any(simulate(seed, make).max_usable_parts > 6 * HOME_PARTS for seed in range(12))
 
 
 def test_quota_follows_the_demand_and_is_returned() -> None:
     simulation = LeaseSimulation(8, 1, Network(1))
     for hot in (0, 5, 2):
-        simulation.needs = [300.0] * simulation.size
-        simulation.needs[hot] = 3000.0
+        simulation.demands = [300.0] * simulation.size
+        simulation.demands[hot] = 3000.0
         simulation.run(simulation.now + 1.0)
-        assert simulation.traders[hot].rights.usable_parts(RESOURCE, simulation.now) >= 3000
+        assert simulation.holders[hot].leases.usable_parts(RESOURCE, simulation.now) >= 3000
         simulation.run(simulation.now + 6.0)  # renewed for as long as it lasts
-        assert simulation.traders[hot].rights.usable_parts(RESOURCE, simulation.now) >= 3000
-    simulation.needs = [300.0] * simulation.size
+        assert simulation.holders[hot].leases.usable_parts(RESOURCE, simulation.now) >= 3000
+    simulation.demands = [300.0] * simulation.size
     simulation.run(simulation.now + 0.5)
-    assert not any(one.rights.accounts[RESOURCE].borrowed for one in simulation.traders.values())
-    assert simulation.most <= simulation.whole()
+    assert not any(one.leases.accounts[RESOURCE].borrowed for one in simulation.holders.values())
+    assert simulation.max_usable_parts <= simulation.total_parts()
 
 
 def test_where_all_need_more_each_keeps_its_home_quota() -> None:
     simulation = LeaseSimulation(5, 1, Network(1))
-    simulation.needs = [2000.0] * 5
+    simulation.demands = [2000.0] * 5
     simulation.run(5.0)
-    assert [one.rights.usable_parts(RESOURCE, simulation.now) for one in simulation.traders.values()] == [
+    assert [one.leases.usable_parts(RESOURCE, simulation.now) for one in simulation.holders.values()] == [
         HOME_PARTS
     ] * 5
 
@@ -93,17 +93,17 @@
     its first step.
     """
     simulation = LeaseSimulation(3, 1, Network(1))
-    simulation.needs = [2500.0, 0.0, 0.0]
+    simulation.demands = [2500.0, 0.0, 0.0]
     simulation.run(2.5)
-    borrower = simulation.traders[0]
-    assert borrower.rights.usable_parts(RESOURCE, borrower.clock(simulation.now)) > 2 * HOME_PARTS
+    borrower = simulation.holders[0]
+    assert borrower.leases.usable_parts(RESOURCE, borrower.local_time(simulation.now)) > 2 * HOME_PARTS
     simulation.stop(0, 3.0)
-    simulation.needs = [0.0, 2500.0, 0.0]
+    simulation.demands = [0.0, 2500.0, 0.0]
     simulation.run(5.4)
-    lent = simulation.traders[1].rights.usable_parts(RESOURCE, simulation.now)
+    lent = simulation.holders[1].leases.usable_parts(RESOURCE, simulation.now)
     assert lent > HOME_PARTS  # the lender has it again, and lent it anew
     assert (
-        borrower.rights.usable_parts(RESOURCE, borrower.clock(5.5)) == HOME_PARTS
+        borrower.leases.usable_parts(RESOURCE, borrower.local_time(5.5)) == HOME_PARTS
     )  # asked before a use, with no step yet
 
 
--- a/tests/test_replicated_holds.py
+++ b/tests/test_replicated_holds.py
@@ -217,7 +217,7 @@
     shared.call(9, "s-1", False)  # while the other releases what it knows of
     shared.call(9, "s-2", False)
     shared.run(20.0)
-    shared.fleet.heal()
+    shared.fleet.end_cuts()
     shared.run(6.0)
     assert shared.held() == {frozenset({"s-1"})}
 
