--- a/cleatyoke/emulation/__main__.py
+++ b/cleatyoke/emulation/__main__.py
@@ -13,7 +13,7 @@
 
 from cleatyoke.emulation.capacity.command import capacity
 from cleatyoke.emulation.distribution_measure import distribution
-from cleatyoke.emulation.fault_script import draw, line, play, shrink
+from cleatyoke.emulation.fault_script import draw_script, run_script, script_line, shrink_script
 from cleatyoke.process.command_line import run_command
 
 
@@ -26,7 +26,7 @@
 @click.pass_context
 def commands(ctx: click.Context, scripts: int, first: int, size: int, jobs: int, one: str | None) -> None:
     if ctx.invoked_subcommand is None:
-        drawn = [draw(seed, size) for seed in range(first, first + scripts)]
+        drawn = [draw_script(seed, size) for seed in range(first, first + scripts)]
         ctx.exit(play_scripts([json.loads(one)] if one else drawn, jobs, shorten=not one))
 
 
@@ -38,12 +38,14 @@
     """Returns 1 where a rule broke."""
     failed = 0
     with ProcessPoolExecutor(jobs) as pool:
-        for script, broken in zip(scripts, pool.map(play, scripts)):
+        for script, broken in zip(scripts, pool.map(run_script, scripts)):
             if broken:
                 failed += 1
-                click.echo(f"{broken[0]}\n  {line(script)}")
+                click.echo(f"{broken[0]}\n  {script_line(script)}")
                 if shorten:
-                    click.echo(f"  shortest: {line(shrink(script, broken[0].partition(':')[0]))}")
+                    click.echo(
+                        f"  shortest: {script_line(shrink_script(script, broken[0].partition(':')[0]))}"
+                    )
     click.echo(f"{len(scripts)} scripts of {scripts[0]['size']} fronts, {failed} broke a rule")
     return int(failed > 0)
 
--- a/cleatyoke/emulation/fault_script.py
+++ b/cleatyoke/emulation/fault_script.py
@@ -1,10 +1,10 @@
-"""Fault scripts for the virtual fleet: drawn by a seed, told in one line, played again from it, made
-shorter.
+"""Fault scripts for the virtual fleet: drawn by a seed, printed as one line, run again from it, shortened.
 
     {"size": 20, "seed": 7, "loss": 0.1, "steps": [[2.0, "kill", [3]], [4.5, "cut", [0, 1, 2]], ...]}
 
-Steps are ``[seconds, what, fronts]``; ``start``, ``kill``, ``restart``, ``leave``, ``stop`` (8 s),
-``cut`` (these from the rest), ``deaf`` (the first does not hear the second) and ``heal``.
+Steps are ``[seconds, what, fronts]``: ``start``, ``kill``, ``restart``, ``leave``, ``stop`` (for 8 s),
+``cut`` (these fronts from the rest), ``deaf`` (the first receives nothing from the second) and ``heal`` (all
+cuts end).
 """
 
 from __future__ import annotations
@@ -18,46 +18,37 @@
 from cleatyoke.membership.members import Membership
 from cleatyoke.membership.timing import MembershipTiming
 
-STOP = 8.0  # seconds that a stopped process stands
-START = 12.0  # seconds until the fleet has one view, and faults begin
-LOOK = 1.0  # seconds between looks at what each may conclude
-SETTLES = 40.0  # seconds after the last fault in which there has to be one view again, at the default timing
+STOPPED_S = 8.0  # seconds for which a stopped process stands
+FAULTS_BEGIN_S = 12.0  # seconds until the fleet has one view, and faults begin
+CHECK_INTERVAL_S = 1.0  # seconds between checks of what each front may conclude
+SETTLE_LIMIT_S = 40.0  # seconds after the last fault until there must be one view, at the default timing
+DUPLICATION = 0.02  # fraction of the datagrams, in each script
+CORRUPTION = 0.01
 FAULTS = ("kill", "restart", "leave", "stop", "cut", "deaf", "heal", "start")
+PAIRWISE_FAULTS = ("cut", "deaf")  # these concern links, not each front by itself
 
 Script = dict[str, Any]
 
 
-def draw(seed: int, size: int, seconds: float = 30.0, most: int = 12) -> Script:
-    """The script of this number; the same in every run."""
+def draw_script(seed: int, size: int, seconds: float = 30.0, max_steps: int = 12) -> Script:
+    """Return the script of this number; it is the same in every run."""
     rng = random.Random(f"script:{seed}:{size}")
     steps: list[list[Any]] = []
-    for _ in range(rng.randint(1, most)):
+    for _ in range(rng.randint(1, max_steps)):
         what = rng.choice(FAULTS)
-        few = rng.randint(1, max(1, size // (2 if what == "cut" else 4)))
-        fronts = sorted(rng.sample(range(size), 2 if what == "deaf" else few))
+        count = rng.randint(1, max(1, size // (2 if what == "cut" else 4)))
+        fronts = sorted(rng.sample(range(size), 2 if what == "deaf" else count))
         steps.append([round(rng.uniform(0, seconds), 2), what, [] if what == "heal" else fronts])
     loss = rng.choice((0.0, 0.05, 0.15, 0.3))
     return {"size": size, "seed": seed, "loss": loss, "steps": sorted(steps, key=lambda step: step[0])}
 
 
-def line(script: Script) -> str:
+def script_line(script: Script) -> str:
+    """Return the script as the one line that ``--line`` takes."""
     return json.dumps(script, separators=(", ", ": "))
 
 
-def act(fleet: Fleet, what: str, fronts: list[int]) -> None:
-    running = {process.front for process in fleet.running.values()}
-    for front in fronts if what not in ("cut", "deaf") else []:
-        match what:
-            case "start" if front not in running:
-                fleet.start(front)
-            case "restart":
-                fleet.start(front)
-            case "kill":
-                fleet.kill(front)
-            case "leave":
-                fleet.leave(front)
-            case "stop":
-                fleet.stop(front, STOP)
+def _apply(fleet: Fleet, what: str, fronts: list[int]) -> None:
     match what:
         case "cut":
             fleet.cut(fronts)
@@ -65,40 +56,68 @@
             fleet.network.cut_one_way.add((fleet.address(fronts[1]), fleet.address(fronts[0])))
         case "heal":
             fleet.end_cuts()
+    if what not in PAIRWISE_FAULTS:
+        running = {process.front for process in fleet.running.values()}
+        for front in fronts:
+            _apply_to_front(fleet, what, front, is_running=front in running)
 
 
-def play(script: Script, make: Make = Membership, timing: MembershipTiming | None = None) -> list[str]:
-    """What broke, each beginning with its rule: ``back``, ``count``, ``stopped`` or ``one view``."""
+def _apply_to_front(fleet: Fleet, what: str, front: int, *, is_running: bool) -> None:
+    match what:
+        case "start" if not is_running:
+            fleet.start(front)
+        case "restart":
+            fleet.start(front)
+        case "kill":
+            fleet.kill(front)
+        case "leave":
+            fleet.leave(front)
+        case "stop":
+            fleet.stop(front, STOPPED_S)
+
+
+def run_script(script: Script, make: Make = Membership, timing: MembershipTiming | None = None) -> list[str]:
+    """Run a script; return a line for each rule that did not hold.
+
+    A line begins with its rule: ``back``, ``count``, ``stopped`` or ``one view``.
+    """
     size = int(script["size"])
-    network = Network(script["seed"], loss=script["loss"], duplication=0.02, corruption=0.01)
+    network = Network(script["seed"], loss=script["loss"], duplication=DUPLICATION, corruption=CORRUPTION)
     fleet = Fleet(size, script["seed"], timing, network, make)
     fleet.start_all()
-    fleet.run(START)
+    fleet.run(FAULTS_BEGIN_S)
     for at, what, fronts in script["steps"]:
-        while fleet.now + LOOK < START + at:
-            fleet.run(fleet.now + LOOK)
-            fleet.check_counts()
-        fleet.run(START + at)
-        act(fleet, what, fronts)
+        _run_with_checks(fleet, FAULTS_BEGIN_S + at)
+        _apply(fleet, what, fronts)
     fleet.end_cuts()
     fleet.network.loss = 0.0
-    fleet.run(fleet.now + STOP)
+    fleet.run(fleet.now + STOPPED_S)
     fleet.check_counts()
-    if fleet.settle(SETTLES, 0.5) is None:
-        fleet.broken.append(f"one view: none {SETTLES:g} s after the last fault")
+    if fleet.settle(SETTLE_LIMIT_S, 0.5) is None:
+        fleet.broken.append(f"one view: none {SETTLE_LIMIT_S:g} s after the last fault")
     return fleet.broken
 
 
-def shrink(script: Script, rule: str, make: Make = Membership) -> Script:
-    """The shortest script found that still breaks this rule: steps go in halves, then one by one."""
+def _run_with_checks(fleet: Fleet, until: float) -> None:
+    while fleet.now + CHECK_INTERVAL_S < until:
+        fleet.run(fleet.now + CHECK_INTERVAL_S)
+        fleet.check_counts()
+    fleet.run(until)
+
+
+def shrink_script(script: Script, rule: str, make: Make = Membership) -> Script:
+    """Return the shortest script found that still breaks this rule.
+
+    Steps are left out in runs of half the script, of a quarter and so on, and then one by one.
+    """
     size = max(1, len(script["steps"]) // 2)
     while True:
         place = 0
         while place < len(script["steps"]):
             steps = script["steps"][:place] + script["steps"][place + size :]
-            less = {**script, "steps": steps}
-            if any(broken.startswith(rule) for broken in play(less, make)):
-                script = less
+            shorter = {**script, "steps": steps}
+            if any(broken.startswith(rule) for broken in run_script(shorter, make)):
+                script = shorter
             else:
                 place += size
         if size == 1:
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -27,7 +27,7 @@
 from cleatyoke.durability.records import FrontState, Row
 from cleatyoke.durability.store import StateDatabase
 from cleatyoke.emulation import durability
-from cleatyoke.emulation.durability import recalls
+from cleatyoke.emulation.durability import recall_state
 from cleatyoke.membership.wire import MemberId
 from cleatyoke.testbed.runner import RunReport
 from cleatyoke.testbed.scenario import read_scenario, settings_of
@@ -46,7 +46,7 @@
 
 
 def reads_no_holds(rows: Sequence[Row], name: str) -> FrontState:
-    return FrontState(boot_number=recalls(rows, name).boot_number)
+    return FrontState(boot_number=recall_state(rows, name).boot_number)
 
 
 def test_no_hold_that_was_kept_is_lost_in_any_order_of_losses_and_wrong_variants_are_caught() -> None:
@@ -55,9 +55,9 @@
     A hold that was acknowledged as stored, and not released, must stand at every front in the end.
     """
     seeds = (*range(20), 25, 33)
-    assert [durability.play(seed) for seed in seeds] == [[]] * len(seeds)
-    assert any(durability.play(seed, share=TakesAbsenceForRelease) for seed in (25, 33))
-    assert any(durability.play(seed, recall=reads_no_holds) for seed in range(10))
+    assert [durability.run_script(seed) for seed in seeds] == [[]] * len(seeds)
+    assert any(durability.run_script(seed, share=TakesAbsenceForRelease) for seed in (25, 33))
+    assert any(durability.run_script(seed, recall=reads_no_holds) for seed in range(10))
 
 
 Runs = dict[str, Future[RunReport]]
