--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -20,8 +20,10 @@
 
 from cleatyoke.core import Core
 from cleatyoke.emulation import value as earnings
-from cleatyoke.emulation.traffic import UNIX, Emulation, core_of, emulate
+from cleatyoke.emulation.traffic import Emulation, emulate
 from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.emulation.virtual_backend import UNIX_TIME_AT_START
+from cleatyoke.emulation.virtual_front import make_core
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario, make_scenario
 from cleatyoke.testbed.search import play_values
@@ -93,7 +95,7 @@
 def at_once(settings: SchedulerSettings) -> Core:
     """A front that takes every box for warm."""
     settings.safety = dataclasses.replace(settings.safety, slow_start_duration=0.0)
-    return Core(settings, UNIX)
+    return Core(settings, UNIX_TIME_AT_START)
 
 
 def row(fleet: str, kind: str, seed: int, figure: str, value: float | None) -> Row:
@@ -119,8 +121,8 @@
     return rows
 
 
-def over_time(scenario: Scenario, wishes: Sequence[RequestTemplate], began: float) -> list[float]:
-    return earnings.over_time(wishes, earnings.earned(scenario, wishes), began)
+def over_time(scenario: Scenario, requests: Sequence[RequestTemplate], began: float) -> list[float]:
+    return earnings.value_over_time(requests, earnings.achieved_value(scenario, requests), began)
 
 
 def quiet() -> None:
@@ -131,11 +133,11 @@
     """In virtual time."""
     quiet()
     scenario, fleet = make_scenario("loss", loss(fronts, seed, kind == "ours")), f"{fronts} in virtual time"
-    played = emulate(scenario, at_once if kind == "at once" else core_of)
-    best = earnings.over_time(
-        played.wishes, earnings.ideal(scenario, played.wishes, played.power), played.began
+    played = emulate(scenario, at_once if kind == "at once" else make_core)
+    best = earnings.value_over_time(
+        played.requests, earnings.ideal_value(scenario, played.requests, played.power), played.began
     )
-    rows = rows_of(fleet, kind, seed, over_time(scenario, played.wishes, played.began), best)
+    rows = rows_of(fleet, kind, seed, over_time(scenario, played.requests, played.began), best)
     if kind == "ours":
         rows += rows_of(fleet, "sees all", seed, best, [])
     return rows + kept(fleet, kind, seed, played)
@@ -143,8 +145,10 @@
 
 def kept(fleet: str, kind: str, seed: int, played: Emulation) -> list[Row]:
     return [
-        row(fleet, kind, seed, "most at a cold box", played.judge.most_cold(played.scenario.power.tip_after)),
-        row(fleet, kind, seed, "boxes that fell", sum(box.fell for box in played.boxes)),
+        row(
+            fleet, kind, seed, "most at a cold box", played.checker.most_cold(played.scenario.power.tip_after)
+        ),
+        row(fleet, kind, seed, "boxes that fell", sum(box.has_fallen for box in played.backends)),
         row(fleet, kind, seed, "rules broken", len(played.broken())),
     ]
 
@@ -161,13 +165,15 @@
     ]
 
 
-def allowed(scenario: Scenario, wishes: Sequence[RequestTemplate]) -> int:
+def allowed(scenario: Scenario, requests: Sequence[RequestTemplate]) -> int:
     """How many requests one counter that all see at once would let through."""
     plan, level, last, passed = scenario.plans[0], scenario.plans[0].burst, 0.0, 0
-    for wish in sorted((wish for wish in wishes if wish.volume == 0), key=lambda wish: wish.at):
-        level, last = min(plan.burst, level + plan.limit * (wish.at - last)), wish.at
-        if level >= wish.units - plan.slack:
-            level, passed = level - wish.units, passed + 1
+    for request in sorted(
+        (request for request in requests if request.volume == 0), key=lambda request: request.at
+    ):
+        level, last = min(plan.burst, level + plan.limit * (request.at - last)), request.at
+        if level >= request.units - plan.slack:
+            level, passed = level - request.units, passed + 1
     return passed
 
 
@@ -176,9 +182,9 @@
     quiet()
     scenario, fleet = make_scenario("skew", skewed(fronts, seed, kind == "lent")), f"{fronts} in virtual time"
     played = emulate(scenario)
-    later = [dataclasses.replace(wish, at=wish.at - played.began) for wish in played.wishes]
-    steady = [wish for wish in later if wish.at >= BACK]
-    served = sum(wish.volume == 0 and wish.served is not None for wish in steady)
+    later = [dataclasses.replace(request, at=request.at - played.began) for request in played.requests]
+    steady = [request for request in later if request.at >= BACK]
+    served = sum(request.volume == 0 and request.served is not None for request in steady)
     part = served / max(1, allowed(scenario, steady))
     return [row(fleet, kind, seed, "part of the limit used", part), *kept(fleet, kind, seed, played)]
 
