--- a/cleatyoke/emulation/capacity/processes.py
+++ b/cleatyoke/emulation/capacity/processes.py
@@ -115,15 +115,15 @@
         play = ScenarioRun(scenario(rate, seed), Path(folder))
         sampling = asyncio.create_task(sample(play))
         report = await play.run()
-        if report.broken:
-            msg = f"the play broke a rule: {report.broken[0]}"
+        if report.violations:
+            msg = f"the play broke a rule: {report.violations[0]}"
             raise RuntimeError(msg)
         return await sampling
 
 
 async def sample(play: ScenarioRun) -> float:
     """Over the middle of the load."""
-    while not play.report.began:
+    while not play.report.load_started_at:
         await asyncio.sleep(0.02)
     process = play.fronts[0].process
     assert process
--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -24,7 +24,7 @@
 from cleatyoke.emulation.value import RequestTemplate
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario, make_scenario
-from cleatyoke.testbed.search import play_values
+from cleatyoke.testbed.search import run_values
 
 LOST, BACK = 5, 9  # seconds: the power is lost, and the fronts are back; the boxes a little sooner
 COLD = range(BACK, 22)  # seconds while boxes are cold
@@ -143,7 +143,13 @@
 
 def kept(fleet: str, kind: str, seed: int, played: Emulation) -> list[Row]:
     return [
-        row(fleet, kind, seed, "most at a cold box", played.judge.most_cold(played.scenario.power.tip_after)),
+        row(
+            fleet,
+            kind,
+            seed,
+            "most at a cold box",
+            played.judge.max_warm_up_load(played.scenario.power.tip_after),
+        ),
         row(fleet, kind, seed, "boxes that fell", sum(box.fell for box in played.boxes)),
         row(fleet, kind, seed, "rules broken", len(played.broken())),
     ]
@@ -152,12 +158,12 @@
 def processes(kind: str, fronts: int, seed: int) -> list[Row]:
     """The same with real processes."""
     values, fleet = loss(fronts, seed, kind == "ours"), f"{fronts} processes"
-    report = play_values("loss", values)
-    earned = over_time(make_scenario("loss", values), report.wishes, report.began)
+    report = run_values("loss", values)
+    earned = over_time(make_scenario("loss", values), report.request_templates, report.load_started_at)
     return [
         *rows_of(fleet, kind, seed, earned, []),
-        row(fleet, kind, seed, "most at a cold box", report.most_cold),
-        row(fleet, kind, seed, "rules broken", len(report.broken)),
+        row(fleet, kind, seed, "most at a cold box", report.max_warm_up_load),
+        row(fleet, kind, seed, "rules broken", len(report.violations)),
     ]
 
 
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -125,7 +125,7 @@
             return
         self.version += 1
         serves = box.state is EndpointState.LIVE
-        self.judge.drains(front.number, box.name, None if serves else self.loop.time())
+        self.judge.on_drain_notice(front.number, box.name, None if serves else self.loop.time())
         entries = front.directory.apply(EndpointList(self.version, False, [box.listed()]))
         front.core.notify(EndpointUpdate(UpdateKind.DELTA, entries))
 
@@ -166,11 +166,11 @@
         entries = front.directory.apply(EndpointList(self.version, True, known))
         for box in self.boxes:
             serves = box.state is EndpointState.LIVE
-            self.judge.drains(front.number, box.name, None if serves else self.loop.time())
+            self.judge.on_drain_notice(front.number, box.name, None if serves else self.loop.time())
         front.core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
 
     def kill(self, front: VirtualFront) -> None:
-        self.judge.killed(front.number, self.loop.time())
+        self.judge.on_front_killed(front.number, self.loop.time())
         if front.view:
             front.view.kill()
         if front.core and front.core.timer:
@@ -192,7 +192,7 @@
         if box.silent:
             await asyncio.sleep(3600)
         now = self.loop.time()
-        made = self.judge.attempt(trace, box.name, now, box.cell, box.zone, asked.form)
+        made = self.judge.on_attempt(trace, box.name, now, box.cell, box.zone, asked.content)
         self.count_cold(box, now, asked.units)
         if box.fell:
             made.ended = now
@@ -201,14 +201,14 @@
         try:
             match ticket.fate:
                 case RequestFate.FULL:
-                    made.refused = True
+                    made.rejected = True
                     return AttemptResult(AttemptOutcome.QUEUE_FULL)
                 case RequestFate.UNREAD:
                     return AttemptResult(AttemptOutcome.CONNECTION_RESET)
             await asyncio.sleep(ticket.ends - now)
             if box.fell or not box.up:
                 return AttemptResult(AttemptOutcome.RESET)
-            made.ran = True
+            made.executed = True
             await asyncio.sleep(LATENCY)
             match ticket.fate:
                 case RequestFate.RESET:
@@ -220,20 +220,24 @@
             busy = box.model.busy(self.loop.time()) if self.scenario.terms.report == "answers" else None
             return AttemptResult(AttemptOutcome.SERVED, box.name, utilization=busy)
         except asyncio.CancelledError:
-            if not made.ran:
-                made.ran = not box.model.withdraw(self.loop.time(), ticket)
+            if not made.executed:
+                made.executed = not box.model.withdraw(self.loop.time(), ticket)
             raise
         finally:
-            made.ended = self.loop.time()
+            made.ended_at = self.loop.time()
 
     def count_cold(self, box: VirtualBackend, now: float, units: float) -> None:
         power, model = self.scenario.power, box.model
         if model.born is None or now - model.born >= power.ramp:
             return
         bears = power.tip_multiple * model.rate(now) * power.tip_after
-        self.judge.bears(box.name, now, units, bears)
-        came = [(at, one) for at, one, _ in self.judge.cold[box.name][-512:] if at >= now - power.tip_after]
-        if self.tips and sum(one for _, one in came) > bears + self.judge.cold_slack:
+        self.judge.on_warm_up_arrival(box.name, now, units, bears)
+        came = [
+            (at, one)
+            for at, one, _ in self.judge.warm_up_arrivals[box.name][-512:]
+            if at >= now - power.tip_after
+        ]
+        if self.tips and sum(one for _, one in came) > bears + self.judge.warm_up_slack:
             box.fell = True
             self.end_box(box)
 
@@ -256,7 +260,7 @@
         front, now = self.fronts[drawn.front], self.loop.time()
         core, kind = front.core, drawn.kind
         asked = ClientRequestRecord(drawn.front, drawn.volume, kind, drawn.units, now, now + kind.deadline)
-        self.judge.took(trace, asked)
+        self.judge.on_request(trace, asked)
         if core is None:
             asked.excused = True
             return None, 0.0
@@ -284,14 +288,14 @@
         now = self.loop.time()
         match ending:
             case Served(value):
-                self.judge.answer(trace, 200, f"{trace} {value}".encode(), now)
+                self.judge.on_answer(trace, 200, f"{trace} {value}".encode(), now)
                 return 200, 0.0
             case Rejected(wait):
-                self.judge.answer(trace, 503, b"", now)
+                self.judge.on_answer(trace, 503, b"", now)
                 self.refused.append((now, wait))
                 return 503, wait
             case Failed():
-                self.judge.answer(trace, 502, b"", now)
+                self.judge.on_answer(trace, 502, b"", now)
                 return 502, 0.0
 
     # Troubles
@@ -390,7 +394,7 @@
         return self
 
     def broken(self) -> list[str]:
-        return self.judge.broken(self.scenario.power.tip_after)
+        return self.judge.find_violations(self.scenario.power.tip_after)
 
 
 def emulate(scenario: Scenario, make: Make = core_of, tips: bool = True) -> Emulation:
--- a/cleatyoke/testbed/__main__.py
+++ b/cleatyoke/testbed/__main__.py
@@ -24,7 +24,7 @@
             return 2
         report = asyncio.run(run_scenario(scenario))
         print("\n".join(report.lines()))
-        broken = broken or bool(report.broken)
+        broken = broken or bool(report.violations)
     return int(broken)
 
 
--- a/cleatyoke/testbed/backend.py
+++ b/cleatyoke/testbed/backend.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from cleatyoke.testbed.backend_model import BackendModel, RequestFate
-from cleatyoke.testbed.checker import AttemptRecord, RequestForm, RuleChecker
+from cleatyoke.testbed.checker import AttemptRecord, RequestContent, RuleChecker
 from cleatyoke.testbed.peer import Peer, TimedReader
 
 FULL = b"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
@@ -37,7 +37,7 @@
     ) -> None:
         super().__init__()
         self.name, self.cell, self.zone = name, cell, zone
-        self.judge, self.clock = judge, clock
+        self.checker, self.clock = judge, clock
         self.model: BackendModel
         self.heard = asyncio.Event()  # cleared while the box is silent
         self.heard.set()
@@ -83,13 +83,13 @@
             if target in PROBES:
                 self.probed(target, writer)
                 continue
-            form = RequestForm(method, target, fields.get("idempotency-key"), body)
+            form = RequestContent(method, target, fields.get("idempotency-key"), body)
             if not await self.work(fields.get("x-trace-id", ""), form, came, reader, writer):
                 return
 
     def probed(self, target: str, writer: asyncio.StreamWriter) -> None:
-        terms = self.judge.terms
-        self.judge.probe(self.name)
+        terms = self.checker.terms
+        self.checker.on_probe(self.name)
         body = self.report().encode() if target == "/metrics/load" and terms.report != "none" else b""
         status = b"200" if terms.probes else b"404"
         writer.write(b"HTTP/1.1 %s X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
@@ -100,26 +100,28 @@
     async def work(
         self,
         trace: str,
-        form: RequestForm,
+        form: RequestContent,
         came: float,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
         """One request whose last byte has come; whether the connection goes on."""
         now, model = self.clock(), self.model
-        if trace not in self.judge.asked:
+        if trace not in self.checker.requests:
             writer.write(OTHER)
             return True
-        units = self.judge.asked[trace].units
-        made = self.judge.attempt(trace, self.name, came, self.cell, self.zone, form)
+        units = self.checker.requests[trace].units
+        made = self.checker.on_attempt(trace, self.name, came, self.cell, self.zone, form)
         if model.born is not None and now - model.born < model.power.ramp:
             power = model.power
-            self.judge.bears(self.name, came, units, power.tip_multiple * model.rate(now) * power.tip_after)
+            self.checker.on_warm_up_arrival(
+                self.name, came, units, power.tip_multiple * model.rate(now) * power.tip_after
+            )
         ticket = model.take(now, trace, units)
         self.fates[ticket.fate.value] += 1
         try:
             if ticket.fate is RequestFate.FULL:
-                made.refused = True
+                made.rejected = True
                 writer.write(FULL)
                 return True
             if ticket.fate is RequestFate.UNREAD:
@@ -128,28 +130,28 @@
             gone = asyncio.ensure_future(reader.read(1))
             await asyncio.wait({gone}, timeout=max(0.0, ticket.ends - now))
             if gone.done():  # its front gave up, or left, which a machine that is cut off never hears
-                made.ran = not self.heard.is_set() or not model.withdraw(self.clock(), ticket)
+                made.executed = not self.heard.is_set() or not model.withdraw(self.clock(), ticket)
                 self.count(trace, made)
                 return False
             gone.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await gone
-            made.ran = True
+            made.executed = True
             self.count(trace, made)
             await self.heard.wait()
             return await self.reply(ticket.fate, trace, reader, writer)
         finally:
-            made.ended = self.clock()
+            made.ended_at = self.clock()
 
     def count(self, trace: str, made: AttemptRecord) -> None:
-        if made.ran:
+        if made.executed:
             self.executions[trace] = self.executions.get(trace, 0) + 1
 
     async def reply(
         self, fate: RequestFate, trace: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         body = f"{trace} {self.name} {self.executions[trace]}".encode()
-        load = f"Endpoint-Load-Metrics: {self.report()}\r\n" if self.judge.terms.report == "answers" else ""
+        load = f"Endpoint-Load-Metrics: {self.report()}\r\n" if self.checker.terms.report == "answers" else ""
         if fate is RequestFate.RESET:
             reset(writer)
             return False
--- a/cleatyoke/testbed/checker.py
+++ b/cleatyoke/testbed/checker.py
@@ -1,7 +1,7 @@
-"""The rules as a judge of a whole play sees them: it is told what clients, boxes and agents saw, by time.
+"""The rules of a scenario run: collects what clients, backends and agents saw, and names each rule broken.
 
-From the protocol page's 'The rules on sockets' and the brief's list of rules. No socket, no clock; times are
-seconds of one clock.
+The rules are those of the protocol page, "The rules on sockets". Nothing here opens a socket or reads a
+clock: every time is given by the caller, in seconds of one clock.
 """
 
 from __future__ import annotations
@@ -14,233 +14,299 @@
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 from cleatyoke.testbed.scenario import DeploymentTerms, PlanTerms, RequestKind
 
-SLACK = 0.05  # seconds by which every limit in time is longer (protocol page)
-LATE = 0.5  # seconds past its deadline up to which an answer only earns nothing (standing test's page)
-OPEN_SLACK = 0.1  # seconds in which the end of an attempt may reach the stand-in after the next one's start
-
-
-LIMIT_LATE = 0.15  # seconds of the limit by which its slack grows on sockets (protocol page)
+TIME_SLACK_S = 0.05  # by which every time limit is longer (protocol page)
+MAX_LATENESS_S = 0.5  # past its deadline, up to which an answer is only worthless, not a violation
+OVERLAP_SLACK_S = 0.1  # by which the end of an attempt may be seen after the next one's start
+LIMIT_SLACK_S = 0.15  # of a volume's rate limit, by which its burst slack grows on sockets (protocol page)
+LIMIT_SLACK_SHARE = 0.1  # of a volume's burst, the least slack of its rate limit
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    box: str
-    began: float  # when its last byte came
-    cell: int = 0  # of the box
-    zone: str = ""
-    ended: float | None = None
-    ran: bool = False
-    refused: bool = False  # the box said that it never ran
+    """One attempt of a request, as the backend that received it saw it."""
+
+    backend: str
+    arrived_at: float  # when its last byte came
+    shard: int = 0  # of the backend
+    zone: str = ""  # of the backend
+    ended_at: float | None = None
+    executed: bool = False
+    rejected: bool = False  # the backend proved that it never executed
 
 
 @dataclass(slots=True, frozen=True)
-class RequestForm:
-    """What of a request passes on unchanged (protocol page, Fronts to chunk servers)."""
+class RequestContent:
+    """The parts of a request that a front forwards unchanged (protocol page, Fronts to chunk servers)."""
 
     method: str
     target: str
-    key: str | None
+    idempotency_key: str | None
     body: bytes
 
 
 @dataclass(slots=True)
 class ClientRequestRecord:
-    """One request of a client."""
+    """One request of a client, with its answer and the attempts it caused."""
 
     front: int
     volume: int
-    kind: RequestKind
+    request_class: RequestKind
     units: float
-    sent: float
+    sent_at: float
     deadline: float
-    form: RequestForm | None = None
+    content: RequestContent | None = None
     status: int | None = None
-    answered: float | None = None
-    excused: bool = False  # its front was killed, or it was never taken
-    wait: float = 0.0  # seconds that its answer told it to stay away
+    answered_at: float | None = None
+    excused: bool = False  # its front was killed, or it was never accepted
+    retry_after: float = 0.0  # seconds, from the answer; 0 where the answer has none
     attempts: list[AttemptRecord] = field(default_factory=list)
 
 
 class RuleChecker:
-    """Collects what was seen and names each rule that is broken."""
-
-    def __init__(self, plans: Sequence[PlanTerms], terms: DeploymentTerms, cold_slack: float = 2.0) -> None:
-        """``plans``: of the volumes in turn. ``cold_slack``: units that chance may add at a cold box."""
-        self.plans, self.terms, self.cold_slack = plans, terms, cold_slack
-        self.probes = 0
-        self.asked: dict[str, ClientRequestRecord] = {}
-        self.told: dict[tuple[int, str], float] = {}  # front, box: since when it was told not to send there
-        self.held: dict[tuple[int, str], float] = {}  # front, box: since when it has the hold, over its lives
-        self.cold: dict[str, list[tuple[float, float, float]]] = defaultdict(list)  # box: when, units, bears
-        self.faults: list[str] = []
-        self.pauses: list[tuple[int, float, float]] = []  # front, from, to: its process was stopped
-        self.pending: list[
-            tuple[str, AttemptRecord, AttemptRecord]
-        ] = []  # attempts that seem to be out at once
-
-    # What is seen
-
-    def took(self, trace: str, asked: ClientRequestRecord) -> None:
-        self.asked[trace] = asked
-
-    def answer(self, trace: str, status: int, body: bytes, at: float) -> None:
-        one = self.asked[trace]
-        if one.status is not None:
-            self.faults.append(f"answers: {trace} got a second one")
+    """Collects the events of a run (``on_...`` methods) and names the rules they break."""
+
+    def __init__(
+        self, plans: Sequence[PlanTerms], terms: DeploymentTerms, warm_up_slack: float = 2.0
+    ) -> None:
+        """Start with nothing seen.
+
+        ``plans`` are those of the volumes in turn. ``warm_up_slack`` is how many units chance may add in a
+        window at a backend that warms up.
+        """
+        self.plans = plans
+        self.terms = terms
+        self.warm_up_slack = warm_up_slack
+        self.probe_count = 0
+        self.requests: dict[str, ClientRequestRecord] = {}  # by trace id
+        # By backend: time, units, and the units that it bears in a window at that time.
+        self.warm_up_arrivals: dict[str, list[tuple[float, float, float]]] = defaultdict(list)
+        self.violations: list[str] = []
+        # By front and backend: since when the front knows that it must not send there.
+        self._draining_since: dict[tuple[int, str], float] = {}
+        self._held_since: dict[tuple[int, str], float] = {}  # outlives restarts of the front
+        self._front_pauses: list[tuple[int, float, float]] = []  # front, from, to
+        self._possible_overlaps: list[tuple[str, AttemptRecord, AttemptRecord]] = []
+
+    def on_request(self, trace: str, request: ClientRequestRecord) -> None:
+        """A client is about to send a request."""
+        self.requests[trace] = request
+
+    def on_answer(self, trace: str, status: int, body: bytes, at: float) -> None:
+        """A client received a complete answer."""
+        request = self.requests[trace]
+        if request.status is not None:
+            self.violations.append(f"answers: {trace} got a second one")
         if status == 200 and not body.startswith(trace.encode() + b" "):
-            self.faults.append(f"foreign: {trace} was served what no box made for it")
-        one.status, one.answered = status, at
+            self.violations.append(f"foreign: {trace} was served what no box made for it")
+        request.status = status
+        request.answered_at = at
 
-    def probe(self, box: str) -> None:
-        self.probes += 1
+    def on_probe(self, backend: str) -> None:
+        """A backend received a load probe."""
+        self.probe_count += 1
         if not self.terms.probes:
-            self.faults.append(f"probe: {box} was probed, which the settings do not allow")
-
-    def attempt(
-        self, trace: str, box: str, at: float, cell: int = 0, zone: str = "", form: RequestForm | None = None
+            self.violations.append(f"probe: {backend} was probed, which the settings do not allow")
+
+    def on_attempt(  # noqa: PLR0913 (what a backend sees of an attempt)
+        self,
+        trace: str,
+        backend: str,
+        at: float,
+        shard: int = 0,
+        zone: str = "",
+        content: RequestContent | None = None,
     ) -> AttemptRecord:
-        """A request whose last byte has come to a box."""
-        made = AttemptRecord(box, at, cell, zone)
-        if trace not in self.asked:
-            self.faults.append(f"invented: {trace} came from no client")
-            return made
-        one = self.asked[trace]
-        if form != one.form:
-            self.faults.append(f"mangled: {trace} is not as its client sent it")
-        for other in one.attempts:
-            if other.ended is None or other.ended > at + OPEN_SLACK:
-                self.overlaps(trace, other, made)
-        one.attempts.append(made)
-        for rule, known in (("drain", self.told), ("hold", self.held)):
-            since = known.get((one.front, box), math.inf)
-            if at > since + self.terms.drain_grace + SLACK and not self.stood(one.front, since, at):
-                spent = f"{at - since:.2f} s after front {one.front} heard"
-                self.faults.append(f"{rule}: {trace} reached {box} {spent}")
-        return made
-
-    def overlaps(self, trace: str, earlier: AttemptRecord, later: AttemptRecord) -> None:
-        """Decided at the end, as an end may be seen after the next start."""
-        self.pending.append((trace, earlier, later))
-
-    def bears(self, box: str, at: float, units: float, bears: float) -> None:
-        """Units that came to a cold box, and what it bears at that moment within its window."""
-        self.cold[box].append((at, units, bears))
-
-    def drains(self, front: int, box: str, at: float | None) -> None:
-        """A front was told that it must not send to a box, or with None that it may again."""
+        """The last byte of an attempt reached a backend; the caller fills in the record as it goes on."""
+        attempt = AttemptRecord(backend, at, shard, zone)
+        if trace not in self.requests:
+            self.violations.append(f"invented: {trace} came from no client")
+            return attempt
+        request = self.requests[trace]
+        if content != request.content:
+            self.violations.append(f"mangled: {trace} is not as its client sent it")
+        for other in request.attempts:
+            if other.ended_at is None or other.ended_at > at + OVERLAP_SLACK_S:
+                self._possible_overlaps.append((trace, other, attempt))
+        request.attempts.append(attempt)
+        self._check_excluded_backend(trace, request.front, attempt)
+        return attempt
+
+    def on_warm_up_arrival(self, backend: str, at: float, units: float, bearable: float) -> None:
+        """Units reached a warming backend, which at that time bears ``bearable`` units in a window."""
+        self.warm_up_arrivals[backend].append((at, units, bearable))
+
+    def on_drain_notice(self, front: int, backend: str, at: float | None) -> None:
+        """A front was notified that a backend takes no more requests; None: that it takes them again."""
         if at is None:
-            self.told.pop((front, box), None)
+            self._draining_since.pop((front, backend), None)
         else:
-            self.told.setdefault((front, box), at)
+            self._draining_since.setdefault((front, backend), at)
 
-    def holds(self, front: int, box: str, at: float | None) -> None:
-        """A front has a hold by hand, which no list and no loss of power takes away; None: it is released."""
+    def on_hold(self, front: int, backend: str, at: float | None) -> None:
+        """A front has an operator's hold on a backend; None: the hold is released.
+
+        No endpoint list and no loss of power takes a hold away.
+        """
         if at is None:
-            self.held.pop((front, box), None)
+            self._held_since.pop((front, backend), None)
         else:
-            self.held.setdefault((front, box), at)
-
-    def killed(self, front: int, at: float) -> None:
-        """What was open at a front that was killed outright is lost through no fault of its own."""
-        for one in self.asked.values():
-            if one.front == front and one.status is None:
-                one.excused = True
-
-    def paused(self, front: int, began: float, ended: float) -> None:
-        """A front whose process was stopped can answer nothing, and hear nothing, meanwhile."""
-        self.pauses.append((front, began, ended))
-
-    def stood(self, front: int, began: float, ended: float) -> bool:
-        return any(one == front and began <= to and ended >= since for one, since, to in self.pauses)
-
-    # The verdict
-
-    def broken(self, window: float) -> list[str]:
-        """Each breach in a line that begins with its rule. ``window``: seconds of the rule on cold boxes."""
-        out = list(self.faults)
-        for trace, earlier, later in self.pending:
-            if earlier.ended is None or earlier.ended > later.began + OPEN_SLACK:
-                out.append(f"twice out: {trace} at {earlier.box} and {later.box}")
-        for trace, one in self.asked.items():
-            runs = sum(attempt.ran for attempt in one.attempts)
-            if self.pauses and self.stood(one.front, one.sent, one.deadline + LATE):
-                pass
-            elif one.status is None and not one.excused:
-                out.append(f"lost: {trace} of front {one.front} got no answer")
-            elif one.answered is not None and one.answered > one.deadline + LATE:
-                out.append(f"late: {trace} was answered {one.answered - one.deadline:.2f} s past its time")
-            if len(one.attempts) > self.terms.attempts:
-                out.append(f"attempts: {trace} was sent {len(one.attempts)} times")
-            out += self.repeats(trace, one, runs)
-        for box in self.cold:
-            for total, bears in self.windows(box, window):
-                if total > bears + self.cold_slack:
-                    out.append(f"cold: {box} was sent {total:g} units in {window:g} s and bears {bears:.1f}")
-                    break
-        return out + self.passed_limits()
+            self._held_since.setdefault((front, backend), at)
 
-    def windows(self, box: str, window: float) -> Iterator[tuple[float, float]]:
-        """For each request that came to a cold box: the units in the window that it ends, and what the box
-        bears in one.
-        """
-        came, start, total = self.cold[box], 0, 0.0
-        for at, units, bears in came:
-            total += units
-            while came[start][0] < at - window:
-                total -= came[start][1]
-                start += 1
-            yield total, bears
+    def on_front_killed(self, front: int, at: float) -> None:  # noqa: ARG002 (as the other events have it)
+        """A front was killed outright: requests open there may stay without an answer."""
+        for request in self.requests.values():
+            if request.front == front and request.status is None:
+                request.excused = True
 
-    def most_cold(self, window: float) -> float:
-        """The most that came to any cold box in a window, as a part of what it bears."""
-        every = (total / bears for box in self.cold for total, bears in self.windows(box, window))
-        return max(every, default=0.0)
+    def on_front_paused(self, front: int, began: float, ended: float) -> None:
+        """A front's process was stopped for a while, in which it could neither answer nor receive."""
+        self._front_pauses.append((front, began, ended))
 
-    def repeats(self, trace: str, one: ClientRequestRecord, runs: int) -> list[str]:
-        """The rule on duplicate effects: once an attempt may have run, a request of a class ``once`` goes
-        nowhere, a keyed one to its group alone and within its window, and neither is told that trying again
-        is harmless, unless every box drops the repeat.
+    def find_violations(self, window: float) -> list[str]:
+        """Return each violation as a line that begins with its rule and a colon.
+
+        ``window`` is the length in seconds of the window of the rule on backends that warm up.
+        """
+        found = list(self.violations)
+        found += self._check_overlaps()
+        for trace, request in self.requests.items():
+            found += self._check_answer_time(trace, request)
+            if len(request.attempts) > self.terms.attempts:
+                found.append(f"attempts: {trace} was sent {len(request.attempts)} times")
+            found += self._check_duplicates(trace, request)
+        found += self._check_warm_up(window)
+        found += self._check_rate_limits()
+        return found
+
+    def max_warm_up_load(self, window: float) -> float:
+        """Return the largest load of a warming backend in a window, as a fraction of what it bears."""
+        loads = (
+            total / bearable
+            for backend in self.warm_up_arrivals
+            for total, bearable in self._warm_up_windows(backend, window)
+        )
+        return max(loads, default=0.0)
+
+    def _check_excluded_backend(self, trace: str, front: int, attempt: AttemptRecord) -> None:
+        """No attempt reaches a backend later than the drain grace after its front was notified."""
+        at = attempt.arrived_at
+        for rule, known in (("drain", self._draining_since), ("hold", self._held_since)):
+            since = known.get((front, attempt.backend), math.inf)
+            if at <= since + self.terms.drain_grace + TIME_SLACK_S:
+                continue
+            if self._was_paused(front, since, at):
+                continue
+            delay = f"{at - since:.2f} s after front {front} heard"
+            self.violations.append(f"{rule}: {trace} reached {attempt.backend} {delay}")
+
+    def _was_paused(self, front: int, began: float, ended: float) -> bool:
+        """Whether the front's process was stopped at some time in that interval."""
+        return any(
+            paused == front and began <= resumed_at and ended >= paused_at
+            for paused, paused_at, resumed_at in self._front_pauses
+        )
+
+    def _check_overlaps(self) -> Iterator[str]:
+        """A request has one attempt at a time; decided late, as an end may be seen after the next start."""
+        for trace, earlier, later in self._possible_overlaps:
+            if earlier.ended_at is None or earlier.ended_at > later.arrived_at + OVERLAP_SLACK_S:
+                yield f"twice out: {trace} at {earlier.backend} and {later.backend}"
+
+    def _check_answer_time(self, trace: str, request: ClientRequestRecord) -> Iterator[str]:
+        """Every request is answered, in time, unless its front was killed or stopped meanwhile."""
+        latest = request.deadline + MAX_LATENESS_S
+        if self._was_paused(request.front, request.sent_at, latest):
+            return
+        if request.status is None and not request.excused:
+            yield f"lost: {trace} of front {request.front} got no answer"
+        elif request.answered_at is not None and request.answered_at > latest:
+            yield f"late: {trace} was answered {request.answered_at - request.deadline:.2f} s past its time"
+
+    def _check_duplicates(self, trace: str, request: ClientRequestRecord) -> Iterator[str]:
+        """A request that may have executed takes effect once.
+
+        After such an attempt, a request that is not idempotent goes nowhere again, and one with an
+        idempotency key only to backends that drop its repeat, within their memory. Neither is answered with a
+        status that invites a retry, unless every backend drops the repeat.
         """
-        kind, doubtful = one.kind, [made for made in one.attempts if not made.refused]
-        if kind.repeat is Idempotency.IDEMPOTENT or not doubtful:
-            return []
-        out, first, later = [], doubtful[0], one.attempts[one.attempts.index(doubtful[0]) + 1 :]
-        if kind.repeat is Idempotency.NOT_IDEMPOTENT:
-            if runs > 1:
-                out.append(f"repeated write: {trace} ran {runs} times")
+        request_class = request.request_class
+        doubtful = [attempt for attempt in request.attempts if not attempt.rejected]
+        if request_class.repeat is Idempotency.IDEMPOTENT or not doubtful:
+            return
+        later = request.attempts[request.attempts.index(doubtful[0]) + 1 :]
+        if request_class.repeat is Idempotency.NOT_IDEMPOTENT:
+            executions = sum(attempt.executed for attempt in request.attempts)
+            if executions > 1:
+                yield f"repeated write: {trace} ran {executions} times"
             elif later:
-                out.append(f"repeated write: {trace} was sent again after it may have run")
+                yield f"repeated write: {trace} was sent again after it may have run"
         else:
-            for made in later:
-                near = {
-                    IdempotencyScope.ALL: True,
-                    IdempotencyScope.ZONE: made.zone == first.zone,
-                    IdempotencyScope.SHARD: made.cell == first.cell,
-                }[kind.scope]
-                if not near or made.began > first.began + kind.memory + SLACK:
-                    where = f"{made.box} {made.began - first.began:.2f} s after {first.box}"
-                    out.append(f"key: {trace} went to {where}, where its repeat is not dropped")
-        if one.status in (429, 503) and not (
-            kind.repeat is Idempotency.KEYED and kind.scope is IdempotencyScope.ALL
-        ):
-            out.append(f"refused write: {trace} may have run and was answered {one.status}")
-        return out
-
-    def passed_limits(self) -> list[str]:
-        """Each volume's units, as they reached boxes, against a store that fills at the limit."""
-        out: list[str] = []
-        stores: dict[int, tuple[float, float]] = {}
-        sends = sorted(
-            (one.attempts[0].began, one.volume, one.units) for one in self.asked.values() if one.attempts
+            yield from self._check_keyed_retries(trace, request_class, doubtful[0], later)
+        dropped_everywhere = (
+            request_class.repeat is Idempotency.KEYED and request_class.scope is IdempotencyScope.ALL
+        )
+        if request.status in (429, 503) and not dropped_everywhere:
+            yield f"refused write: {trace} may have run and was answered {request.status}"
+
+    def _check_keyed_retries(
+        self, trace: str, request_class: RequestKind, first: AttemptRecord, later: Sequence[AttemptRecord]
+    ) -> Iterator[str]:
+        """Attempts after ``first`` stay where, and while, its idempotency key is remembered."""
+        forgotten_at = first.arrived_at + request_class.memory + TIME_SLACK_S
+        for attempt in later:
+            if _shares_keys(request_class.scope, first, attempt) and attempt.arrived_at <= forgotten_at:
+                continue
+            delay = attempt.arrived_at - first.arrived_at
+            where = f"{attempt.backend} {delay:.2f} s after {first.backend}"
+            yield f"key: {trace} went to {where}, where its repeat is not dropped"
+
+    def _check_warm_up(self, window: float) -> Iterator[str]:
+        """No backend that warms up receives more in a window than it bears; named once for a backend."""
+        for backend in self.warm_up_arrivals:
+            for total, bearable in self._warm_up_windows(backend, window):
+                if total > bearable + self.warm_up_slack:
+                    yield (
+                        f"cold: {backend} was sent {total:g} units in {window:g} s and bears {bearable:.1f}"
+                    )
+                    break
+
+    def _warm_up_windows(self, backend: str, window: float) -> Iterator[tuple[float, float]]:
+        """For each arrival: the units in the window that it ends, and what the backend bears in one."""
+        arrivals = self.warm_up_arrivals[backend]
+        start = 0
+        total = 0.0
+        for at, units, bearable in arrivals:
+            total += units
+            while arrivals[start][0] < at - window:
+                total -= arrivals[start][1]
+                start += 1
+            yield total, bearable
+
+    def _check_rate_limits(self) -> Iterator[str]:
+        """Each volume's first attempts stay within a token bucket of its plan; the first breach is named."""
+        buckets: dict[int, tuple[float, float]] = {}  # by volume: level in units, and when
+        arrivals = sorted(
+            (request.attempts[0].arrived_at, request.volume, request.units)
+            for request in self.requests.values()
+            if request.attempts
         )
-        for at, volume, units in sends:
+        for at, volume, units in arrivals:
             plan = self.plans[volume % len(self.plans)]
             if not plan.limit:
                 continue
-            level, since = stores.get(volume, (plan.burst, at))
+            level, since = buckets.get(volume, (plan.burst, at))
             level = min(plan.burst, level + plan.limit * (at - since)) - units
-            stores[volume] = level, at
-            if level < -(max(plan.slack, 0.1 * plan.burst) + LIMIT_LATE * plan.limit):
-                out.append(f"limit: volume {volume} is {-level:.1f} units past its store at {at:.2f}")
-                break
-        return out
+            buckets[volume] = level, at
+            slack = max(plan.slack, LIMIT_SLACK_SHARE * plan.burst) + LIMIT_SLACK_S * plan.limit
+            if level < -slack:
+                yield f"limit: volume {volume} is {-level:.1f} units past its store at {at:.2f}"
+                return
+
+
+def _shares_keys(scope: IdempotencyScope, first: AttemptRecord, later: AttemptRecord) -> bool:
+    """Whether the second attempt's backend drops a repeat of the first one."""
+    if scope is IdempotencyScope.ZONE:
+        return later.zone == first.zone
+    if scope is IdempotencyScope.SHARD:
+        return later.shard == first.shard
+    return True
--- a/cleatyoke/testbed/clients.py
+++ b/cleatyoke/testbed/clients.py
@@ -9,7 +9,7 @@
 
 from cleatyoke.emulation.value import RequestTemplate
 from cleatyoke.scheduling.settings import Idempotency
-from cleatyoke.testbed.checker import ClientRequestRecord, RequestForm, RuleChecker
+from cleatyoke.testbed.checker import ClientRequestRecord, RequestContent, RuleChecker
 from cleatyoke.testbed.scenario import Scenario
 from cleatyoke.testbed.workload import GeneratedRequest, requests
 
@@ -48,7 +48,7 @@
     def __init__(
         self, scenario: Scenario, judge: RuleChecker, doors: list[FrontAddress], clock: Callable[[], float]
     ) -> None:
-        self.scenario, self.judge, self.doors, self.clock = scenario, judge, doors, clock
+        self.scenario, self.checker, self.doors, self.clock = scenario, judge, doors, clock
         self.cells: dict[str, int] = {}  # box: the shard that it holds
         self.written: deque[tuple[str, int]] = deque(maxlen=RECENT)  # block, and the shard that took it
         self.unread = 0  # a connection ended as they asked, and so they asked once more
@@ -69,11 +69,11 @@
         load, first, served = self.scenario.load, self.clock(), None
         for number in range(1 + load.retries):
             asked = await self.once(drawn, drawn.trace_of(number), number > 0)
-            served = asked.answered if asked.status == 200 else None
+            served = asked.answered_at if asked.status == 200 else None
             if asked.status not in (None, 429, 503) or (asked.status is None and not asked.excused):
                 break
             if number < load.retries:
-                await asyncio.sleep(max(asked.wait, load.retry_s))
+                await asyncio.sleep(max(asked.retry_after, load.retry_s))
         self.wishes.append(RequestTemplate(first, drawn.volume, drawn.kind, drawn.units, served))
 
     async def once(self, drawn: GeneratedRequest, trace: str, again: bool) -> ClientRequestRecord:
@@ -89,13 +89,13 @@
             shard = -1
         elif not kind.write and moves < load.reread and self.written:
             block, shard = self.written[int(moves / load.reread * len(self.written))]
-        form = RequestForm(
+        form = RequestContent(
             "PUT" if kind.write else "GET",
             f"/api?block={block}",
             f"key-{trace}" if kind.repeat is Idempotency.KEYED else None,
             b"scan" if kind.write else b"",
         )
-        key = f"Idempotency-Key: {form.key}\r\n" if form.key else ""
+        key = f"Idempotency-Key: {form.idempotency_key}\r\n" if form.idempotency_key else ""
         mark = "X-Second-Try: 1\r\n" if again else ""
         message = (
             f"{form.method} {form.target} HTTP/1.1\r\n"
@@ -115,12 +115,12 @@
                 connection = None
             if connection is None:
                 asked.excused = True
-                self.judge.took(trace, asked)
+                self.checker.on_request(trace, asked)
                 return asked
-            self.judge.took(trace, asked)
+            self.checker.on_request(trace, asked)
             if await self.exchange(trace, message, connection, door, asked):
                 if shard == -1 and asked.status == 200 and asked.attempts:
-                    self.written.append((block, self.cells[asked.attempts[-1].box]))
+                    self.written.append((block, self.cells[asked.attempts[-1].backend]))
                 return asked
             self.unread += 1
         return asked
@@ -151,8 +151,8 @@
             crossed = ended and not asked.attempts and self.clock() - sent < CROSSED
             return not crossed or asked.excused
         advice = (float(one[13:]) for one in lines if one.startswith("retry-after: "))
-        asked.wait = next(advice, 0.0)
-        self.judge.answer(trace, int(lines[0].split()[1]), body, self.clock())
+        asked.retry_after = next(advice, 0.0)
+        self.checker.on_answer(trace, int(lines[0].split()[1]), body, self.clock())
         if "connection: close" in lines:
             with contextlib.suppress(OSError):
                 writer.close()
--- a/cleatyoke/testbed/discovery_agent.py
+++ b/cleatyoke/testbed/discovery_agent.py
@@ -50,7 +50,7 @@
         self, front: int, registry: Registry, judge: RuleChecker, clock: Callable[[], float]
     ) -> None:
         super().__init__()
-        self.front, self.registry, self.judge, self.clock = front, registry, judge, clock
+        self.front, self.registry, self.checker, self.clock = front, registry, judge, clock
         self.late, self.spoils = 0.0, ""
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -103,4 +103,4 @@
         now = self.clock()
         for entry in listing["instances"]:
             serving = entry["lifecycle"] == "SERVING"
-            self.judge.drains(self.front, entry["instanceId"], None if serving else now)
+            self.checker.on_drain_notice(self.front, entry["instanceId"], None if serving else now)
--- /dev/null
+++ b/cleatyoke/testbed/front_process.py
@@ -0,0 +1,214 @@
+"""One front of a scenario run as a real process."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from cleatyoke.testbed.clients import FrontAddress
+from cleatyoke.testbed.scenario import ViewTerms, settings_of
+from cleatyoke.testbed.view_checks import MembershipView, read_view
+
+if TYPE_CHECKING:
+    from cleatyoke.testbed.fault_relay import FaultRelay
+    from cleatyoke.testbed.runner import ScenarioRun
+
+START_TIMEOUT_S = 15.0  # for a front to be ready
+ACCEPT_AFTER_SIGTERM_S = 0.3  # in which new connections keep coming (protocol page: 0.2 to 0.4 s)
+RESUME_S = 0.5  # in which a process that was stopped catches up
+COMMAND_TIMEOUT_S = 1.0  # for an operator's command
+LAST_LINE_LENGTH = 200  # characters of the log that an unexpected exit is reported with
+# Intervals of a fleet's settings file, as multiples of its probe period.
+INTERVAL_FACTORS = {"period": 1.0, "answer": 0.3, "gossip": 0.2, "sync": 20.0, "departed": 2.0, "join": 2.0}
+
+
+class FrontProcess:
+    """Starts, signals and waits for one front, and reads its log line by line.
+
+    An exit that was not asked for, or with another status than it should have, is a violation of the run.
+    """
+
+    def __init__(self, number: int, folder: Path, port: int, run: ScenarioRun) -> None:
+        self.number = number
+        self.folder = folder
+        self.run = run
+        self.address = FrontAddress(number, port)
+        self.process: asyncio.subprocess.Process | None = None
+        self.is_exit_expected = False
+        self.written_endpoints: dict[str, Any] = {}  # the endpoint list in its settings file
+        self.ready = asyncio.Event()
+        self.log_task: asyncio.Task[None] | None = None
+
+    def write_config(self, **changes: Any) -> None:
+        """Write the settings files that the next start, or a reload, reads."""
+        scenario = self.run.scenario
+        endpoints = self.run.registry.listing()
+        values = {
+            "name": f"n{self.number}",
+            "listen": f"127.0.0.1:{self.address.port}",
+            "discovery": f"127.0.0.1:{self.run.agents[self.number].port}",
+            "seed": f"{scenario.seed * 1000 + self.number:x}",
+            "known": endpoints,
+            "settings": settings_of(scenario),
+            **changes,
+        }
+        if self.run.relay:
+            assert scenario.view
+            values["ops"] = f"{self.run.relay.host(self.number)}:{self.run.ops_port}"
+            text = self._fleet_settings_text(self.run.relay, scenario.view)
+            (self.folder / "fronts.toml").write_text(text)
+        new_file = self.folder / "config.new"
+        new_file.write_text(json.dumps(values))
+        new_file.replace(self.folder / "config.json")
+        self.written_endpoints = endpoints
+
+    def _fleet_settings_text(self, relay: FaultRelay, view: ViewTerms) -> str:
+        """The fleet's settings file of a front that reaches the others through the relay."""
+        durable_folder = self.folder / "durable" if view.durable else ""
+        intervals = (f"{name}_s = {view.period * factor:g}" for name, factor in INTERVAL_FACTORS.items())
+        return "\n".join(
+            [
+                "[fleet]",
+                "enabled = true",
+                'deployment = "standin"',
+                f'listen = "{relay.home(self.number)}"',
+                f'advertise = "{relay.known(self.number)}"',
+                f"seeds = {[relay.known(seed) for seed in view.seeds]}",
+                f"limits = {str(view.limits).lower()}",
+                f"cold = {str(view.cold).lower()}",
+                f'durable = "{durable_folder}"',
+                *intervals,
+                "",
+            ]
+        )
+
+    async def start(self) -> None:
+        """Start the process and wait until it is ready; ``TimeoutError`` after ``START_TIMEOUT_S``."""
+        self.run.report.front_starts += 1
+        self.is_exit_expected = False
+        # The list that it starts with notifies it as well.
+        self.run.agents[self.number].tell(self.written_endpoints)
+        self.ready.clear()
+        inherited = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+        arguments = ["--fronts", str(self.folder / "fronts.toml")] if self.run.relay else []
+        self.process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "cleatyoke",
+            *arguments,
+            cwd=self.run.program,
+            stderr=asyncio.subprocess.PIPE,
+            env={**inherited, "RELAY_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder)},
+        )
+        self.log_task = asyncio.create_task(self._read_log(self.process))
+        async with asyncio.timeout(START_TIMEOUT_S):
+            await self.ready.wait()
+        self.address.open = True
+
+    async def _read_log(self, process: asyncio.subprocess.Process) -> None:
+        """Read the log to its end, and check how the process exits."""
+        assert process.stderr
+        last = ""
+        while line := (await process.stderr.readline()).decode(errors="replace"):
+            if "event='" in line:
+                self._count_event(line)
+            last = line.strip()
+        status = await process.wait()
+        self.address.open = False
+        if not self.is_exit_expected or status not in (0, -signal.SIGKILL):
+            exit_text = f"front {self.number} with status {status}: {last[-LAST_LINE_LENGTH:]}"
+            self.run.checker.violations.append(f"exit: {exit_text}")
+        self.ready.set()
+
+    def _count_event(self, line: str) -> None:
+        event = line.partition("event='")[2].partition("'")[0]
+        self.run.report.log_counts[event] += 1
+        if event.endswith("_fault"):
+            self.run.report.fault_lines.append(f"front {self.number}: {line.strip()}")
+        if event == "ready":
+            self.ready.set()
+
+    async def shut_down(self) -> None:
+        """SIGTERM, as in a planned restart, and SIGKILL where it does not exit in its time."""
+        assert self.process
+        assert self.log_task
+        self.is_exit_expected = True
+        self.process.send_signal(signal.SIGTERM)
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
+        self.address.open = False
+        try:
+            async with asyncio.timeout(self.run.scenario.notice() - ACCEPT_AFTER_SIGTERM_S):
+                await asyncio.shield(self.log_task)
+        except TimeoutError:
+            self.run.checker.violations.append(f"exit: front {self.number} was not gone before its kill")
+            self.process.kill()
+            await self.log_task
+        self.address.forget()
+
+    async def kill(self) -> None:
+        """SIGKILL, and wait until the process is gone."""
+        assert self.process
+        assert self.log_task
+        self.is_exit_expected = True
+        self.address.open = False
+        self.run.checker.on_front_killed(self.number, self.run.clock())
+        self.process.kill()
+        await self.log_task
+        # Once more, for what it accepted until it was gone.
+        self.run.checker.on_front_killed(self.number, self.run.clock())
+        self.address.forget()
+
+    async def kill_if_running(self) -> None:
+        """SIGKILL at the end of a run that may have failed half-way."""
+        if self.process and self.process.returncode is None:
+            self.is_exit_expected = True
+            self.process.kill()
+            await self.process.wait()
+
+    def erase_memory(self) -> None:
+        """Delete what a loss of power takes along: the files in $TMPDIR, not those on the durable disk."""
+        for path in self.folder.glob("cleatyoke-*"):
+            path.unlink()
+
+    def reload(self) -> None:
+        """SIGHUP, where the process is running and ready."""
+        if self.process and self.process.returncode is None and self.ready.is_set():
+            self.process.send_signal(signal.SIGHUP)
+
+    async def pause(self, seconds: float) -> None:
+        """SIGSTOP, and SIGCONT after so many seconds."""
+        assert self.process
+        process = self.process
+        began = self.run.clock()
+        process.send_signal(signal.SIGSTOP)
+        try:
+            await asyncio.sleep(seconds)
+        finally:
+            process.send_signal(signal.SIGCONT)
+            self.run.checker.on_front_paused(self.number, began, self.run.clock() + RESUME_S)
+
+    async def show_fleet(self) -> MembershipView | None:
+        """Return what the front says of its fleet; None where it gives no answer."""
+        lines = await self.send_command("show-fleet")
+        return read_view(lines) if lines else None
+
+    async def send_command(self, line: str) -> list[str]:
+        """Return the answer to an operator's command; no lines where there is none in time."""
+        relay = self.run.relay
+        assert relay
+        writer: asyncio.StreamWriter | None = None
+        try:
+            async with asyncio.timeout(COMMAND_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(relay.host(self.number), self.run.ops_port)
+                writer.write(f"{line}\n".encode())
+                return (await reader.read()).decode().splitlines()
+        except (OSError, TimeoutError):
+            return []
+        finally:
+            if writer:
+                writer.transport.abort()
--- /dev/null
+++ b/cleatyoke/testbed/run_report.py
@@ -0,0 +1,67 @@
+"""The report of a scenario run."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from cleatyoke.emulation.value import RequestTemplate
+
+MAX_LISTED = 20  # fault lines and violations that the text names one by one
+
+
+@dataclass(slots=True)
+class RunReport:
+    """What came of a run; ``violations`` is empty where every rule was kept and no front exited unasked."""
+
+    scenario: str
+    seconds: float
+    requests: int = 0
+    answers: Counter[str] = field(default_factory=Counter)  # by status, or "unsent", or "none"
+    served_share: float = 0.0  # fraction served of the requests whose front was running
+    attempts: int = 0
+    executions: int = 0
+    max_executions_of_a_write: int = 0
+    probes: int = 0
+    max_warm_up_load: float = 0.0  # of any warming backend in a window, as a fraction of what it bears
+    front_starts: int = 0
+    backend_outcomes: Counter[str] = field(default_factory=Counter)  # what backends did with requests
+    violations: list[str] = field(default_factory=list)
+    log_counts: Counter[str] = field(default_factory=Counter)  # log lines by event, over all fronts
+    fault_lines: list[str] = field(default_factory=list)  # the log's lines of unforeseen faults
+    load_started_at: float = 0.0  # on the event loop's clock, as the times in ``request_templates``
+    request_templates: list[RequestTemplate] = field(default_factory=list)  # what clients asked for, and when
+    hold_answers: list[str] = field(default_factory=list)  # of the commands that hold and release backends
+    # Kind of fault, and seconds from its end until all fronts had one view; None: they never had.
+    convergence_times: list[tuple[str, float | None]] = field(default_factory=list)
+
+    def lines(self) -> list[str]:
+        """Return the report as text."""
+        return [
+            f"{self.scenario}: {self.requests} requests in {self.seconds:g} s, {_counts_text(self.answers)}",
+            f"served {self.served_share:.3f} of those whose front was there; attempts {self.attempts}, "
+            f"executions {self.executions}, most of one write {self.max_executions_of_a_write}; "
+            f"front starts {self.front_starts}; "
+            f"most at a cold box {self.max_warm_up_load:.2f} of what it bears",
+            f"at the boxes: {_counts_text(self.backend_outcomes)}",
+            f"log lines: {_counts_text(self.log_counts)}",
+            *self._detail_lines(),
+            f"rules {'kept' if not self.violations else f'broken {len(self.violations)} times'}",
+        ]
+
+    def _detail_lines(self) -> Iterator[str]:
+        """The lines that only some runs have."""
+        for kind, seconds in self.convergence_times:
+            when = f"{seconds:.1f} s" if seconds is not None else "never"
+            yield f"one view {when} after {kind}"
+        if self.hold_answers:
+            yield f"holds: {', '.join(self.hold_answers)}"
+        for line in self.fault_lines[:MAX_LISTED]:
+            yield f"fault: {line}"
+        for violation in self.violations[:MAX_LISTED]:
+            yield f"BROKEN {violation}"
+
+
+def _counts_text(counts: Counter[str]) -> str:
+    return " ".join(f"{name}={count}" for name, count in sorted(counts.items()))
--- a/cleatyoke/testbed/search.py
+++ b/cleatyoke/testbed/search.py
@@ -17,7 +17,8 @@
 from pathlib import Path
 
 from cleatyoke.testbed.generator import SPAN, THEMES, Values, draw, dump
-from cleatyoke.testbed.runner import ROOT, RunReport, run_scenario
+from cleatyoke.testbed.run_report import RunReport
+from cleatyoke.testbed.runner import ROOT, run_scenario
 from cleatyoke.testbed.scenario import make_scenario
 
 JOBS = 3  # plays at once
@@ -26,7 +27,7 @@
 BrokenRules = Callable[[Values], set[str]]  # plays it: the names of the rules that broke
 
 
-def play_values(name: str, values: Values, program: Path = ROOT) -> RunReport:
+def run_values(name: str, values: Values, program: Path = ROOT) -> RunReport:
     """In this process, from the start of its fronts to their exits."""
     return asyncio.run(run_scenario(make_scenario(name, values), program))
 
@@ -78,22 +79,22 @@
     broke: Counter[str] = Counter()
     with pool(jobs) as workers:
         drawn = {seed: draw(theme, seed) for seed in seeds}
-        plays = {seed: workers.submit(play_values, f"{theme}-{seed}", drawn[seed], program) for seed in seeds}
+        plays = {seed: workers.submit(run_values, f"{theme}-{seed}", drawn[seed], program) for seed in seeds}
         found: list[tuple[int, str]] = []
         for seed, future in plays.items():
             report = future.result()
             print(
-                f"{theme}:{seed}: {report.requests} requests, served {report.served:.2f}"
-                + "".join(f"\n  BROKEN {line}" for line in report.broken[:3]),
+                f"{theme}:{seed}: {report.requests} requests, served {report.served_share:.2f}"
+                + "".join(f"\n  BROKEN {line}" for line in report.violations[:3]),
                 flush=True,
             )
-            for rule in sorted(rules(report.broken)):
+            for rule in sorted(rules(report.violations)):
                 broke[rule] += 1
                 found.append((seed, rule))
         for seed, rule in found if keep else []:
 
             def breaks(values: Values) -> set[str]:
-                return rules(workers.submit(play_values, "shorter", values, program).result().broken)
+                return rules(workers.submit(run_values, "shorter", values, program).result().violations)
 
             values = shorten(drawn[seed], rule, breaks)
             assert keep
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -15,9 +15,9 @@
 import pytest
 
 from cleatyoke.emulation.traffic import emulate
-from cleatyoke.testbed.runner import RunReport
+from cleatyoke.testbed.run_report import RunReport
 from cleatyoke.testbed.scenario import make_scenario
-from cleatyoke.testbed.search import play_values, pool, rules
+from cleatyoke.testbed.search import pool, rules, run_values
 
 ROOT = Path(__file__).resolve().parent.parent
 SCENARIOS = ROOT / "tests" / "scenarios"
@@ -35,7 +35,7 @@
             self._add_comparison(name, kinds)
         self.workers = pool(2)
         self.runs: dict[str, Future[RunReport]] = {
-            name: self.workers.submit(play_values, name, values) for name, values in self.values.items()
+            name: self.workers.submit(run_values, name, values) for name, values in self.values.items()
         }
 
     def _add_comparison(self, name: str, kinds: tuple[str, ...]) -> None:
@@ -52,8 +52,8 @@
     def result(self, name: str) -> RunReport:
         """Return the report of a run, in which no rule may have been broken."""
         report = self.runs[name].result()
-        assert report.broken == [], "\n".join(report.lines())
-        assert report.faults == []
+        assert report.violations == [], "\n".join(report.lines())
+        assert report.fault_lines == []
         return report
 
 
@@ -67,31 +67,31 @@
 @pytest.mark.parametrize("name", ["fleet-kills", "fleet-cuts", "fleet-roll"])
 def test_one_view_comes_back_after_faults(runs: Runs, name: str) -> None:
     """Fronts are killed and stopped, links are cut, or all fronts are restarted in turn on bad links."""
-    assert runs.result(name).log["fleet_change"] > 12 * 11
+    assert runs.result(name).log_counts["fleet_change"] > 12 * 11
 
 
 def test_leased_rate_limits_are_kept_and_go_where_the_demand_is(runs: Runs) -> None:
     """Through every fault the limit is kept; without any, leases serve more than fixed shares."""
     runs.result("fleet-limits")
     lent, fixed = runs.result("fleet-limits lent"), runs.result("fleet-limits fixed")
-    assert lent.served > 1.1 * fixed.served
+    assert lent.served_share > 1.1 * fixed.served_share
 
 
 def test_leased_slow_start_is_kept_and_goes_where_the_demand_is(runs: Runs) -> None:
     """No warming node gets more than it bears; leases serve more than fixed shares."""
-    assert runs.result("fleet-cold").most_cold > 0.1
+    assert runs.result("fleet-cold").max_warm_up_load > 0.1
     lent, fixed = runs.result("fleet-cold lent"), runs.result("fleet-cold fixed")
-    assert lent.served > 1.15 * fixed.served
+    assert lent.served_share > 1.15 * fixed.served_share
 
 
 @pytest.mark.parametrize("name", ["fleet-cold lent", "fleet-cold fixed"])
 def test_the_emulation_predicts_what_processes_do(runs: Runs, name: str) -> None:
     """The same scenario, the same requests, by processes on sockets and in virtual time."""
     report, emulated = runs.result(name), emulate(make_scenario(name, runs.values[name]))
-    there = [one for one in emulated.judge.asked.values() if not one.excused]
+    there = [one for one in emulated.judge.requests.values() if not one.excused]
     assert (emulated.broken(), len(there)) == ([], report.requests)
     served = sum(one.status == 200 for one in there) / len(there)
-    assert abs(served - report.served) <= 0.08
+    assert abs(served - report.served_share) <= 0.08
 
 
 # Wrong programs: the rule that they break, what happens, and the edits (path, right, wrong).
@@ -140,11 +140,11 @@
                 text = path.read_text()
                 assert text.count(right) == 1, part
                 path.write_text(text.replace(right, wrong))
-            found[rule] = workers.submit(play_values, rule, {**base, "trouble": faults}, program)
+            found[rule] = workers.submit(run_values, rule, {**base, "trouble": faults}, program)
         yield found
 
 
 @pytest.mark.parametrize("rule", WRONG_PROGRAMS)
 def test_a_wrong_program_breaks_its_rule(wrong_runs: dict[str, Future[RunReport]], rule: str) -> None:
     """One takes silence for an end; one starts with the same boot number each time."""
-    assert rule in rules(wrong_runs[rule].result().broken)
+    assert rule in rules(wrong_runs[rule].result().violations)
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -29,9 +29,9 @@
 from cleatyoke.emulation import durability
 from cleatyoke.emulation.durability import recalls
 from cleatyoke.membership.wire import MemberId
-from cleatyoke.testbed.runner import RunReport
+from cleatyoke.testbed.run_report import RunReport
 from cleatyoke.testbed.scenario import read_scenario, settings_of
-from cleatyoke.testbed.search import play_values, pool
+from cleatyoke.testbed.search import pool, run_values
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -90,9 +90,9 @@
         module.write_text(text.replace(right, "pass"))
         with pool() as workers:
             yield {
-                "whole": workers.submit(play_values, "whole", values),
-                "forgetful": workers.submit(play_values, "forgetful", small, forgetful),
-                "small": workers.submit(play_values, "small", small),
+                "whole": workers.submit(run_values, "whole", values),
+                "forgetful": workers.submit(run_values, "forgetful", small, forgetful),
+                "small": workers.submit(run_values, "small", small),
             }
     finally:
         shutil.rmtree(forgetful)
@@ -106,18 +106,18 @@
     over what it can do while it warms up.
     """
     report = runs[name].result()
-    assert report.broken == [], "\n".join(report.lines())
-    assert report.faults == []
+    assert report.violations == [], "\n".join(report.lines())
+    assert report.fault_lines == []
 
 
 def test_every_front_passes_all_stages_at_each_start_and_serves(runs: Runs) -> None:
     report = runs["whole"].result()
-    assert report.log["recovery_stage"] == 4 * report.starts
-    assert report.served > 0.4
+    assert report.log_counts["recovery_stage"] == 4 * report.front_starts
+    assert report.served_share > 0.4
 
 
 def test_a_front_that_does_not_read_its_disk_is_caught(runs: Runs) -> None:
-    broken = runs["forgetful"].result().broken
+    broken = runs["forgetful"].result().violations
     assert any(line.startswith("hold:") for line in broken), broken
 
 
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -11,9 +11,10 @@
 
 from cleatyoke.config.settings import IDEMPOTENCY_NAMES
 from cleatyoke.testbed.generator import THEMES, Values, draw, dump
-from cleatyoke.testbed.runner import ROOT, RunReport
+from cleatyoke.testbed.run_report import RunReport
+from cleatyoke.testbed.runner import ROOT
 from cleatyoke.testbed.scenario import make_scenario
-from cleatyoke.testbed.search import play_values, pool, rules, shorten
+from cleatyoke.testbed.search import pool, rules, run_values, shorten
 
 JOBS = 5
 TROUBLES, SETTINGS = range(1, 6), (*range(1, 21), 123)
@@ -62,7 +63,7 @@
     def play(self, draws: Iterable[tuple[str, int]]) -> dict[str, RunReport]:
         with pool(JOBS) as workers:
             out = {
-                f"{theme}:{seed}": workers.submit(play_values, f"{theme}-{seed}", draw(theme, seed))
+                f"{theme}:{seed}": workers.submit(run_values, f"{theme}-{seed}", draw(theme, seed))
                 for theme, seed in draws
             }
             return {name: future.result() for name, future in out.items()}
@@ -71,8 +72,8 @@
         themes = [("trouble", seed) for seed in TROUBLES] + [("settings", seed) for seed in SETTINGS]
         for name, report in self.play(themes).items():
             with self.subTest(name):
-                assert report.broken == [], "\n".join(report.lines())
-                assert [event for event in report.log if event.endswith("_fault")] == []
+                assert report.violations == [], "\n".join(report.lines())
+                assert [event for event in report.log_counts if event.endswith("_fault")] == []
                 assert report.answers["200"] > 10
 
     def test_wrong_programs_are_caught(self) -> None:
@@ -116,7 +117,7 @@
                 text = (program / "cleatyoke" / part).read_text()
                 assert text.count(right) == 1
                 (program / "cleatyoke" / part).write_text(text.replace(right, changed))
-                plays[rule] = workers.submit(play_values, rule, draw(theme, seed), program)
+                plays[rule] = workers.submit(run_values, rule, draw(theme, seed), program)
             for rule, play in plays.items():
                 with self.subTest(rule):
-                    assert rule in rules(play.result().broken)
+                    assert rule in rules(play.result().violations)
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -1,4 +1,4 @@
-"""The stand-in fleet: its judge and models by themselves, and fronts as processes under scripted troubles."""
+"""The testbed: its checker and models by themselves, and fronts as processes under scripted faults."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 from cleatyoke.testbed.backend import TestBackend
 from cleatyoke.testbed.backend_model import BackendModel, RequestFate, chance
-from cleatyoke.testbed.checker import ClientRequestRecord, RequestForm, RuleChecker
+from cleatyoke.testbed.checker import ClientRequestRecord, RequestContent, RuleChecker
 from cleatyoke.testbed.discovery_agent import DiscoveryAgent, Registry
-from cleatyoke.testbed.runner import RunReport, run_scenario
+from cleatyoke.testbed.run_report import RunReport
+from cleatyoke.testbed.runner import run_scenario
 from cleatyoke.testbed.scenario import BackendCapacity, make_scenario, read_scenario
 
 SCENARIOS = Path(__file__).resolve().parent / "scenarios"
@@ -31,43 +32,43 @@
     """Each rule is broken once, and beside it what only looks like it."""
 
     def setUp(self) -> None:
-        self.judge = RuleChecker(PLAIN.plans, PLAIN.terms)
-        self.judge.took("w", ClientRequestRecord(0, 1, WRITE, 2.0, 10.0, 11.5))
-        self.judge.took("r", ClientRequestRecord(0, 1, READ, 2.0, 10.0, 11.5))
+        self.checker = RuleChecker(PLAIN.plans, PLAIN.terms)
+        self.checker.on_request("w", ClientRequestRecord(0, 1, WRITE, 2.0, 10.0, 11.5))
+        self.checker.on_request("r", ClientRequestRecord(0, 1, READ, 2.0, 10.0, 11.5))
 
     def rules(self) -> list[str]:
-        return [line.partition(":")[0] for line in self.judge.broken(1.0)]
+        return [line.partition(":")[0] for line in self.checker.find_violations(1.0)]
 
     def end(self) -> None:
         for trace in ("w", "r"):
-            if self.judge.asked[trace].status is None:
-                self.judge.answer(trace, 502, b"", 10.5)
+            if self.checker.requests[trace].status is None:
+                self.checker.on_answer(trace, 502, b"", 10.5)
 
     def test_a_request_without_an_answer_is_lost_unless_its_front_was_killed(self) -> None:
-        self.judge.answer("r", 503, b"", 11.9)  # late by less than half a second
+        self.checker.on_answer("r", 503, b"", 11.9)  # late by less than half a second
         assert self.rules() == ["lost"]
-        self.judge.killed(0, 11.0)
+        self.checker.on_front_killed(0, 11.0)
         assert self.rules() == []
 
     def test_late_second_and_foreign_answers_are_told(self) -> None:
-        self.judge.answer("w", 200, b"r s-0 1", 12.1)
-        self.judge.answer("r", 200, b"r s-0 1", 10.2)
-        self.judge.answer("r", 200, b"r s-0 1", 10.3)
+        self.checker.on_answer("w", 200, b"r s-0 1", 12.1)
+        self.checker.on_answer("r", 200, b"r s-0 1", 10.2)
+        self.checker.on_answer("r", 200, b"r s-0 1", 10.3)
         assert self.rules() == ["foreign", "answers", "late"]
 
     def test_a_write_that_ran_twice_or_was_refused_after_it_may_have_run(self) -> None:
         for trace in ("w", "r"):
             for at in (10.0, 10.2):
-                made = self.judge.attempt(trace, "s-0", at)
-                made.ran, made.ended = True, at + 0.1
-        self.judge.answer("w", 503, b"", 10.4)
+                made = self.checker.on_attempt(trace, "s-0", at)
+                made.executed, made.ended_at = True, at + 0.1
+        self.checker.on_answer("w", 503, b"", 10.4)
         self.end()
         assert self.rules() == ["repeated write", "refused write"]  # the read may repeat
 
     def test_a_write_that_may_have_run_goes_nowhere_again_even_if_it_ran_once(self) -> None:
         for at in (10.0, 10.2):
-            self.judge.attempt("w", "s-0", at).ended = at + 0.1
-        self.judge.asked["w"].attempts[1].ran = True
+            self.checker.on_attempt("w", "s-0", at).ended_at = at + 0.1
+        self.checker.requests["w"].attempts[1].executed = True
         self.end()
         assert self.rules() == ["repeated write"]
 
@@ -77,71 +78,73 @@
             ("k1", "s-1", 1, 10.2, ["key"]),
             ("k2", "s-0", 0, 11.2, ["key"]),
         ):
-            self.judge.took(trace, ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5))
-            self.judge.attempt(trace, "s-0", 10.0, cell=0).ended = 10.1
-            self.judge.attempt(trace, box, at, cell=cell).ended = at + 0.1
-            self.judge.answer(trace, 502, b"", 11.4)
+            self.checker.on_request(trace, ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5))
+            self.checker.on_attempt(trace, "s-0", 10.0, shard=0).ended_at = 10.1
+            self.checker.on_attempt(trace, box, at, shard=cell).ended_at = at + 0.1
+            self.checker.on_answer(trace, 502, b"", 11.4)
             self.end()
             assert self.rules() == rules, trace
-            del self.judge.asked[trace]
-        self.judge.took("k3", ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5))
-        self.judge.attempt("k3", "s-0", 10.0).ended = 10.1
-        self.judge.answer("k3", 503, b"", 10.2)
+            del self.checker.requests[trace]
+        self.checker.on_request("k3", ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5))
+        self.checker.on_attempt("k3", "s-0", 10.0).ended_at = 10.1
+        self.checker.on_answer("k3", 503, b"", 10.2)
         assert self.rules() == ["refused write"]
-        self.judge.asked["k3"].kind = replace(KEYED, scope=IdempotencyScope.ALL)  # every box drops its repeat
+        self.checker.requests["k3"].request_class = replace(
+            KEYED, scope=IdempotencyScope.ALL
+        )  # every box drops its repeat
         assert self.rules() == []
 
     def test_a_request_that_is_not_as_its_client_sent_it_and_a_probe_that_is_not_allowed(self) -> None:
-        form = RequestForm("PUT", "/api?block=1", "k", b"scan")
-        self.judge.took("f", ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5, form))
-        self.judge.attempt("f", "s-0", 10.0, form=form).refused = True
-        self.judge.asked["f"].attempts[0].ended = 10.1
-        self.judge.answer("f", 503, b"", 10.2)
+        form = RequestContent("PUT", "/api?block=1", "k", b"scan")
+        self.checker.on_request("f", ClientRequestRecord(0, 1, KEYED, 2.0, 10.0, 11.5, form))
+        self.checker.on_attempt("f", "s-0", 10.0, content=form).rejected = True
+        self.checker.requests["f"].attempts[0].ended_at = 10.1
+        self.checker.on_answer("f", 503, b"", 10.2)
         self.end()
         assert self.rules() == []
-        self.judge.attempt("f", "s-0", 10.3, form=replace(form, key=None)).ended = 10.4
-        self.judge.probe("s-0")
+        self.checker.on_attempt("f", "s-0", 10.3, content=replace(form, idempotency_key=None)).ended_at = 10.4
+        self.checker.on_probe("s-0")
         assert self.rules() == ["mangled", "probe", "refused write"]
 
     def test_a_refusal_that_its_box_proved_is_none_of_a_write_that_ran(self) -> None:
-        made = self.judge.attempt("w", "s-0", 10.0)
-        made.refused, made.ended = True, 10.0
-        self.judge.answer("w", 503, b"", 10.1)
+        made = self.checker.on_attempt("w", "s-0", 10.0)
+        made.rejected, made.ended_at = True, 10.0
+        self.checker.on_answer("w", 503, b"", 10.1)
         self.end()
         assert self.rules() == []
 
     def test_two_attempts_out_and_more_than_four(self) -> None:
-        first = self.judge.attempt("r", "s-0", 10.0)
-        second = self.judge.attempt("r", "s-1", 10.2)
-        first.ended, second.ended = 10.25, 10.3  # its end was on the way
+        first = self.checker.on_attempt("r", "s-0", 10.0)
+        second = self.checker.on_attempt("r", "s-1", 10.2)
+        first.ended_at, second.ended_at = 10.25, 10.3  # its end was on the way
         for at in (10.4, 10.5, 10.6):
-            self.judge.attempt("r", "s-0", at).ended = at
+            self.checker.on_attempt("r", "s-0", at).ended_at = at
         self.end()
         assert self.rules() == ["attempts"]
-        first.ended = 10.6
+        first.ended_at = 10.6
         assert self.rules() == ["twice out", "attempts"]
 
     def test_a_box_that_drains_hears_nothing_later_than_a_second_after_the_word(self) -> None:
-        self.judge.drains(0, "s-0", 9.0)
-        self.judge.drains(0, "s-0", 9.9)  # told again: the first word counts
-        self.judge.attempt("r", "s-0", 10.04).ended = 10.1
-        self.judge.attempt("r", "s-0", 10.2).ended = 10.3
-        self.judge.drains(0, "s-0", None)  # it serves again
-        self.judge.attempt("r", "s-0", 12.0).ended = 12.1
+        self.checker.on_drain_notice(0, "s-0", 9.0)
+        self.checker.on_drain_notice(0, "s-0", 9.9)  # told again: the first word counts
+        self.checker.on_attempt("r", "s-0", 10.04).ended_at = 10.1
+        self.checker.on_attempt("r", "s-0", 10.2).ended_at = 10.3
+        self.checker.on_drain_notice(0, "s-0", None)  # it serves again
+        self.checker.on_attempt("r", "s-0", 12.0).ended_at = 12.1
         self.end()
         assert self.rules() == ["drain"]
 
     def test_a_cold_box_is_held_to_its_window_and_a_volume_to_its_limit(self) -> None:
         for at in (10.0, 10.5, 11.2):
-            self.judge.bears("s-0", at, 4.0, 8.0)
+            self.checker.on_warm_up_arrival("s-0", at, 4.0, 8.0)
         self.end()
         assert self.rules() == []
-        self.judge.bears("s-0", 11.4, 4.0, 8.0)
+        self.checker.on_warm_up_arrival("s-0", 11.4, 4.0, 8.0)
         for number in range(9):
             trace = f"x{number}"
-            self.judge.took(trace, ClientRequestRecord(number, 4, READ, 2.0, 10.0, 11.5))
-            self.judge.attempt(trace, "s-1", 10.0 + number / 100).ended = 10.2
-            self.judge.answer(trace, 502, b"", 10.3)
+            self.checker.on_request(trace, ClientRequestRecord(number, 4, READ, 2.0, 10.0, 11.5))
+            self.checker.on_attempt(trace, "s-1", 10.0 + number / 100).ended_at = 10.2
+            self.checker.on_answer(trace, 502, b"", 10.3)
         assert self.rules() == ["cold", "limit"]
 
 
@@ -176,8 +179,8 @@
 
     async def write(self, **during: Any) -> list[float]:
         """When two requests came: one written amid the trouble and given up, and one written after it."""
-        judge, clock = RuleChecker(PLAIN.plans, PLAIN.terms), asyncio.get_running_loop().time
-        box = TestBackend("s-0", 0, "basement", judge, clock)
+        checker, clock = RuleChecker(PLAIN.plans, PLAIN.terms), asyncio.get_running_loop().time
+        box = TestBackend("s-0", 0, "basement", checker, clock)
         await box.live(BackendModel(PLAIN.power, None))
         self.addCleanup(box.stop)
         began = clock()
@@ -187,8 +190,8 @@
             stall = asyncio.ensure_future(box.stall(0.3))
             self.addCleanup(stall.cancel)
         for trace in ("amid", "after"):
-            form = RequestForm("GET", f"/api?block={trace}", None, b"")
-            judge.took(trace, ClientRequestRecord(0, 0, READ, 1.0, began, began + 1.5, form))
+            form = RequestContent("GET", f"/api?block={trace}", None, b"")
+            checker.on_request(trace, ClientRequestRecord(0, 0, READ, 1.0, began, began + 1.5, form))
             reader, writer = await asyncio.open_connection("127.0.0.1", box.port)
             writer.write(f"GET {form.target} HTTP/1.1\r\nX-Trace-Id: {trace}\r\n\r\n".encode())
             if trace == "amid":
@@ -199,7 +202,7 @@
             else:
                 await reader.readline()
                 writer.close()
-        return [made.began - began for one in judge.asked.values() for made in one.attempts]
+        return [made.arrived_at - began for one in checker.requests.values() for made in one.attempts]
 
     async def test_a_box_that_is_cut_off(self) -> None:
         (after,) = await self.write(cut=True)
@@ -216,9 +219,9 @@
         """Lists late by more than the front waits: it asks again, and only what it could read counts."""
         registry, told = Registry(), list[tuple[int, str]]()
         await registry.set("s-0", lifecycle="SERVING")
-        judge = mock.Mock()
-        judge.drains = lambda front, name, at: told.append((front, name))
-        agent = DiscoveryAgent(0, registry, judge, asyncio.get_running_loop().time)
+        checker = mock.Mock()
+        checker.on_drain_notice = lambda front, name, at: told.append((front, name))
+        agent = DiscoveryAgent(0, registry, checker, asyncio.get_running_loop().time)
         agent.late = 0.2
         await agent.start()
         for stays in (False, True):
@@ -256,32 +259,36 @@
 
     def run_file(self, name: str) -> RunReport:
         report = asyncio.run(run_scenario(read_scenario(SCENARIOS / f"{name}.toml")))
-        assert report.broken == [], "\n".join(report.lines())
-        assert report.most_runs_of_a_write <= 1
-        assert report.log["left"] == report.log["leaving"]
-        assert [event for event in report.log if event.endswith("_fault")] == []
+        assert report.violations == [], "\n".join(report.lines())
+        assert report.max_executions_of_a_write <= 1
+        assert report.log_counts["left"] == report.log_counts["leaving"]
+        assert [event for event in report.log_counts if event.endswith("_fault")] == []
         return report
 
     def test_a_roll_with_replaced_boxes_a_reload_and_spoilt_lists(self) -> None:
         report = self.run_file("roll")
-        assert (report.starts, report.log["leaving"], report.log["reloaded"]) == (10, 10, 5)
-        assert report.log["discovery_line_skipped"] > 0  # the trouble was met
-        assert report.served > 0.55
+        assert (report.front_starts, report.log_counts["leaving"], report.log_counts["reloaded"]) == (
+            10,
+            10,
+            5,
+        )
+        assert report.log_counts["discovery_line_skipped"] > 0  # the trouble was met
+        assert report.served_share > 0.55
 
     def test_a_zone_that_is_lost_and_returns_cold_amid_a_surge(self) -> None:
         report = self.run_file("zone")
-        assert report.fates["spoilt"] > 10
+        assert report.backend_outcomes["spoilt"] > 10
         assert report.answers["503"] > 100  # what a lost zone's data is asked for, at once
-        assert report.served > 0.35
+        assert report.served_share > 0.35
 
     def test_a_split_with_late_lists_lost_answers_resets_and_killed_fronts(self) -> None:
         report = self.run_file("split")
-        assert (report.starts, report.log["leaving"]) == (7, 5)
+        assert (report.front_starts, report.log_counts["leaving"]) == (7, 5)
         for fate in ("lost", "reset", "unread"):
-            assert report.fates[fate] > 3, fate
-        assert report.served > 0.5
+            assert report.backend_outcomes[fate] > 3, fate
+        assert report.served_share > 0.5
 
     def test_a_zone_cut_off_while_fronts_are_killed_and_rolled_with_late_lists(self) -> None:
         report = self.run_file("cut-and-kill")
-        assert (report.starts, report.log["leaving"]) == (16, 12)
-        assert report.served > 0.5
+        assert (report.front_starts, report.log_counts["leaving"]) == (16, 12)
+        assert report.served_share > 0.5
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -61,7 +61,7 @@
 
 
 def answers(played: Emulation) -> list[tuple[str, int | None, float | None]]:
-    return [(trace, one.status, one.answered) for trace, one in played.judge.asked.items()]
+    return [(trace, one.status, one.answered_at) for trace, one in played.judge.requests.items()]
 
 
 def test_a_play_keeps_the_rules_and_is_the_same_every_time() -> None:
@@ -116,7 +116,7 @@
     alone = emulate(scenario(restarts, load=hot, view={"enabled": True}))
     lent = emulate(scenario(restarts, load=hot, view={"enabled": True, "cold": True}))
     assert alone.broken() == lent.broken() == []
-    served = [sum(one.status == 200 for one in played.judge.asked.values()) for played in (alone, lent)]
+    served = [sum(one.status == 200 for one in played.judge.requests.values()) for played in (alone, lent)]
     assert served[1] > 1.1 * served[0]
 
 
