--- a/cleatyoke/emulation/capacity/processes.py
+++ b/cleatyoke/emulation/capacity/processes.py
@@ -14,8 +14,10 @@
 
 from cleatyoke.emulation.capacity.cost import PAGE
 from cleatyoke.emulation.capacity.nodes import list_text
+from cleatyoke.testbed.front_settings import settings_of
 from cleatyoke.testbed.runner import ROOT, ScenarioRun
-from cleatyoke.testbed.scenario import Scenario, make_scenario, settings_of
+from cleatyoke.testbed.scenario import Scenario
+from cleatyoke.testbed.scenario_file import make_scenario
 
 TICKS = os.sysconf("SC_CLK_TCK")
 START_SECONDS = 60.0  # that are waited for a front to be ready
--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -23,7 +23,8 @@
 from cleatyoke.emulation.traffic import UNIX, Emulation, core_of, emulate
 from cleatyoke.emulation.value import RequestTemplate
 from cleatyoke.scheduling.settings import SchedulerSettings
-from cleatyoke.testbed.scenario import Scenario, make_scenario
+from cleatyoke.testbed.scenario import Scenario
+from cleatyoke.testbed.scenario_file import make_scenario
 from cleatyoke.testbed.search import run_values
 
 LOST, BACK = 5, 9  # seconds: the power is lost, and the fronts are back; the boxes a little sooner
@@ -148,7 +149,7 @@
             kind,
             seed,
             "most at a cold box",
-            played.judge.max_warm_up_load(played.scenario.power.tip_after),
+            played.judge.max_warm_up_load(played.scenario.backend_capacity.overload_window),
         ),
         row(fleet, kind, seed, "boxes that fell", sum(box.fell for box in played.boxes)),
         row(fleet, kind, seed, "rules broken", len(played.broken())),
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -33,9 +33,10 @@
     UpdateKind,
 )
 from cleatyoke.scheduling.settings import SchedulerSettings
-from cleatyoke.testbed.backend_model import BackendModel, RequestFate
+from cleatyoke.testbed.backend_model import BackendModel, RequestOutcome
 from cleatyoke.testbed.checker import ClientRequestRecord, RuleChecker
-from cleatyoke.testbed.scenario import FaultEvent, Scenario, settings_of
+from cleatyoke.testbed.front_settings import settings_of
+from cleatyoke.testbed.scenario import FaultEvent, Scenario
 from cleatyoke.testbed.workload import GeneratedRequest, requests
 
 UNIX = 1e9  # Unix time at the loop's 0
@@ -62,7 +63,7 @@
     fell: bool = False
 
     def listed(self) -> Instance:
-        started = 0.0 if self.model.born is None else UNIX + self.model.born
+        started = 0.0 if self.model.started_at is None else UNIX + self.model.started_at
         return Instance(self.name, address_of(0), self.zone, self.cell, self.state, started)
 
 
@@ -84,7 +85,7 @@
     def __init__(self, scenario: Scenario, make: Make = core_of, tips: bool = True) -> None:
         self.scenario, self.make, self.tips = scenario, make, tips
         self.loop = asyncio.get_running_loop()
-        self.judge = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.units_most)))
+        self.judge = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.max_units)))
         self.network = Network(scenario.seed)
         self.ether = Ether(self.network)
         self.faults = Faults(Metrics())
@@ -101,7 +102,7 @@
     def begin_box(self, cell: int, name: str, born: float | None) -> VirtualBackend:
         seed = self.scenario.seed + cell
         box = VirtualBackend(
-            name, cell, self.scenario.zone_of(cell), BackendModel(self.scenario.power, born, seed)
+            name, cell, self.scenario.zone_of(cell), BackendModel(self.scenario.backend_capacity, born, seed)
         )
         self.lives.append((cell, self.loop.time(), born, float("inf")))
         return box
@@ -115,7 +116,7 @@
     def power(self, cell: int, at: float) -> float:
         """Units a second that the boxes of a cell can do then."""
         return sum(
-            BackendModel(self.scenario.power, born).rate(at)
+            BackendModel(self.scenario.backend_capacity, born).rate(at)
             for one, since, born, until in self.lives
             if one == cell and since <= at < until
         )
@@ -143,7 +144,7 @@
         settings.idle_since = UNIX + self.loop.time()
         front.core, front.directory = self.make(settings), Directory({})
         if scenario.view:
-            every = scenario.view.period / DEFAULT_FLEET_TIMING["period"]
+            every = scenario.view.probe_period / DEFAULT_FLEET_TIMING["period"]
             peers = FleetSettings(
                 "emulated",
                 address_of(front.number),
@@ -151,13 +152,13 @@
                 [address_of(one) for one in scenario.view.seeds],
                 front.boot,
                 {name: time * every for name, time in DEFAULT_FLEET_TIMING.items()},
-                scenario.view.limits,
-                scenario.view.cold,
+                scenario.view.shares_limits,
+                scenario.view.shares_warm_up,
             )
             front.view = VirtualView(
                 self.ether, peers, f"n{front.number}", scenario.fronts, scenario.seed, self.faults
             )
-            if scenario.view.limits or scenario.view.cold:
+            if scenario.view.shares_limits or scenario.view.shares_warm_up:
                 boxes = front.directory.instances
                 front.view.start_leasing(front.core, lambda node: boxes[node].name if node in boxes else None)
             await front.view.start()
@@ -197,27 +198,31 @@
         if box.fell:
             made.ended = now
             return AttemptResult(AttemptOutcome.RESET)
-        ticket = box.model.take(now, trace, asked.units)
+        ticket = box.model.accept(now, trace, asked.units)
         try:
-            match ticket.fate:
-                case RequestFate.FULL:
+            match ticket.outcome:
+                case RequestOutcome.FULL:
                     made.rejected = True
                     return AttemptResult(AttemptOutcome.QUEUE_FULL)
-                case RequestFate.UNREAD:
+                case RequestOutcome.UNREAD:
                     return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-            await asyncio.sleep(ticket.ends - now)
+            await asyncio.sleep(ticket.ends_at - now)
             if box.fell or not box.up:
                 return AttemptResult(AttemptOutcome.RESET)
             made.executed = True
             await asyncio.sleep(LATENCY)
-            match ticket.fate:
-                case RequestFate.RESET:
+            match ticket.outcome:
+                case RequestOutcome.RESET:
                     return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-                case RequestFate.LOST:
+                case RequestOutcome.LOST:
                     await asyncio.sleep(3600)
-                case RequestFate.SPOILT:
+                case RequestOutcome.SPOILT:
                     return AttemptResult(AttemptOutcome.ERROR)
-            busy = box.model.busy(self.loop.time()) if self.scenario.terms.report == "answers" else None
+            busy = (
+                box.model.utilization(self.loop.time())
+                if self.scenario.terms.load_report == "answers"
+                else None
+            )
             return AttemptResult(AttemptOutcome.SERVED, box.name, utilization=busy)
         except asyncio.CancelledError:
             if not made.executed:
@@ -227,15 +232,15 @@
             made.ended_at = self.loop.time()
 
     def count_cold(self, box: VirtualBackend, now: float, units: float) -> None:
-        power, model = self.scenario.power, box.model
-        if model.born is None or now - model.born >= power.ramp:
+        power, model = self.scenario.backend_capacity, box.model
+        if model.started_at is None or now - model.started_at >= power.ramp_duration:
             return
-        bears = power.tip_multiple * model.rate(now) * power.tip_after
+        bears = power.overload_factor * model.rate(now) * power.overload_window
         self.judge.on_warm_up_arrival(box.name, now, units, bears)
         came = [
             (at, one)
             for at, one, _ in self.judge.warm_up_arrivals[box.name][-512:]
-            if at >= now - power.tip_after
+            if at >= now - power.overload_window
         ]
         if self.tips and sum(one for _, one in came) > bears + self.judge.warm_up_slack:
             box.fell = True
@@ -252,29 +257,29 @@
                 served = self.loop.time()
             if status not in (None, 503):
                 break
-            await asyncio.sleep(max(wait, load.retry_s))
-        self.wishes.append(RequestTemplate(first, drawn.volume, drawn.kind, drawn.units, served))
+            await asyncio.sleep(max(wait, load.retry_delay))
+        self.wishes.append(RequestTemplate(first, drawn.volume, drawn.request_class, drawn.units, served))
 
     async def once(self, drawn: GeneratedRequest, trace: str) -> tuple[int | None, float]:
         """Its status, None where no front was there, and the wait that was told."""
         front, now = self.fronts[drawn.front], self.loop.time()
-        core, kind = front.core, drawn.kind
+        core, kind = front.core, drawn.request_class
         asked = ClientRequestRecord(drawn.front, drawn.volume, kind, drawn.units, now, now + kind.deadline)
         self.judge.on_request(trace, asked)
         if core is None:
             asked.excused = True
             return None, 0.0
-        plans, kinds = self.scenario.plans, self.scenario.kinds
+        plans, kinds = self.scenario.plans, self.scenario.request_classes
         arrival = RequestArrived(
             request_id=core.new_id(),
             class_index=kinds.index(kind),
             plan_index=drawn.volume % len(plans),
             volume_id=drawn.volume,
             item=int(drawn.block, 16),
-            shard=drawn.volume % self.scenario.boxes,
+            shard=drawn.volume % self.scenario.backends,
             units=drawn.units,
             deadline=core.now() + kind.deadline,
-            front_count=self.scenario.load.hosts,
+            front_count=self.scenario.load.fronts_per_volume,
         )
         task = asyncio.ensure_future(
             core.serve(arrival, lambda node, may: self.attempt(front, node, trace, asked))
@@ -304,25 +309,25 @@
         await asyncio.sleep(trouble.at)
         if trouble.links:
             return await self.trouble_links(trouble)
-        step = trouble.over / max(1, len(trouble.of))
+        step = trouble.spread / max(1, len(trouble.targets))
 
         async def one(place: int, subject: int) -> None:
             await asyncio.sleep(place * step)
             await self.act(subject, trouble)
 
-        await asyncio.gather(*(one(place, subject) for place, subject in enumerate(trouble.of)))
+        await asyncio.gather(*(one(place, subject) for place, subject in enumerate(trouble.targets)))
 
     async def act(self, subject: int, trouble: FaultEvent) -> None:
         match trouble.kind:
             case "roll" | "kill" | "powercut":
                 front = self.fronts[subject]
                 self.kill(front)
-                await asyncio.sleep(trouble.lasts if trouble.kind == "powercut" else DOWN)
+                await asyncio.sleep(trouble.duration if trouble.kind == "powercut" else DOWN)
                 await self.start(front)
             case "restart":
                 box = self.boxes[subject]
                 self.end_box(box)
-                await asyncio.sleep(trouble.lasts)
+                await asyncio.sleep(trouble.duration)
                 self.boxes[subject] = self.begin_box(subject, box.name, self.loop.time())
                 self.publish(self.boxes[subject])
             case "replace":
@@ -333,22 +338,22 @@
                 self.publish(fresh)
                 await asyncio.sleep(DRAIN)
                 self.publish(box, EndpointState.REMOVED)
-                await asyncio.sleep(max(kind.deadline for kind in self.scenario.kinds))
+                await asyncio.sleep(max(kind.deadline for kind in self.scenario.request_classes))
                 box.up = False
                 self.boxes.remove(box)
             case "silence":
                 box = self.boxes[subject]
                 box.silent = True
-                await asyncio.sleep(trouble.lasts)
+                await asyncio.sleep(trouble.duration)
                 box.silent = False
             case "reset" | "lose_answers" | "spoil" | "slow":
                 model = self.boxes[subject].model
-                model.ailing[trouble.kind] = trouble.share
-                await asyncio.sleep(trouble.lasts)
-                model.ailing.pop(trouble.kind, None)
+                model.faults[trouble.kind] = trouble.share
+                await asyncio.sleep(trouble.duration)
+                model.faults.pop(trouble.kind, None)
             case "drain":
                 self.publish(self.boxes[subject], EndpointState.DRAINING)
-                await asyncio.sleep(trouble.lasts)
+                await asyncio.sleep(trouble.duration)
                 self.publish(self.boxes[subject])
             case other:
                 msg = f"trouble.kind: {other} is for real processes only"
@@ -359,14 +364,23 @@
         assert links
         here, there = (
             frozenset(f"{one.host}:{one.port}" for one in map(address_of, numbers))
-            for numbers in (trouble.of, links.to)
+            for numbers in (trouble.targets, links.to)
         )
         faults = [
-            Fault(one, other, links.cut, links.loss, links.doubles, links.garbles, links.delay, links.jitter)
+            Fault(
+                one,
+                other,
+                links.cut,
+                links.loss,
+                links.duplicates,
+                links.corruption,
+                links.delay,
+                links.jitter,
+            )
             for one, other in ([(here, there)] if links.one_way else [(here, there), (there, here)])
         ]
         self.network.faults += faults
-        await asyncio.sleep(trouble.lasts)
+        await asyncio.sleep(trouble.duration)
         for fault in faults:
             self.network.faults.remove(fault)
 
@@ -375,12 +389,12 @@
     async def play(self, warm: float = 5.0) -> Emulation:
         """``warm``: seconds before the load begins, in which the view of the fleet settles."""
         scenario = self.scenario
-        self.boxes = [self.begin_box(cell, f"s-{cell:03d}", None) for cell in range(scenario.boxes)]
+        self.boxes = [self.begin_box(cell, f"s-{cell:03d}", None) for cell in range(scenario.backends)]
         for front in self.fronts:
             await self.start(front)
         await asyncio.sleep(warm if scenario.view else 0.1)
         began = self.began = self.loop.time()
-        tasks = [asyncio.ensure_future(self.trouble(one)) for one in scenario.troubles]
+        tasks = [asyncio.ensure_future(self.trouble(one)) for one in scenario.faults]
         for drawn in requests(scenario):
             await asyncio.sleep(max(0.0, began + drawn.at - self.loop.time()))
             tasks.append(asyncio.ensure_future(self.ask(drawn)))
@@ -394,7 +408,7 @@
         return self
 
     def broken(self) -> list[str]:
-        return self.judge.find_violations(self.scenario.power.tip_after)
+        return self.judge.find_violations(self.scenario.backend_capacity.overload_window)
 
 
 def emulate(scenario: Scenario, make: Make = core_of, tips: bool = True) -> Emulation:
--- a/cleatyoke/emulation/value.py
+++ b/cleatyoke/emulation/value.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from cleatyoke.testbed.scenario import WITHIN, RequestKind, Scenario
+from cleatyoke.testbed.front_settings import SURPLUS_VALUE_SHARE
+from cleatyoke.testbed.scenario import RequestClassTerms, Scenario
 
 SLOT = 0.25  # seconds, of the ideal's time
 
@@ -22,16 +23,16 @@
 
     at: float  # of its first try
     volume: int
-    kind: RequestKind
+    kind: RequestClassTerms
     units: float
     served: float | None  # when it got its answer
 
     def late(self) -> bool:
-        return self.served is not None and self.served > self.at + self.kind.aim
+        return self.served is not None and self.served > self.at + self.kind.latency_objective
 
     def value(self, scenario: Scenario) -> float:
         """Of a unit that is due in full."""
-        return self.kind.worth * scenario.plan_of(self.volume).worth
+        return self.kind.value * scenario.plan_of(self.volume).value_factor
 
 
 @dataclass(slots=True)
@@ -54,7 +55,7 @@
     def density(self, wish: RequestTemplate) -> float:
         """What a unit of it would earn, if it were served in time now."""
         full = min(1.0, self.left.get((wish.volume, int(wish.at)), 0.0) / wish.units)
-        return wish.value(self.scenario) * (full + (1 - full) * WITHIN)
+        return wish.value(self.scenario) * (full + (1 - full) * SURPLUS_VALUE_SHARE)
 
     def take(self, wish: RequestTemplate) -> float:
         worth, second = self.density(wish) * wish.units, (wish.volume, int(wish.at))
@@ -68,7 +69,7 @@
     served = [place for place, wish in enumerate(wishes) if wish.served is not None]
     for place in sorted(served, key=lambda place: (wishes[place].late(), wishes[place].served)):
         wish = wishes[place]
-        out[place] = reserves.take(wish) * (wish.kind.late_share if wish.late() else 1.0)
+        out[place] = reserves.take(wish) * (wish.kind.late_value_share if wish.late() else 1.0)
     return out
 
 
@@ -89,7 +90,7 @@
     reserves, out = Reserves.of(scenario, wishes), [0.0] * len(wishes)
     cells: defaultdict[int, list[int]] = defaultdict(list)
     for place in sorted(range(len(wishes)), key=lambda place: wishes[place].at, reverse=True):
-        cells[wishes[place].volume % scenario.boxes].append(place)
+        cells[wishes[place].volume % scenario.backends].append(place)
     for cell, upcoming in cells.items():
         waiting: list[int] = []
         slot, room = 0, 0.0
@@ -97,7 +98,7 @@
             now = slot * SLOT
             while upcoming and wishes[upcoming[-1]].at < now + SLOT:
                 waiting.append(upcoming.pop())
-            waiting = [one for one in waiting if wishes[one].at + wishes[one].kind.aim > now]
+            waiting = [one for one in waiting if wishes[one].at + wishes[one].kind.latency_objective > now]
             room = min(0.0, room) + power(cell, now + SLOT / 2) * SLOT
             while waiting and room > 0:
                 best = max(waiting, key=lambda one: reserves.density(wishes[one]))
--- a/cleatyoke/testbed/__init__.py
+++ b/cleatyoke/testbed/__init__.py
@@ -1,5 +1,5 @@
-"""A fleet on loopback to try fronts against: stand-in boxes, discovery, clients, scripted troubles, a judge.
+"""A fleet on loopback to try fronts against: test doubles around them, faults by script, a rule checker.
 
-``scenario``, ``model`` and ``judge`` know no socket and no clock. Written from the protocol page alone; it
-has no part in serving and is never imported by the daemon.
+``scenario``, ``backend_model`` and ``checker`` use no socket and no clock. Written from the protocol page
+alone; it has no part in serving and is never imported by the daemon.
 """
--- a/cleatyoke/testbed/__main__.py
+++ b/cleatyoke/testbed/__main__.py
@@ -8,7 +8,7 @@
 
 from cleatyoke.config.errors import ConfigError
 from cleatyoke.testbed.runner import run_scenario
-from cleatyoke.testbed.scenario import read_scenario
+from cleatyoke.testbed.scenario_file import read_scenario
 
 
 def main(names: list[str]) -> int:
--- a/cleatyoke/testbed/backend.py
+++ b/cleatyoke/testbed/backend.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from cleatyoke.testbed.backend_model import BackendModel, RequestFate
+from cleatyoke.testbed.backend_model import BackendModel, RequestOutcome
 from cleatyoke.testbed.checker import AttemptRecord, RequestContent, RuleChecker
 from cleatyoke.testbed.peer import Peer, TimedReader
 
@@ -36,15 +36,15 @@
         self, name: str, cell: int, zone: str, judge: RuleChecker, clock: Callable[[], float]
     ) -> None:
         super().__init__()
-        self.name, self.cell, self.zone = name, cell, zone
+        self.name, self.shard, self.zone = name, cell, zone
         self.checker, self.clock = judge, clock
         self.model: BackendModel
-        self.heard = asyncio.Event()  # cleared while the box is silent
-        self.heard.set()
-        self.fates: Counter[str] = Counter()
+        self._receiving = asyncio.Event()  # cleared while the box is silent
+        self._receiving.set()
+        self.outcomes: Counter[str] = Counter()
         self.executions: dict[str, int] = {}
 
-    async def live(self, model: BackendModel) -> None:
+    async def start_incarnation(self, model: BackendModel) -> None:
         """A life of it."""
         self.model = model
         await self.start()
@@ -53,51 +53,55 @@
         """As when its process dies: connections are reset, and new ones are refused."""
         reset(writer)
 
-    def silence(self, on: bool) -> None:
+    def set_silent(self, on: bool) -> None:
         if on:
-            self.heard.clear()
+            self._receiving.clear()
         else:  # what stood through it is reset once the machine is back
-            self.heard.set()
+            self._receiving.set()
             for writer in list(self.writers):
                 reset(writer)
 
     async def stall(self, lasts: float) -> None:
         """Stand still: what comes meanwhile has come, and is worked on afterwards."""
-        self.heard.clear()
+        self._receiving.clear()
         await asyncio.sleep(lasts)
-        self.heard.set()
+        self._receiving.set()
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert isinstance(reader, TimedReader)
         while True:
-            await self.heard.wait()
+            await self._receiving.wait()
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
             first, *lines = head.split("\r\n")
             fields = {name.lower(): value for name, _, value in (one.partition(": ") for one in lines)}
             body = await reader.readexactly(int(fields.get("content-length", 0)))
             came = reader.came
-            await self.heard.wait()
+            await self._receiving.wait()
             if writer.transport.is_closing():  # it stood through a silence, and what it brought never came
                 return
             method, target, _ = first.split(" ")
             if target in PROBES:
-                self.probed(target, writer)
+                self._answer_probe(target, writer)
                 continue
             form = RequestContent(method, target, fields.get("idempotency-key"), body)
-            if not await self.work(fields.get("x-trace-id", ""), form, came, reader, writer):
+            if not await self._execute(fields.get("x-trace-id", ""), form, came, reader, writer):
                 return
 
-    def probed(self, target: str, writer: asyncio.StreamWriter) -> None:
+    def _answer_probe(self, target: str, writer: asyncio.StreamWriter) -> None:
         terms = self.checker.terms
         self.checker.on_probe(self.name)
-        body = self.report().encode() if target == "/metrics/load" and terms.report != "none" else b""
+        body = (
+            self._load_report().encode() if target == "/metrics/load" and terms.load_report != "none" else b""
+        )
         status = b"200" if terms.probes else b"404"
         writer.write(b"HTTP/1.1 %s X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
 
-    def report(self) -> str:
-        return f"TEXT queue={self.model.queued(self.clock())}, util={self.model.busy(self.clock()):.2f}"
+    def _load_report(self) -> str:
+        queue_length = self.model.queue_length(self.clock())
+        utilization = self.model.utilization(self.clock())
+        return f"TEXT queue={queue_length}, util={utilization:.2f}"
 
-    async def work(
+    async def _execute(
         self,
         trace: str,
         form: RequestContent,
@@ -111,54 +115,58 @@
             writer.write(OTHER)
             return True
         units = self.checker.requests[trace].units
-        made = self.checker.on_attempt(trace, self.name, came, self.cell, self.zone, form)
-        if model.born is not None and now - model.born < model.power.ramp:
-            power = model.power
+        made = self.checker.on_attempt(trace, self.name, came, self.shard, self.zone, form)
+        if model.started_at is not None and now - model.started_at < model.capacity.ramp_duration:
+            power = model.capacity
             self.checker.on_warm_up_arrival(
-                self.name, came, units, power.tip_multiple * model.rate(now) * power.tip_after
+                self.name, came, units, power.overload_factor * model.rate(now) * power.overload_window
             )
-        ticket = model.take(now, trace, units)
-        self.fates[ticket.fate.value] += 1
+        ticket = model.accept(now, trace, units)
+        self.outcomes[ticket.outcome.value] += 1
         try:
-            if ticket.fate is RequestFate.FULL:
+            if ticket.outcome is RequestOutcome.FULL:
                 made.rejected = True
                 writer.write(FULL)
                 return True
-            if ticket.fate is RequestFate.UNREAD:
+            if ticket.outcome is RequestOutcome.UNREAD:
                 reset(writer)
                 return False
             gone = asyncio.ensure_future(reader.read(1))
-            await asyncio.wait({gone}, timeout=max(0.0, ticket.ends - now))
+            await asyncio.wait({gone}, timeout=max(0.0, ticket.ends_at - now))
             if gone.done():  # its front gave up, or left, which a machine that is cut off never hears
-                made.executed = not self.heard.is_set() or not model.withdraw(self.clock(), ticket)
-                self.count(trace, made)
+                made.executed = not self._receiving.is_set() or not model.withdraw(self.clock(), ticket)
+                self._count_execution(trace, made)
                 return False
             gone.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await gone
             made.executed = True
-            self.count(trace, made)
-            await self.heard.wait()
-            return await self.reply(ticket.fate, trace, reader, writer)
+            self._count_execution(trace, made)
+            await self._receiving.wait()
+            return await self._answer(ticket.outcome, trace, reader, writer)
         finally:
             made.ended_at = self.clock()
 
-    def count(self, trace: str, made: AttemptRecord) -> None:
+    def _count_execution(self, trace: str, made: AttemptRecord) -> None:
         if made.executed:
             self.executions[trace] = self.executions.get(trace, 0) + 1
 
-    async def reply(
-        self, fate: RequestFate, trace: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _answer(
+        self, fate: RequestOutcome, trace: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         body = f"{trace} {self.name} {self.executions[trace]}".encode()
-        load = f"Endpoint-Load-Metrics: {self.report()}\r\n" if self.checker.terms.report == "answers" else ""
-        if fate is RequestFate.RESET:
+        load = (
+            f"Endpoint-Load-Metrics: {self._load_report()}\r\n"
+            if self.checker.terms.load_report == "answers"
+            else ""
+        )
+        if fate is RequestOutcome.RESET:
             reset(writer)
             return False
-        if fate is RequestFate.LOST:
+        if fate is RequestOutcome.LOST:
             await reader.read(1)  # until the front gives up
             return False
-        if fate is RequestFate.SPOILT:
+        if fate is RequestOutcome.SPOILT:
             writer.write(SPOILT)
             return False
         head = f"HTTP/1.1 200 X\r\nContent-Length: {len(body)}\r\n{load}\r\n"
--- a/cleatyoke/testbed/checker.py
+++ b/cleatyoke/testbed/checker.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
-from cleatyoke.testbed.scenario import DeploymentTerms, PlanTerms, RequestKind
+from cleatyoke.testbed.scenario import DeploymentTerms, PlanTerms, RequestClassTerms
 
 TIME_SLACK_S = 0.05  # by which every time limit is longer (protocol page)
 MAX_LATENESS_S = 0.5  # past its deadline, up to which an answer is only worthless, not a violation
@@ -50,7 +50,7 @@
 
     front: int
     volume: int
-    request_class: RequestKind
+    request_class: RequestClassTerms
     units: float
     sent_at: float
     deadline: float
@@ -171,7 +171,7 @@
         found += self._check_overlaps()
         for trace, request in self.requests.items():
             found += self._check_answer_time(trace, request)
-            if len(request.attempts) > self.terms.attempts:
+            if len(request.attempts) > self.terms.max_attempts:
                 found.append(f"attempts: {trace} was sent {len(request.attempts)} times")
             found += self._check_duplicates(trace, request)
         found += self._check_warm_up(window)
@@ -231,10 +231,10 @@
         """
         request_class = request.request_class
         doubtful = [attempt for attempt in request.attempts if not attempt.rejected]
-        if request_class.repeat is Idempotency.IDEMPOTENT or not doubtful:
+        if request_class.idempotency is Idempotency.IDEMPOTENT or not doubtful:
             return
         later = request.attempts[request.attempts.index(doubtful[0]) + 1 :]
-        if request_class.repeat is Idempotency.NOT_IDEMPOTENT:
+        if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             executions = sum(attempt.executed for attempt in request.attempts)
             if executions > 1:
                 yield f"repeated write: {trace} ran {executions} times"
@@ -243,16 +243,20 @@
         else:
             yield from self._check_keyed_retries(trace, request_class, doubtful[0], later)
         dropped_everywhere = (
-            request_class.repeat is Idempotency.KEYED and request_class.scope is IdempotencyScope.ALL
+            request_class.idempotency is Idempotency.KEYED and request_class.scope is IdempotencyScope.ALL
         )
         if request.status in (429, 503) and not dropped_everywhere:
             yield f"refused write: {trace} may have run and was answered {request.status}"
 
     def _check_keyed_retries(
-        self, trace: str, request_class: RequestKind, first: AttemptRecord, later: Sequence[AttemptRecord]
+        self,
+        trace: str,
+        request_class: RequestClassTerms,
+        first: AttemptRecord,
+        later: Sequence[AttemptRecord],
     ) -> Iterator[str]:
         """Attempts after ``first`` stay where, and while, its idempotency key is remembered."""
-        forgotten_at = first.arrived_at + request_class.memory + TIME_SLACK_S
+        forgotten_at = first.arrived_at + request_class.key_memory + TIME_SLACK_S
         for attempt in later:
             if _shares_keys(request_class.scope, first, attempt) and attempt.arrived_at <= forgotten_at:
                 continue
--- a/cleatyoke/testbed/clients.py
+++ b/cleatyoke/testbed/clients.py
@@ -23,23 +23,23 @@
 
     def __init__(self, front: int, port: int) -> None:
         self.front, self.port = front, port
-        self.kept: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-        self.open = False
+        self.idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self.is_open = False
 
-    async def connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
-        while self.kept:
-            reader, writer = self.kept.pop()
+    async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
+        while self.idle_connections:
+            reader, writer = self.idle_connections.pop()
             if not reader.at_eof() and not writer.transport.is_closing():
                 return reader, writer
             writer.transport.abort()
-        if not self.open:
+        if not self.is_open:
             return None
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    def forget(self) -> None:
-        for _, writer in self.kept:
+    def drop_connections(self) -> None:
+        for _, writer in self.idle_connections:
             writer.transport.abort()
-        self.kept.clear()
+        self.idle_connections.clear()
 
 
 class TestClients:
@@ -48,51 +48,50 @@
     def __init__(
         self, scenario: Scenario, judge: RuleChecker, doors: list[FrontAddress], clock: Callable[[], float]
     ) -> None:
-        self.scenario, self.checker, self.doors, self.clock = scenario, judge, doors, clock
-        self.cells: dict[str, int] = {}  # box: the shard that it holds
+        self.scenario, self.checker, self.addresses, self.clock = scenario, judge, doors, clock
+        self.shards_by_backend: dict[str, int] = {}  # box: the shard that it holds
         self.written: deque[tuple[str, int]] = deque(maxlen=RECENT)  # block, and the shard that took it
-        self.unread = 0  # a connection ended as they asked, and so they asked once more
         self.tasks: set[asyncio.Task[None]] = set()
-        self.wishes: list[RequestTemplate] = []  # what came of each request, over its tries
+        self.templates: list[RequestTemplate] = []  # what came of each request, over its tries
 
     async def run(self) -> None:
         began = self.clock()
         for drawn in requests(self.scenario):
             await asyncio.sleep(max(0.0, began + drawn.at - self.clock()))
-            task = asyncio.create_task(self.ask(drawn))
+            task = asyncio.create_task(self._send_with_retries(drawn))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         await asyncio.gather(*self.tasks)
 
-    async def ask(self, drawn: GeneratedRequest) -> None:
+    async def _send_with_retries(self, drawn: GeneratedRequest) -> None:
         """A request, with the tries that its client makes."""
         load, first, served = self.scenario.load, self.clock(), None
         for number in range(1 + load.retries):
-            asked = await self.once(drawn, drawn.trace_of(number), number > 0)
+            asked = await self._send_once(drawn, drawn.trace_of(number), number > 0)
             served = asked.answered_at if asked.status == 200 else None
             if asked.status not in (None, 429, 503) or (asked.status is None and not asked.excused):
                 break
             if number < load.retries:
-                await asyncio.sleep(max(asked.retry_after, load.retry_s))
-        self.wishes.append(RequestTemplate(first, drawn.volume, drawn.kind, drawn.units, served))
+                await asyncio.sleep(max(asked.retry_after, load.retry_delay))
+        self.templates.append(RequestTemplate(first, drawn.volume, drawn.request_class, drawn.units, served))
 
-    async def once(self, drawn: GeneratedRequest, trace: str, again: bool) -> ClientRequestRecord:
+    async def _send_once(self, drawn: GeneratedRequest, trace: str, again: bool) -> ClientRequestRecord:
         """One try, from its connection to the one answer."""
-        block, volume, kind, units = drawn.block, drawn.volume, drawn.kind, drawn.units
+        block, volume, kind, units = drawn.block, drawn.volume, drawn.request_class, drawn.units
         load, shard, door, moves = (
             self.scenario.load,
-            volume % self.scenario.boxes,
-            self.doors[drawn.front],
-            drawn.moves,
+            volume % self.scenario.backends,
+            self.addresses[drawn.front],
+            drawn.object_draw,
         )
-        if kind.write and moves < load.fresh:
+        if kind.write and moves < load.new_object_share:
             shard = -1
-        elif not kind.write and moves < load.reread and self.written:
-            block, shard = self.written[int(moves / load.reread * len(self.written))]
+        elif not kind.write and moves < load.reread_share and self.written:
+            block, shard = self.written[int(moves / load.reread_share * len(self.written))]
         form = RequestContent(
             "PUT" if kind.write else "GET",
             f"/api?block={block}",
-            f"key-{trace}" if kind.repeat is Idempotency.KEYED else None,
+            f"key-{trace}" if kind.idempotency is Idempotency.KEYED else None,
             b"scan" if kind.write else b"",
         )
         key = f"Idempotency-Key: {form.idempotency_key}\r\n" if form.idempotency_key else ""
@@ -103,14 +102,14 @@
             f"{mark}X-Plan: {self.scenario.plan_of(volume).name}\r\n"
             f"X-Expires-In-Ms: {int(kind.deadline * 1000)}\r\n"
             f"Content-Length: {len(form.body)}\r\n"
-            f"X-IO: volume={volume:016x},units={units},shard={shard},hosts={load.hosts}\r\n"
+            f"X-IO: volume={volume:016x},units={units},shard={shard},hosts={load.fronts_per_volume}\r\n"
             "\r\n"
         ).encode() + form.body
         now = self.clock()
         asked = ClientRequestRecord(door.front, volume, kind, units, now, now + kind.deadline, form)
         for _ in range(2):
             try:
-                connection = await door.connection()
+                connection = await door.connect()
             except OSError:
                 connection = None
             if connection is None:
@@ -118,14 +117,13 @@
                 self.checker.on_request(trace, asked)
                 return asked
             self.checker.on_request(trace, asked)
-            if await self.exchange(trace, message, connection, door, asked):
+            if await self._exchange(trace, message, connection, door, asked):
                 if shard == -1 and asked.status == 200 and asked.attempts:
-                    self.written.append((block, self.cells[asked.attempts[-1].backend]))
+                    self.written.append((block, self.shards_by_backend[asked.attempts[-1].backend]))
                 return asked
-            self.unread += 1
         return asked
 
-    async def exchange(
+    async def _exchange(
         self,
         trace: str,
         message: bytes,
@@ -157,5 +155,5 @@
             with contextlib.suppress(OSError):
                 writer.close()
         else:
-            door.kept.append(connection)
+            door.idle_connections.append(connection)
         return True
--- a/cleatyoke/testbed/discovery_agent.py
+++ b/cleatyoke/testbed/discovery_agent.py
@@ -51,54 +51,56 @@
     ) -> None:
         super().__init__()
         self.front, self.registry, self.checker, self.clock = front, registry, judge, clock
-        self.late, self.spoils = 0.0, ""
+        self.delay, self.fault = 0.0, ""
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             target = (await reader.readuntil(b"\r\n\r\n")).split()[1].decode()
-            while self.spoils == "silent":
+            while self.fault == "silent":
                 await asyncio.sleep(0.1)
             if "watch=1" in target:
-                await self.watch(reader, writer, int(target.partition("after=")[2] or 0))
+                await self._send_watch_events(reader, writer, int(target.partition("after=")[2] or 0))
             else:
-                await self.whole(writer)
+                await self._send_list(writer)
 
-    async def whole(self, writer: asyncio.StreamWriter) -> None:
-        body = {"garble": b'{"generation": "x", "instances": [', "empty": b""}.get(self.spoils)
+    async def _send_list(self, writer: asyncio.StreamWriter) -> None:
+        body = {"garble": b'{"generation": "x", "instances": [', "empty": b""}.get(self.fault)
         listing = self.registry.listing()
         if body is None:
             body = json.dumps(listing).encode()
-            self.tell(listing)
+            self.notify(listing)
         writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         await writer.drain()
 
-    async def watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, after: int) -> None:
+    async def _send_watch_events(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, after: int
+    ) -> None:
         writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n")
         first = True
         while not writer.transport.is_closing():
             if self.registry.version > after or first:
-                await asyncio.sleep(self.late)
+                await asyncio.sleep(self.delay)
                 if reader.at_eof():
                     return  # the front has closed it: what is written to nobody tells nobody
                 listing = self.registry.listing(after)
                 after, first = int(listing["generation"]), False
-                line = {"garble": b'{"generation":', "empty": b""}.get(self.spoils)
+                line = {"garble": b'{"generation":', "empty": b""}.get(self.fault)
                 if line is None:
                     line = json.dumps(listing).encode()
-                    self.tell(listing)
-                self.chunk(writer, line)
+                    self.notify(listing)
+                self._write_chunk(writer, line)
                 await writer.drain()
                 continue
             try:
                 async with asyncio.timeout(IDLE), self.registry.changed:
                     await self.registry.changed.wait()
             except TimeoutError:
-                self.chunk(writer, b"")
+                self._write_chunk(writer, b"")
 
-    def chunk(self, writer: asyncio.StreamWriter, line: bytes) -> None:
+    def _write_chunk(self, writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
 
-    def tell(self, listing: dict[str, Any]) -> None:
+    def notify(self, listing: dict[str, Any]) -> None:
         """Once it is written, the front counts as told."""
         now = self.clock()
         for entry in listing["instances"]:
--- a/cleatyoke/testbed/fault_injection.py
+++ b/cleatyoke/testbed/fault_injection.py
@@ -46,13 +46,13 @@
             await self._disturb_links(fault)
             return
         inject_at = self._handler(fault.kind)
-        step = fault.over / max(1, len(fault.of))
+        step = fault.spread / max(1, len(fault.targets))
 
         async def inject_later(place: int, target: int) -> None:
             await asyncio.sleep(place * step)
             await inject_at(target, fault)
 
-        await asyncio.gather(*(inject_later(place, target) for place, target in enumerate(fault.of)))
+        await asyncio.gather(*(inject_later(place, target) for place, target in enumerate(fault.targets)))
 
     def _handler(self, kind: str) -> Callable[[int, FaultEvent], Awaitable[None]]:
         if kind in BACKEND_FAULTS:
@@ -69,9 +69,9 @@
                 await self._disturb_incarnation(shard, fault)
             return
         model = self.run.backends[shard].model
-        model.ailing[fault.kind] = fault.share
-        await asyncio.sleep(fault.lasts)
-        model.ailing.pop(fault.kind, None)
+        model.faults[fault.kind] = fault.share
+        await asyncio.sleep(fault.duration)
+        model.faults.pop(fault.kind, None)
 
     async def _disturb_incarnation(self, shard: int, fault: FaultEvent) -> None:
         run = self.run
@@ -81,19 +81,21 @@
                 await self._replace_backend(shard)
             case "drain":  # with no replacement
                 await run.list_backend(backend, "DRAINING")
-                await asyncio.sleep(fault.lasts)
+                await asyncio.sleep(fault.duration)
                 await run.list_backend(backend)
             case "restart":  # it is back under its id, and warms up
                 backend.stop()
-                await asyncio.sleep(fault.lasts)
-                await backend.live(BackendModel(run.scenario.power, run.clock(), backend.model.seed))
+                await asyncio.sleep(fault.duration)
+                await backend.start_incarnation(
+                    BackendModel(run.scenario.backend_capacity, run.clock(), backend.model.seed)
+                )
                 await run.list_backend(backend)
             case "silence":
-                backend.silence(True)
-                await asyncio.sleep(fault.lasts)
-                backend.silence(False)
+                backend.set_silent(True)
+                await asyncio.sleep(fault.duration)
+                backend.set_silent(False)
             case "stall":
-                await backend.stall(fault.lasts)
+                await backend.stall(fault.duration)
 
     async def _replace_backend(self, shard: int) -> None:
         """Another backend with a new id takes over the shard, and warms up; the old one is drained."""
@@ -104,7 +106,7 @@
         run.backends[shard] = await run.add_backend(shard, f"{backend.name}+", run.clock(), seed)
         await asyncio.sleep(DRAIN_S)
         await run.list_backend(backend, "DELETED")
-        await asyncio.sleep(max(kind.deadline for kind in run.scenario.kinds))
+        await asyncio.sleep(max(kind.deadline for kind in run.scenario.request_classes))
         backend.stop()
         run.retired_backends.append(backend)
 
@@ -126,16 +128,16 @@
                 front.write_config()
                 await front.start()
             case "pause":
-                await front.pause(fault.lasts)
+                await front.pause(fault.duration)
             case "powercut":
                 await front.kill()
                 if self.run.scenario.view and self.run.scenario.view.durable:
                     front.erase_memory()
-                await asyncio.sleep(fault.lasts)
+                await asyncio.sleep(fault.duration)
                 front.write_config()
                 await front.start()
             case "reload":
-                await self._move_discovery(number, fault.lasts)
+                await self._move_discovery(number, fault.duration)
 
     async def _move_discovery(self, number: int, seconds: float) -> None:
         """The front is reloaded with another agent; the old one stops so many seconds later."""
@@ -150,19 +152,19 @@
     async def _disturb_lists(self, number: int, fault: FaultEvent) -> None:
         agent = self.run.agents[number]
         if fault.kind == "late_lists":
-            agent.late = fault.share
+            agent.delay = fault.share
         else:
-            agent.spoils = LIST_FAULT_MODES[fault.kind]
-        await asyncio.sleep(fault.lasts)
-        agent.late = 0.0
-        agent.spoils = ""
+            agent.fault = LIST_FAULT_MODES[fault.kind]
+        await asyncio.sleep(fault.duration)
+        agent.delay = 0.0
+        agent.fault = ""
 
     async def _disturb_links(self, event: FaultEvent) -> None:
         assert self.run.relay
         assert event.links
         links = event.links
         network = self.run.relay.network
-        here = frozenset(map(str, event.of))
+        here = frozenset(map(str, event.targets))
         there = frozenset(map(str, links.to))
         ways = [(here, there)] if links.one_way else [(here, there), (there, here)]
         faults = [
@@ -171,15 +173,15 @@
                 target,
                 links.cut,
                 links.loss,
-                links.doubles,
-                links.garbles,
+                links.duplicates,
+                links.corruption,
                 links.delay,
                 links.jitter,
             )
             for source, target in ways
         ]
         network.faults += faults
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         for fault in faults:
             network.faults.remove(fault)
 
@@ -189,7 +191,7 @@
         The checker expects the hold of those fronts that have it by the command's answer: this one, or all.
         """
         run = self.run
-        backend = run.backends[fault.box].name
+        backend = run.backends[fault.held_backend].name
         answer = " ".join(await run.fronts[number].send_command(f"disable-server {backend}")).split()
         at = run.clock()
         if answer[:1] != ["SUCCESS"]:
@@ -200,7 +202,7 @@
         for front in range(run.scenario.fronts) if is_held_everywhere else [number]:
             run.checker.on_hold(front, backend, at)
         run.report.hold_answers.append(" ".join(answer))
-        await asyncio.sleep(fault.lasts)
+        await asyncio.sleep(fault.duration)
         for front in range(run.scenario.fronts):
             run.checker.on_hold(front, backend, None)
         other = run.fronts[(number + 1) % len(run.fronts)]
--- a/cleatyoke/testbed/front_process.py
+++ b/cleatyoke/testbed/front_process.py
@@ -11,7 +11,8 @@
 from typing import TYPE_CHECKING, Any
 
 from cleatyoke.testbed.clients import FrontAddress
-from cleatyoke.testbed.scenario import ViewTerms, settings_of
+from cleatyoke.testbed.front_settings import settings_of
+from cleatyoke.testbed.scenario import ViewTerms
 from cleatyoke.testbed.view_checks import MembershipView, read_view
 
 if TYPE_CHECKING:
@@ -70,7 +71,9 @@
     def _fleet_settings_text(self, relay: FaultRelay, view: ViewTerms) -> str:
         """The fleet's settings file of a front that reaches the others through the relay."""
         durable_folder = self.folder / "durable" if view.durable else ""
-        intervals = (f"{name}_s = {view.period * factor:g}" for name, factor in INTERVAL_FACTORS.items())
+        intervals = (
+            f"{name}_s = {view.probe_period * factor:g}" for name, factor in INTERVAL_FACTORS.items()
+        )
         return "\n".join(
             [
                 "[fleet]",
@@ -79,8 +82,8 @@
                 f'listen = "{relay.home(self.number)}"',
                 f'advertise = "{relay.known(self.number)}"',
                 f"seeds = {[relay.known(seed) for seed in view.seeds]}",
-                f"limits = {str(view.limits).lower()}",
-                f"cold = {str(view.cold).lower()}",
+                f"limits = {str(view.shares_limits).lower()}",
+                f"cold = {str(view.shares_warm_up).lower()}",
                 f'durable = "{durable_folder}"',
                 *intervals,
                 "",
@@ -92,7 +95,7 @@
         self.run.report.front_starts += 1
         self.is_exit_expected = False
         # The list that it starts with notifies it as well.
-        self.run.agents[self.number].tell(self.written_endpoints)
+        self.run.agents[self.number].notify(self.written_endpoints)
         self.ready.clear()
         inherited = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
         arguments = ["--fronts", str(self.folder / "fronts.toml")] if self.run.relay else []
@@ -108,7 +111,7 @@
         self.log_task = asyncio.create_task(self._read_log(self.process))
         async with asyncio.timeout(START_TIMEOUT_S):
             await self.ready.wait()
-        self.address.open = True
+        self.address.is_open = True
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         """Read the log to its end, and check how the process exits."""
@@ -119,7 +122,7 @@
                 self._count_event(line)
             last = line.strip()
         status = await process.wait()
-        self.address.open = False
+        self.address.is_open = False
         if not self.is_exit_expected or status not in (0, -signal.SIGKILL):
             exit_text = f"front {self.number} with status {status}: {last[-LAST_LINE_LENGTH:]}"
             self.run.checker.violations.append(f"exit: {exit_text}")
@@ -140,28 +143,28 @@
         self.is_exit_expected = True
         self.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
-        self.address.open = False
+        self.address.is_open = False
         try:
-            async with asyncio.timeout(self.run.scenario.notice() - ACCEPT_AFTER_SIGTERM_S):
+            async with asyncio.timeout(self.run.scenario.termination_timeout() - ACCEPT_AFTER_SIGTERM_S):
                 await asyncio.shield(self.log_task)
         except TimeoutError:
             self.run.checker.violations.append(f"exit: front {self.number} was not gone before its kill")
             self.process.kill()
             await self.log_task
-        self.address.forget()
+        self.address.drop_connections()
 
     async def kill(self) -> None:
         """SIGKILL, and wait until the process is gone."""
         assert self.process
         assert self.log_task
         self.is_exit_expected = True
-        self.address.open = False
+        self.address.is_open = False
         self.run.checker.on_front_killed(self.number, self.run.clock())
         self.process.kill()
         await self.log_task
         # Once more, for what it accepted until it was gone.
         self.run.checker.on_front_killed(self.number, self.run.clock())
-        self.address.forget()
+        self.address.drop_connections()
 
     async def kill_if_running(self) -> None:
         """SIGKILL at the end of a run that may have failed half-way."""
--- a/cleatyoke/testbed/generator.py
+++ b/cleatyoke/testbed/generator.py
@@ -15,7 +15,8 @@
 
 from cleatyoke.config.settings import IDEMPOTENCY_NAMES
 from cleatyoke.scheduling.settings import IdempotencyScope
-from cleatyoke.testbed.scenario import BACKEND_FAULTS, FRONT_FAULTS, LIST_FAULTS, REPORTS
+from cleatyoke.testbed.scenario import BACKEND_FAULTS, FRONT_FAULTS, LIST_FAULTS
+from cleatyoke.testbed.scenario_file import LOAD_REPORTS
 
 MOST_RATE = 130.0  # requests a second: what the stand-ins of one play can serve without running late
 BOX_UNITS = (10.0, 20.0, 40.0)  # a second, of a warm box
@@ -123,7 +124,7 @@
 
 
 def terms(rng: random.Random) -> Values:
-    report = rng.choice(list(REPORTS))
+    report = rng.choice(list(LOAD_REPORTS))
     return {
         "attempts": rng.randint(1, 6),
         "drain_grace_s": round(rng.uniform(0.2, 2.0), 2),
--- a/cleatyoke/testbed/runner.py
+++ b/cleatyoke/testbed/runner.py
@@ -39,7 +39,7 @@
         self.clock = asyncio.get_running_loop().time
         self.unix_offset = time.time() - self.clock()
         self.report = RunReport(scenario.name, scenario.seconds)
-        warm_up_slack = max(MIN_WARM_UP_SLACK, float(scenario.load.units_most))
+        warm_up_slack = max(MIN_WARM_UP_SLACK, float(scenario.load.max_units))
         self.checker = RuleChecker(scenario.plans, scenario.terms, warm_up_slack)
         self.registry = Registry()
         self.backends: list[TestBackend] = []  # by the shard that they hold
@@ -58,21 +58,21 @@
     ) -> TestBackend:
         """Start a backend and list it; ``started_at`` None: it has been running for long, and is warm."""
         backend = TestBackend(name, shard, self.scenario.zone_of(shard), self.checker, self.clock)
-        await backend.live(BackendModel(self.scenario.power, started_at, model_seed))
+        await backend.start_incarnation(BackendModel(self.scenario.backend_capacity, started_at, model_seed))
         self.shards_by_backend[name] = shard
         await self.list_backend(backend)
         return backend
 
     async def list_backend(self, backend: TestBackend, lifecycle: str = "SERVING") -> None:
         """Enter a backend's state into discovery."""
-        started_at = backend.model.born
+        started_at = backend.model.started_at
         started_at_ms = 0 if started_at is None else int((started_at + self.unix_offset) * 1000)
         await self.registry.set(
             backend.name,
             hostPort=f"127.0.0.1:{backend.port}",
             zone=backend.zone,
             machineType="m1",
-            cell=backend.cell,
+            cell=backend.shard,
             lifecycle=lifecycle,
             weight=1.0,
             startedAtMs=started_at_ms,
@@ -101,7 +101,7 @@
         if self.relay:
             await self.relay.start()
             self.ops_port = self._reserve_port()
-        for shard in range(scenario.boxes):
+        for shard in range(scenario.backends):
             backend = await self.add_backend(shard, f"s-{shard:03d}", None, scenario.seed + shard)
             self.backends.append(backend)
         for number in range(scenario.fronts):
@@ -121,7 +121,7 @@
     def _make_clients(self) -> TestClients:
         addresses = [front.address for front in self.fronts]
         clients = TestClients(self.scenario, self.checker, addresses, self.clock)
-        clients.cells = self.shards_by_backend
+        clients.shards_by_backend = self.shards_by_backend
         return clients
 
     async def _run_load(self, clients: TestClients) -> None:
@@ -129,7 +129,7 @@
         began = self.clock()
         self.report.load_started_at = began
         view_task = asyncio.create_task(self._watch_views()) if self.relay else None
-        faults = (self._fault_injector.inject(fault) for fault in self.scenario.troubles)
+        faults = (self._fault_injector.inject(fault) for fault in self.scenario.faults)
         await asyncio.gather(clients.run(), *faults)
         if view_task:
             await self._wait_for_one_view(began)
@@ -138,13 +138,13 @@
     async def _watch_views(self) -> None:
         """Ask all fronts again and again for their views; drop answers across a restart."""
         while True:
-            processes = {front.number: front.process for front in self.fronts if front.address.open}
+            processes = {front.number: front.process for front in self.fronts if front.address.is_open}
             asked = [self.fronts[number] for number in processes]
             views = await asyncio.gather(*(front.show_fleet() for front in asked))
             current = {
                 front.number: view
                 for front, view in zip(asked, views)
-                if front.address.open and front.process is processes[front.number]
+                if front.address.is_open and front.process is processes[front.number]
             }
             self.view_checker.seen(self.clock(), current)
             await asyncio.sleep(VIEW_POLL_S)
@@ -153,7 +153,7 @@
         """Wait until all fronts have one view, or the time for it is over."""
         assert self.scenario.view
         self.view_checker.ends.append((began, "start"))
-        not_after = self.clock() + self.scenario.view.settles
+        not_after = self.clock() + self.scenario.view.convergence_timeout
         while self.clock() < not_after and not self.view_checker.settled():
             await asyncio.sleep(VIEW_POLL_S / 2)
 
@@ -169,17 +169,17 @@
 
     def _complete_report(self, clients: TestClients) -> RunReport:
         report = self.report
-        report.request_templates = clients.wishes
+        report.request_templates = clients.templates
         self._count_requests(list(self.checker.requests.values()))
         report.probes = self.checker.probe_count
         for backend in (*self.backends, *self.retired_backends):
-            report.backend_outcomes.update(backend.fates)
-        window = self.scenario.power.tip_after
+            report.backend_outcomes.update(backend.outcomes)
+        window = self.scenario.backend_capacity.overload_window
         report.max_warm_up_load = self.checker.max_warm_up_load(window)
         report.violations = self.checker.find_violations(window)
         if self.scenario.view:
             report.convergence_times = self.view_checker.took()
-            report.violations += self.view_checker.broken(self.scenario.view.settles)
+            report.violations += self.view_checker.broken(self.scenario.view.convergence_timeout)
         return report
 
     def _count_requests(self, requests: list[ClientRequestRecord]) -> None:
--- a/cleatyoke/testbed/search.py
+++ b/cleatyoke/testbed/search.py
@@ -19,7 +19,7 @@
 from cleatyoke.testbed.generator import SPAN, THEMES, Values, draw, dump
 from cleatyoke.testbed.run_report import RunReport
 from cleatyoke.testbed.runner import ROOT, run_scenario
-from cleatyoke.testbed.scenario import make_scenario
+from cleatyoke.testbed.scenario_file import make_scenario
 
 JOBS = 3  # plays at once
 TRIES = 2  # plays of a shorter scenario: what depends on the moment need not show in the first
--- a/tests/recorded/settings_adapter.py
+++ b/tests/recorded/settings_adapter.py
@@ -18,7 +18,9 @@
     SftpSettings,
     VrrpSettings,
 )
-from cleatyoke.testbed.scenario import Scenario, read_scenario, settings_of
+from cleatyoke.testbed.front_settings import settings_of
+from cleatyoke.testbed.scenario import Scenario
+from cleatyoke.testbed.scenario_file import read_scenario
 
 SHIPPED_FRONTS = FRONTS_FILE
 MODULES = {
@@ -280,31 +282,31 @@
 
 def neutral_scenario(scenario: Scenario) -> dict[str, Any]:
     """Each fact of a scenario."""
-    load, power, terms, view = scenario.load, scenario.power, scenario.terms, scenario.view
+    load, power, terms, view = scenario.load, scenario.backend_capacity, scenario.terms, scenario.view
     return {
         "title": scenario.name,
         "duration": scenario.seconds,
         "random seed": scenario.seed,
         "front count": scenario.fronts,
-        "node count": scenario.boxes,
+        "node count": scenario.backends,
         "zones": scenario.zones,
         "zone of node 3": scenario.zone_of(3),
         "plan of volume 3": scenario.plan_of(3).name if scenario.plans else None,
-        "notice before a kill": scenario.notice() if scenario.kinds else None,
+        "notice before a kill": scenario.termination_timeout() if scenario.request_classes else None,
         "classes": [
             {
                 "title": one.name,
                 "part": one.share,
-                "target seconds": one.aim,
+                "target seconds": one.latency_objective,
                 "deadline seconds": one.deadline,
-                "value": one.worth,
-                "late part": one.late_share,
-                "repetition": REPETITION[one.repeat],
+                "value": one.value,
+                "late part": one.late_value_share,
+                "repetition": REPETITION[one.idempotency],
                 "duplicates dropped": DUPLICATES_DROPPED[one.scope],
-                "duplicates remembered": one.memory,
+                "duplicates remembered": one.key_memory,
                 "changes data": one.write,
             }
-            for one in scenario.kinds
+            for one in scenario.request_classes
         ],
         "plans": [
             {
@@ -312,7 +314,7 @@
                 "base units a second": one.rate,
                 "reserved units a second": one.reserve,
                 "proportion": one.weight,
-                "value factor": one.worth,
+                "value factor": one.value_factor,
                 "limit": one.limit,
                 "limit store": one.burst,
                 "limit overdraft": one.slack,
@@ -320,50 +322,50 @@
             for one in scenario.plans
         ],
         "allowed": {
-            "most attempts": terms.attempts,
+            "most attempts": terms.max_attempts,
             "drain seconds": terms.drain_grace,
             "cancels": terms.cancel,
-            "load report": terms.report,
+            "load report": terms.load_report,
             "probes": terms.probes,
-            "connect timeout": terms.dial,
-            "idle timeout": terms.idle,
-            "retry hint seconds": terms.retry_after,
+            "connect timeout": terms.dial_timeout,
+            "idle timeout": terms.idle_timeout,
+            "retry hint seconds": terms.max_retry_after,
         },
         "load": {
             "requests a second": load.rate,
             "part of writes": load.writes,
             "volume count": load.volumes,
-            "fronts of a volume": load.hosts,
-            "part for the first volume": load.hot,
-            "least units": load.units,
-            "most units": load.units_most,
-            "part of new objects": load.fresh,
-            "part read again": load.reread,
-            "uneven part": load.skew,
-            "uneven seconds": load.skew_s,
+            "fronts of a volume": load.fronts_per_volume,
+            "part for the first volume": load.hot_share,
+            "least units": load.min_units,
+            "most units": load.max_units,
+            "part of new objects": load.new_object_share,
+            "part read again": load.reread_share,
+            "uneven part": load.skew_share,
+            "uneven seconds": load.skew_period,
             "surge begins": load.surge_at,
-            "surge seconds": load.surge_s,
-            "surge factor": load.surge,
+            "surge seconds": load.surge_duration,
+            "surge factor": load.surge_factor,
             "client retries": load.retries,
-            "client retry seconds": load.retry_s,
+            "client retry seconds": load.retry_delay,
         },
         "node": {
-            "units a second": power.units,
-            "queue length": power.queue,
-            "cold part": power.cold_from,
-            "warming seconds": power.ramp,
-            "overload multiple": power.tip_multiple,
-            "overload seconds": power.tip_after,
+            "units a second": power.units_per_second,
+            "queue length": power.max_queue,
+            "cold part": power.initial_share,
+            "warming seconds": power.ramp_duration,
+            "overload multiple": power.overload_factor,
+            "overload seconds": power.overload_window,
         },
         "troubles": [
             {
                 "begins": one.at,
                 "sort": one.kind,
-                "numbers": one.of,
-                "spread seconds": one.over,
-                "duration": one.lasts,
+                "numbers": one.targets,
+                "spread seconds": one.spread,
+                "duration": one.duration,
                 "part": one.share,
-                "node": one.box,
+                "node": one.held_backend,
                 "links": None
                 if one.links is None
                 else {
@@ -371,22 +373,22 @@
                     "one direction": one.links.one_way,
                     "broken": one.links.cut,
                     "lost part": one.links.loss,
-                    "doubled part": one.links.doubles,
-                    "garbled part": one.links.garbles,
+                    "doubled part": one.links.duplicates,
+                    "garbled part": one.links.corruption,
                     "delay seconds": one.links.delay,
                     "jitter seconds": one.links.jitter,
                 },
             }
-            for one in scenario.troubles
+            for one in scenario.faults
         ],
         "view": None
         if view is None
         else {
-            "probe period": view.period,
-            "settling seconds": view.settles,
+            "probe period": view.probe_period,
+            "settling seconds": view.convergence_timeout,
             "first contacts": view.seeds,
-            "lends limits": view.limits,
-            "lends cold parts": view.cold,
+            "lends limits": view.shares_limits,
+            "lends cold parts": view.shares_warm_up,
             "lasting folders": view.durable,
         },
     }
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -18,8 +18,9 @@
 from typing import Any
 
 from cleatyoke.emulation.network import Network
+from cleatyoke.testbed.front_settings import settings_of
 from cleatyoke.testbed.peer import Peer, hold_port
-from cleatyoke.testbed.scenario import make_scenario, settings_of
+from cleatyoke.testbed.scenario_file import make_scenario
 
 ROOT = Path(__file__).resolve().parent.parent
 FRONTS = 8
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
 
 from cleatyoke.emulation.traffic import emulate
 from cleatyoke.testbed.run_report import RunReport
-from cleatyoke.testbed.scenario import make_scenario
+from cleatyoke.testbed.scenario_file import make_scenario
 from cleatyoke.testbed.search import pool, rules, run_values
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -29,8 +29,9 @@
 from cleatyoke.emulation import durability
 from cleatyoke.emulation.durability import recalls
 from cleatyoke.membership.wire import MemberId
+from cleatyoke.testbed.front_settings import settings_of
 from cleatyoke.testbed.run_report import RunReport
-from cleatyoke.testbed.scenario import read_scenario, settings_of
+from cleatyoke.testbed.scenario_file import read_scenario
 from cleatyoke.testbed.search import pool, run_values
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -13,7 +13,7 @@
 from cleatyoke.testbed.generator import THEMES, Values, draw, dump
 from cleatyoke.testbed.run_report import RunReport
 from cleatyoke.testbed.runner import ROOT
-from cleatyoke.testbed.scenario import make_scenario
+from cleatyoke.testbed.scenario_file import make_scenario
 from cleatyoke.testbed.search import pool, rules, run_values, shorten
 
 JOBS = 5
@@ -31,17 +31,19 @@
 
     def test_the_draws_reach_the_ends_of_the_page(self) -> None:
         drawn = [make_scenario("x", draw("settings", seed)) for seed in range(200)]
-        assert {len(one.kinds) for one in drawn} == set(range(1, 7))
-        assert {one.terms.attempts for one in drawn} == set(range(1, 7))
-        assert {one.terms.report for one in drawn} == {"answers", "probe", "none"}
-        assert {kind.repeat for one in drawn for kind in one.kinds} == set(IDEMPOTENCY_NAMES.values())
-        assert len({(kind.repeat, kind.scope) for one in drawn for kind in one.kinds}) == 9
+        assert {len(one.request_classes) for one in drawn} == set(range(1, 7))
+        assert {one.terms.max_attempts for one in drawn} == set(range(1, 7))
+        assert {one.terms.load_report for one in drawn} == {"answers", "probe", "none"}
+        assert {kind.idempotency for one in drawn for kind in one.request_classes} == set(
+            IDEMPOTENCY_NAMES.values()
+        )
+        assert len({(kind.idempotency, kind.scope) for one in drawn for kind in one.request_classes}) == 9
         assert {bool(plan.limit) for one in drawn for plan in one.plans} == {True, False}
-        spans = sorted(kind.deadline for one in drawn for kind in one.kinds)
+        spans = sorted(kind.deadline for one in drawn for kind in one.request_classes)
         assert spans[0] < 0.3
         assert spans[-1] > 7
-        assert min(one.boxes for one in drawn) == 1
-        assert max(one.boxes for one in drawn) == 20
+        assert min(one.backends for one in drawn) == 1
+        assert max(one.backends for one in drawn) == 20
 
     def test_a_scenario_is_made_as_short_as_it_still_breaks_its_rule(self) -> None:
         guilty = {"at": 1.0, "kind": "kill", "of": [0]}
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -18,7 +18,8 @@
 from cleatyoke.emulation.traffic import UNIX, Emulation, emulate
 from cleatyoke.emulation.value import RequestTemplate
 from cleatyoke.scheduling.settings import SchedulerSettings
-from cleatyoke.testbed.scenario import Scenario, make_scenario
+from cleatyoke.testbed.scenario import Scenario
+from cleatyoke.testbed.scenario_file import make_scenario
 
 
 @pytest.fixture(autouse=True)
@@ -122,15 +123,15 @@
 
 def test_worth_goes_to_the_reserve_first_and_to_those_in_time() -> None:
     small = scenario([])
-    kind = small.kinds[0]
+    kind = small.request_classes[0]
     wishes = [
         RequestTemplate(0.1, 0, kind, 2.0, 0.2),
-        RequestTemplate(0.2, 0, kind, 2.0, 0.2 + kind.aim + 0.1),
+        RequestTemplate(0.2, 0, kind, 2.0, 0.2 + kind.latency_objective + 0.1),
         RequestTemplate(0.3, 0, kind, 4.0, 0.4),
         RequestTemplate(1.3, 0, kind, 4.0, None),
     ]
-    unit = kind.worth * 2
-    late = 2 * 0.35 * unit * kind.late_share  # all of its second's reserve is taken by the two in time
+    unit = kind.value * 2
+    late = 2 * 0.35 * unit * kind.late_value_share  # all of its second's reserve is taken by the two in time
     assert earnings.earned(small, wishes) == pytest.approx([2 * unit, late, (2 + 2 * 0.35) * unit, 0.0])
     assert sum(earnings.due(small, wishes)) == pytest.approx((4 + 4 * 0.35 + 4) * unit)
     assert earnings.ideal(small, wishes, lambda cell, at: 0.0) == [0.0] * 4
