--- a/cleatyoke/testbed/__main__.py
+++ b/cleatyoke/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cleatyoke.testbed FILE...``: play scenarios, report each; status 1 for a broken rule."""
+"""``python -m cleatyoke.testbed FILE...``: run scenarios and report each; status 1 for a broken rule."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
 
 def main(names: list[str]) -> int:
+    """Run the scenario files in turn; return the exit status (2: bad usage or a bad file)."""
     if not names:
         print("usage: python -m cleatyoke.testbed FILE...", file=sys.stderr)
         return 2
--- a/cleatyoke/testbed/backend_model.py
+++ b/cleatyoke/testbed/backend_model.py
@@ -1,4 +1,4 @@
-"""How a stand-in box works: its power, its queue, and what troubles do to a request. No socket or clock."""
+"""How a test backend works: its capacity, its queue, and what faults do to a request. No socket, no clock."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class RequestOutcome(Enum):
-    """What becomes of one request at a box."""
+    """What becomes of one request at a backend; the values are counted in reports."""
 
     ANSWERED = "answered"
-    FULL = "full"  # turned away, unrun, and told so
-    UNREAD = "unread"  # the connection is reset and nothing has run
-    RESET = "reset"  # it runs, and the connection is reset before the answer
-    LOST = "lost"  # it runs, and the answer never comes
-    SPOILT = "spoilt"  # it runs, and what comes back is no answer
+    FULL = "full"  # rejected with the proof that it did not execute
+    UNREAD = "unread"  # the connection is reset, and it did not execute
+    RESET = "reset"  # it executes, and the connection is reset before the answer
+    LOST = "lost"  # it executes, and the answer never comes
+    SPOILT = "spoilt"  # it executes, and the answer is malformed
 
 
 @dataclass(slots=True)
 class Ticket:
-    """A request that the box has taken in: from when to when it works on it."""
+    """What becomes of an accepted request, and when the backend works on it."""
 
     outcome: RequestOutcome
     starts_at: float = 0.0
@@ -31,23 +31,28 @@
 
 
 def chance(seed: int, trace: str) -> float:
-    """A number from 0 to 1 that an id draws, the same in every run and whatever else happens."""
+    """Return a number from 0 to 1 for a trace id, the same in every run whatever else happens."""
     return zlib.crc32(f"{seed}:{trace}".encode()) / 2**32
 
 
 @dataclass(slots=True)
 class BackendModel:
-    """One life of a box: it works on one request after the other, slower while it is cold."""
+    """One incarnation of a backend, working on one request after the other, slower while it warms up.
+
+    Times are seconds of one clock that the caller reads.
+    """
 
     capacity: BackendCapacity
-    started_at: float | None  # when it started, or None: long ago, so it is warm
+    started_at: float | None  # None: long ago, so it is warm
     seed: int = 0
     free_at: float = 0.0
-    _ends: deque[float] = field(default_factory=deque)  # of the requests in work or waiting, in turn
-    faults: dict[str, float] = field(default_factory=dict)  # trouble: part of the requests that it meets
+    _ends: deque[float] = field(default_factory=deque)  # of the requests being executed or waiting, in order
+    faults: dict[str, float] = field(
+        default_factory=dict
+    )  # by kind: share of the requests, or of the power for "slow"
 
     def rate(self, now: float) -> float:
-        """Units a second that it can do at this moment."""
+        """Return the units a second that it can do at this time."""
         if self.started_at is None or now - self.started_at >= self.capacity.ramp_duration:
             return self.capacity.units_per_second
         age = max(0.0, now - self.started_at) / self.capacity.ramp_duration
@@ -56,7 +61,7 @@
         )
 
     def accept(self, now: float, trace: str, units: float) -> Ticket:
-        """A request whose last byte has come."""
+        """Queue a request whose last byte has arrived, or reject it."""
         draw = chance(self.seed, trace)
         if draw < self.faults.get("reset", 0.0) / 2:
             return Ticket(RequestOutcome.UNREAD)
@@ -79,7 +84,7 @@
         return Ticket(fate, begins, self.free_at)
 
     def withdraw(self, now: float, ticket: Ticket) -> bool:
-        """Its front has gone: whether it was still waiting, and so never runs."""
+        """Take a request back whose front is gone; False where it is already being executed."""
         if now >= ticket.starts_at:
             return False
         self.free_at -= ticket.ends_at - ticket.starts_at
@@ -87,8 +92,9 @@
         return True
 
     def utilization(self, now: float) -> float:
-        """The part of its power in use, as its load reports tell."""
+        """Return the fraction in use, as load reports have it: 1 from half a second of work on."""
         return min(1.0, max(0.0, self.free_at - now) * 2)
 
     def queue_length(self, now: float) -> int:
+        """Return the number of requests being executed or waiting."""
         return sum(1 for end in self._ends if end > now)
--- a/cleatyoke/testbed/discovery_agent.py
+++ b/cleatyoke/testbed/discovery_agent.py
@@ -1,4 +1,4 @@
-"""Discovery as the fronts' machines have it: one registry, an agent for each front, its troubles."""
+"""Discovery as the fronts' machines have it: one registry, an agent for each front, its faults."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cleatyoke.testbed.checker import RuleChecker
 from cleatyoke.testbed.peer import Peer
 
-IDLE = 2.0  # seconds after which an empty line comes
+KEEP_ALIVE_S = 2.0  # without a change, after which a watch sends an empty line
 
 
 class Registry:
@@ -23,7 +23,7 @@
         self.changed = asyncio.Condition()
 
     async def set(self, name: str, **facts: Any) -> None:
-        """A box is new or has changed; ``lifecycle`` DELETED takes it out."""
+        """Add or change a backend's entry; ``lifecycle`` DELETED removes it."""
         entry = {**self.entries.get(name, {"instanceId": name}), **facts}
         self.version += 1
         self.changes.append((self.version, entry))
@@ -34,7 +34,7 @@
             self.changed.notify_all()
 
     def listing(self, after: int | None = None) -> dict[str, Any]:
-        """The whole list, or what changed after that version."""
+        """Return the complete list, or what changed after a version."""
         if after is None:
             return {"generation": self.version, "reset": True, "instances": list(self.entries.values())}
         latest = {entry["instanceId"]: entry for version, entry in self.changes if version > after}
@@ -42,8 +42,10 @@
 
 
 class DiscoveryAgent(Peer):
-    """The agent of one front. ``late``: seconds by which it passes on what it hears. ``spoils``: what it
-    serves in place of a list (``garble``, ``empty``, ``silent``), or nothing.
+    """The agent of one front.
+
+    ``delay`` is the seconds by which it forwards changes late. ``fault`` is what it serves in place of a list
+    ("garble", "empty" or "silent"; "" for none).
     """
 
     def __init__(
@@ -51,7 +53,8 @@
     ) -> None:
         super().__init__()
         self.front, self.registry, self.checker, self.clock = front, registry, judge, clock
-        self.delay, self.fault = 0.0, ""
+        self.delay = 0.0
+        self.fault = ""
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -81,7 +84,7 @@
             if self.registry.version > after or first:
                 await asyncio.sleep(self.delay)
                 if reader.at_eof():
-                    return  # the front has closed it: what is written to nobody tells nobody
+                    return  # the front has closed the watch and is notified of nothing
                 listing = self.registry.listing(after)
                 after, first = int(listing["generation"]), False
                 line = {"garble": b'{"generation":', "empty": b""}.get(self.fault)
@@ -92,7 +95,7 @@
                 await writer.drain()
                 continue
             try:
-                async with asyncio.timeout(IDLE), self.registry.changed:
+                async with asyncio.timeout(KEEP_ALIVE_S), self.registry.changed:
                     await self.registry.changed.wait()
             except TimeoutError:
                 self._write_chunk(writer, b"")
@@ -101,7 +104,7 @@
         writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
 
     def notify(self, listing: dict[str, Any]) -> None:
-        """Once it is written, the front counts as told."""
+        """Report to the checker that the front is notified, which holds once a list is written."""
         now = self.clock()
         for entry in listing["instances"]:
             serving = entry["lifecycle"] == "SERVING"
--- a/cleatyoke/testbed/workload.py
+++ b/cleatyoke/testbed/workload.py
@@ -1,6 +1,4 @@
-"""The load of a scenario, the same requests in every run and on every clock: who asks for what is drawn from
-its seed. No socket, no clock.
-"""
+"""The load of a scenario: the same requests in every run and on every clock, drawn from its seed."""
 
 from __future__ import annotations
 
@@ -10,7 +8,7 @@
 
 from cleatyoke.testbed.scenario import RequestClassTerms, Scenario
 
-STEP = 0x9E3779B97F4A7C15  # from one id to the next: an odd number, so that few meet another's
+TRACE_ID_STEP = 0x9E3779B97F4A7C15  # from one attempt's trace id to the next; odd, so that few collide
 
 
 @dataclass(slots=True, frozen=True)
@@ -21,18 +19,21 @@
     trace: str
     block: str
     volume: int
-    front: int  # whom it is sent to
+    front: int  # that it is sent to
     request_class: RequestClassTerms
     units: int
-    object_draw: float  # draws whether it writes a new object, or reads one written just before
+    object_draw: float  # from 0 to 1, decides whether it goes to a new or recent object
 
     def trace_of(self, number: int) -> str:
-        """Of its so-manieth try: new with each (protocol page, Clients to fronts)."""
-        return f"{(int(self.trace, 16) + number * STEP) % (1 << 64):016x}"
+        """Return the trace id of a client's attempt (protocol page, Clients to fronts: each has its own)."""
+        return f"{(int(self.trace, 16) + number * TRACE_ID_STEP) % (1 << 64):016x}"
 
 
 def requests(scenario: Scenario) -> Iterator[GeneratedRequest]:
-    load, rng, at = scenario.load, random.Random(scenario.seed), 0.0
+    """Yield the scenario's requests in order of time; the order of the draws is part of the result."""
+    load = scenario.load
+    rng = random.Random(scenario.seed)
+    at = 0.0
     while True:
         surge = load.surge_at <= at < load.surge_at + load.surge_duration
         at += rng.expovariate(load.rate * (load.surge_factor if surge else 1.0))
