--- a/cleatyoke/testbed/backend.py
+++ b/cleatyoke/testbed/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in box on loopback: the platform's box protocol around a ``BoxModel``."""
+"""A test backend on loopback: the platform's backend protocol around a ``BackendModel``."""
 
 from __future__ import annotations
 
@@ -21,15 +21,18 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
+    """Close a connection with a TCP reset."""
     with contextlib.suppress(OSError):
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
     writer.transport.abort()
 
 
 class TestBackend(Peer):
-    """A box under one id, at one address for all its lives. While it is silent, connections come up and
-    nothing is read, as where the machine is cut off: what was written to it meanwhile has not come, and never
-    does, as those connections are reset once it is back (protocol page, The network).
+    """A backend under one id, at one address for all its incarnations.
+
+    While it is silent, connections are established and nothing is read, as where the machine is cut off from
+    the network: what is written to it meanwhile never arrives, as those connections are reset once it is
+    back (protocol page, The network).
     """
 
     def __init__(
@@ -45,15 +48,16 @@
         self.executions: dict[str, int] = {}
 
     async def start_incarnation(self, model: BackendModel) -> None:
-        """A life of it."""
+        """Start listening, with a new model."""
         self.model = model
         await self.start()
 
     def end(self, writer: asyncio.StreamWriter) -> None:
-        """As when its process dies: connections are reset, and new ones are refused."""
+        """Reset a connection, as when the process dies; new ones are refused."""
         reset(writer)
 
     def set_silent(self, on: bool) -> None:
+        """Begin or end a silence; its end resets the connections that were open meanwhile."""
         if on:
             self._receiving.clear()
         else:  # what stood through it is reset once the machine is back
@@ -62,12 +66,13 @@
                 reset(writer)
 
     async def stall(self, lasts: float) -> None:
-        """Stand still: what comes meanwhile has come, and is worked on afterwards."""
+        """Stop working for so many seconds; what arrives meanwhile is executed afterwards."""
         self._receiving.clear()
         await asyncio.sleep(lasts)
         self._receiving.set()
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve the requests of a connection until it ends."""
         assert isinstance(reader, TimedReader)
         while True:
             await self._receiving.wait()
@@ -109,7 +114,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """One request whose last byte has come; whether the connection goes on."""
+        """Execute a request whose last byte has arrived; return whether the connection stays open."""
         now, model = self.clock(), self.model
         if trace not in self.checker.requests:
             writer.write(OTHER)
--- a/cleatyoke/testbed/discovery_agent.py
+++ b/cleatyoke/testbed/discovery_agent.py
@@ -57,6 +57,7 @@
         self.fault = ""
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve lists and watches on a connection until it ends."""
         while True:
             target = (await reader.readuntil(b"\r\n\r\n")).split()[1].decode()
             while self.fault == "silent":
--- a/cleatyoke/testbed/search.py
+++ b/cleatyoke/testbed/search.py
@@ -28,15 +28,17 @@
 
 
 def run_values(name: str, values: Values, program: Path = ROOT) -> RunReport:
-    """In this process, from the start of its fronts to their exits."""
+    """Run a scenario given by its file's values, in this process, to the exit of its fronts."""
     return asyncio.run(run_scenario(make_scenario(name, values), program))
 
 
 def pool(jobs: int = JOBS) -> ProcessPoolExecutor:
+    """Return workers for so many runs at once."""
     return ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn"))
 
 
 def rules(broken: Sequence[str]) -> set[str]:
+    """Return the names of the rules that lines of violations begin with."""
     return {line.partition(":")[0] for line in broken}
 
 
@@ -105,6 +107,7 @@
 
 
 def main(words: Sequence[str] | None = None) -> int:
+    """Run the command; return its exit status, 1 where a rule broke."""
     parser = argparse.ArgumentParser(prog="python -m cleatyoke.testbed.search", description=__doc__)
     parser.add_argument("--theme", choices=THEMES, default="trouble")
     parser.add_argument("--draws", type=int, default=100)
