--- a/cleatyoke/emulation/capacity/processes.py
+++ b/cleatyoke/emulation/capacity/processes.py
@@ -14,8 +14,10 @@
 
 from cleatyoke.emulation.capacity.cost import PAGE
 from cleatyoke.emulation.capacity.nodes import list_text
+from cleatyoke.testbed.front_settings import settings_of
 from cleatyoke.testbed.runner import ROOT, ScenarioRun
-from cleatyoke.testbed.scenario import Scenario, make_scenario, settings_of
+from cleatyoke.testbed.scenario import Scenario
+from cleatyoke.testbed.scenario_file import make_scenario
 
 TICKS = os.sysconf("SC_CLK_TCK")
 START_SECONDS = 60.0  # that are waited for a front to be ready
@@ -115,15 +117,15 @@
         play = ScenarioRun(scenario(rate, seed), Path(folder))
         sampling = asyncio.create_task(sample(play))
         report = await play.run()
-        if report.broken:
-            msg = f"the play broke a rule: {report.broken[0]}"
+        if report.violations:
+            msg = f"the play broke a rule: {report.violations[0]}"
             raise RuntimeError(msg)
         return await sampling
 
 
 async def sample(play: ScenarioRun) -> float:
     """Over the middle of the load."""
-    while not play.report.began:
+    while not play.report.load_started_at:
         await asyncio.sleep(0.02)
     process = play.fronts[0].process
     assert process
--- a/cleatyoke/emulation/fault_events.py
+++ b/cleatyoke/emulation/fault_events.py
@@ -51,13 +51,13 @@
         if event.links:
             await self._impair_links(event, event.links)
             return
-        step = event.over / max(1, len(event.of))
+        step = event.spread / max(1, len(event.targets))
 
         async def inject_one(place: int, subject: int) -> None:
             await asyncio.sleep(place * step)
             await self._apply(subject, event)
 
-        await asyncio.gather(*(inject_one(place, subject) for place, subject in enumerate(event.of)))
+        await asyncio.gather(*(inject_one(place, subject) for place, subject in enumerate(event.targets)))
 
     async def _apply(self, subject: int, event: FaultEvent) -> None:
         act = self._by_kind.get(event.kind)
@@ -69,14 +69,14 @@
     async def _restart_front(self, subject: int, event: FaultEvent) -> None:
         front = self._emulation.fronts[subject]
         self._emulation.kill_front(front)
-        await asyncio.sleep(event.lasts if event.kind == "powercut" else FRONT_RESTART_S)
+        await asyncio.sleep(event.duration if event.kind == "powercut" else FRONT_RESTART_S)
         await self._emulation.start_front(front)
 
     async def _restart_backend(self, subject: int, event: FaultEvent) -> None:
         emulation = self._emulation
         backend = emulation.backends[subject]
         emulation.end_backend(backend)
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         fresh = emulation.begin_backend(subject, backend.name, emulation.loop.time())
         emulation.backends[subject] = fresh
         emulation.publish(fresh)
@@ -92,36 +92,36 @@
         emulation.publish(fresh)
         await asyncio.sleep(DRAINING_LISTED_S)
         emulation.publish(old, EndpointState.REMOVED)
-        await asyncio.sleep(max(kind.deadline for kind in emulation.scenario.kinds))
+        await asyncio.sleep(max(kind.deadline for kind in emulation.scenario.request_classes))
         old.is_up = False
         emulation.backends.remove(old)
 
     async def _silence_backend(self, subject: int, event: FaultEvent) -> None:
         backend = self._emulation.backends[subject]
         backend.is_silent = True
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         backend.is_silent = False
 
     async def _impair_requests(self, subject: int, event: FaultEvent) -> None:
         model = self._emulation.backends[subject].model
-        model.ailing[event.kind] = event.share
-        await asyncio.sleep(event.lasts)
-        model.ailing.pop(event.kind, None)
+        model.faults[event.kind] = event.share
+        await asyncio.sleep(event.duration)
+        model.faults.pop(event.kind, None)
 
     async def _drain_backend(self, subject: int, event: FaultEvent) -> None:
         self._emulation.publish(self._emulation.backends[subject], EndpointState.DRAINING)
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         self._emulation.publish(self._emulation.backends[subject])
 
     async def _impair_links(self, event: FaultEvent, links: LinkFault) -> None:
-        near = _addresses(event.of)
+        near = _addresses(event.targets)
         far = _addresses(links.to)
         faults = [_network_fault(near, far, links)]
         if not links.one_way:
             faults.append(_network_fault(far, near, links))
         network = self._emulation.network
         network.faults += faults
-        await asyncio.sleep(event.lasts)
+        await asyncio.sleep(event.duration)
         for fault in faults:
             network.faults.remove(fault)
 
@@ -136,8 +136,8 @@
         targets,
         links.cut,
         links.loss,
-        links.doubles,
-        links.garbles,
+        links.duplicates,
+        links.corruption,
         links.delay,
         links.jitter,
     )
--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -25,8 +25,9 @@
 from cleatyoke.emulation.virtual_backend import UNIX_TIME_AT_START
 from cleatyoke.emulation.virtual_front import make_core
 from cleatyoke.scheduling.settings import SchedulerSettings
-from cleatyoke.testbed.scenario import Scenario, make_scenario
-from cleatyoke.testbed.search import play_values
+from cleatyoke.testbed.scenario import Scenario
+from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.search import run_values
 
 LOST, BACK = 5, 9  # seconds: the power is lost, and the fronts are back; the boxes a little sooner
 COLD = range(BACK, 22)  # seconds while boxes are cold
@@ -146,7 +147,11 @@
 def kept(fleet: str, kind: str, seed: int, played: Emulation) -> list[Row]:
     return [
         row(
-            fleet, kind, seed, "most at a cold box", played.checker.most_cold(played.scenario.power.tip_after)
+            fleet,
+            kind,
+            seed,
+            "most at a cold box",
+            played.checker.max_warm_up_load(played.scenario.backend_capacity.overload_window),
         ),
         row(fleet, kind, seed, "boxes that fell", sum(box.has_fallen for box in played.backends)),
         row(fleet, kind, seed, "rules broken", len(played.broken())),
@@ -156,12 +161,12 @@
 def processes(kind: str, fronts: int, seed: int) -> list[Row]:
     """The same with real processes."""
     values, fleet = loss(fronts, seed, kind == "ours"), f"{fronts} processes"
-    report = play_values("loss", values)
-    earned = over_time(make_scenario("loss", values), report.wishes, report.began)
+    report = run_values("loss", values)
+    earned = over_time(make_scenario("loss", values), report.request_templates, report.load_started_at)
     return [
         *rows_of(fleet, kind, seed, earned, []),
-        row(fleet, kind, seed, "most at a cold box", report.most_cold),
-        row(fleet, kind, seed, "rules broken", len(report.broken)),
+        row(fleet, kind, seed, "most at a cold box", report.max_warm_up_load),
+        row(fleet, kind, seed, "rules broken", len(report.violations)),
     ]
 
 
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -25,7 +25,7 @@
 from cleatyoke.process.faults import Faults
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import AttemptOutcome, EndpointState, RequestArrived
-from cleatyoke.testbed.backend_model import BackendModel, RequestFate, Ticket
+from cleatyoke.testbed.backend_model import BackendModel, RequestOutcome, Ticket
 from cleatyoke.testbed.checker import AttemptRecord, ClientRequestRecord, RuleChecker
 from cleatyoke.testbed.scenario import Scenario
 from cleatyoke.testbed.workload import GeneratedRequest, requests
@@ -63,7 +63,7 @@
     def __init__(self, scenario: Scenario, make: CoreFactory = make_core, *, tips: bool = True) -> None:
         self.scenario = scenario
         self.loop = asyncio.get_running_loop()
-        self.checker = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.units_most)))
+        self.checker = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.max_units)))
         self.network = Network(scenario.seed)
         self.backends: list[VirtualBackend] = []  # by shard; after them those that are being replaced
         self.requests: list[RequestTemplate] = []
@@ -71,7 +71,7 @@
         self.began = 0.0
         self._make = make
         self._tips = tips
-        self._incarnations = IncarnationHistory(scenario.power)
+        self._incarnations = IncarnationHistory(scenario.backend_capacity)
         self._list_version = 0
         ether = Ether(self.network)
         faults = Faults(Metrics())
@@ -81,7 +81,7 @@
 
     def begin_backend(self, shard: int, name: str, born: float | None) -> VirtualBackend:
         """Start an incarnation; ``born``: the loop's time when its warming up begins, None for a warm one."""
-        model = BackendModel(self.scenario.power, born, self.scenario.seed + shard)
+        model = BackendModel(self.scenario.backend_capacity, born, self.scenario.seed + shard)
         self._incarnations.record_start(shard, self.loop.time(), born)
         return VirtualBackend(name, shard, self.scenario.zone_of(shard), model)
 
@@ -110,7 +110,7 @@
     def _check_draining(self, front: VirtualFront, backend: VirtualBackend) -> None:
         """Let the checker know from when on this front must send the backend nothing new."""
         serves = backend.state is EndpointState.LIVE
-        self.checker.drains(front.number, backend.name, None if serves else self.loop.time())
+        self.checker.on_drain_notice(front.number, backend.name, None if serves else self.loop.time())
 
     # Fronts
 
@@ -124,7 +124,7 @@
 
     def kill_front(self, front: VirtualFront) -> None:
         """End a front as SIGKILL would."""
-        self.checker.killed(front.number, self.loop.time())
+        self.checker.on_front_killed(front.number, self.loop.time())
         front.kill()
 
     # Attempts at backends
@@ -140,20 +140,22 @@
         if backend.is_silent:
             await asyncio.sleep(NEVER_S)
         now = self.loop.time()
-        record = self.checker.attempt(trace, backend.name, now, backend.shard, backend.zone, request.form)
+        record = self.checker.on_attempt(
+            trace, backend.name, now, backend.shard, backend.zone, request.content
+        )
         self._count_cold(backend, now, request.units)
         if backend.has_fallen:
             record.ended = now
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-        ticket = backend.model.take(now, trace, request.units)
+        ticket = backend.model.accept(now, trace, request.units)
         try:
             return await self._work(backend, ticket, record, now)
         except asyncio.CancelledError:
-            if not record.ran:
-                record.ran = not backend.model.withdraw(self.loop.time(), ticket)
+            if not record.executed:
+                record.executed = not backend.model.withdraw(self.loop.time(), ticket)
             raise
         finally:
-            record.ended = self.loop.time()
+            record.ended_at = self.loop.time()
 
     def _backend_of(self, front: VirtualFront, node: int) -> VirtualBackend | None:
         assert front.directory
@@ -166,44 +168,44 @@
         self, backend: VirtualBackend, ticket: Ticket, record: AttemptRecord, now: float
     ) -> AttemptResult[str]:
         """Let the backend work on a request that it was sent."""
-        if ticket.fate is RequestFate.FULL:
-            record.refused = True
+        if ticket.outcome is RequestOutcome.FULL:
+            record.rejected = True
             return AttemptResult(AttemptOutcome.QUEUE_FULL)
-        if ticket.fate is RequestFate.UNREAD:
+        if ticket.outcome is RequestOutcome.UNREAD:
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-        await asyncio.sleep(ticket.ends - now)
+        await asyncio.sleep(ticket.ends_at - now)
         if backend.has_fallen or not backend.is_up:
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-        record.ran = True
+        record.executed = True
         await asyncio.sleep(LATENCY_S)
-        return await self._answer(backend, ticket.fate)
+        return await self._answer(backend, ticket.outcome)
 
-    async def _answer(self, backend: VirtualBackend, fate: RequestFate) -> AttemptResult[str]:
+    async def _answer(self, backend: VirtualBackend, fate: RequestOutcome) -> AttemptResult[str]:
         """End an attempt whose request ran."""
-        if fate is RequestFate.RESET:
+        if fate is RequestOutcome.RESET:
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-        if fate is RequestFate.SPOILT:
+        if fate is RequestOutcome.SPOILT:
             return AttemptResult(AttemptOutcome.ERROR)
-        if fate is RequestFate.LOST:
+        if fate is RequestOutcome.LOST:
             await asyncio.sleep(NEVER_S)
-        reports = self.scenario.terms.report == "answers"
-        utilization = backend.model.busy(self.loop.time()) if reports else None
+        reports = self.scenario.terms.load_report == "answers"
+        utilization = backend.model.utilization(self.loop.time()) if reports else None
         return AttemptResult(AttemptOutcome.SERVED, backend.name, utilization=utilization)
 
     def _count_cold(self, backend: VirtualBackend, now: float, units: float) -> None:
         """Count a request at a warming backend, which falls over if it was sent too much of late."""
-        power = self.scenario.power
+        power = self.scenario.backend_capacity
         model = backend.model
-        if model.born is None or now - model.born >= power.ramp:
+        if model.started_at is None or now - model.started_at >= power.ramp_duration:
             return
-        bears = power.tip_multiple * model.rate(now) * power.tip_after
-        self.checker.bears(backend.name, now, units, bears)
+        bears = power.overload_factor * model.rate(now) * power.overload_window
+        self.checker.on_warm_up_arrival(backend.name, now, units, bears)
         recent = [
             sent
-            for at, sent, _ in self.checker.cold[backend.name][-COLD_REQUESTS_EXAMINED:]
-            if at >= now - power.tip_after
+            for at, sent, _ in self.checker.warm_up_arrivals[backend.name][-COLD_REQUESTS_EXAMINED:]
+            if at >= now - power.overload_window
         ]
-        if self._tips and sum(recent) > bears + self.checker.cold_slack:
+        if self._tips and sum(recent) > bears + self.checker.warm_up_slack:
             backend.has_fallen = True
             self.end_backend(backend)
 
@@ -220,16 +222,18 @@
                 served = self.loop.time()
             if answer.status not in (None, 503):
                 break
-            await asyncio.sleep(max(answer.retry_after, load.retry_s))
-        self.requests.append(RequestTemplate(first, drawn.volume, drawn.kind, drawn.units, served))
+            await asyncio.sleep(max(answer.retry_after, load.retry_delay))
+        self.requests.append(RequestTemplate(first, drawn.volume, drawn.request_class, drawn.units, served))
 
     async def _request(self, drawn: GeneratedRequest, trace: str) -> ClientAnswer:
         """Send a request once."""
         front = self.fronts[drawn.front]
         now = self.loop.time()
-        deadline = now + drawn.kind.deadline
-        request = ClientRequestRecord(drawn.front, drawn.volume, drawn.kind, drawn.units, now, deadline)
-        self.checker.took(trace, request)
+        deadline = now + drawn.request_class.deadline
+        request = ClientRequestRecord(
+            drawn.front, drawn.volume, drawn.request_class, drawn.units, now, deadline
+        )
+        self.checker.on_request(trace, request)
         core = front.core
         if core is None:
             request.excused = True
@@ -249,14 +253,14 @@
     def _arrival(self, core: Core, drawn: GeneratedRequest) -> RequestArrived:
         return RequestArrived(
             request_id=core.new_id(),
-            class_index=self.scenario.kinds.index(drawn.kind),
+            class_index=self.scenario.request_classes.index(drawn.request_class),
             plan_index=drawn.volume % len(self.scenario.plans),
             volume_id=drawn.volume,
             item=int(drawn.block, 16),
-            shard=drawn.volume % self.scenario.boxes,
+            shard=drawn.volume % self.scenario.backends,
             units=drawn.units,
-            deadline=core.now() + drawn.kind.deadline,
-            front_count=self.scenario.load.hosts,
+            deadline=core.now() + drawn.request_class.deadline,
+            front_count=self.scenario.load.fronts_per_volume,
         )
 
     def _client_answer(self, trace: str, result: Served[str] | Rejected | Failed) -> ClientAnswer:
@@ -264,14 +268,14 @@
         now = self.loop.time()
         match result:
             case Served(value):
-                self.checker.answer(trace, 200, f"{trace} {value}".encode(), now)
+                self.checker.on_answer(trace, 200, f"{trace} {value}".encode(), now)
                 return ClientAnswer(200)
             case Rejected(retry_after):
-                self.checker.answer(trace, 503, b"", now)
+                self.checker.on_answer(trace, 503, b"", now)
                 self.rejections.append(Rejection(now, retry_after))
                 return ClientAnswer(503, retry_after)
             case Failed():
-                self.checker.answer(trace, 502, b"", now)
+                self.checker.on_answer(trace, 502, b"", now)
                 return ClientAnswer(502)
 
     # The run
@@ -282,13 +286,15 @@
         ``settles``: seconds before the load begins for the fronts' view of one another to settle.
         """
         scenario = self.scenario
-        self.backends = [self.begin_backend(shard, f"s-{shard:03d}", None) for shard in range(scenario.boxes)]
+        self.backends = [
+            self.begin_backend(shard, f"s-{shard:03d}", None) for shard in range(scenario.backends)
+        ]
         for front in self.fronts:
             await self.start_front(front)
         await asyncio.sleep(settles if scenario.view else LIST_SETTLES_S)
         self.began = self.loop.time()
         injector = FaultInjector(self)
-        tasks = [asyncio.ensure_future(injector.inject(event)) for event in scenario.troubles]
+        tasks = [asyncio.ensure_future(injector.inject(event)) for event in scenario.faults]
         for drawn in requests(scenario):
             await asyncio.sleep(max(0.0, self.began + drawn.at - self.loop.time()))
             tasks.append(asyncio.ensure_future(self._run_client(drawn)))
@@ -300,7 +306,7 @@
 
     def broken(self) -> list[str]:
         """Return a line for each rule that did not hold."""
-        return self.checker.broken(self.scenario.power.tip_after)
+        return self.checker.find_violations(self.scenario.backend_capacity.overload_window)
 
 
 async def _cancel_other_tasks() -> None:
--- a/cleatyoke/emulation/value.py
+++ b/cleatyoke/emulation/value.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from cleatyoke.testbed.scenario import WITHIN, RequestKind, Scenario
+from cleatyoke.testbed.front_settings import SURPLUS_VALUE_SHARE
+from cleatyoke.testbed.scenario import RequestClassTerms, Scenario
 
 SLOT_S = 0.25  # seconds; the ideal assigns the backends' power in slots of this length
 
@@ -22,17 +23,17 @@
 
     at: float  # when it was first sent
     volume: int
-    kind: RequestKind
+    kind: RequestClassTerms
     units: float
     served: float | None  # when its answer came; None: it never did
 
     def is_late(self) -> bool:
         """Return whether it was served, but after its latency objective."""
-        return self.served is not None and self.served > self.at + self.kind.aim
+        return self.served is not None and self.served > self.at + self.kind.latency_objective
 
     def value(self, scenario: Scenario) -> float:
         """Return the full value of one of its units."""
-        return self.kind.worth * scenario.plan_of(self.volume).worth
+        return self.kind.value * scenario.plan_of(self.volume).value_factor
 
 
 @dataclass(slots=True)
@@ -56,7 +57,7 @@
     def unit_value(self, request: RequestTemplate) -> float:
         """Return what a unit of the request is worth on average if it is served in time now."""
         within = min(1.0, self.left.get(_second_of(request), 0.0) / request.units)
-        return request.value(self.scenario) * (within + (1 - within) * WITHIN)
+        return request.value(self.scenario) * (within + (1 - within) * SURPLUS_VALUE_SHARE)
 
     def take(self, request: RequestTemplate) -> float:
         """Serve the request from the reserves and return its value."""
@@ -77,7 +78,7 @@
     served = [place for place, request in enumerate(requests) if request.served is not None]
     for place in sorted(served, key=lambda place: (requests[place].is_late(), requests[place].served)):
         request = requests[place]
-        values[place] = reserves.take(request) * (request.kind.late_share if request.is_late() else 1.0)
+        values[place] = reserves.take(request) * (request.kind.late_value_share if request.is_late() else 1.0)
     return values
 
 
@@ -102,7 +103,7 @@
     values = [0.0] * len(requests)
     by_shard: defaultdict[int, list[int]] = defaultdict(list)
     for place in sorted(range(len(requests)), key=lambda place: requests[place].at, reverse=True):
-        by_shard[requests[place].volume % scenario.boxes].append(place)
+        by_shard[requests[place].volume % scenario.backends].append(place)
     for shard, upcoming in by_shard.items():
         waiting: list[int] = []
         slot = 0
@@ -111,7 +112,9 @@
             now = slot * SLOT_S
             while upcoming and requests[upcoming[-1]].at < now + SLOT_S:
                 waiting.append(upcoming.pop())
-            waiting = [one for one in waiting if requests[one].at + requests[one].kind.aim > now]
+            waiting = [
+                one for one in waiting if requests[one].at + requests[one].kind.latency_objective > now
+            ]
             capacity = min(0.0, capacity) + power(shard, now + SLOT_S / 2) * SLOT_S
             while waiting and capacity > 0:
                 best = max(waiting, key=lambda one: reserves.unit_value(requests[one]))
--- a/cleatyoke/emulation/virtual_backend.py
+++ b/cleatyoke/emulation/virtual_backend.py
@@ -32,7 +32,7 @@
 
     def instance(self) -> Instance:
         """Return its entry of the endpoint list."""
-        started = 0.0 if self.model.born is None else UNIX_TIME_AT_START + self.model.born
+        started = 0.0 if self.model.started_at is None else UNIX_TIME_AT_START + self.model.started_at
         return Instance(self.name, address_of(0), self.zone, self.shard, self.state, started)
 
 
--- a/cleatyoke/emulation/virtual_front.py
+++ b/cleatyoke/emulation/virtual_front.py
@@ -15,7 +15,8 @@
 from cleatyoke.process.faults import Faults
 from cleatyoke.scheduling.events import EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.settings import SchedulerSettings
-from cleatyoke.testbed.scenario import Scenario, ViewTerms, settings_of
+from cleatyoke.testbed.front_settings import settings_of
+from cleatyoke.testbed.scenario import Scenario, ViewTerms
 
 CoreFactory = Callable[[SchedulerSettings], Core]
 
@@ -61,13 +62,13 @@
             self._faults,
         )
         self._view = view
-        if terms.limits or terms.cold:
+        if terms.shares_limits or terms.shares_warm_up:
             instances = directory.instances
             view.start_leasing(core, lambda node: instances[node].name if node in instances else None)
         await view.start()
 
     def _fleet_settings(self, terms: ViewTerms) -> FleetSettings:
-        scale = terms.period / DEFAULT_FLEET_TIMING["period"]
+        scale = terms.probe_period / DEFAULT_FLEET_TIMING["period"]
         return FleetSettings(
             "emulated",
             address_of(self.number),
@@ -75,8 +76,8 @@
             [address_of(seed) for seed in terms.seeds],
             self._boot,
             {name: time * scale for name, time in DEFAULT_FLEET_TIMING.items()},
-            terms.limits,
-            terms.cold,
+            terms.shares_limits,
+            terms.shares_warm_up,
         )
 
     def notify_snapshot(self, version: int, instances: Iterable[Instance]) -> None:
--- a/cleatyoke/testbed/__main__.py
+++ b/cleatyoke/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cleatyoke.testbed FILE...``: play scenarios, report each; status 1 for a broken rule."""
+"""``python -m cleatyoke.testbed FILE...``: run scenarios and report each; status 1 for a broken rule."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 from cleatyoke.config.errors import ConfigError
 from cleatyoke.testbed.runner import run_scenario
-from cleatyoke.testbed.scenario import read_scenario
+from cleatyoke.testbed.scenario_file import read_scenario
 
 
 def main(names: list[str]) -> int:
+    """Run the scenario files in turn; return the exit status (2: bad usage or a bad file)."""
     if not names:
         print("usage: python -m cleatyoke.testbed FILE...", file=sys.stderr)
         return 2
@@ -24,7 +25,7 @@
             return 2
         report = asyncio.run(run_scenario(scenario))
         print("\n".join(report.lines()))
-        broken = broken or bool(report.broken)
+        broken = broken or bool(report.violations)
     return int(broken)
 
 
--- a/cleatyoke/testbed/backend_model.py
+++ b/cleatyoke/testbed/backend_model.py
@@ -1,4 +1,4 @@
-"""How a stand-in box works: its power, its queue, and what troubles do to a request. No socket or clock."""
+"""How a test backend works: its capacity, its queue, and what faults do to a request. No socket, no clock."""
 
 from __future__ import annotations
 
@@ -10,83 +10,91 @@
 from cleatyoke.testbed.scenario import BackendCapacity
 
 
-class RequestFate(Enum):
-    """What becomes of one request at a box."""
+class RequestOutcome(Enum):
+    """What becomes of one request at a backend; the values are counted in reports."""
 
     ANSWERED = "answered"
-    FULL = "full"  # turned away, unrun, and told so
-    UNREAD = "unread"  # the connection is reset and nothing has run
-    RESET = "reset"  # it runs, and the connection is reset before the answer
-    LOST = "lost"  # it runs, and the answer never comes
-    SPOILT = "spoilt"  # it runs, and what comes back is no answer
+    FULL = "full"  # rejected with the proof that it did not execute
+    UNREAD = "unread"  # the connection is reset, and it did not execute
+    RESET = "reset"  # it executes, and the connection is reset before the answer
+    LOST = "lost"  # it executes, and the answer never comes
+    SPOILT = "spoilt"  # it executes, and the answer is malformed
 
 
 @dataclass(slots=True)
 class Ticket:
-    """A request that the box has taken in: from when to when it works on it."""
+    """What becomes of an accepted request, and when the backend works on it."""
 
-    fate: RequestFate
-    begins: float = 0.0
-    ends: float = 0.0
+    outcome: RequestOutcome
+    starts_at: float = 0.0
+    ends_at: float = 0.0
 
 
 def chance(seed: int, trace: str) -> float:
-    """A number from 0 to 1 that an id draws, the same in every run and whatever else happens."""
+    """Return a number from 0 to 1 for a trace id, the same in every run whatever else happens."""
     return zlib.crc32(f"{seed}:{trace}".encode()) / 2**32
 
 
 @dataclass(slots=True)
 class BackendModel:
-    """One life of a box: it works on one request after the other, slower while it is cold."""
+    """One incarnation of a backend, working on one request after the other, slower while it warms up.
 
-    power: BackendCapacity
-    born: float | None  # when it started, or None: long ago, so it is warm
+    Times are seconds of one clock that the caller reads.
+    """
+
+    capacity: BackendCapacity
+    started_at: float | None  # None: long ago, so it is warm
     seed: int = 0
     free_at: float = 0.0
-    ends: deque[float] = field(default_factory=deque)  # of the requests in work or waiting, in turn
-    ailing: dict[str, float] = field(default_factory=dict)  # trouble: part of the requests that it meets
+    _ends: deque[float] = field(default_factory=deque)  # of the requests being executed or waiting, in order
+    faults: dict[str, float] = field(
+        default_factory=dict
+    )  # by kind: share of the requests, or of the power for "slow"
 
     def rate(self, now: float) -> float:
-        """Units a second that it can do at this moment."""
-        if self.born is None or now - self.born >= self.power.ramp:
-            return self.power.units
-        age = max(0.0, now - self.born) / self.power.ramp
-        return self.power.units * (self.power.cold_from + (1 - self.power.cold_from) * age)
-
-    def take(self, now: float, trace: str, units: float) -> Ticket:
-        """A request whose last byte has come."""
+        """Return the units a second that it can do at this time."""
+        if self.started_at is None or now - self.started_at >= self.capacity.ramp_duration:
+            return self.capacity.units_per_second
+        age = max(0.0, now - self.started_at) / self.capacity.ramp_duration
+        return self.capacity.units_per_second * (
+            self.capacity.initial_share + (1 - self.capacity.initial_share) * age
+        )
+
+    def accept(self, now: float, trace: str, units: float) -> Ticket:
+        """Queue a request whose last byte has arrived, or reject it."""
         draw = chance(self.seed, trace)
-        if draw < self.ailing.get("reset", 0.0) / 2:
-            return Ticket(RequestFate.UNREAD)
-        while self.ends and self.ends[0] <= now:
-            self.ends.popleft()
-        if len(self.ends) > self.power.queue:
-            return Ticket(RequestFate.FULL)
+        if draw < self.faults.get("reset", 0.0) / 2:
+            return Ticket(RequestOutcome.UNREAD)
+        while self._ends and self._ends[0] <= now:
+            self._ends.popleft()
+        if len(self._ends) > self.capacity.max_queue:
+            return Ticket(RequestOutcome.FULL)
         begins = max(now, self.free_at)
-        speed = self.rate(begins) * self.ailing.get("slow", 1.0)
+        speed = self.rate(begins) * self.faults.get("slow", 1.0)
         self.free_at = begins + units / speed
-        self.ends.append(self.free_at)
-        fate = RequestFate.ANSWERED
+        self._ends.append(self.free_at)
+        fate = RequestOutcome.ANSWERED
         for kind, met in (
-            ("reset", RequestFate.RESET),
-            ("lose_answers", RequestFate.LOST),
-            ("spoil", RequestFate.SPOILT),
+            ("reset", RequestOutcome.RESET),
+            ("lose_answers", RequestOutcome.LOST),
+            ("spoil", RequestOutcome.SPOILT),
         ):
-            if draw < self.ailing.get(kind, 0.0):
+            if draw < self.faults.get(kind, 0.0):
                 fate = met
         return Ticket(fate, begins, self.free_at)
 
     def withdraw(self, now: float, ticket: Ticket) -> bool:
-        """Its front has gone: whether it was still waiting, and so never runs."""
-        if now >= ticket.begins:
+        """Take a request back whose front is gone; False where it is already being executed."""
+        if now >= ticket.starts_at:
             return False
-        self.free_at -= ticket.ends - ticket.begins
-        self.ends.pop()
+        self.free_at -= ticket.ends_at - ticket.starts_at
+        self._ends.pop()
         return True
 
-    def busy(self, now: float) -> float:
-        """The part of its power in use, as its load reports tell."""
+    def utilization(self, now: float) -> float:
+        """Return the fraction in use, as load reports have it: 1 from half a second of work on."""
         return min(1.0, max(0.0, self.free_at - now) * 2)
 
-    def queued(self, now: float) -> int:
-        return sum(1 for end in self.ends if end > now)
+    def queue_length(self, now: float) -> int:
+        """Return the number of requests being executed or waiting."""
+        return sum(1 for end in self._ends if end > now)
--- a/cleatyoke/testbed/search.py
+++ b/cleatyoke/testbed/search.py
@@ -17,8 +17,9 @@
 from pathlib import Path
 
 from cleatyoke.testbed.generator import SPAN, THEMES, Values, draw, dump
-from cleatyoke.testbed.runner import ROOT, RunReport, run_scenario
-from cleatyoke.testbed.scenario import make_scenario
+from cleatyoke.testbed.run_report import RunReport
+from cleatyoke.testbed.runner import ROOT, run_scenario
+from cleatyoke.testbed.scenario_file import make_scenario
 
 JOBS = 3  # plays at once
 TRIES = 2  # plays of a shorter scenario: what depends on the moment need not show in the first
@@ -26,16 +27,18 @@
 BrokenRules = Callable[[Values], set[str]]  # plays it: the names of the rules that broke
 
 
-def play_values(name: str, values: Values, program: Path = ROOT) -> RunReport:
-    """In this process, from the start of its fronts to their exits."""
+def run_values(name: str, values: Values, program: Path = ROOT) -> RunReport:
+    """Run a scenario given by its file's values, in this process, to the exit of its fronts."""
     return asyncio.run(run_scenario(make_scenario(name, values), program))
 
 
 def pool(jobs: int = JOBS) -> ProcessPoolExecutor:
+    """Return workers for so many runs at once."""
     return ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn"))
 
 
 def rules(broken: Sequence[str]) -> set[str]:
+    """Return the names of the rules that lines of violations begin with."""
     return {line.partition(":")[0] for line in broken}
 
 
@@ -78,22 +81,22 @@
     broke: Counter[str] = Counter()
     with pool(jobs) as workers:
         drawn = {seed: draw(theme, seed) for seed in seeds}
-        plays = {seed: workers.submit(play_values, f"{theme}-{seed}", drawn[seed], program) for seed in seeds}
+        plays = {seed: workers.submit(run_values, f"{theme}-{seed}", drawn[seed], program) for seed in seeds}
         found: list[tuple[int, str]] = []
         for seed, future in plays.items():
             report = future.result()
             print(
-                f"{theme}:{seed}: {report.requests} requests, served {report.served:.2f}"
-                + "".join(f"\n  BROKEN {line}" for line in report.broken[:3]),
+                f"{theme}:{seed}: {report.requests} requests, served {report.served_share:.2f}"
+                + "".join(f"\n  BROKEN {line}" for line in report.violations[:3]),
                 flush=True,
             )
-            for rule in sorted(rules(report.broken)):
+            for rule in sorted(rules(report.violations)):
                 broke[rule] += 1
                 found.append((seed, rule))
         for seed, rule in found if keep else []:
 
             def breaks(values: Values) -> set[str]:
-                return rules(workers.submit(play_values, "shorter", values, program).result().broken)
+                return rules(workers.submit(run_values, "shorter", values, program).result().violations)
 
             values = shorten(drawn[seed], rule, breaks)
             assert keep
@@ -104,6 +107,7 @@
 
 
 def main(words: Sequence[str] | None = None) -> int:
+    """Run the command; return its exit status, 1 where a rule broke."""
     parser = argparse.ArgumentParser(prog="python -m cleatyoke.testbed.search", description=__doc__)
     parser.add_argument("--theme", choices=THEMES, default="trouble")
     parser.add_argument("--draws", type=int, default=100)
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -11,9 +11,10 @@
 
 from cleatyoke.config.settings import IDEMPOTENCY_NAMES
 from cleatyoke.testbed.generator import THEMES, Values, draw, dump
-from cleatyoke.testbed.runner import ROOT, RunReport
-from cleatyoke.testbed.scenario import make_scenario
-from cleatyoke.testbed.search import play_values, pool, rules, shorten
+from cleatyoke.testbed.run_report import RunReport
+from cleatyoke.testbed.runner import ROOT
+from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.search import pool, rules, run_values, shorten
 
 JOBS = 5
 TROUBLES, SETTINGS = range(1, 6), (*range(1, 21), 123)
@@ -30,17 +31,19 @@
 
     def test_the_draws_reach_the_ends_of_the_page(self) -> None:
         drawn = [make_scenario("x", draw("settings", seed)) for seed in range(200)]
-        assert {len(one.kinds) for one in drawn} == set(range(1, 7))
-        assert {one.terms.attempts for one in drawn} == set(range(1, 7))
-        assert {one.terms.report for one in drawn} == {"answers", "probe", "none"}
-        assert {kind.repeat for one in drawn for kind in one.kinds} == set(IDEMPOTENCY_NAMES.values())
-        assert len({(kind.repeat, kind.scope) for one in drawn for kind in one.kinds}) == 9
+        assert {len(one.request_classes) for one in drawn} == set(range(1, 7))
+        assert {one.terms.max_attempts for one in drawn} == set(range(1, 7))
+        assert {one.terms.load_report for one in drawn} == {"answers", "probe", "none"}
+        assert {kind.idempotency for one in drawn for kind in one.request_classes} == set(
+            IDEMPOTENCY_NAMES.values()
+        )
+        assert len({(kind.idempotency, kind.scope) for one in drawn for kind in one.request_classes}) == 9
         assert {bool(plan.limit) for one in drawn for plan in one.plans} == {True, False}
-        spans = sorted(kind.deadline for one in drawn for kind in one.kinds)
+        spans = sorted(kind.deadline for one in drawn for kind in one.request_classes)
         assert spans[0] < 0.3
         assert spans[-1] > 7
-        assert min(one.boxes for one in drawn) == 1
-        assert max(one.boxes for one in drawn) == 20
+        assert min(one.backends for one in drawn) == 1
+        assert max(one.backends for one in drawn) == 20
 
     def test_a_scenario_is_made_as_short_as_it_still_breaks_its_rule(self) -> None:
         guilty = {"at": 1.0, "kind": "kill", "of": [0]}
@@ -62,7 +65,7 @@
     def play(self, draws: Iterable[tuple[str, int]]) -> dict[str, RunReport]:
         with pool(JOBS) as workers:
             out = {
-                f"{theme}:{seed}": workers.submit(play_values, f"{theme}-{seed}", draw(theme, seed))
+                f"{theme}:{seed}": workers.submit(run_values, f"{theme}-{seed}", draw(theme, seed))
                 for theme, seed in draws
             }
             return {name: future.result() for name, future in out.items()}
@@ -71,8 +74,8 @@
         themes = [("trouble", seed) for seed in TROUBLES] + [("settings", seed) for seed in SETTINGS]
         for name, report in self.play(themes).items():
             with self.subTest(name):
-                assert report.broken == [], "\n".join(report.lines())
-                assert [event for event in report.log if event.endswith("_fault")] == []
+                assert report.violations == [], "\n".join(report.lines())
+                assert [event for event in report.log_counts if event.endswith("_fault")] == []
                 assert report.answers["200"] > 10
 
     def test_wrong_programs_are_caught(self) -> None:
@@ -116,7 +119,7 @@
                 text = (program / "cleatyoke" / part).read_text()
                 assert text.count(right) == 1
                 (program / "cleatyoke" / part).write_text(text.replace(right, changed))
-                plays[rule] = workers.submit(play_values, rule, draw(theme, seed), program)
+                plays[rule] = workers.submit(run_values, rule, draw(theme, seed), program)
             for rule, play in plays.items():
                 with self.subTest(rule):
-                    assert rule in rules(play.result().broken)
+                    assert rule in rules(play.result().violations)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -20,7 +20,8 @@
 from cleatyoke.emulation.value import RequestTemplate
 from cleatyoke.emulation.virtual_backend import UNIX_TIME_AT_START
 from cleatyoke.scheduling.settings import SchedulerSettings
-from cleatyoke.testbed.scenario import Scenario, make_scenario
+from cleatyoke.testbed.scenario import Scenario
+from cleatyoke.testbed.scenario_file import make_scenario
 
 
 @pytest.fixture(autouse=True)
@@ -63,7 +64,7 @@
 
 
 def answers(finished: Emulation) -> list[tuple[str, int | None, float | None]]:
-    return [(trace, one.status, one.answered) for trace, one in finished.checker.asked.items()]
+    return [(trace, one.status, one.answered_at) for trace, one in finished.checker.requests.items()]
 
 
 def test_a_run_keeps_the_rules_and_repeats_itself() -> None:
@@ -119,22 +120,23 @@
     leased = emulate(scenario(restarts, load=hot, view={"enabled": True, "cold": True}))
     assert unleased.broken() == leased.broken() == []
     served = [
-        sum(one.status == 200 for one in finished.checker.asked.values()) for finished in (unleased, leased)
+        sum(one.status == 200 for one in finished.checker.requests.values())
+        for finished in (unleased, leased)
     ]
     assert served[1] > 1.1 * served[0]
 
 
 def test_value_goes_to_the_reserve_first_and_to_requests_in_time() -> None:
     small = scenario([])
-    kind = small.kinds[0]
+    kind = small.request_classes[0]
     requests = [
         RequestTemplate(0.1, 0, kind, 2.0, 0.2),
-        RequestTemplate(0.2, 0, kind, 2.0, 0.2 + kind.aim + 0.1),
+        RequestTemplate(0.2, 0, kind, 2.0, 0.2 + kind.latency_objective + 0.1),
         RequestTemplate(0.3, 0, kind, 4.0, 0.4),
         RequestTemplate(1.3, 0, kind, 4.0, None),
     ]
-    unit = kind.worth * 2
-    late = 2 * 0.35 * unit * kind.late_share  # all of its second's reserve is taken by the two in time
+    unit = kind.value * 2
+    late = 2 * 0.35 * unit * kind.late_value_share  # all of its second's reserve is taken by the two in time
     assert value.achieved_value(small, requests) == pytest.approx(
         [2 * unit, late, (2 + 2 * 0.35) * unit, 0.0]
     )
