--- a/cleatyoke/__init__.py
+++ b/cleatyoke/__init__.py
@@ -1,5 +1,9 @@
-"""cleatyoke: the decisions of a gateway that orders and paces the I/O of many volumes."""
+"""cleatyoke: a front (load balancer) before storage nodes.
+
+The "protocol page", "settings page" and "operations page" that docstrings name are documents of the platform;
+docs/glossary.md maps their words to this repository's.
+"""
 
 import time
 
-BEGAN = time.time()  # before the other imports: no other process of this front sends anything from here on
+PROCESS_STARTED_AT = time.time()  # Unix time, before the slow imports
--- a/cleatyoke/admin/__init__.py
+++ b/cleatyoke/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Administration: the control listener, operator holds and the Prometheus exporter."""
+"""Administration: the control listener and the Prometheus exporter."""
--- a/cleatyoke/admin/control.py
+++ b/cleatyoke/admin/control.py
@@ -1,6 +1,8 @@
-"""The operators' control listener: one command a connection, answered in a thread of its own.
+"""The operators' control listener: one command a connection, all in one thread beside the event loop.
 
 Client load on the event loop never delays an answer, as the thread needs the interpreter for microseconds.
+A hold or a release in a fleet waits for the other fronts (``HOLD_REPORT_TIMEOUT``, 0.5 s at most), and all
+other callers wait with it.
 The module parses commands and words the answers; what a command does is done by the functions it is given.
 """
 
@@ -20,7 +22,7 @@
 from cleatyoke.config.addresses import Address
 
 MAX_LINE_BYTES = 512  # of a command
-LINE_TIMEOUT = 4.0  # seconds for the whole line of a command
+SESSION_TIMEOUT = 4.0  # seconds for a whole call, its answer included
 POLL_INTERVAL = 0.1  # seconds between checks for callers that exceeded it
 MAX_ACCEPTED_AT_ONCE = 16  # connections, before other callers are served
 MAX_UNREAD_CHUNKS = 64  # of 4096 bytes, that are read and dropped before a rejected caller is closed
@@ -119,7 +121,8 @@
 class ControlListener:
     """Serves callers with non-blocking sockets and a selector, in a daemon thread.
 
-    Callers that stall or send garbage get ``FAILURE`` and never delay another one.
+    Callers that stall or send garbage get ``FAILURE`` and never delay another one. A command that waits
+    for the other fronts (``fronts_holding``) does: one thread serves all callers.
     """
 
     def __init__(self, address: Address, commands: ControlCommands) -> None:
@@ -152,15 +155,15 @@
                         self._accept()
                     elif session := self._sessions.get(key.fd):
                         self._handle(session, events)
-                self._reject_silent_sessions()
+                self._reject_overdue_sessions()
             for session in list(self._sessions.values()):
                 self._close(session)
         self.socket.close()
 
-    def _reject_silent_sessions(self) -> None:
+    def _reject_overdue_sessions(self) -> None:
         now = time.monotonic()
         for session in list(self._sessions.values()):
-            if now - session.opened_at > LINE_TIMEOUT:
+            if now - session.opened_at > SESSION_TIMEOUT:
                 self._reject(session, "silent", "FAILURE no whole line in time")
 
     def _accept(self) -> None:
--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -39,7 +39,7 @@
 from cleatyoke.config.table import TableReader
 from cleatyoke.scheduling.settings import SchedulerSettings
 
-MAX_GRACE_PERIOD = 3.0  # seconds of the longest client timeout that count for the grace period
+MAX_COUNTED_CLIENT_TIMEOUT = 3.0  # seconds; a longer client timeout does not lengthen the grace period
 GRACE_PERIOD_MARGIN = 0.7  # seconds between SIGTERM and SIGKILL beyond the longest client timeout
 # Settings that take effect at the next start only: the attribute of ``Config`` by the name that the log's
 # ``next_start`` gives operators (docs/oncall.md), in the order in which the log names them.
@@ -117,14 +117,16 @@
     def termination_grace_period(self) -> float:
         """Return the seconds from SIGTERM to SIGKILL (protocol page, Figures: a planned restart)."""
         longest = max(self.client_timeouts[index] for index in self.classes.values())
-        return min(MAX_GRACE_PERIOD, longest) + GRACE_PERIOD_MARGIN
+        return min(MAX_COUNTED_CLIENT_TIMEOUT, longest) + GRACE_PERIOD_MARGIN
 
     def reload(self, new: Config) -> ReloadResult:
         """Apply what may change while the process runs, or raise ``ConfigError`` and change nothing.
 
-        These are the scheduler's settings, and the address of discovery where the file names a new one. That
+        These are the scheduler's settings, ``classes``, ``plans``, ``client_timeouts``, ``changes_data``,
+        ``shard_count``, ``drain_grace``, and the address of discovery where the file names a new one. That
         address wins over RELAY_DISCOVERY, as a running process cannot be given another environment.
-        ``cached_endpoints`` and ``seed`` count at a start only. A file without a key that the previous one
+        ``cached_endpoints``, ``seed``, ``zones`` and ``body_memory_bytes`` count at a start only; the log's
+        ``next_start`` does not name these. A file without a key that the previous one
         had is rejected: it may be half written.
         """
         if lost_key := first_missing_key(self.keys, new.keys):
@@ -206,6 +208,7 @@
     name = environment.get("RELAY_NAME") or root.text("name")
     listen = _read_address(root, environment, "RELAY_LISTEN", "listen")
     discovery = _read_address(root, environment, "RELAY_DISCOVERY", "discovery")
+    # An address that no file can state: the file has none, and RELAY_DISCOVERY names discovery.
     discovery_in_file = root.address("discovery") if "discovery" in values else Address("", 0)
     cached_endpoints = root.get("known", {})
     scheduler_settings = read_settings(facts.values, seed)
--- a/cleatyoke/config/fronts_file.py
+++ b/cleatyoke/config/fronts_file.py
@@ -20,12 +20,12 @@
 MAX_WRITE_BYTES = 64 * 1024  # of one write by a client of the file service, and of an upload's body
 MAX_DEPLOYMENT_NAME = 64  # characters
 DEFAULT_FLEET_TIMING = {  # seconds; the key in the file has ``_s`` appended
-    "period": 0.5,
-    "answer": 0.15,
-    "gossip": 0.1,
-    "sync": 10.0,
-    "departed": 1.0,
-    "join": 1.0,
+    "period": 0.5,  # probe interval
+    "answer": 0.15,  # ack timeout
+    "gossip": 0.1,  # gossip interval
+    "sync": 10.0,  # anti-entropy interval
+    "departed": 1.0,  # probe interval of dead members
+    "join": 1.0,  # join retry
 }
 
 
@@ -77,10 +77,10 @@
     listen: Address  # for datagrams and streams
     advertise: Address  # where the other fronts reach it
     seeds: list[Address]
-    boot: int  # boot number of this incarnation; 0: by the wall clock
+    boot: int  # boot number of this process; 0: the durable one, else Unix time in ms
     timing: dict[str, float]  # seconds, by the keys of ``DEFAULT_FLEET_TIMING``
     leases_rate_limits: bool = False  # quotas of rate limits are leased among the fronts
-    leases_slow_start: bool = False  # and fractions of what a warming node takes
+    leases_slow_start: bool = False  # the slow-start capacity of nodes is leased among the fronts
     durable_folder: Path | None = None  # for state that outlives a power loss, on a lasting disk
 
 
--- a/cleatyoke/config/reload.py
+++ b/cleatyoke/config/reload.py
@@ -1,8 +1,8 @@
 """Settings that change while a front runs: which of two settings holds for what. No input, output or clock.
 
 Classes and plans are known to clients by name and to the scheduler by index. A name keeps its index for the
-life of the process, as requests in flight and bounds refer to it; a new name takes the next one, and one
-that is removed leaves its index retired until it comes back.
+life of the process, as requests in flight and limits per class and plan refer to it; a new name takes the
+next one, and one that is removed leaves its index retired until it comes back.
 """
 
 from __future__ import annotations
@@ -46,6 +46,7 @@
         values = [*old, *[None] * (len(self.all_indexes) - len(old))]
         for index, value in zip(self.indexes.values(), new):
             values[index] = value
+        # None stays only where neither list has a value for an index, as where a list is empty.
         return [value for value in values if value is not None]
 
 
@@ -72,20 +73,23 @@
 
 
 def merge_changes_data(
-    old: Sequence[bool | None], had: Mapping[str, int], classes: IndexAllocator, new: Sequence[bool | None]
+    old: Sequence[bool | None],
+    old_indexes: Mapping[str, int],
+    classes: IndexAllocator,
+    new: Sequence[bool | None],
 ) -> list[bool | None]:
     """Return by index which classes change data; ``None``: not known.
 
     A new list counts where it names as many as there are classes. The platform's stays as it was while
     classes come and go, and would then be read for the wrong ones: a class keeps what was said of it, and
-    of a new one nothing is known. ``had``: the indexes by name that ``old`` goes by.
+    of a new one nothing is known. ``old_indexes``: the indexes by name that ``old`` goes by.
     """
     merged: list[bool | None] = [None] * len(classes.all_indexes)
     if len(new) == len(classes.indexes):
         for index, value in zip(classes.indexes.values(), new):
             merged[index] = value
     elif old:
-        for name, index in had.items():
+        for name, index in old_indexes.items():
             merged[classes.all_indexes[name]] = old[index]
     return merged if any(value is not None for value in merged) else []
 
--- a/cleatyoke/config/settings.py
+++ b/cleatyoke/config/settings.py
@@ -1,7 +1,8 @@
 """The platform's settings, translated into the scheduler's and the front's own.
 
 This module is the one place that knows the keys of the platform's settings page (``Lanes``, ``AimS`` and so
-on). Unknown keys are ignored; an absent or null number is 0 unless a default stands here.
+on). Unknown keys are ignored. A key that is read without a default is mandatory; the default of the others
+stands here.
 """
 
 from __future__ import annotations
--- a/cleatyoke/config/table.py
+++ b/cleatyoke/config/table.py
@@ -48,7 +48,10 @@
         return float(value)
 
     def positive(self, key: str, default: float | None = None) -> float:
-        """Read a finite number above 0: a deadline of 0, say, would reject all requests."""
+        """Read a finite number above 0; the default may be infinite ("not stated").
+
+        A deadline of 0, say, would reject all requests.
+        """
         value = self.number(key, default)
         if not value > 0:
             raise self.error(key, f"want a positive number, found {self.values.get(key)!r}")
--- a/cleatyoke/discovery/directory.py
+++ b/cleatyoke/discovery/directory.py
@@ -45,11 +45,12 @@
     """The latest known state of each node.
 
     ``listeners`` are called with the id of each node that changed or was removed. ``version`` is that of the
-    last list that was applied, None before the first one. ``holds``: the nodes that operators have disabled.
+    last list that was applied, None before the first one, 0 after a list from the relays. ``holds``: the
+    nodes that operators have disabled.
     """
 
     def __init__(self, zones: dict[str, int]) -> None:
-        self.zones = zones
+        self.zones = zones  # index by name; shared with the configuration, and extended by listed zones
         self.node_ids: dict[str, int] = {}  # by name; a node that returns has its old id
         self.instances: dict[int, Instance] = {}  # the listed nodes, by id
         self.version: int | None = None
--- a/cleatyoke/discovery/discovery.py
+++ b/cleatyoke/discovery/discovery.py
@@ -146,7 +146,7 @@
         removed = self._removed_by(endpoint_list, names, watch)
         self.apply(EndpointList(endpoint_list.version, is_complete=False, instances=removed), None, watch)
 
-    # Parts of these
+    # Helpers
 
     def _removed_by(
         self, endpoint_list: EndpointList, names: Collection[str], watch: Watch
--- a/cleatyoke/distribution/known_lane.py
+++ b/cleatyoke/distribution/known_lane.py
@@ -1,4 +1,8 @@
-"""What a subscriber knows of a lane: the versions of its keys, and how far its copy goes."""
+"""What a subscriber knows of a lane: the versions of its keys, and how far its copy goes.
+
+A lane is an independently versioned key space (settings, nodes), not one of the settings page's ``Lanes``,
+which are request classes.
+"""
 
 from __future__ import annotations
 
--- a/cleatyoke/distribution/relay_selection.py
+++ b/cleatyoke/distribution/relay_selection.py
@@ -24,7 +24,7 @@
         self.own_region_count = len(tiers[0])  # of the order, the relays of the own region
         self.place = 0  # of the polled relay in the order
         self._avoided_until: dict[int, float] = {}  # by place
-        self._away_since: float | None = None  # when another region's relay was chosen
+        self._away_since: float | None = None  # when the own region was last left, or last tried again
 
     @property
     def current(self) -> str:
--- a/cleatyoke/distribution/subscriber.py
+++ b/cleatyoke/distribution/subscriber.py
@@ -47,6 +47,8 @@
 class Subscriber:
     """Copies the source's lanes through one relay at a time, one poll at a time.
 
+    A lane is an independently versioned key space, see ``known_lane``.
+
     It never goes back: a reply of an older epoch, a relay that knows less, a message that came twice or late
     change nothing. If no relay answers it goes on with what it has, however long.
 
--- a/cleatyoke/distribution/subscription.py
+++ b/cleatyoke/distribution/subscription.py
@@ -154,4 +154,5 @@
         if invalid:
             log.warning("config_nodes_refused", why=invalid[0], count=len(invalid))
         if not_live := [instance for instance in found if instance.state is not EndpointState.LIVE]:
+            # 0: relays know no version of discovery; only a watch's own version is asked by.
             self.notify_nodes(EndpointList(0, is_complete=False, instances=not_live))
--- a/cleatyoke/fleet/hold_sharing.py
+++ b/cleatyoke/fleet/hold_sharing.py
@@ -1,6 +1,6 @@
 """Operators' holds of nodes, kept in step among fronts and in a file.
 
-Between the file of this front's holds (``process.handover``) and their replication
+Between the file of this front's holds (``process.hold_file``) and their replication
 (``coordination.hold_replication``).
 """
 
@@ -21,7 +21,8 @@
 if TYPE_CHECKING:
     from cleatyoke.fleet.view import FleetView
 
-HOLDS_FILE = "cleatyoke-fleet-copies"  # in the state directory: what is known of all fronts' holds
+# In the state directory: the replicated holds of all fronts; those in force here: ``process.hold_file``.
+REPLICATED_HOLDS_FILE = "cleatyoke-fleet-copies"
 REPLICATION_POLL = 0.01  # seconds between checks whether a hold has reached all fronts
 log = structlog.get_logger()
 
@@ -72,7 +73,7 @@
     ) -> None:
         self.replication = replication
         self.hold_file = hold_file
-        self.path = folder / HOLDS_FILE
+        self.path = folder / REPLICATED_HOLDS_FILE
         self.faults = faults
         self.on_local_change = on_local_change
         self.save_state = save_state
--- a/cleatyoke/fleet/restore.py
+++ b/cleatyoke/fleet/restore.py
@@ -30,7 +30,7 @@
     durable_state: DurableState | None
     """Set once the files have been read; from then on the view calls ``save`` at each change of holds."""
 
-    def restore_state(self, memory: FrontState) -> None:
+    def restore_state(self, state: FrontState) -> None:
         """Take restored state, which may come after the start."""
         ...
 
@@ -56,7 +56,7 @@
         self.writer = StateWriter(
             StateDatabase(folder, front), time.time, self._on_restored, self._on_problems_changed
         )
-        self.watchdog = PeriodicCall(faults, "durable", SAVE_INTERVAL, self.save)
+        self.save_timer = PeriodicCall(faults, "durable", SAVE_INTERVAL, self.save)
         self.writer.start()
 
     async def wait_until_restored(self) -> str:
@@ -73,7 +73,7 @@
         if self.restored.done():
             view.durable_state = self
             view.restore_state(self.restored.result().state)
-            self.watchdog.start()
+            self.save_timer.start()
 
     def save(self) -> None:
         """Have the view's state written if it has changed. Does not wait for the disk."""
@@ -91,7 +91,7 @@
 
     def stop(self) -> None:
         """Save a last time, and end the writer."""
-        self.watchdog.stop()
+        self.save_timer.stop()
         self.save()
         self.writer.stop()
 
--- a/cleatyoke/http/answers.py
+++ b/cleatyoke/http/answers.py
@@ -18,7 +18,7 @@
 
 MAX_ANSWER_BYTES = 64 * 1024 * 1024  # of the longest body of an answer: twice what backends send
 MAX_HEAD_BYTES = 16 * 1024  # of the head of an answer
-MAX_REPORT_BYTES = 1024  # of a load report in a body that are looked at
+MAX_REPORT_BYTES = 1024  # of a probe's body that are searched for the load report
 MAX_INFORMATIONAL = 8  # 1xx answers in front of one
 PLAIN_NUMBER = re.compile(r"[0-9]{1,6}(\.[0-9]{1,6})?")
 UTILIZATION = re.compile(r"\b(?:util|cpu) *= *([0-9]{1,6}(?:\.[0-9]{1,9})?)\b(?!\.)")  # in a load report
@@ -245,12 +245,12 @@
 
 
 def decode_utilization(headers: Mapping[str, str]) -> float | None:
-    """Return the fraction of its power that a backend reports in use by all fronts; None without a report."""
+    """Return the utilization by all fronts, as a fraction of a backend's capacity; None without a report."""
     return _decode_load_report(headers.get(Header.LOAD_REPORT, ""))
 
 
 def decode_load_probe(answer: BackendAnswer) -> float | None:
-    """Return the fraction of its power that a probed backend reports in use; None without a report."""
+    """Return the utilization of a probed backend, as a fraction of its capacity; None without a report."""
     if answer.status != 200:
         return None
     return _decode_load_report(answer.body[:MAX_REPORT_BYTES].decode("latin-1"))
--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -109,8 +109,8 @@
     async def probe_load(self, node: int, timeout: float) -> float | None:  # noqa: ASYNC109  not to be raised
         """Ask a backend for its load report, within so many seconds.
 
-        Returns the fraction of its power in use, or None where no report came or all connections are taken:
-        those left are for requests.
+        Returns the utilization, a fraction of its capacity, or None where no report came or all connections
+        are taken: those left are for requests.
         """
         if not self.directory.is_serving(node) or self.open_connections >= self.max_connections:
             return None
--- a/cleatyoke/http/body_limits.py
+++ b/cleatyoke/http/body_limits.py
@@ -38,7 +38,10 @@
         self.waiting: dict[Hashable, None] = {}  # the longest first; the first goes before all others
 
     def reserve(self, body: Hashable, size: int) -> bool:
-        """Reserve memory for ``size`` bytes of the body in all; False where it has to wait and ask again."""
+        """Reserve memory for ``size`` bytes of the body in all; False where it has to wait and ask again.
+
+        A body beyond ``max_body`` is never granted, and the caller's time limit ends it.
+        """
         extra = max(0, size - UNRESERVED_BYTES)
         if extra <= self.reserved.get(body, 0):
             return True
--- a/cleatyoke/http/messages.py
+++ b/cleatyoke/http/messages.py
@@ -21,7 +21,7 @@
     IDEMPOTENCY_KEY = "Idempotency-Key"  # by which backends drop a duplicate
     NEVER_RAN = "X-Never-Ran"  # "1" with 503 and 504: the request had no effect
     SERVED_ELSEWHERE = "X-Served-Elsewhere"  # units of the volume that the shard served through other fronts
-    LOAD_REPORT = "Endpoint-Load-Metrics"  # fraction of the backend's power in use
+    LOAD_REPORT = "Endpoint-Load-Metrics"  # utilization: fraction of the backend's capacity
 
 
 class IoField:
--- a/cleatyoke/http/server.py
+++ b/cleatyoke/http/server.py
@@ -103,9 +103,10 @@
         """Whether the connection is to close with this answer (``Connection: close``).
 
         Prevents starvation of new clients: clients that send one request and keep their connection would
-        soon hold all that may be open, and the next client finds none. An announced close crosses no
-        request. Only idle connections count towards the limit: amid a storm of retries, new connections
-        would cost what the answers need.
+        soon hold all that may be open, and the next client finds none. Closing with an answer cannot race
+        with the client's next request, as closing an idle connection can. Only idle
+        connections count towards the limit: amid a storm of retries, new connections would cost what the
+        answers need.
         """
         crowded = (
             self.connections.count_served_idle() + 1 > self.config.socket_budget.max_idle_clients
--- a/cleatyoke/process/__init__.py
+++ b/cleatyoke/process/__init__.py
@@ -1,1 +1,1 @@
-"""The life of the process: lifecycle, faults, logging, metrics and the handover between processes."""
+"""The process of a front: its start and shutdown, faults, logging, metrics, and upgrades."""
--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from cleatyoke import BEGAN
+from cleatyoke import PROCESS_STARTED_AT
 from cleatyoke.admin.control import ControlListener
 from cleatyoke.config.deployment import Config, ReloadResult
 from cleatyoke.config.errors import ConfigError
@@ -60,7 +60,7 @@
         self.faults = Faults(self.metrics)
         self.faults.watch_loop(self.loop)
         # First, so that an older process of this front sees this one as early as possible.
-        self.siblings = SiblingProcesses(config.state_dir, config.settings, self.faults, BEGAN)
+        self.siblings = SiblingProcesses(config.state_dir, config.settings, self.faults, PROCESS_STARTED_AT)
         self.core = Core(config.settings)
         self.directory = Directory(config.zones)
         self.backends = BackendPools(
--- a/cleatyoke/process/file_service.py
+++ b/cleatyoke/process/file_service.py
@@ -40,13 +40,13 @@
             await server.open()
             return cls(server)
 
-        async def on_role_change(is_master: bool) -> None:
+        async def on_mastership_change(is_master: bool) -> None:
             if is_master:
                 await server.open()
             else:
                 await server.close(settings.command_timeout)
 
-        carrier = VrrpCarrier(config.vrrp, on_role_change)
+        carrier = VrrpCarrier(config.vrrp, on_mastership_change)
         await carrier.start()
         return cls(server, carrier)
 
--- a/cleatyoke/process/hold_file.py
+++ b/cleatyoke/process/hold_file.py
@@ -22,9 +22,10 @@
 class HoldFile:
     """Applies holds and releases here, and exchanges them with the other process of this front.
 
-    A change is made under a lock on a second file: the other process's changes are read first, then the
-    change is made, and the whole set is written anew. The event loop polls the file for changes by the other
-    process. A file that cannot be read or written is logged, and the change holds in this process only.
+    A change by an operator here is made under a lock on a second file: the other process's changes are read
+    first, then the change is made, and the whole set is written anew. ``apply_remote`` only writes the whole
+    set, without that lock. The event loop polls the file for changes by the other process. A file that
+    cannot be read or written is logged, and the change holds in this process only.
     """
 
     def __init__(self, folder: Path, directory: Directory, core: Core, faults: Faults) -> None:
--- a/cleatyoke/process/lifecycle.py
+++ b/cleatyoke/process/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of the process as a state machine, without I/O or a clock.
+"""The stages of the process, from start to exit, as a state machine, without I/O or a clock.
 
     stage      leaves it when                                          step given to the caller
     STARTING   the start has succeeded                                 none
--- a/cleatyoke/process/metrics.py
+++ b/cleatyoke/process/metrics.py
@@ -23,7 +23,10 @@
 
 
 class Metrics:
-    """Counted since the start of the process. Written on the event loop; read as a copy from any thread."""
+    """Counted since the start of the process.
+
+    Written on the event loop and read from any thread; readers copy a dict before they iterate over it.
+    """
 
     def __init__(self) -> None:
         self.answers: dict[str, defaultdict[str, int]] = {name: defaultdict(int) for name in OUTCOMES}
--- a/cleatyoke/sftp/volume_paths.py
+++ b/cleatyoke/sftp/volume_paths.py
@@ -1,4 +1,4 @@
-"""Which volume a path of the file front belongs to, and the directories above the volumes."""
+"""Which volume a path of the file service belongs to, and the directories above the volumes."""
 
 from __future__ import annotations
 
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -775,7 +775,7 @@
             classes=self.classes,
             plans=self.plans,
         )
-        self.writes = merge_changes_data(old=self.writes, had=had, classes=self.classes, new=writes)
+        self.writes = merge_changes_data(old=self.writes, old_indexes=had, classes=self.classes, new=writes)
         places = [[name, place] for name, place in self.classes.indexes.items()]
         plans = [[name, place] for name, place in self.plans.indexes.items()]
         gone = [sorted(self.classes.retired_indexes()), sorted(self.plans.retired_indexes())]
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -26,14 +26,14 @@
 from cleatyoke.coordination.replicated_holds import HoldSet
 from cleatyoke.coordination.hold_replication import HoldReplication
 from cleatyoke.membership.wire import MemberId
-from cleatyoke.fleet.hold_sharing import HOLDS_FILE
+from cleatyoke.fleet.hold_sharing import REPLICATED_HOLDS_FILE
 from cleatyoke.process.hold_file import HoldFile
 from cleatyoke.process.sibling_processes import SiblingProcesses
 from tests import driven_front
 
 CHECK_MODULE = "cleatyoke.durability"
 DURABLE_FILES = FILE_NAMES
-COPIES_FILE = HOLDS_FILE
+COPIES_FILE = REPLICATED_HOLDS_FILE
 LANE_TITLES = {Lane.NODES: "nodes first", Lane.SETTINGS: "settings"}
 
 Neutral = dict[str, Any]
