--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -25,8 +25,8 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it, it would end the process
     configure_logging()
     try:
-        fronts = read_arguments(arguments)
-        status = asyncio.run(run(read_config(os.environ, fronts), fronts))
+        fronts_file = read_arguments(arguments)
+        status = asyncio.run(run(read_config(os.environ, fronts_file), fronts_file))
     except ConfigError as error:
         print(f"cleatyoke: {error}", file=sys.stderr)
         status = ExitStatus.START_FAILED
--- a/cleatyoke/admin/control.py
+++ b/cleatyoke/admin/control.py
@@ -34,8 +34,8 @@
 class FrontsHolding(NamedTuple):
     """How many of the fleet's fronts have applied a hold or a release."""
 
-    applied: int
-    fronts: int
+    confirmed: int
+    front_count: int
 
 
 @dataclass(slots=True)
@@ -101,8 +101,8 @@
     if not act(server_id):
         return [f"FAILURE no server {server_id}"]
     if commands.fronts_holding:
-        applied, fronts = commands.fronts_holding(server_id, is_hold)
-        return [f"{SUCCESS} at {applied} of {fronts} fronts"]
+        confirmed, front_count = commands.fronts_holding(server_id, is_hold)
+        return [f"{SUCCESS} at {confirmed} of {front_count} fronts"]
     return [SUCCESS]
 
 
--- a/cleatyoke/admin/prometheus.py
+++ b/cleatyoke/admin/prometheus.py
@@ -43,6 +43,7 @@
         metrics = self.metrics
         yield self._requests()
         listed, down = self.node_counts()
+        # Interface words: boxes and hosts are nodes, "taken" is accepted, "turned down" rejected.
         for name, text, count in (
             ("backend_calls", "Attempts written whole to boxes", metrics.backend_calls),
             ("reconfig_ok", "Files taken at SIGHUP", metrics.reloads_applied),
--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -182,35 +182,35 @@
         )
 
 
-def _keep_own(settings: Any) -> Any:
+def use_file_settings(settings: Any) -> Any:
     """Return the file's settings themselves."""
     return settings
 
 
 def read_config(
     environment: Mapping[str, str],
-    fronts: Path = FRONTS_FILE,
-    settings: Callable[[Any], Any] = _keep_own,
+    fronts_file: Path = FRONTS_FILE,
+    override_settings: Callable[[Any], Any] = use_file_settings,
 ) -> Config:
     """Read the whole configuration. Raises ``ConfigError``.
 
     RELAY_* variables of the environment win over the same keys of the JSON file that RELAY_CONFIG names.
-    ``settings`` maps the file's settings to those in force, where others were distributed.
+    ``override_settings`` maps the file's settings to those in force, where others were distributed.
     """
     values = _read_json_file(environment.get("RELAY_CONFIG", ""))
-    values = {**values, "settings": settings(values.get("settings"))}
+    values = {**values, "settings": override_settings(values.get("settings"))}
     root = TableReader(values, "")
     seed = _read_seed(root)
     facts = root.table("settings")
     index_by_name = read_names(facts)
-    fronts_file = read_fronts_file(fronts, index_by_name.classes, index_by_name.plans)
+    fronts_tables = read_fronts_file(fronts_file, index_by_name.classes, index_by_name.plans)
     sockets = root.table("limits", {}).integer("sockets", 2 * RESERVED_SOCKETS, 1 << 20, DEFAULT_SOCKETS)
     name = environment.get("RELAY_NAME") or root.text("name")
     listen = _read_address(root, environment, "RELAY_LISTEN", "listen")
     discovery = _read_address(root, environment, "RELAY_DISCOVERY", "discovery")
     # An address that no file can state: the file has none, and RELAY_DISCOVERY names discovery.
     discovery_in_file = root.address("discovery") if "discovery" in values else Address("", 0)
-    cached_endpoints = root.get("known", {})
+    cached_endpoints = root.get("known", {})  # {}: no list is known
     scheduler_settings = read_settings(facts.values, seed)
     memory_bytes = body_memory_bytes(root.table("limits", {}).number("memory_mb", 0.0))
     front_settings = read_front_settings(facts)
@@ -220,7 +220,7 @@
         discovery=discovery,
         discovery_in_file=discovery_in_file,
         seed=seed,
-        socket_budget=SocketBudget.divide(sockets, fronts_file.sftp is not None),
+        socket_budget=SocketBudget.divide(sockets, fronts_tables.sftp is not None),
         cached_endpoints=cached_endpoints,
         settings=scheduler_settings,
         classes=index_by_name.classes,
@@ -233,11 +233,11 @@
         connect_timeout=front_settings.connect_timeout,
         idle_timeout=front_settings.idle_timeout,
         drain_grace=front_settings.drain_grace,
-        sftp=fronts_file.sftp,
-        vrrp=fronts_file.vrrp,
-        fleet=fronts_file.fleet,
-        distribution=fronts_file.distribution,
-        metrics_address=fronts_file.metrics,
+        sftp=fronts_tables.sftp,
+        vrrp=fronts_tables.vrrp,
+        fleet=fronts_tables.fleet,
+        distribution=fronts_tables.distribution,
+        metrics_address=fronts_tables.metrics,
         accept_fd=_read_descriptor(environment.get("RELAY_ACCEPT_FD")),
         control_address=_read_control_address(root, environment),
         state_dir=Path(environment.get("TMPDIR") or "/tmp"),
--- a/cleatyoke/distribution/subscription.py
+++ b/cleatyoke/distribution/subscription.py
@@ -39,21 +39,26 @@
 
     def __init__(  # noqa: PLR0913 (settings, identity and collaborators of the one owner)
         self,
-        relays: DistributionSettings,
+        distribution_settings: DistributionSettings,
         name: str,
         seed: int,
         faults: Faults,
         apply_settings: Callable[[DistributedSettings], str],
         notify_nodes: Callable[[EndpointList], None],
     ) -> None:
-        tiers = [[str(one) for one in tier] for tier in (relays.relays, relays.other_relays) if tier]
+        tiers = [
+            [str(one) for one in tier]
+            for tier in (distribution_settings.relays, distribution_settings.other_relays)
+            if tier
+        ]
         timing = SubscriberTiming(
-            poll_interval=relays.poll_interval, bytes_per_second=relays.max_bytes_per_second
+            poll_interval=distribution_settings.poll_interval,
+            bytes_per_second=distribution_settings.max_bytes_per_second,
         )
         rng = random.Random(f"distribution:{seed}:{name}")
-        self.subscriber = Subscriber(relays.deployment, name, tiers, rng, timing)
+        self.subscriber = Subscriber(distribution_settings.deployment, name, tiers, rng, timing)
         self.status = SubscriptionStatus(self.subscriber)
-        self.uses_nodes = relays.watches_nodes
+        self.uses_nodes = distribution_settings.watches_nodes
         self.apply_settings = apply_settings
         self.notify_nodes = notify_nodes
         self.settings = DistributedSettings()
--- a/cleatyoke/fleet/hold_sharing.py
+++ b/cleatyoke/fleet/hold_sharing.py
@@ -31,7 +31,7 @@
     """How far a hold or its release has come."""
 
     confirmed: int  # fronts that are known to have it, this one included
-    fronts: int  # that may be up
+    front_count: int  # that may be up
 
 
 def wait_until_replicated(view: FleetView, node_name: str, *, is_held: bool, timeout: float) -> HoldSpread:
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -34,16 +34,18 @@
         self.staged_start = StagedStart(now, LeaseTerms().lender_expiry(now))
 
     async def restore_durable_state(
-        self, peers: FleetSettings, name: str, faults: Faults
+        self, fleet_settings: FleetSettings, name: str, faults: Faults
     ) -> DurableState | None:
         """Wait for the front's durable state; None where none is kept.
 
         After the bound it is returned while it is still being read.
         """
-        if peers.durable_folder is None:
+        if fleet_settings.durable_folder is None:
             await self._wait_for(StartStage.DISK, _evidence("none kept"))
             return None
-        durable_state = DurableState(peers.durable_folder, f"{peers.deployment}/{name}", faults)
+        durable_state = DurableState(
+            fleet_settings.durable_folder, f"{fleet_settings.deployment}/{name}", faults
+        )
         await self._wait_for(StartStage.DISK, durable_state.wait_until_restored())
         return durable_state
 
--- a/cleatyoke/fleet/status.py
+++ b/cleatyoke/fleet/status.py
@@ -24,6 +24,7 @@
     membership = view.membership
     conclusion = view.conclusion()
     own = membership.own_update()
+    # Interface words: ``me`` is this front, ``life`` a member; ``alone``: nobody else holds its address.
     place = "alone" if own.owns_address else "beside"
     lines = [
         f"fleet.me {own.id.name} {own.id.boot} {own.incarnation} {own.address} {place}",
--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -49,7 +49,7 @@
 class Daemon:
     """The parts of one process. Made on the running loop, whose signal handlers it sets."""
 
-    def __init__(self, config: Config, fronts: Path) -> None:
+    def __init__(self, config: Config, fronts_file: Path) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.lifecycle = Lifecycle(self.shutdown_deadlines())
@@ -81,7 +81,7 @@
             own_agent=not config.settings.watches_endpoints,
             drain_grace=config.drain_grace,
         )
-        self.reloader = Reloader(config, fronts, self.metrics, self._on_reloaded)
+        self.reloader = Reloader(config, fronts_file, self.metrics, self._on_reloaded)
         self.file_service = FileService()
         self.control: ControlListener | None = None
         self.metrics_listener: MetricsListener | None = None
@@ -206,6 +206,7 @@
         log.info("leaving", open=len(self.core.pending))
         self.http_server.begin_shutdown(self._seconds_until_answers_due())
         await self._shut_down()
+        # ``down`` is not counted at the exit: it is always 0 in this line.
         stat_lines = self.metrics.stat_lines(list(self.config.classes), len(self.directory.instances), 0)
         log.info("left", faults=self.metrics.faults, figures=" ".join(stat_lines))
         self.lifecycle.finish()
@@ -261,12 +262,12 @@
                     release()
 
 
-async def run(config: Config, fronts: Path = FRONTS_FILE) -> ExitStatus:
+async def run(config: Config, fronts_file: Path = FRONTS_FILE) -> ExitStatus:
     """Run one process from its start to its end.
 
     A fault at the start is a ``ConfigError``; a later one is reported and ends the process with status FAULT.
     """
-    daemon = Daemon(config, fronts)
+    daemon = Daemon(config, fronts_file)
     try:
         await daemon.start()
     except ConfigError:
--- a/cleatyoke/process/optional_parts.py
+++ b/cleatyoke/process/optional_parts.py
@@ -32,7 +32,7 @@
     return probes
 
 
-def subscribe(daemon: Daemon, relays: DistributionSettings) -> Subscription:
+def subscribe(daemon: Daemon, distribution_settings: DistributionSettings) -> Subscription:
     """Start to receive distributed configuration. Serving waits for none of it."""
     try:
         from cleatyoke.distribution.subscription import Subscription
@@ -41,7 +41,7 @@
         raise ConfigError(msg) from error
     config = daemon.config
     subscription = Subscription(
-        relays,
+        distribution_settings,
         config.name,
         config.seed,
         daemon.faults,
@@ -68,7 +68,7 @@
         raise ConfigError(msg) from error
 
 
-async def start_fleet_view(daemon: Daemon, peers: FleetSettings) -> None:
+async def start_fleet_view(daemon: Daemon, fleet_settings: FleetSettings) -> None:
     """Go through what a front of a fleet waits for before it accepts clients, each within a bound.
 
     These are its own durable state, the view of its peers, and the endpoint list
@@ -83,13 +83,15 @@
         nodes = daemon.directory.instances
         staged_start = StagedStartRunner()
         daemon.staged_start = staged_start
-        state = await staged_start.restore_durable_state(peers, config.name, daemon.faults)
+        state = await staged_start.restore_durable_state(fleet_settings, config.name, daemon.faults)
         boot = state.state.boot_number if state else 0
-        view = FleetView(peers, config.name, config.settings.front_count, config.seed, daemon.faults, boot)
+        view = FleetView(
+            fleet_settings, config.name, config.settings.front_count, config.seed, daemon.faults, boot
+        )
         if state:
             state.attach(view)
         view.replicate_holds(daemon.hold_file, config.state_dir)
-        if peers.leases_rate_limits or peers.leases_slow_start:
+        if fleet_settings.leases_rate_limits or fleet_settings.leases_slow_start:
             view.start_leasing(daemon.core, lambda node: nodes[node].name if node in nodes else None)
         view.announce_settings(config.settings)
         await view.start()
--- a/cleatyoke/process/reloading.py
+++ b/cleatyoke/process/reloading.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from cleatyoke.config.deployment import Config, ReloadResult, read_config
+from cleatyoke.config.deployment import Config, ReloadResult, read_config, use_file_settings
 from cleatyoke.process.metrics import Metrics
 
 if TYPE_CHECKING:
@@ -26,13 +26,13 @@
     """
 
     def __init__(
-        self, config: Config, fronts: Path, metrics: Metrics, on_reloaded: Callable[[ReloadResult], None]
+        self, config: Config, fronts_file: Path, metrics: Metrics, on_reloaded: Callable[[ReloadResult], None]
     ) -> None:
         self.config = config
-        self.fronts = fronts
+        self.fronts_file = fronts_file
         self.metrics = metrics
         self.on_reloaded = on_reloaded
-        self._settings_in_force: Callable[[Any], Any] = _keep_own  # given the file's settings
+        self._settings_in_force: Callable[[Any], Any] = use_file_settings  # given the file's settings
 
     def reload(self) -> None:
         """Read the file again, at SIGHUP."""
@@ -46,9 +46,9 @@
             self._settings_in_force = settings.merged
         return reason
 
-    def _apply(self, settings: Callable[[Any], Any]) -> str:
+    def _apply(self, override_settings: Callable[[Any], Any]) -> str:
         try:
-            result = self.config.reload(read_config(os.environ, self.fronts, settings))
+            result = self.config.reload(read_config(os.environ, self.fronts_file, override_settings))
         except Exception as error:  # noqa: BLE001  the file can contain anything, and must not end the front
             self.metrics.reloads_rejected += 1
             return str(error) or type(error).__name__
@@ -63,7 +63,3 @@
         )
         self.on_reloaded(result)
         return ""
-
-
-def _keep_own(settings: Any) -> Any:
-    return settings
--- a/cleatyoke/simulator.py
+++ b/cleatyoke/simulator.py
@@ -109,21 +109,21 @@
     raise MalformedBatchError(msg)
 
 
-def write_action(head: int, action: SchedulerAction) -> dict[str, Any]:
-    """Translate an action of the instance ``head``."""
+def write_action(instance_id: int, action: SchedulerAction) -> dict[str, Any]:
+    """Translate an action of the instance ``instance_id``."""
     match action:
         case SendAttempt(request_id, node_id):
-            return {"type": "ROUTE", "Head": head, "Req": request_id, "Shelf": node_id}
+            return {"type": "ROUTE", "Head": instance_id, "Req": request_id, "Shelf": node_id}
         case Reject(request_id, retry_after):
-            return {"type": "SAY_NO", "Head": head, "Req": request_id, "WaitS": retry_after}
+            return {"type": "SAY_NO", "Head": instance_id, "Req": request_id, "WaitS": retry_after}
         case FailRequest(request_id):
-            return {"type": "SURRENDER", "Head": head, "Req": request_id}
+            return {"type": "SURRENDER", "Head": instance_id, "Req": request_id}
         case CancelAttempt(request_id, attempt):
-            return {"type": "DROP_ATTEMPT", "Head": head, "Req": request_id, "Shot": attempt}
+            return {"type": "DROP_ATTEMPT", "Head": instance_id, "Req": request_id, "Shot": attempt}
         case SetTimer(delay, token):
-            return {"type": "TIMER", "Head": head, "AfterS": delay, "Ref": token}
+            return {"type": "TIMER", "Head": instance_id, "AfterS": delay, "Ref": token}
         case WatchEndpoints():
-            return {"type": "WATCH", "Head": head, "On": True}
+            return {"type": "WATCH", "Head": instance_id, "On": True}
 
 
 Pending = dict[int, list[SchedulerEvent]]  # by instance, its events of a batch
@@ -153,8 +153,8 @@
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
             msg = f"malformed batch: {type(error).__name__}: {error}"
             raise MalformedBatchError(msg) from error
-        for head, events in pending.items():
-            self._step(head, events, steps)
+        for instance_id, events in pending.items():
+            self._step(instance_id, events, steps)
         return {"round": number, "steps": steps}
 
     def _read(self, event: dict[str, Any], pending: Pending) -> None:
@@ -163,76 +163,79 @@
         if kind == "CATALOG":
             self.lists[event["Slot"]] = [read_entry(entry) for entry in event["Elements"]]
             return
-        head = event["Head"]
+        instance_id = event["Head"]
         if kind == "BORN":
-            self._start(head, event)
-            pending[head] = []
+            self._start(instance_id, event)
+            pending[instance_id] = []
         elif kind == "SHUTDOWN":
-            pending.pop(head, None)
-            self.schedulers.pop(head, None)
-            self.probers.pop(head, None)
+            pending.pop(instance_id, None)
+            self.schedulers.pop(instance_id, None)
+            self.probers.pop(instance_id, None)
         elif kind == "HEALTH":
-            self._read_probe(head, event, pending)
+            self._read_probe(instance_id, event, pending)
         elif kind == "BELL" and event["Ref"] == PROBE_TIMER_TOKEN:
-            pending.setdefault(head, [])
+            pending.setdefault(instance_id, [])
         elif kind not in IGNORED_EVENTS:
-            self._read_for_scheduler(head, event, pending)
+            self._read_for_scheduler(instance_id, event, pending)
 
-    def _start(self, head: int, event: dict[str, Any]) -> None:
+    def _start(self, instance_id: int, event: dict[str, Any]) -> None:
         settings = read_settings(event["Facts"], event["RngSeed"])
-        self.schedulers[head] = Scheduler(settings)
-        self.probe_timers.pop(head, None)
-        self.probers.pop(head, None)
+        self.schedulers[instance_id] = Scheduler(settings)
+        self.probe_timers.pop(instance_id, None)
+        self.probers.pop(instance_id, None)
         if settings.load_by_probes:
-            self.probers[head] = LoadProber(
+            self.probers[instance_id] = LoadProber(
                 settings.front_count, settings.safety.slow_start_duration, settings.seed
             )
-        self.load_fields[head] = (event["Facts"].get("Report") or {}).get("Fields") or []
+        self.load_fields[instance_id] = (event["Facts"].get("Report") or {}).get("Fields") or []
 
-    def _read_probe(self, head: int, event: dict[str, Any], pending: Pending) -> None:
+    def _read_probe(self, instance_id: int, event: dict[str, Any], pending: Pending) -> None:
         """Take in the answer to a load probe."""
-        prober = self.probers.get(head)
+        prober = self.probers.get(instance_id)
         if prober is None:
             return
-        reported = self._utilization(head, event) if event["Disposition"] == "completed" else None
+        reported = self._utilization(instance_id, event) if event["Disposition"] == "completed" else None
         prober.on_report(event["Shelf"], self.now, reported)
-        pending.setdefault(head, []).append(UtilizationReported(prober.utilization(self.now)))
+        pending.setdefault(instance_id, []).append(UtilizationReported(prober.utilization(self.now)))
 
-    def _read_for_scheduler(self, head: int, event: dict[str, Any], pending: Pending) -> None:
+    def _read_for_scheduler(self, instance_id: int, event: dict[str, Any], pending: Pending) -> None:
         translated = read_event(event["type"], event, self.lists)
         if isinstance(translated, AttemptFinished):
-            translated.utilization = self._utilization(head, event)
-        if isinstance(translated, EndpointUpdate) and head in self.probers:
-            self.probers[head].on_endpoints(translated)
-        if head in self.schedulers:
-            pending.setdefault(head, []).append(translated)
+            translated.utilization = self._utilization(instance_id, event)
+        if isinstance(translated, EndpointUpdate) and instance_id in self.probers:
+            self.probers[instance_id].on_endpoints(translated)
+        if instance_id in self.schedulers:
+            pending.setdefault(instance_id, []).append(translated)
 
-    def _utilization(self, head: int, event: dict[str, Any]) -> float | None:
+    def _utilization(self, instance_id: int, event: dict[str, Any]) -> float | None:
         """Fraction of its capacity in use that a node reports, by whatever name this site has for it."""
-        report = dict(zip(self.load_fields.get(head, []), event.get("HealthInfo") or []))
+        report = dict(zip(self.load_fields.get(instance_id, []), event.get("HealthInfo") or []))
         return next((report[name] for name in LOAD_FIELDS if name in report), None)
 
-    def _step(self, head: int, events: list[SchedulerEvent], steps: list[dict[str, Any]]) -> None:
+    def _step(self, instance_id: int, events: list[SchedulerEvent], steps: list[dict[str, Any]]) -> None:
         """Let one instance decide on its events of the batch."""
         try:
-            actions = self.schedulers[head].step(self.now, events)
+            actions = self.schedulers[instance_id].step(self.now, events)
         except Exception as error:  # noqa: BLE001 - any fault of the scheduler is reported on the wire
-            steps.append({"type": "INTERNAL_ERROR", "Head": head, "Msg": f"{type(error).__name__}: {error}"})
+            steps.append(
+                {"type": "INTERNAL_ERROR", "Head": instance_id, "Msg": f"{type(error).__name__}: {error}"}
+            )
             return
-        steps.extend(write_action(head, action) for action in actions)
-        if head in self.probers:
-            self._probe(head, steps)
+        steps.extend(write_action(instance_id, action) for action in actions)
+        if instance_id in self.probers:
+            self._probe(instance_id, steps)
 
-    def _probe(self, head: int, steps: list[dict[str, Any]]) -> None:
+    def _probe(self, instance_id: int, steps: list[dict[str, Any]]) -> None:
         """Send the probes that are due, and set the timer for the next one."""
-        prober, now = self.probers[head], self.now
+        prober, now = self.probers[instance_id], self.now
         while (node_id := prober.step(now)) is not None:
-            steps.append({"type": "TOUCH", "Head": head, "Shelf": node_id})
+            steps.append({"type": "TOUCH", "Head": instance_id, "Shelf": node_id})
         due = prober.next_at(now)
-        if due < math.inf and not now < self.probe_timers.get(head, -math.inf) <= due:
-            self.probe_timers[head] = due
+        timer_is_pending = now < self.probe_timers.get(instance_id, -math.inf) <= due
+        if due < math.inf and not timer_is_pending:
+            self.probe_timers[instance_id] = due
             delay = max(0.0, due - now)
-            steps.append({"type": "TIMER", "Head": head, "AfterS": delay, "Ref": PROBE_TIMER_TOKEN})
+            steps.append({"type": "TIMER", "Head": instance_id, "AfterS": delay, "Ref": PROBE_TIMER_TOKEN})
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
