--- a/cleatyoke/config/reload.py
+++ b/cleatyoke/config/reload.py
@@ -46,7 +46,7 @@
         values = [*old, *[None] * (len(self.all_indexes) - len(old))]
         for index, value in zip(self.indexes.values(), new):
             values[index] = value
-        # None stays only where neither list has a value for an index, as where a list is empty.
+        # Each index has an old or a new value; the filter only tells the type checker so.
         return [value for value in values if value is not None]
 
 
--- a/cleatyoke/config/socket_budget.py
+++ b/cleatyoke/config/socket_budget.py
@@ -10,6 +10,7 @@
 RESERVED_SOCKETS = 56  # listeners, log, two discovery connections, files, connections that are being closed
 MAX_FILE_SESSIONS = 32
 _SOCKETS_OF_A_FILE_SESSION = 3  # the client's connection; to backends, one in use and an idle one
+_BUDGET_FOR_A_FILE_SESSION = 12  # sockets; as a session uses 3, the file service has a quarter at most
 _BODY_MEMORY_FRACTION = 0.45  # of the memory that the front may use
 _MIN_BODY_MEMORY_BYTES = 4 * 1024 * 1024
 
@@ -23,14 +24,17 @@
     """
 
     clients: int
-    max_idle_clients: int  # while more are idle, each is closed with its answer; half of the usual clients
+    max_idle_clients: (
+        int  # while more are idle, each is closed with its answer; a third of ``clients`` or more
+    )
     backends: int
     file_sessions: int  # 0 where the file service is off
 
     @classmethod
     def divide(cls, sockets: int, with_files: bool) -> SocketBudget:
         """Divide the descriptors that the process may open, with or without the file service."""
-        file_sessions = min(MAX_FILE_SESSIONS, (sockets - RESERVED_SOCKETS) // 12) if with_files else 0
+        most_sessions = (sockets - RESERVED_SOCKETS) // _BUDGET_FOR_A_FILE_SESSION
+        file_sessions = min(MAX_FILE_SESSIONS, most_sessions) if with_files else 0
         file_sockets = _SOCKETS_OF_A_FILE_SESSION * file_sessions
         half = (sockets - RESERVED_SOCKETS - file_sockets) // 2
         return cls(clients=half, max_idle_clients=sockets // 6, backends=half, file_sessions=file_sessions)
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -83,6 +83,7 @@
         self.membership = _make_membership(settings, name, boot, seed)
         self.hold_replication = HoldReplication(lambda: self.membership.id)
         self.membership.store = self.hold_replication
+        # "rights" is only a part of the seed: another word would change the draws.
         self.quota_leases = QuotaLeases(self.loop.time(), random.Random(f"rights:{seed}:{name}:{boot}"))
         self.lease_trading = LeaseTrading(self.quota_leases, self.membership, self.perform)
         self.dropped: Counter[str] = Counter()  # messages that were not accepted or sent, by reason
--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -78,6 +78,7 @@
             config.settings.front_count,
             config.seed,
             self.faults,
+            # Without a watch, an agent that serves this front alone is polled.
             own_agent=not config.settings.watches_endpoints,
             drain_grace=config.drain_grace,
         )
@@ -217,8 +218,11 @@
     async def _shut_down(self) -> None:
         """Carry out each step of the lifecycle when it is due, whatever fault another step had."""
         while True:
-            sessions = self._file_service_sessions()
-            for step in self.lifecycle.step(self.loop.time(), self.http_server.open_connections(), sessions):
+            is_closing = self._file_service_is_closing()
+            steps = self.lifecycle.step(
+                self.loop.time(), self.http_server.open_connections(), file_service_is_closing=is_closing
+            )
+            for step in steps:
                 with self.faults.contain(step.value):
                     self._carry_out(step)
             if self.lifecycle.stage is Stage.CLOSING:
@@ -226,9 +230,8 @@
             seconds = max(0.0, self.lifecycle.next_step_at() - self.loop.time())
             await asyncio.sleep(min(DRAIN_POLL_INTERVAL, seconds))
 
-    def _file_service_sessions(self) -> int:
-        """Return 1 while the file service is closing, however many sessions it has, and 0 otherwise."""
-        return int(self._file_service_closing is not None and not self._file_service_closing.done())
+    def _file_service_is_closing(self) -> bool:
+        return self._file_service_closing is not None and not self._file_service_closing.done()
 
     def _carry_out(self, step: ShutdownStep) -> None:
         match step:
--- a/cleatyoke/process/lifecycle.py
+++ b/cleatyoke/process/lifecycle.py
@@ -118,15 +118,15 @@
             return math.inf
         return self.shutdown_requested_at + self.deadlines.answers_due
 
-    def step(self, now: float, connections: int, files: int) -> list[ShutdownStep]:
-        """Return the steps that are due, each once; the counts are those still open."""
+    def step(self, now: float, connections: int, *, file_service_is_closing: bool) -> list[ShutdownStep]:
+        """Return the steps that are due, each once; ``connections``: those still open."""
         if self.shutdown_requested_at is None:
             return []
         elapsed = now - self.shutdown_requested_at
         if self.stage is Stage.ACCEPTING:
             return self._step_accepting(elapsed)
         if self.stage is Stage.DRAINING:
-            return self._step_draining(elapsed, connections + files)
+            return self._step_draining(elapsed, has_open=connections > 0 or file_service_is_closing)
         return []
 
     def _step_accepting(self, elapsed: float) -> list[ShutdownStep]:
@@ -139,11 +139,11 @@
             steps.append(ShutdownStep.STOP_ACCEPTING)
         return steps
 
-    def _step_draining(self, elapsed: float, open_count: int) -> list[ShutdownStep]:
-        if open_count and elapsed < self.deadlines.answers_due:
+    def _step_draining(self, elapsed: float, *, has_open: bool) -> list[ShutdownStep]:
+        if has_open and elapsed < self.deadlines.answers_due:
             return []
         self.stage = Stage.CLOSING
-        if open_count:
+        if has_open:
             return [ShutdownStep.REPORT_UNANSWERED, ShutdownStep.RELEASE_RESOURCES]
         return [ShutdownStep.RELEASE_RESOURCES]
 
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -578,7 +578,9 @@
 
     def step(self, now: float, connections: int, files: int) -> Neutral:
         """What is to be done."""
-        return [ORDERS[order] for order in self.life.step(now, connections, files)]
+        return [
+            ORDERS[order] for order in self.life.step(now, connections, file_service_is_closing=bool(files))
+        ]
 
     def released(self) -> None:
         """Everything is given back."""
