--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from cleatyoke import BEGAN
+from cleatyoke import PROCESS_STARTED_AT
 from cleatyoke.admin.control import ControlListener
 from cleatyoke.config.deployment import Config, ReloadResult
 from cleatyoke.config.errors import ConfigError
@@ -49,7 +49,7 @@
 class Daemon:
     """The parts of one process. Made on the running loop, whose signal handlers it sets."""
 
-    def __init__(self, config: Config, fronts: Path) -> None:
+    def __init__(self, config: Config, fronts_file: Path) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.lifecycle = Lifecycle(self.shutdown_deadlines())
@@ -60,7 +60,7 @@
         self.faults = Faults(self.metrics)
         self.faults.watch_loop(self.loop)
         # First, so that an older process of this front sees this one as early as possible.
-        self.siblings = SiblingProcesses(config.state_dir, config.settings, self.faults, BEGAN)
+        self.siblings = SiblingProcesses(config.state_dir, config.settings, self.faults, PROCESS_STARTED_AT)
         self.core = Core(config.settings)
         self.directory = Directory(config.zones)
         self.backends = BackendPools(
@@ -78,10 +78,11 @@
             config.settings.front_count,
             config.seed,
             self.faults,
+            # Without a watch, an agent that serves this front alone is polled.
             own_agent=not config.settings.watches_endpoints,
             drain_grace=config.drain_grace,
         )
-        self.reloader = Reloader(config, fronts, self.metrics, self._on_reloaded)
+        self.reloader = Reloader(config, fronts_file, self.metrics, self._on_reloaded)
         self.file_service = FileService()
         self.control: ControlListener | None = None
         self.metrics_listener: MetricsListener | None = None
@@ -206,6 +207,7 @@
         log.info("leaving", open=len(self.core.pending))
         self.http_server.begin_shutdown(self._seconds_until_answers_due())
         await self._shut_down()
+        # ``down`` is not counted at the exit: it is always 0 in this line.
         stat_lines = self.metrics.stat_lines(list(self.config.classes), len(self.directory.instances), 0)
         log.info("left", faults=self.metrics.faults, figures=" ".join(stat_lines))
         self.lifecycle.finish()
@@ -216,8 +218,11 @@
     async def _shut_down(self) -> None:
         """Carry out each step of the lifecycle when it is due, whatever fault another step had."""
         while True:
-            sessions = self._file_service_sessions()
-            for step in self.lifecycle.step(self.loop.time(), self.http_server.open_connections(), sessions):
+            is_closing = self._file_service_is_closing()
+            steps = self.lifecycle.step(
+                self.loop.time(), self.http_server.open_connections(), file_service_is_closing=is_closing
+            )
+            for step in steps:
                 with self.faults.contain(step.value):
                     self._carry_out(step)
             if self.lifecycle.stage is Stage.CLOSING:
@@ -225,9 +230,8 @@
             seconds = max(0.0, self.lifecycle.next_step_at() - self.loop.time())
             await asyncio.sleep(min(DRAIN_POLL_INTERVAL, seconds))
 
-    def _file_service_sessions(self) -> int:
-        """Return 1 while the file service is closing, however many sessions it has, and 0 otherwise."""
-        return int(self._file_service_closing is not None and not self._file_service_closing.done())
+    def _file_service_is_closing(self) -> bool:
+        return self._file_service_closing is not None and not self._file_service_closing.done()
 
     def _carry_out(self, step: ShutdownStep) -> None:
         match step:
@@ -261,12 +265,12 @@
                     release()
 
 
-async def run(config: Config, fronts: Path = FRONTS_FILE) -> ExitStatus:
+async def run(config: Config, fronts_file: Path = FRONTS_FILE) -> ExitStatus:
     """Run one process from its start to its end.
 
     A fault at the start is a ``ConfigError``; a later one is reported and ends the process with status FAULT.
     """
-    daemon = Daemon(config, fronts)
+    daemon = Daemon(config, fronts_file)
     try:
         await daemon.start()
     except ConfigError:
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -578,7 +578,9 @@
 
     def step(self, now: float, connections: int, files: int) -> Neutral:
         """What is to be done."""
-        return [ORDERS[order] for order in self.life.step(now, connections, files)]
+        return [
+            ORDERS[order] for order in self.life.step(now, connections, file_service_is_closing=bool(files))
+        ]
 
     def released(self) -> None:
         """Everything is given back."""
@@ -775,7 +777,7 @@
             classes=self.classes,
             plans=self.plans,
         )
-        self.writes = merge_changes_data(old=self.writes, had=had, classes=self.classes, new=writes)
+        self.writes = merge_changes_data(old=self.writes, old_indexes=had, classes=self.classes, new=writes)
         places = [[name, place] for name, place in self.classes.indexes.items()]
         plans = [[name, place] for name, place in self.plans.indexes.items()]
         gone = [sorted(self.classes.retired_indexes()), sorted(self.plans.retired_indexes())]
