--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -112,6 +112,7 @@
         client, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         self.front.is_closing = True
         await self.wait_until(lambda: self.front.connections.closing)
+        await asyncio.sleep(0)  # the protocol hears of its end in the next turn of the loop
         assert self.front.open_connections() == 1
         assert client not in self.front.connections.clients
         await self.expect_answer_and_close(streams)
@@ -126,6 +127,7 @@
         _, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         self.front.is_closing = True
         await self.wait_until(lambda: self.front.connections.closing)
+        await asyncio.sleep(0)  # the protocol hears of its end in the next turn of the loop
         assert self.front.open_connections() == 1
         async with asyncio.timeout(0.5 * closing_module.CLOSE_TIMEOUT):
             while self.front.open_connections():
