--- a/cleatyoke/scheduling/actions.py
+++ b/cleatyoke/scheduling/actions.py
@@ -1,4 +1,4 @@
-"""Actions: everything that the scheduler tells its caller to do."""
+"""Actions that the scheduler returns for its caller to perform."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class SendAttempt:
     """Send an attempt to a node.
 
-    ``not_after``: time by which its first byte must be sent, as nodes discard the duplicate of a request with
-    an idempotency key only within a window; the caller checks it directly before that byte.
+    ``not_after``: time by which the first byte must be sent, since nodes discard duplicates of a request with
+    an idempotency key only within a window. The caller checks it directly before sending that byte.
     """
 
     request_id: str
@@ -23,9 +23,9 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected, a retry by the client is harmless, best after ``retry_after`` seconds.
+    """Final answer: rejected. The client may safely retry, preferably after ``retry_after`` seconds.
 
-    ``rule``: what delayed the request until waiting was useless, or forbids another attempt.
+    ``rule``: the rule that delayed the request until waiting became useless, or that forbids another attempt.
     """
 
     request_id: str
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, and the request may have taken effect. ``rule``: see ``Reject``."""
+    """Final answer: failed; the request may have been executed. ``rule``: see ``Reject``."""
 
     request_id: str
     rule: Rule | None = field(default=None, compare=False, repr=False)
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel an attempt in flight, by its number within the request."""
+    """Cancel an attempt in flight; ``attempt`` is its number within the request."""
 
     request_id: str
     attempt: int
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Call back with ``TimerFired`` after ``delay`` seconds; it replaces an earlier timer."""
+    """Deliver ``TimerFired`` after ``delay`` seconds; replaces an earlier timer."""
 
     delay: float
     token: int
--- a/cleatyoke/scheduling/endpoint_updates.py
+++ b/cleatyoke/scheduling/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""What a change of the endpoint list means for the scheduler's nodes."""
+"""Applies updates of the endpoint list to the scheduler's nodes."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from cleatyoke.scheduling.state import CONTROL_INTERVAL
 from cleatyoke.scheduling.timers import Poll
 
-# Polls in a poll interval while discovery does not answer: its return is seen early.
+# Polls per poll interval while discovery is unavailable, so that its recovery is noticed early.
 POLLS_WHILE_UNAVAILABLE = 4
 
 
 class EndpointUpdates:
-    """Add, remove and restart nodes as discovery lists them."""
+    """Adds, removes and restarts nodes according to the endpoint list."""
 
     def __init__(self, rules: Rules) -> None:
         self._state = rules.state
@@ -23,7 +23,7 @@
         self._rng = random.Random(rules.state.settings.seed)
 
     def apply(self, event: EndpointUpdate) -> None:
-        """Take in an update; where discovery does not answer, poll it again soon."""
+        """Apply an update; while discovery is unavailable, schedule an early poll instead."""
         state, slow_start = self._state, self._rules.slow_start
         if event.kind is UpdateKind.UNAVAILABLE:
             interval = state.safety.poll_interval or CONTROL_INTERVAL
@@ -33,9 +33,9 @@
             state.table.mark_not_live_except({endpoint.node_id for endpoint in event.endpoints})
         for endpoint in event.endpoints:
             self._apply_endpoint(endpoint)
-        for before in state.table.choose_holders(slow_start.is_warming):
-            state.nodes_to_offer.pop(before.id, None)
-        state.offer_all()  # where nothing is queued, a new holder has nothing to take
+        for previous_holder in state.table.choose_holders(slow_start.is_warming):
+            state.nodes_to_offer.pop(previous_holder.id, None)
+        state.offer_all()  # covers new holders: one has something to send only if a queue is not empty
 
     def _apply_endpoint(self, endpoint: Endpoint) -> None:
         state, table = self._state, self._state.table
@@ -47,7 +47,7 @@
         node = table.nodes[endpoint.node_id]
         table.set_live(node, live=endpoint.state is EndpointState.LIVE)
         if endpoint.started_at > node.started_at:
-            # In debt by chance, so that many fronts do not send as one.
+            # A random debt, so that the fronts do not all send to the new node at the same moment.
             debt = self._rng.random() * state.settings.mean_request_units
             node.started_at = endpoint.started_at
             self._rules.slow_start.begin(node, debt)
--- a/cleatyoke/scheduling/events.py
+++ b/cleatyoke/scheduling/events.py
@@ -1,4 +1,4 @@
-"""Events: everything that the scheduler is notified of. Times are seconds on the caller's clock."""
+"""Events that are passed to the scheduler. Times are seconds on the caller's clock."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
 
 
 class EndpointState(Enum):
-    """State of a node in the endpoint list; only a live one is sent requests."""
+    """State of a node in the endpoint list; only live nodes are sent requests."""
 
-    # The values are those of older releases; nothing reads them.
+    # The values are kept from older releases; no code reads them.
     LIVE = "live"
     DRAINING = "draining"
     REMOVED = "gone"
 
 
 class UpdateKind(Enum):
-    """How an endpoint update relates to the list that is known."""
+    """How an endpoint update relates to the current list."""
 
-    # The values are those of older releases; nothing reads them.
+    # The values are kept from older releases; no code reads them.
     DELTA = "changes"
     SNAPSHOT = "full"
     CACHED = "old_copy"  # a complete list that may be out of date
-    UNAVAILABLE = "lost"  # discovery does not answer
+    UNAVAILABLE = "lost"  # discovery is unavailable
 
 
 def decode_shard(number: int) -> int | None:
-    """Shard as the platform writes it (HTTP header, settings): ``-1`` is no shard."""
+    """Decode a shard number as the platform writes it (HTTP header, settings): ``-1`` means no shard."""
     return None if number == -1 else number
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """A node as discovery lists it. ``shard``: ``None`` where it holds none and takes new objects only."""
+    """A node as discovery lists it. ``shard``: ``None`` for a node that takes only new objects."""
 
     node_id: int
     shard: int | None
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """The endpoint list, or changes to it."""
+    """The endpoint list, changes to it, or the notice that discovery is unavailable."""
 
     kind: UpdateKind
     endpoints: list[Endpoint]
@@ -66,10 +66,10 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request to which exactly one final answer is now owed.
+    """A request has arrived; it must get exactly one final answer.
 
-    ``shard``: where its data lies, ``None`` for a new object that any node can take. ``units``: its size.
-    ``item``: the piece of data that it concerns. ``front_count``: fronts through which its volume is used.
+    ``shard``: where its data is stored, ``None`` for a new object, which any node can take. ``units``: its
+    size. ``item``: the data item that it concerns. ``front_count``: fronts through which its volume is used.
     """
 
     request_id: str
@@ -87,8 +87,8 @@
 class AttemptFinished:
     """An attempt has ended after ``elapsed`` seconds.
 
-    ``settled``: the scheduler must not decide on this request any more. ``units_by_others``: units that the
-    node says it has served the volume through other fronts since its last answer to this one.
+    ``settled``: the scheduler must not decide on this request any more. ``units_by_others``: units that, by
+    the node's report, it has served the volume through other fronts since its last answer to this front.
     ``utilization``: fraction of the node's capacity in use by all fronts, from its load report.
     """
 
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """No answer is owed any more: the client has disconnected, or the core has answered by itself."""
+    """The request needs no answer any more: the client has disconnected, or the core has answered it."""
 
     request_id: str
 
@@ -125,9 +125,9 @@
 
 @dataclass(slots=True)
 class QuotaShareChanged:
-    """The process may use ``fraction`` (1 at most) of its front's quotas from now on.
+    """From now on the process may use ``fraction`` (at most 1) of its front's quotas.
 
-    Other processes of the front, which run beside it, use the rest.
+    Other processes of the same front, which run at the same time, use the rest.
     """
 
     fraction: float
@@ -135,9 +135,9 @@
 
 @dataclass(slots=True)
 class QuotaLeaseChanged:
-    """The front's even share of a volume's rate limit counts ``multiplier`` times from now on.
+    """From now on the front's even share of a volume's rate limit is multiplied by ``multiplier``.
 
-    Fronts lease quota to each other; the sum over all fronts stays the whole limit.
+    Fronts lease quota to each other; the sum over all fronts stays equal to the limit.
     """
 
     volume_id: int
@@ -146,9 +146,9 @@
 
 @dataclass(slots=True)
 class SlowStartLeaseChanged:
-    """The front's even share of what a warming node bears counts ``multiplier`` times from now on.
+    """From now on the front's even share of a warming node's load limit is multiplied by ``multiplier``.
 
-    Fronts lease it to each other; the sum over all fronts stays the whole.
+    Fronts lease their shares to each other; the sum over all fronts stays equal to the node's limit.
     """
 
     node_id: int
@@ -160,7 +160,7 @@
     """New settings for requests that arrive from now on.
 
     Classes and plans keep their indexes; new ones are appended. ``retired_classes``: indexes of removed
-    classes, which requests in flight keep.
+    classes, which requests in flight still use.
     """
 
     settings: SchedulerSettings
--- a/cleatyoke/scheduling/records.py
+++ b/cleatyoke/scheduling/records.py
@@ -1,4 +1,4 @@
-"""Records of the scheduler: requests, nodes and volumes as this front knows them. No decisions."""
+"""Records of requests, nodes and volumes as this front knows them; decisions are made by the rules."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from cleatyoke.scheduling.settings import RequestClass
 from cleatyoke.scheduling.verdict import ALLOWED, Verdict
 
-MIN_UNITS = 1e-9  # units of a request that states none: sizes are divided by
+MIN_UNITS = 1e-9  # used for a request of 0 units, because sizes are divisors
 
 
 class Attempt(NamedTuple):
-    """An attempt that was sent, and when (seconds)."""
+    """An attempt that was sent; ``sent_at`` in seconds."""
 
     node: Node
     sent_at: float
 
 
 class Request:
-    """A request that is owed an answer, or has attempts in flight."""
+    """A request that has no final answer yet, or has attempts in flight."""
 
     __slots__ = (
         "arrival",
@@ -64,20 +64,20 @@
         self.deadline = arrival.deadline
         self.volume = volume
         self.front_count = front_count  # fronts through which the volume is used
-        self.identity = (arrival.volume_id, arrival.class_index, arrival.item)  # equal in a client's repeat
-        self.arrived_at = now  # of the first request that this one repeats
-        self.objective_at = math.inf  # until when an answer has its full value
+        self.identity = (arrival.volume_id, arrival.class_index, arrival.item)  # same in a client's retry
+        self.arrived_at = now  # for a retry by the client: arrival of its first request
+        self.objective_at = math.inf  # until then an answer has its full value
         self.order_key = arrival.item if request_class.ordered else None
-        self.reserved_units = 0.0  # of the latest attempt, sent on the volume's reserve
-        self.attempts = 0  # sent so far
+        self.reserved_units = 0.0  # units of the latest attempt that were charged to the volume's reserve
+        self.attempts = 0  # number sent so far
         self.is_closed = False
-        self.in_flight: dict[int, Attempt] = {}  # by number of the attempt
+        self.in_flight: dict[int, Attempt] = {}  # by attempt number
         self.may_have_executed: list[Attempt] = []
-        self.verdict: Verdict = ALLOWED  # of the latest check of the rules
+        self.verdict: Verdict = ALLOWED  # from the latest check of the rules
 
 
 class Node:
-    """A node as this front knows it; times in seconds, rates in units a second."""
+    """A node as this front knows it; times in seconds, rates in units per second."""
 
     __slots__ = (
         "class_demand",
@@ -118,30 +118,30 @@
         self.concurrency_limit = concurrency_limit
         self.in_flight_by_class = [0] * classes  # attempts by class
         self.class_slots = [1] * classes  # slots by class; idle nodes share one list
-        self.class_demand = [0.0] * classes  # seconds that requests were queued or in flight this interval
+        self.class_demand = [0.0] * classes  # seconds of queueing and flight in this interval
         self.queue_delay = queue_delay  # mean wait in the node's queue
-        self.service_time_per_unit: float | None = None  # of the lightest class; None: not known yet
-        self.surplus_rate = surplus_rate  # that a volume of weight 1 may send beyond its reserve
-        # Units that may be sent while warming; negative: debt. Drawn for all nodes, read only while the node
-        # warms up.
+        self.service_time_per_unit: float | None = None  # of the lightest class; None: unknown yet
+        self.surplus_rate = surplus_rate  # for a volume of weight 1, beyond its reserve
+        # Units that may be sent during warm-up; negative: debt. Charged for every node, but read only while
+        # the node warms up.
         self.slow_start = TokenBucket(0.0, 0.0)
-        self.slow_start_multiplier = 1.0  # on this front's even share of it, as fronts lease it
+        self.slow_start_multiplier = 1.0  # from leases between fronts, on this front's even share of it
         self.paused_until = 0.0
         self.consecutive_failures = 0
-        self.next_check_at = math.inf  # the timer that is set for it
-        self.served_units = 0.0  # in this control interval
+        self.next_check_at = math.inf  # when its timer fires
+        self.served_units = 0.0  # in the current control interval
         self.last_answer_at = 0.0
-        self.newest_answered_sent_at = 0.0  # when the newest of the answered attempts was sent
+        self.newest_answered_sent_at = 0.0  # latest send time among answered attempts
 
     def add_classes(self, count: int) -> None:
-        """Make room for so many new request classes."""
+        """Append ``count`` request classes."""
         self.in_flight_by_class += [0] * count
         self.class_slots = self.class_slots + [1] * count
         self.class_demand += [0.0] * count
 
 
 class RateByOthers(NamedTuple):
-    """Units a second that a volume has served through other fronts, and when it was reported."""
+    """Units per second that a volume is served through other fronts, and when it was reported."""
 
     rate: float
     reported_at: float
@@ -153,18 +153,18 @@
     __slots__ = ("lease_clock", "rate_limit", "reserve", "reserved_left", "surplus", "used_by_others")
 
     def __init__(self, reserve: TokenBucket, rate_limit: TokenBucket, multiplier: float = 1.0) -> None:
-        """``multiplier``: see ``QuotaLeaseMultipliers``; the time before counts by it too."""
+        """``multiplier``: see ``QuotaLeaseMultipliers``; it also applies to the time before the first use."""
         self.reserve = reserve
         self.rate_limit = rate_limit
-        self.lease_clock = QuotaClock(multiplier, rate_limit.filled_at)  # the time of the limit's bucket
-        self.lease_clock.counted = rate_limit.filled_at
+        self.lease_clock = QuotaClock(multiplier, rate_limit.filled_at)  # fills ``rate_limit``
+        self.lease_clock.virtual_time = rate_limit.filled_at
         self.used_by_others: dict[int | None, RateByOthers] = {}  # by shard
-        # By second of arrival: units within the reserve that are not served yet.
+        # By second of arrival: units within the reserve that have not been served yet.
         self.reserved_left: defaultdict[int, float] = defaultdict(float)
-        self.surplus: dict[int, TokenBucket] = {}  # by node: this volume's share of its surplus rate
+        self.surplus: dict[int, TokenBucket] = {}  # by node: this volume's share of the node's surplus rate
 
     def forget(self, oldest: float, forgotten_nodes: Iterable[Node]) -> None:
-        """Drop what was reserved for requests that came before ``oldest``, and buckets of forgotten nodes."""
+        """Drop the reserved units of arrivals before ``oldest``, and the buckets of forgotten nodes."""
         self.reserved_left = defaultdict(
             float, {second: units for second, units in self.reserved_left.items() if second >= oldest}
         )
@@ -173,5 +173,5 @@
 
 
 def reserved_units_left(request: Request) -> float:
-    """Units of the request that are within its volume's reserve and not served yet."""
+    """Return the request's units that are within its volume's reserve and have not been served yet."""
     return min(request.units, request.volume.reserved_left.get(int(request.arrived_at), 0.0))
--- a/cleatyoke/scheduling/request_lifecycle.py
+++ b/cleatyoke/scheduling/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of a request: its arrival, its one final answer, and when it is forgotten."""
+"""The lifecycle of a request: arrival, one final answer, and removal."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class RecentFailures:
-    """Recognize a client's repeat of a request that was not served.
+    """Recognizes a client's retry of a request that was not served.
 
-    A repeat belongs to its first request: that one's objective still runs, and its reserve is drawn. Symptom
-    without it: clients that repeat hard draw a volume's reserve once more with each repeat, and crowd out
-    others. It does harm to a new request for a piece of data just after a failed one.
+    A retry counts as its first request: it keeps that request's latency objective, and the reserve that was
+    drawn for it. Symptom without it: clients that retry aggressively draw a volume's reserve again with each
+    retry, and displace others. Drawback: a new request for an item just after a failed one counts as a retry.
     """
 
     def __init__(self, state: SchedulerState) -> None:
         self._state = state
-        self.by_identity: dict[tuple[int, int, int | None], tuple[float, float]] = {}  # arrived, failed
+        self.by_identity: dict[tuple[int, int, int | None], tuple[float, float]] = {}  # arrival, failure
 
-    def note(self, request: Request) -> None:
-        """Note a request that ends now without having been served."""
+    def record(self, request: Request) -> None:
+        """Record a request that is closed now without having been served."""
         if request.arrival.item is not None:
             self.by_identity[request.identity] = request.arrived_at, self._state.now
 
-    def link(self, request: Request) -> bool:
-        """Give the request the arrival of the one that it repeats; returns whether there is one."""
+    def inherit_arrival(self, request: Request) -> bool:
+        """Give a retry the arrival time of its first request; return whether the request is a retry."""
         failure = self.by_identity.pop(request.identity, None)
         if failure is None:
             return False
@@ -39,14 +39,14 @@
         return True
 
     def forget(self, oldest: float) -> None:
-        """Drop failures up to this time."""
+        """Drop failures up to ``oldest``."""
         self.by_identity = {
             identity: failure for identity, failure in self.by_identity.items() if failure[1] > oldest
         }
 
 
 class RequestLifecycle:
-    """Open and close requests. Each one has exactly one final answer, or its client has disconnected."""
+    """Opens and closes requests. Each gets exactly one final answer, unless its client disconnects."""
 
     def __init__(self, rules: Rules) -> None:
         self._state = rules.state
@@ -54,7 +54,7 @@
         self.recent_failures = RecentFailures(rules.state)
 
     def open(self, event: RequestArrived) -> None:
-        """Take in and queue a request that has arrived."""
+        """Queue a request that has arrived."""
         state, rules = self._state, self._rules
         rules.retry_budget.on_accepted()
         front_count = int(clamp(event.front_count, 1, state.front_count))
@@ -63,7 +63,7 @@
         request_class = state.settings.classes[event.class_index]
         request = Request(event, request_class, front_count, volume, state.now)
         state.requests[request.id] = request
-        if not self.recent_failures.link(request):
+        if not self.recent_failures.inherit_arrival(request):
             rules.reserves.draw(request)
         full_value_until = request.arrived_at + request_class.latency_objective
         request.objective_at = min(full_value_until, request.deadline)
@@ -72,7 +72,7 @@
         state.to_review.append(request)
 
     def close(self, request: Request, answer: Reject | FailRequest | None, *, served: bool = False) -> None:
-        """Close a request with its final answer (``None``: it needs none); cancel its attempts."""
+        """Close a request with its final answer (``None`` if it needs none), and cancel its attempts."""
         if request.is_closed:
             return
         state = self._state
@@ -83,13 +83,13 @@
         if answer is not None:
             state.actions.append(answer)
         if not served:
-            self.recent_failures.note(request)
+            self.recent_failures.record(request)
         if state.settings.can_cancel:
             state.actions.extend(CancelAttempt(request.id, attempt) for attempt in request.in_flight)
         self.forget_if_done(request)
 
     def forget_if_done(self, request: Request) -> None:
-        """Forget a request that is closed and has nothing in flight."""
+        """Remove a request that is closed and has nothing in flight."""
         if request.is_closed and not request.in_flight and request.id in self._state.requests:
             del self._state.requests[request.id]
             self._rules.ordering.remove(request)
--- a/cleatyoke/scheduling/rules.py
+++ b/cleatyoke/scheduling/rules.py
@@ -1,4 +1,4 @@
-"""The rules of one scheduler, and the question to all of them: may this node be sent this request now?"""
+"""The rules of one scheduler, and their combined verdict on sending a request to a node."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Rules:
-    """All rules, made over one shared state. Each one's module says what it prevents."""
+    """All rules, built over one shared state. The module of each rule says what it prevents."""
 
     def __init__(self, state: SchedulerState) -> None:
         self.state = state
@@ -37,11 +37,12 @@
         self.surplus = SurplusRates(state, self.estimates, self.concurrency)
 
     def check(self, request: Request, node: Node) -> Verdict:
-        """When every rule could allow the request at this node: verdict of the one that delays it longest.
+        """Return the verdict of the rule that delays the request at this node the longest.
 
-        An attempt whose answer would come too late for the client is never allowed: it would take a slot for
-        nothing. The surplus bucket is always filled first, because its check has a side effect; the other
-        rules are skipped where the answer would be late or the node is out of the idempotency scope.
+        An attempt whose answer would come too late for the client is never allowed: it would occupy a slot in
+        vain. The surplus rule is always checked first, because its check has a side effect: it fills the
+        bucket. The other rules are skipped if the answer would be late or the node is outside the idempotency
+        scope.
         """
         surplus = self.surplus.check(request, node)
         answered_at = self.state.now + self.estimates.answer_time(request, node)
@@ -59,14 +60,14 @@
         )
 
     def check_capacity(self, request: Request, node: Node) -> Verdict:
-        """When the node has capacity for the request, as far as this front may use it."""
+        """Return when the node has capacity for the request that this front may use."""
         return _latest(
             self.outliers.check(node), self.slow_start.check(node), self.surplus.check(request, node)
         )
 
 
 def _latest(*verdicts: Verdict) -> Verdict:
-    """Return the verdict with the latest time, the first of those with the same."""
+    """Return the verdict with the latest time; among equal times, the first one."""
     latest = ALLOWED
     for verdict in verdicts:
         if verdict is not ALLOWED and verdict.allowed_at > latest.allowed_at:
--- a/cleatyoke/scheduling/scheduler.py
+++ b/cleatyoke/scheduling/scheduler.py
@@ -1,9 +1,8 @@
-"""The scheduler of one front: which request goes to which node, when, and which is rejected.
+"""The scheduler of one front: decides which request goes to which node and when, and which is rejected.
 
-It has no input or output and no clock of its own: ``Scheduler.step`` takes the time and the events, and
-returns the actions. ``events`` and ``actions`` say what these are, ``settings`` what is configured,
-``rules`` lists the rules, and the module of each rule says what it prevents. ``docs/design.md`` tells where
-the design is from.
+It does no I/O and has no clock of its own: ``Scheduler.step`` takes the time and the events, and returns the
+actions. Events, actions and settings are defined in the modules of these names. ``rules`` lists the rules,
+and the module of each rule says what it prevents. ``docs/design.md`` names the sources of the design.
 """
 
 from __future__ import annotations
@@ -39,14 +38,14 @@
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.scheduling.shedding import LoadShedding
 from cleatyoke.scheduling.state import SchedulerState
-from cleatyoke.scheduling.timers import AT_ONCE, Poll, TimerSubject
+from cleatyoke.scheduling.timers import IMMEDIATELY, Poll, TimerSubject
 from cleatyoke.scheduling.verdict import Rule, Verdict
 
-TIMER_TOKEN = 0  # of the scheduler's only timer
+TIMER_TOKEN = 0  # token of the scheduler's only timer
 
 
 class Scheduler:
-    """One front's state machine, and the owner of its state and rules."""
+    """The state machine of one front; owns its state and rules."""
 
     def __init__(self, settings: SchedulerSettings) -> None:
         self.state = SchedulerState(settings)
@@ -56,7 +55,7 @@
         self._containment = FaultContainment(self.state, self.lifecycle)
         self.placement = Placement(self.rules, self._containment)
         self._endpoints = EndpointUpdates(self.rules)
-        self._timer_at = math.inf  # when the timer that is set fires
+        self._timer_at = math.inf  # when the current timer fires
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
             RequestArrived: self.lifecycle.open,
             AttemptFinished: self._on_attempt_finished,
@@ -70,7 +69,7 @@
             SettingsReloaded: self._on_settings_reloaded,
         }
         if settings.watches_endpoints:
-            self.state.timers.add(AT_ONCE, Poll.ENDPOINTS)
+            self.state.timers.add(IMMEDIATELY, Poll.ENDPOINTS)
 
     @property
     def settings(self) -> SchedulerSettings:
@@ -79,7 +78,7 @@
 
     @property
     def table(self) -> NodeTable:
-        """The nodes, who holds which shard, and rates by shard."""
+        """The nodes, the holder of each shard, and rates by shard."""
         return self.state.table
 
     @property
@@ -89,18 +88,18 @@
 
     @property
     def requests(self) -> Mapping[str, Request]:
-        """Requests by id that are owed an answer, or have attempts in flight."""
+        """Requests by id that have no final answer yet, or have attempts in flight."""
         return self.state.requests
 
     @property
     def volumes(self) -> Mapping[int, Volume]:
-        """Volumes by id that were used lately."""
+        """Recently used volumes by id."""
         return self.state.volumes
 
     def step(self, now: float, events: list[SchedulerEvent]) -> list[SchedulerAction]:
-        """Take in what has happened until ``now`` (seconds), and return what is to be done.
+        """Process the events up to ``now`` (seconds), and return the actions to perform.
 
-        An unforeseen exception ends the handling of one event, timer or request; see ``take_faults``.
+        An unforeseen exception ends the handling of one event, timer or request only; see ``take_faults``.
         """
         state = self.state
         state.now = now
@@ -114,26 +113,26 @@
         for event in events:
             self._handle(event)
         while state.timers.next_at() <= now:
-            self._containment.run("timer", self._check_next)
+            self._containment.run("timer", self._fire_next_timer)
         self._containment.run("dispatch", self.placement.dispatch)
         self._review()
         self._set_timer()
         return state.actions
 
     def take_faults(self) -> list[SchedulerFault]:
-        """Return the exceptions that were contained since the last call; the caller reports them."""
+        """Return the exceptions contained since the last call, which the caller has to report."""
         return self._containment.take()
 
     def _handle(self, event: SchedulerEvent) -> None:
         try:
             self._handlers[type(event)](event)
-        except Exception as error:  # noqa: BLE001 - the other events count all the same
+        except Exception as error:  # noqa: BLE001 - the other events are still handled
             self._containment.on_event_failed(event, error)
 
     def explain(self, request_id: str) -> Verdict | None:
-        """Why a request is queued, and until when at least; ``None`` where it is not queued.
+        """Return the rule that keeps a request queued, and until when at least; ``None`` if it is not queued.
 
-        Why a request was rejected or failed is said by the action, see ``Reject.rule``.
+        The reason for a rejection or failure is part of the action, see ``Reject.rule``.
         """
         request = self.state.requests.get(request_id)
         if request is None or request.is_closed or request.in_flight:
@@ -154,7 +153,7 @@
         has_grown = event.fraction > self.state.quota_clock.fraction
         self.state.quota_clock.change(event.fraction, self.state.now)
         if has_grown:
-            self.state.offer_all()  # with no share nothing was due at any time
+            self.state.offer_all()  # while the share was 0, no timer was set for the queued requests
 
     def _on_attempt_finished(self, event: AttemptFinished) -> None:
         state, rules = self.state, self.rules
@@ -183,14 +182,14 @@
         self.lifecycle.forget_if_done(request)
 
     def _queue_retry(self, request: Request, node: Node, outcome: AttemptOutcome) -> None:
-        """Queue a request whose attempt was not served, or reject it where a retry is of no use."""
+        """Queue a request whose attempt was not served, or close it if it must not be retried."""
         state = self.state
         state.enqueue(request)
-        if rule := self._forbids_retry(request, node, outcome):
+        if rule := self._rule_against_retry(request, node, outcome):
             self.shedding.close_unserved(request, rule)
         state.to_review.append(request)
 
-    def _forbids_retry(self, request: Request, node: Node, outcome: AttemptOutcome) -> Rule | None:
+    def _rule_against_retry(self, request: Request, node: Node, outcome: AttemptOutcome) -> Rule | None:
         if self.rules.idempotency.must_not_repeat(request):
             return Rule.IDEMPOTENCY
         if outcome is AttemptOutcome.CANCELLED and not self.rules.estimates.meets_objective(request, node):
@@ -206,12 +205,12 @@
         self.rules.estimates.add_classes(added)
         self.state.table.add_classes(added)
 
-    def _check_next(self) -> None:
-        """Look again at the subject of the earliest timer, which has fired."""
-        self._check(self.state.timers.take())
+    def _fire_next_timer(self) -> None:
+        """Fire the earliest timer, which is due."""
+        self._on_timer_due(self.state.timers.take())
 
-    def _check(self, subject: TimerSubject) -> None:
-        """Look again at the subject of a timer that has fired."""
+    def _on_timer_due(self, subject: TimerSubject) -> None:
+        """Poll the endpoint list, cancel overdue attempts or offer queued requests, by the subject."""
         if subject is Poll.ENDPOINTS:
             self.state.actions.append(WatchEndpoints())
         elif isinstance(subject, Node):
@@ -223,7 +222,7 @@
             self.state.to_review.append(subject)
 
     def _review(self) -> None:
-        """Reject the requests for which waiting has become useless, of those that this step concerned."""
+        """Reject those of this step's requests for which waiting has become useless."""
         state = self.state
         to_review = [
             request for request in state.to_review if not request.is_closed and not request.in_flight
@@ -231,19 +230,19 @@
         for request in to_review:
             try:
                 self.shedding.reject_if_waiting_is_useless(request)
-            except Exception as error:  # noqa: BLE001 - the other requests are reviewed all the same
+            except Exception as error:  # noqa: BLE001 - the other requests are still reviewed
                 self._containment.on_request_failed(request, error)
         state.to_review = []
 
     def _set_timer(self) -> None:
-        """Set the timer where something is due before it fires; an idle front has none."""
+        """Set the timer if something is due before the current one fires; an idle front sets none."""
         due = self.state.timers.next_at()
         if due < self._timer_at:
             self._timer_at = due
             self.state.actions.append(SetTimer(due - self.state.now, TIMER_TOKEN))
 
     def forget_idle(self) -> None:
-        """Drop what no longer matters, so that a long-running process does not fill the memory."""
+        """Drop records that no longer matter, to bound the memory of a long-running process."""
         longest = max(spec.latency_objective for spec in self.settings.classes)
         oldest = self.state.now - longest - 1
         self.state.forget_idle(oldest)
--- a/cleatyoke/scheduling/settings.py
+++ b/cleatyoke/scheduling/settings.py
@@ -1,7 +1,7 @@
 """Settings of the scheduler: request classes, volume plans and the limits that keep the backends safe.
 
-Times are seconds, sizes are units of work, and rates are units per second over all fronts unless a field says
-otherwise. ``config`` translates the platform's settings (its settings page) into these types.
+Times are in seconds, sizes in units of work, and rates in units per second over all fronts, unless a field
+says otherwise. ``config`` translates the platform's settings into these types.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """Whether a second execution of a request is safe."""
 
-    # The values are those of older releases; nothing reads them.
+    # The values are kept from older releases; no code reads them.
     IDEMPOTENT = "free"
-    KEYED = "keyed"  # harmless while the nodes remember its idempotency key
+    KEYED = "keyed"  # safe while the nodes remember the request's idempotency key
     NOT_IDEMPOTENT = "once"
 
 
 class IdempotencyScope(Enum):
     """Which nodes discard duplicates of a request with an idempotency key."""
 
-    # The values are those of the setting ``DedupScope``, by which ``config.settings`` reads it.
+    # The values are those of the setting ``DedupScope``; ``config.settings`` looks members up by them.
     ALL = "all"
     ZONE = "zone"
     SHARD = "cell"
@@ -30,12 +30,12 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """A class of requests with one objective.
+    """A class of requests with a common latency objective.
 
-    ``latency_objective``: seconds in which an answer has its full value. ``priority_weight``: value of a
+    ``latency_objective``: seconds within which an answer has its full value. ``priority_weight``: value of a
     unit. ``late_value``: fraction of the value that a late answer keeps. ``idempotency_window``: seconds
-    for which nodes remember an idempotency key. ``ordered``: requests for one item run in order of
-    arrival.
+    for which nodes remember an idempotency key. ``ordered``: requests for the same item are executed in order
+    of arrival.
     """
 
     latency_objective: float
@@ -49,11 +49,11 @@
 
 @dataclass(slots=True)
 class VolumePlan:
-    """What the owner of a volume has booked; a ``rate_limit`` of 0 means that there is none.
+    """The service plan of a volume; a ``rate_limit`` of 0 means that there is none.
 
     ``priority_weight``: factor on the value of its requests. ``base_rate``: rate that the plan is sized
-    for. ``reserved_rate``: rate that is served at full value. ``fair_share_weight``: share of what is
-    left over. ``rate_limit_burst``: units above the limit that may go at once. ``rate_limit_slack``:
+    for. ``reserved_rate``: rate that is served at full value. ``fair_share_weight``: share of the surplus
+    capacity. ``rate_limit_burst``: units above the limit that may be sent in a burst. ``rate_limit_slack``:
     units by which the platform tolerates that the limit is exceeded.
     """
 
@@ -68,11 +68,11 @@
 
 @dataclass(slots=True)
 class SafetyLimits:
-    """Limits that keep nodes and discovery from overload; ``None`` where the deployment sets no such rule.
+    """Limits that protect nodes and discovery from overload; ``None`` if the deployment sets no such limit.
 
-    ``slow_start_initial_fraction``: fraction of its usual load that a node takes directly after its start.
-    ``slow_start_duration``: seconds until it takes all of it. ``overload_multiple``: load as a multiple of
-    the allowed one at which a warming node fails, if it lasts for ``overload_after`` seconds.
+    ``slow_start_initial_fraction``: fraction of its usual load that a node can take right after its start.
+    ``slow_start_duration``: seconds until it can take all of it. ``overload_multiple``: multiple of the
+    allowed load at which a warming node fails, if that load lasts for ``overload_after`` seconds.
     ``poll_interval``: seconds between polls of discovery. ``ordering_pause``: seconds for which an item is
     paused after an attempt that may still be executing. The retry budget allows ``retry_budget_minimum``
     retries plus ``retry_budget_ratio`` retries per accepted request, within ``retry_budget_window`` seconds.
@@ -91,19 +91,19 @@
 
 @dataclass(slots=True)
 class SchedulerSettings:
-    """All that the scheduler is configured with.
+    """The complete configuration of the scheduler.
 
-    ``front_count``: fronts that share the nodes, 0 where unknown. ``watches_endpoints``: the scheduler
+    ``front_count``: number of fronts that share the nodes, 0 if unknown. ``watches_endpoints``: the scheduler
     has to subscribe to endpoint updates itself. ``can_cancel``: attempts may be cancelled.
-    ``slow_start_units``: units that a warming node bears within ``overload_after`` from all fronts
+    ``slow_start_units``: units that a warming node can take within ``overload_after`` from all fronts
     together. ``max_request_units`` and ``mean_request_units``: sizes of requests. ``unreserved_value``:
     fraction of its value that a unit beyond the reserved rate keeps. ``reports_usage_by_others``: nodes
     report what they served a volume through other fronts. ``idle_since``: time since which this front has
-    sent nothing; ``None``: its first step. ``initial_quota_share``: fraction of each rate limit that this
-    process may use at its start, see ``QuotaShareChanged``. ``replaces_process``: an older process of
-    this front still runs as this one starts and uses the limits' slack. ``max_retry_after``: longest
-    Retry-After that clients heed, 0 where they are not given one. ``load_by_probes``: nodes report their
-    load to probes only, see ``load_probes``.
+    sent nothing; ``None``: since its first step. ``initial_quota_share``: fraction of each rate limit that
+    this process may use at its start, see ``QuotaShareChanged``. ``replaces_process``: an older process of
+    this front is still running when this one starts, and uses the limits' slack. ``max_retry_after``: longest
+    Retry-After that clients respect, 0 if none is sent. ``load_by_probes``: nodes report their load only to
+    probes, see ``load_probes``.
     """
 
     classes: list[RequestClass]
--- a/cleatyoke/scheduling/state.py
+++ b/cleatyoke/scheduling/state.py
@@ -1,4 +1,4 @@
-"""What the rules of one scheduler share: the time of the step, its settings, nodes, requests and queues."""
+"""State shared by the rules of one scheduler: time of the step, settings, nodes, requests and queues."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.scheduling.timers import TimerQueue
 
-CONTROL_INTERVAL = 1.0  # seconds between control rounds; the paper's two seconds trail a surge
-SEND_MARGIN = 0.04  # seconds kept clear of a deadline or an idempotency window: timers and sends take time
-RETENTION = 60.0  # seconds after which an unused volume or node is forgotten: its buckets are long full
-# Of the shortest objective to wait at a node; the rest is for service and queueing here.
+CONTROL_INTERVAL = 1.0  # seconds between control rounds; the paper's two seconds lag behind a surge
+SEND_MARGIN = 0.04  # seconds left before a deadline or the end of an idempotency window, for timers and sends
+RETENTION = 60.0  # seconds until an unused volume or node is dropped: its buckets are full long before
+# Fraction of the shortest objective for waiting at a node; the rest is for service and queueing here.
 QUEUE_FRACTION = 0.125
-UNKNOWN_FRONT_COUNT = math.inf  # an even share among fronts of unknown number is nothing
+UNKNOWN_FRONT_COUNT = math.inf  # an even share among an unknown number of fronts is 0
 
 
 class SchedulerState:
-    """The state that several rules read; the module of each rule keeps what is the rule's alone.
+    """State that several rules use; state of a single rule is kept in the rule's module.
 
     ``now``: time of the step, in seconds on the caller's clock. ``queues``: by shard, the requests that wait
-    to be sent, in order of arrival (``None``: new objects). ``nodes_to_offer``: nodes that may have something
-    new to take in this step. ``to_review``: requests for which waiting may have become useless.
-    ``utilization``: mean fraction of the nodes' capacity in use, as they report it; all of it at first.
-    ``quota_clock``: by the fraction of the front's quotas that this process may use.
+    to be sent, in order of arrival (``None``: new objects). ``nodes_to_offer``: nodes to which dispatch
+    offers queued requests in this step. ``to_review``: requests for which waiting may have become useless.
+    ``utilization``: mean fraction of the nodes' capacity in use, as they report it; 1 until the first report.
+    ``quota_clock``: runs at the fraction of the front's quotas that this process may use.
     """
 
     def __init__(self, settings: SchedulerSettings) -> None:
@@ -41,12 +41,12 @@
         self.to_review: list[Request] = []
         self.actions: list[SchedulerAction] = []
         self.utilization = 1.0
-        self.max_front_count = 1  # the most fronts that a volume was said to use
+        self.max_front_count = 1  # largest number of fronts stated for any volume
         self.quota_clock = QuotaClock(settings.initial_quota_share, 0.0)
         self.apply_settings(settings)
 
     def start(self) -> None:
-        """Begin with the first step: the quotas' time runs since this front last sent anything."""
+        """Start with the first step; quotas have accrued since this front last sent anything."""
         now = self.now
         self.has_started = True
         idle_since = self.settings.idle_since
@@ -54,19 +54,19 @@
         self.quota_clock = QuotaClock(self.settings.initial_quota_share, since)
 
     def apply_settings(self, settings: SchedulerSettings) -> None:
-        """Take the settings, and what only they decide."""
+        """Apply the settings, and derive the values that depend only on them."""
         self.settings = settings
         self.safety = settings.safety
-        # The settings write an unknown number of fronts as 0; from here on it is infinite.
+        # The settings denote an unknown number of fronts by 0; the rules use infinity.
         self.front_count = settings.front_count if settings.front_count > 0 else UNKNOWN_FRONT_COUNT
         self.priority_weights = [spec.priority_weight for spec in settings.classes]
-        # Seconds that a request should wait in a node's queue at the most.
+        # Longest time in seconds that a request should wait in a node's queue.
         self.queue_delay_target = QUEUE_FRACTION * min(spec.latency_objective for spec in settings.classes)
         total_weight = sum(plan.fair_share_weight for plan in settings.plans)
         weight_per_class = total_weight / len(settings.classes) or 1.0
-        # Units a second by weight that a volume may send a node beyond its reserve; at first, and at least.
+        # Initial and lowest surplus rate of a node: units per second, per weight, beyond a volume's reserve.
         self.base_surplus_rate = sum(plan.base_rate for plan in settings.plans) / weight_per_class or 1.0
-        # Value of the most valuable unit beyond a reserve.
+        # Highest value of a unit beyond a reserve.
         self.max_value = (
             max(self.priority_weights)
             * max(plan.priority_weight for plan in settings.plans)
@@ -74,16 +74,16 @@
         )
 
     def offer(self, shard: Shard) -> None:
-        """Let the nodes that a request of this shard may go to look for something to take, in this step."""
+        """Have dispatch offer queued requests to the candidate nodes of this shard in this step."""
         self.nodes_to_offer.update({node.id: node for node in self.table.holders_to_offer(shard)})
 
     def offer_all(self) -> None:
-        """Let all nodes for which something is queued look for something to take, in this step."""
+        """Have dispatch offer all queued requests to their candidate nodes in this step."""
         for shard in self.queues:
             self.offer(shard)
 
     def enqueue(self, request: Request) -> None:
-        """Queue a request, and let its nodes look."""
+        """Queue a request, and offer it to its candidate nodes."""
         self.queues.setdefault(request.shard, []).append(request)
         self.offer(request.shard)
 
@@ -95,9 +95,9 @@
             del self.queues[request.shard]
 
     def forget_idle(self, oldest: float) -> None:
-        """Drop what no longer matters, so that a long-running process does not fill the memory.
+        """Drop records that no longer matter, to bound the memory of a long-running process.
 
-        ``oldest``: arrival (seconds) of the oldest request that can still matter.
+        ``oldest``: arrival time (seconds) of the oldest request that can still matter.
         """
         idle_since = self.now - RETENTION
         self.volumes = {
--- a/cleatyoke/scheduling/timers.py
+++ b/cleatyoke/scheduling/timers.py
@@ -1,4 +1,4 @@
-"""What the scheduler has to look at again, and when."""
+"""Internal timers of the scheduler: what has to be checked again, and when."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 class Poll(Enum):
     """Subject of a timer that is neither a request nor a node."""
 
-    ENDPOINTS = "endpoints"  # the endpoint list has to be asked for
+    ENDPOINTS = "endpoints"  # request the endpoint list
 
 
 TimerSubject = Request | Node | Poll
-AT_ONCE: Final = -math.inf  # time of a timer that fires in the next step
+IMMEDIATELY: Final = -math.inf  # due time of a timer that fires in the next step
 
 
 class TimerQueue:
-    """Timers by time; those of one time fire in the order in which they were set."""
+    """Timers by due time; those due at the same time fire in the order in which they were set."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, TimerSubject]] = []
@@ -31,12 +31,12 @@
         return len(self._heap)
 
     def add(self, at: float, subject: TimerSubject) -> None:
-        """Set a timer; earlier ones of the same subject stay."""
+        """Set a timer; other timers of the same subject stay set."""
         self._count += 1
         heappush(self._heap, (at, self._count, subject))
 
     def next_at(self) -> float:
-        """When the earliest timer fires, infinite where there is none; drops those of closed requests."""
+        """Return when the earliest timer fires, infinity if there is none; drop timers of closed requests."""
         heap = self._heap
         while heap and isinstance(heap[0][2], Request) and heap[0][2].is_closed:
             heappop(heap)
--- a/tests/driven_front.py
+++ b/tests/driven_front.py
@@ -1,4 +1,4 @@
-"""Helpers: settings with every rule off, and a scheduler that is driven event by event."""
+"""Test helpers: settings without the optional limits, and a scheduler that is driven event by event."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     safety: dict[str, Any] | None = None,
     **changes: Any,
 ) -> SchedulerSettings:
-    figures = SafetyLimits(
+    limits = SafetyLimits(
         slow_start_initial_fraction=0.2,
         slow_start_duration=10.0,
         overload_multiple=2.0,
@@ -73,7 +73,7 @@
     base = SchedulerSettings(
         classes=classes or [class_spec()],
         plans=plans or [plan_spec()],
-        safety=replace(figures, **(safety or {})),
+        safety=replace(limits, **(safety or {})),
         seed=1,
         front_count=2,
         watches_endpoints=False,
@@ -100,17 +100,17 @@
 
 
 class DrivenFront:
-    """One front's scheduler, its clock, and the attempts that it sent."""
+    """The scheduler of one front, with its clock and the attempts that it has sent."""
 
     def __init__(self, config: SchedulerSettings, nodes: list[Endpoint], now: float = 100.0) -> None:
         self.scheduler = Scheduler(config)
         self.now = now
         self.log: list[SchedulerAction] = []
-        self.attempts: dict[str, int] = {}  # by request, the number of its latest attempt
+        self.attempts: dict[str, int] = {}  # number of the latest attempt by request
         self.step(EndpointUpdate(UpdateKind.CACHED, nodes))
 
     def step(self, *events: SchedulerEvent, at: float | None = None) -> list[SchedulerAction]:
-        """Pass a batch of events; returns its actions without the scheduler's own timers."""
+        """Pass events to the scheduler; return its actions except for ``SetTimer``."""
         if at is not None:
             self.now = at
         actions = self.scheduler.step(self.now, list(events))
@@ -122,7 +122,7 @@
         return actions
 
     def run_until(self, end: float) -> list[SchedulerAction]:
-        """Let time pass, one step for each tick."""
+        """Advance the clock to ``end``, one step for each 20 ms."""
         actions: list[SchedulerAction] = []
         while self.now < end:
             actions += self.step(TimerFired(0), at=min(end, self.now + 0.02))
@@ -146,14 +146,14 @@
         return replace(base, **changes)
 
     def finish(
-        self, request: str, outcome: AttemptOutcome, node: int = 1, spent: float = 0.05, **changes: Any
+        self, request: str, outcome: AttemptOutcome, node: int = 1, duration: float = 0.05, **changes: Any
     ) -> list[SchedulerAction]:
         base = AttemptFinished(
             request_id=request,
             attempt=self.attempts[request],
             node_id=node,
             outcome=outcome,
-            elapsed=spent,
+            elapsed=duration,
             settled=outcome is AttemptOutcome.SERVED,
         )
         return self.step(replace(base, **changes))
--- a/tests/test_bounded_records.py
+++ b/tests/test_bounded_records.py
@@ -1,4 +1,4 @@
-"""Records of nodes, shards and volumes that must not grow without end."""
+"""Records of nodes, shards and volumes must not grow without bound."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 
 class BoundedRecordsTests(unittest.TestCase):
-    def test_removed_nodes_are_forgotten_and_numbers_are_never_given_twice(self) -> None:
+    def test_removed_nodes_are_dropped_and_node_ids_are_never_reused(self) -> None:
         directory = Directory({})
         listed(directory, instance("s-stays", 1))
         with mock.patch.object(directory_module, "MAX_REMOVED_NODES", 3):
-            for life in range(9):
-                listed(directory, instance(f"s-{life}", 1))
-                listed(directory, instance(f"s-{life}", 1, EndpointState.REMOVED))
+            for number in range(9):
+                listed(directory, instance(f"s-{number}", 1))
+                listed(directory, instance(f"s-{number}", 1, EndpointState.REMOVED))
         assert directory.node_ids == {"s-stays": 1, "s-6": 8, "s-7": 9, "s-8": 10}
         listed(directory, instance("s-6", 1), instance("s-new", 1))
         assert (directory.node_ids["s-6"], directory.node_ids["s-new"]) == (8, 11)
 
-    def test_shards_that_only_requests_name_leave_nothing_behind(self) -> None:
-        policy = Scheduler(config().settings)
-        for cell in range(50):
-            policy.step(100.0, [RequestArrived(f"r{cell}", 0, 0, cell, cell, cell, 1.0, 101.5, 1)])
+    def test_shards_named_only_by_requests_leave_no_records(self) -> None:
+        scheduler = Scheduler(config().settings)
+        for shard in range(50):
+            scheduler.step(100.0, [RequestArrived(f"r{shard}", 0, 0, shard, shard, shard, 1.0, 101.5, 1)])
         for now in (150.0, 200.0):
-            policy.step(now, [])
+            scheduler.step(now, [])
         assert (
-            policy.state.queues,
-            policy.volumes,
-            policy.requests,
-            policy.lifecycle.recent_failures.by_identity,
+            scheduler.state.queues,
+            scheduler.volumes,
+            scheduler.requests,
+            scheduler.lifecycle.recent_failures.by_identity,
         ) == ({}, {}, {}, {})
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint updates: nothing goes to nodes that drain or are gone, and a lost watch is renewed."""
+"""Endpoint updates: draining and removed nodes are sent nothing, and a lost watch is renewed."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_nothing_goes_to_a_node_that_drains_or_is_gone(state: EndpointState) -> None:
+def test_draining_or_removed_node_is_sent_nothing(state: EndpointState) -> None:
     front = DrivenFront(settings(), [endpoint(1, 1)])
     front.step(EndpointUpdate(UpdateKind.DELTA, [endpoint(1, 1, state)]))
     front.request("a")
@@ -22,7 +22,7 @@
     assert front.sent() == []
 
 
-def test_nothing_goes_to_a_node_that_a_complete_list_does_not_name() -> None:
+def test_node_missing_from_snapshot_is_sent_nothing() -> None:
     front = DrivenFront(settings(), [endpoint(1, 1), endpoint(2, 2)])
     front.step(EndpointUpdate(UpdateKind.SNAPSHOT, [endpoint(2, 2)]))
     front.request("a")
@@ -30,7 +30,7 @@
     assert front.sent() == []
 
 
-def test_the_endpoint_list_is_watched_and_polled_again_after_a_loss() -> None:
+def test_endpoint_list_is_watched_and_polled_again_while_unavailable() -> None:
     front = DrivenFront(settings(watches_endpoints=True, safety={"poll_interval": 8.0}), [endpoint(1, 1)])
     assert front.log == [WatchEndpoints()]
     front.run_until(103.0)
--- a/tests/test_fault_containment.py
+++ b/tests/test_fault_containment.py
@@ -1,4 +1,4 @@
-"""How far one exception in the scheduler reaches: what it happened at, and nothing else."""
+"""Fault containment: an exception in the scheduler affects only the event or request that raised it."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from cleatyoke.scheduling.verdict import Rule, Verdict
 from tests.driven_front import DrivenFront, class_spec, endpoint, plan_spec, settings
 
-check = Rules.check
+unpatched_check = Rules.check
 
 
-def fails_for_b(rules: Rules, request: Request, node: Node) -> Verdict:
+def check_failing_for_b(rules: Rules, request: Request, node: Node) -> Verdict:
     if request.id == "b":
         raise ZeroDivisionError
-    return check(rules, request, node)
+    return unpatched_check(rules, request, node)
 
 
-def test_a_rule_that_fails_for_one_request_costs_no_other_its_attempt() -> None:
-    """Guards against decided attempts that were never sent, and events that were lost, with one exception."""
+def test_rule_failure_for_one_request_leaves_other_attempts_unaffected() -> None:
+    """Guards against one exception that loses other events, and attempts that were already decided."""
     front = DrivenFront(settings(), [endpoint(1, 0), endpoint(2, 1)])
-    with mock.patch.object(Rules, "check", fails_for_b):
+    with mock.patch.object(Rules, "check", check_failing_for_b):
         actions = front.step(*(front.arrival(name, shard=shard) for name, shard in zip("abc", (0, 0, 1))))
     assert {action.request_id for action in actions if isinstance(action, SendAttempt)} == {"a", "c"}
     [rejected] = [action for action in actions if isinstance(action, Reject)]
@@ -44,8 +44,8 @@
     assert sum(sum(node.in_flight_by_class) for node in front.scheduler.nodes.values()) == 2
 
 
-def test_an_event_that_fails_costs_no_other_event_and_the_timer_is_set() -> None:
-    """Guards against a front that nothing wakes: the step ended before its timer was set."""
+def test_event_failure_leaves_other_events_and_timer_unaffected() -> None:
+    """Guards against a front that is never called again: the step ended before its timer was set."""
     front = DrivenFront(settings(), [endpoint(1, 0)])
     events = [
         front.arrival("a", plan_index=9, shard=0),
@@ -68,14 +68,14 @@
         (Idempotency.IDEMPOTENT, AttemptOutcome.SERVED, None),
     ],
 )
-def test_an_attempt_whose_end_fails_gives_its_slot_back_and_its_request_is_answered(
+def test_failed_handling_of_finished_attempt_frees_slot_and_answers_request(
     idempotency: Idempotency, outcome: AttemptOutcome, answer: type[Reject | FailRequest] | None
 ) -> None:
-    """Guards against slots that stay taken, and followers of a key that wait for ever."""
+    """Guards against slots that stay taken, and later requests of an ordered item that wait forever."""
     front = DrivenFront(settings([class_spec(idempotency=idempotency, ordered=True)]), [endpoint(1, 0)])
     front.request("a", shard=0, item=7)
-    broken = mock.Mock(side_effect=ZeroDivisionError)
-    with mock.patch.object(front.scheduler.rules.outliers, "on_attempt_finished", broken):
+    failing_handler = mock.Mock(side_effect=ZeroDivisionError)
+    with mock.patch.object(front.scheduler.rules.outliers, "on_attempt_finished", failing_handler):
         actions = front.finish("a", outcome)
     assert [type(action) for action in actions] == ([answer] if answer else [])
     assert front.scheduler.nodes[1].in_flight_by_class == [0]
@@ -84,8 +84,8 @@
     assert [action.request_id for action in sent] == ["b"]
 
 
-def test_what_waits_for_its_quota_goes_once_the_process_has_a_share_again() -> None:
-    """Guards against a request that stays queued though its quota is back: nothing looked at it."""
+def test_queued_request_is_sent_when_quota_share_returns() -> None:
+    """Guards against a request that stays queued although its quota is back, as nothing offers it again."""
     plan = plan_spec(rate_limit=100.0, rate_limit_burst=100.0)
     front = DrivenFront(settings(plans=[plan]), [endpoint(1, 0)])
     front.step(QuotaShareChanged(0.0))
@@ -103,28 +103,28 @@
     return AttemptResult(AttemptOutcome.SERVED, "done")
 
 
-def test_the_core_answers_at_once_and_logs_a_fault_that_stands_once_a_second() -> None:
-    """Guards against answers at the deadline only, and a log full of traces, while a cause stands."""
+def test_core_with_persistent_fault_answers_at_once_and_logs_once_a_second() -> None:
+    """Guards against answers only at the deadline, and a log flooded with traces, while a fault persists."""
 
     async def run() -> tuple[list[object], int]:
         core = Core(settings())
         core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, [endpoint(1, 0), endpoint(2, 1)]))
         answer_time = ServiceEstimates.answer_time
 
-        def fails_at_one_node(estimates: ServiceEstimates, request: Request, node: Node) -> float:
+        def failing_answer_time(estimates: ServiceEstimates, request: Request, node: Node) -> float:
             if node.id == 2:
                 raise ZeroDivisionError
             return answer_time(estimates, request, node)
 
-        began = core.loop.time()
+        started_at = core.loop.time()
         with (
-            mock.patch.object(ServiceEstimates, "answer_time", fails_at_one_node),
+            mock.patch.object(ServiceEstimates, "answer_time", failing_answer_time),
             mock.patch("cleatyoke.core.log") as log,
         ):
             answers: list[object] = list(
                 await asyncio.gather(*(core.serve(arrival(core, number % 2), serve) for number in range(8)))
             )
-        assert core.loop.time() - began < 0.4
+        assert core.loop.time() - started_at < 0.4
         return answers, log.error.call_count
 
     answers, lines = asyncio.run(run(), debug=True)
--- a/tests/test_known_faults.py
+++ b/tests/test_known_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are known and not mended yet; each is listed in KNOWN-RED.txt."""
+"""Regression tests for faults of the scheduler, the simulator's adapter and the settings reader."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.test_simulator import born
 
 
-def test_an_answer_that_took_no_time_is_accepted() -> None:
-    """The very first answer of a class comes within the clock's resolution, so that its time is 0."""
+def test_answer_after_zero_seconds_is_accepted() -> None:
+    """The first answer of a class arrives within the clock's resolution, so that its elapsed time is 0."""
     front = DrivenFront(settings(), [endpoint(1, 0)])
     front.request("a", shard=0)
     front.finish("a", AttemptOutcome.SERVED, elapsed=0.0)
@@ -25,8 +25,8 @@
     assert "b" in [action.request_id for action in actions if isinstance(action, SendAttempt)]
 
 
-def test_a_process_may_have_no_share_of_its_quotas_for_a_while() -> None:
-    """Another process of the front has all of its quotas while both run; requests wait for a share."""
+def test_process_without_quota_share_keeps_requests_queued() -> None:
+    """One of two processes of a front may have all its quotas; the other's requests wait for a share."""
     plan = plan_spec(rate_limit=1.0, rate_limit_burst=1.0)
     front = DrivenFront(settings(plans=[plan]), [endpoint(1, 0)])
     front.step(QuotaShareChanged(0.0))
@@ -35,7 +35,7 @@
 
 
 def test_an_ordered_request_without_item_delays_no_unordered_one() -> None:
-    """An attempt of an ordered class fails, its request names no item; others are not of its key."""
+    """A failed attempt of an ordered class without an item must not pause requests without a key."""
     classes = [class_spec(ordered=True), class_spec()]
     front = DrivenFront(settings(classes, safety={"ordering_pause": 1.0}), [endpoint(1, 0)])
     front.request("ordered", shard=0, item=None)
@@ -45,17 +45,17 @@
 
 
 def test_a_probe_timer_of_a_stopped_instance_is_passed_over() -> None:
-    """The simulator fires a timer for a probe after it has stopped the instance that set it."""
+    """The simulator may fire a probe timer after it has stopped the instance that set the timer."""
     adapter = simulator.SimulatorAdapter()
     stop: list[dict[str, Any]] = [{"type": "SHUTDOWN", "Head": 0}]
-    bell = [{"type": "BELL", "Head": 0, "Ref": simulator.PROBE_TIMER_TOKEN}]
-    for number, news in enumerate((born(), stop, bell)):
-        reply = adapter.reply(json.dumps({"TsS": 1.0 + number, "round": number, "news": news}))
+    timer_fired = [{"type": "BELL", "Head": 0, "Ref": simulator.PROBE_TIMER_TOKEN}]
+    for number, events in enumerate((born(), stop, timer_fired)):
+        reply = adapter.reply(json.dumps({"TsS": 1.0 + number, "round": number, "news": events}))
     assert reply["steps"] == []
 
 
 def test_a_number_beyond_floats_is_named_by_its_key() -> None:
-    """A settings file has a number that no float can hold; the start names the key, as for any bad number."""
+    """A number in a settings file that no float can hold is an error that names its key."""
     reader = TableReader({"Worth": 10**400}, "settings.")
     with pytest.raises(ConfigError, match=r"^settings\.Worth:"):
         reader.number("Worth")
