--- a/cleatyoke/coordination/__init__.py
+++ b/cleatyoke/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""State that fronts share: quota leases, operator holds, the staged start after a power loss. No I/O."""
+"""State coordinated among fronts: quota leases, operator holds, staged start after a power loss. No I/O."""
--- a/cleatyoke/coordination/demand.py
+++ b/cleatyoke/coordination/demand.py
@@ -1,4 +1,4 @@
-"""Demand meters: how much of each shared resource this front is asked for, in parts of its home quota.
+"""Demand meters: the request rate for each shared resource at this front, in parts of its home quota.
 
 No I/O and no clock; all times are seconds of one monotonic clock.
 """
@@ -12,11 +12,11 @@
 
 from cleatyoke.membership.wire import HOME_PARTS
 
-SPAN_SECONDS = 0.25  # over which requests are summed up
-MAX_IDLE_SECONDS = 30.0  # without a request, after which a meter is dropped
-NOISE_DEVIATIONS = 2.0  # standard deviations by which a span may differ from the usual by chance
-CHANGED_WEIGHT = 0.6  # of the latest span in the average, where it differs by more than chance
-STEADY_WEIGHT = 0.25  # of the latest span in the average, otherwise
+WINDOW_SECONDS = 0.25  # length of a sampling window
+MAX_IDLE_SECONDS = 30.0  # a meter without requests for this long is dropped
+NOISE_DEVIATIONS = 2.0  # standard deviations from the average that count as noise
+CHANGED_WEIGHT = 0.6  # weight of the latest window in the moving averages, if it differs by more than noise
+STEADY_WEIGHT = 0.25  # weight of the latest window otherwise
 MAX_KEYS = 4096  # meters; requests for further keys are not measured
 
 Key = TypeVar("Key", bound=Hashable)
@@ -24,39 +24,42 @@
 
 @dataclass(slots=True)
 class DemandMeter:
-    """The measured demand of one resource."""
+    """The measured demand for one resource."""
 
     home_rate: float  # units a second that the home quota allows
-    units: float = 0.0  # requested in the present span
-    requests: int = 0  # in the present span
+    units: float = 0.0  # requested in the current window
+    requests: int = 0  # in the current window
     demand: float = 0.0  # moving average, in parts of a home quota
-    usual_requests: float = 0.0  # moving average, requests in a span
+    average_requests: float = 0.0  # moving average, requests per window
     last_request_at: float = 0.0
 
-    def close_span(self, spans: float) -> None:
-        """Take the present span, ``spans`` times as long as usual, into the averages and begin the next.
+    def close_window(self, windows: float) -> None:
+        """Update the moving averages with the current window and start the next one.
 
-        Where requests are few, chance alone makes one span several times another. Leases borrowed for such
-        a burst are lacking where the demand lasts. So a span within ``NOISE_DEVIATIONS`` of a Poisson
-        process has a small weight, and a greater change counts at once.
+        ``windows``: the length of the current window, in multiples of ``WINDOW_SECONDS``.
+
+        At low request rates, the counts of two windows can differ several times over by chance alone. Leases
+        borrowed for such a burst are missing at fronts whose demand lasts. A window within
+        ``NOISE_DEVIATIONS`` of the average, assuming Poisson arrivals, therefore gets a small weight; a
+        larger change gets a large one, so that it takes effect at once.
         """
-        latest = self.units / (self.home_rate * SPAN_SECONDS * spans) * HOME_PARTS
-        requests = self.requests / spans
-        noise = NOISE_DEVIATIONS * math.sqrt(self.usual_requests + 1)
-        has_changed = abs(requests - self.usual_requests) > noise
+        window_demand = self.units / (self.home_rate * WINDOW_SECONDS * windows) * HOME_PARTS
+        requests = self.requests / windows
+        noise = NOISE_DEVIATIONS * math.sqrt(self.average_requests + 1)
+        has_changed = abs(requests - self.average_requests) > noise
         weight = CHANGED_WEIGHT if has_changed else STEADY_WEIGHT
-        self.demand += weight * (latest - self.demand)
-        self.usual_requests += weight * (requests - self.usual_requests)
+        self.demand += weight * (window_demand - self.demand)
+        self.average_requests += weight * (requests - self.average_requests)
         self.units = 0.0
         self.requests = 0
 
 
 class DemandMeters(Generic[Key]):
-    """A meter for each resource that requests ask for."""
+    """One demand meter per requested resource."""
 
     def __init__(self) -> None:
         self.by_key: dict[Key, DemandMeter] = {}
-        self.span_started_at = 0.0
+        self.window_started_at = 0.0
 
     def record(self, now: float, key: Key, units: float, home_rate: float) -> None:
         """Count a request of ``units``. ``home_rate``: units a second that the home quota allows now."""
@@ -69,12 +72,12 @@
         meter.requests += 1
 
     def demand(self, now: float) -> dict[Key, float]:
-        """The present demand by key, in parts of a home quota; to be called about once a span."""
-        if now >= self.span_started_at + SPAN_SECONDS:
-            spans = max(1.0, (now - self.span_started_at) / SPAN_SECONDS)
+        """Return the current demand by key, in parts of a home quota; call it about once per window."""
+        if now >= self.window_started_at + WINDOW_SECONDS:
+            windows = max(1.0, (now - self.window_started_at) / WINDOW_SECONDS)
             for meter in self.by_key.values():
-                meter.close_span(spans)
-            self.span_started_at = now
+                meter.close_window(windows)
+            self.window_started_at = now
             self.by_key = {
                 key: meter
                 for key, meter in self.by_key.items()
--- a/cleatyoke/coordination/hold_replication.py
+++ b/cleatyoke/coordination/hold_replication.py
@@ -1,7 +1,7 @@
-"""The holds of one front as they are replicated among the fronts of a fleet.
+"""Replication of one front's holds to the other fronts of a fleet.
 
-No I/O and no clock. The membership carries ``dump`` along with every exchange of full states, compares
-``digest`` with every probe, and starts an exchange where two fronts' digests differ.
+No I/O and no clock. The membership includes ``dump`` in every exchange of full states, compares ``digest``
+in every probe, and starts an exchange if the digests of two fronts differ.
 """
 
 from __future__ import annotations
@@ -23,38 +23,39 @@
 
 @dataclass(slots=True)
 class HoldReplication:
-    """What this front's operators hold and release, what peers report, and which peer knows how much.
+    """The holds set by this front's operators, merged with those of peers, and what each peer knows of them.
 
-    ``self_id``: this front's present process. ``on_change`` is called with the nodes that peers hold from
-    now on and with those that they have released.
+    ``self_id``: returns the id of this front's current process. ``on_change`` is called with the nodes that
+    a merge has added to the held ones, and with those that it has released.
     """
 
     self_id: Callable[[], MemberId]
     on_change: Callable[[frozenset[str], frozenset[str]], None] = _ignore_change
     holds: HoldSet = field(default_factory=HoldSet)
-    received: dict[MemberId, HoldSet] = field(default_factory=dict)  # by process run, its last copy
-    merges: int = 0  # copies that differed from ours and changed it
-    _cached_digest: tuple[HoldSet, int] | None = None  # the holds it was computed of, and the digest
+    received: dict[MemberId, HoldSet] = field(default_factory=dict)  # the last copy from each process run
+    merges: int = 0  # received copies that changed this front's copy
+    _cached_digest: tuple[HoldSet, int] | None = None  # the holds that were digested, and their digest
 
     def hold(self, node: str) -> None:
-        """Hold a node, as an operator of this front said."""
+        """Hold a node, on the command of an operator of this front."""
         self.holds = self.holds.hold(self.self_id(), node)
 
     def release(self, node: str) -> None:
-        """Release a node, as an operator of this front said."""
+        """Release a node, on the command of an operator of this front."""
         self.holds = self.holds.release(node)
 
     def digest(self) -> int:
-        """CRC-32 that is the same for equal copies: the same dots, and as much known to be released.
+        """Return the CRC-32 of this front's copy; equal copies have equal digests.
 
-        Every probe asks for it, so it is computed once for each change.
+        It covers the dots and the version vector, so copies that differ only in the releases that they know
+        of have different digests. It is computed once per change, because every probe uses it.
         """
         if self._cached_digest is None or self._cached_digest[0] is not self.holds:
             self._cached_digest = self.holds, self.compute_digest()
         return self._cached_digest[1]
 
     def compute_digest(self) -> int:
-        """Compute ``digest`` anew. The text it sums up must be the same in all fronts."""
+        """Compute ``digest`` without the cache. All fronts must derive the same text from equal copies."""
         clock = sorted((actor.name, actor.boot, number) for actor, number in self.holds.clock.items())
         held = sorted(
             (node, sorted((actor.name, actor.boot, number) for actor, number in dots))
@@ -67,9 +68,9 @@
         return msgspec.msgpack.encode(self.holds)
 
     def load(self, sender: MemberId, data: bytes) -> bool:
-        """Merge a peer's copy; return whether it changed this one.
+        """Merge a peer's copy; return whether it changed this front's copy.
 
-        Raises ``ValueError`` for a copy that can't be decoded, and takes nothing of it.
+        Raises ``ValueError`` for a copy that cannot be decoded; nothing is changed then.
         """
         copy = decode("holds", data)
         if len(self.received) >= MAX_ACTORS and sender not in self.received:
@@ -87,11 +88,11 @@
         return True
 
     def restore(self, data: bytes, held: frozenset[str]) -> None:
-        """Take at a start what the previous process kept.
+        """Restore at start-up what the previous process stored.
 
-        ``data``: its copy, by which a release that it missed still counts; a copy that can't be decoded is
-        ignored. ``held``: the nodes that this front's own record holds; those that the copy lacks are held
-        anew, as a hold must not be lost.
+        ``data``: the copy of the previous process. Its version vector lets releases that this front missed
+        take effect. A copy that cannot be decoded is ignored. ``held``: the nodes held by this front's own
+        record. Those that the copy lacks are held again, because a hold must not be lost.
         """
         with contextlib.suppress(ValueError):
             self.holds = merge("holds", self.holds, decode("holds", data))
@@ -99,7 +100,7 @@
             self.hold(node)
 
     def is_behind(self, member: MemberId) -> bool:
-        """Whether this member is not known to have all that is known here."""
+        """Return whether this member is not known to have everything that this front's copy has."""
         copy = self.received.get(member)
         if copy is None or not copy.includes(self.holds):
             return True
--- a/cleatyoke/coordination/lease_borrower.py
+++ b/cleatyoke/coordination/lease_borrower.py
@@ -15,30 +15,30 @@
 
 
 class Borrower:
-    """Borrow what this front's demand lacks, and use a lease only while its lender still counts it.
+    """Borrows the parts that this front's demand lacks, and uses a lease only while its lender counts it.
 
-    Without the rules here a front would use parts that its lender has taken back. Why they hold:
+    These rules keep a front from using parts that their lender has taken back:
 
-    - A lease is judged by ``LeaseTerms.borrower_expiry``: from the moment of the request, on this front's
-      own clock, so a grant that was long under way, or a pause of this process, can't prolong it.
-    - Only the grant that answers the pending request is accepted. One that is late, duplicated, forged or
-      above what was requested is ignored; its lender counts it until it expires, which wastes parts and
-      never uses them twice.
-    - A lease that is returned is not used any more before the lender is told so.
+    - A lease expires by ``LeaseTerms.borrower_expiry``, counted from the request on this front's own clock.
+      Neither a slow grant nor a pause of this process can prolong it.
+    - Only the grant that answers the pending request is accepted. A grant that is late, duplicated, forged
+      or larger than requested is ignored. Its lender counts it until it expires, so parts go unused, but
+      none is used twice.
+    - A lease is no longer used once the message that returns it is issued.
 
-    ``rng`` chooses which peer to ask, so that fronts with the same demand spread over the lenders.
+    ``rng`` chooses the peer to ask, which spreads fronts with the same demand over the lenders.
     """
 
     def __init__(self, terms: LeaseTerms, rng: random.Random) -> None:
         self.terms = terms
         self.rng = rng
-        self.peers: Sequence[MemberId] = ()  # that can be asked
-        self.last_number = 0  # of all requests of this process; only rises
+        self.peers: Sequence[MemberId] = ()  # possible lenders
+        self.last_number = 0  # of this process's requests; never decreases
 
     def accept_grant(
         self, now: float, account: ResourceAccount | None, lender: MemberId, grant: LeaseGrant
     ) -> None:
-        """Take the lease that answers a pending request; ignore any other grant."""
+        """Accept the grant that answers a pending request; ignore any other grant."""
         lease = account.borrowed.get(lender) if account else None
         if account is None or lease is None or lease.pending is None:
             return
@@ -59,35 +59,33 @@
     def rebalance(
         self, now: float, account: ResourceAccount, *, is_borrowing: bool
     ) -> list[SendLeaseMessage]:
-        """Return leases that are not needed, renew those that are, and request what is lacking.
+        """Return leases that are not needed, renew those that are, and request the shortfall.
 
         ``is_borrowing``: whether this process may borrow more than it holds.
         """
-        account.not_asked_until = {
-            peer: until for peer, until in account.not_asked_until.items() if until > now
-        }
+        account.backoff_until = {peer: until for peer, until in account.backoff_until.items() if until > now}
         self._drop_unanswered(now, account)
-        wanted = math.ceil(account.demand * self.terms.demand_headroom)
+        required = math.ceil(account.demand * self.terms.demand_headroom)
         usable = account.usable_parts(now)
-        out: list[SendLeaseMessage] = []
+        messages: list[SendLeaseMessage] = []
         for lender, lease in list(account.borrowed.items()):
             held = lease.usable_parts(now)
-            if held and usable - held >= wanted + self.terms.hysteresis_parts:
+            if held and usable - held >= required + self.terms.hysteresis_parts:
                 usable -= held
                 account.invalidate()
-                out.append(self._return(account, lender, lease))
+                messages.append(self._return(account, lender, lease))
             elif held and not lease.pending and now >= lease.expires_at - self.terms.duration / 2:
-                more = max(0, min(wanted - usable, MAX_LEASE_PARTS - held))
-                usable += more  # as if granted, so that other lenders are not asked for the same parts
-                out.append(self._request(now, account, lender, held + more))
+                increase = max(0, min(required - usable, MAX_LEASE_PARTS - held))
+                usable += increase  # as if granted, so that other lenders are not asked for the same parts
+                messages.append(self._request(now, account, lender, held + increase))
         if is_borrowing:
-            out += self._borrow_lacking(now, account, wanted, usable)
-        return out
+            messages += self._borrow_shortfall(now, account, required, usable)
+        return messages
 
     def _drop_unanswered(self, now: float, account: ResourceAccount) -> None:
-        """Give up requests without an answer in time, and leases without parts.
+        """Drop requests that have timed out, and leases without usable parts.
 
-        A grant that comes after that is not accepted.
+        A grant that arrives after the time-out is not accepted.
         """
         for lender, lease in list(account.borrowed.items()):
             if lease.pending and now >= lease.pending.requested_at + self.terms.request_timeout:
@@ -96,33 +94,31 @@
             if not lease.pending and not lease.usable_parts(now):
                 del account.borrowed[lender]
 
-    def _borrow_lacking(
-        self, now: float, account: ResourceAccount, wanted: int, usable: int
+    def _borrow_shortfall(
+        self, now: float, account: ResourceAccount, required: int, usable: int
     ) -> list[SendLeaseMessage]:
-        """Ask one more peer, where ``wanted`` exceeds what is usable and what has been requested."""
+        """Ask one more peer if ``required`` exceeds the usable parts and those already requested."""
         requested = sum(
             lease.pending.parts
             for lease in account.borrowed.values()
             if lease.pending and not lease.usable_parts(now)
         )
-        lacking = wanted - usable - requested
-        is_short = lacking > 0 and account.demand > usable
-        if lacking <= self.terms.hysteresis_parts and not is_short:
+        shortfall = required - usable - requested
+        is_short = shortfall > 0 and account.demand > usable
+        if shortfall <= self.terms.hysteresis_parts and not is_short:
             return []
         lenders = [
-            peer
-            for peer in self.peers
-            if peer not in account.not_asked_until and peer not in account.borrowed
+            peer for peer in self.peers if peer not in account.backoff_until and peer not in account.borrowed
         ]
         if not lenders:
             return []
         lender = self.rng.choice(lenders)
         account.borrowed[lender] = BorrowedLease()
-        return [self._request(now, account, lender, min(lacking, MAX_LEASE_PARTS))]
+        return [self._request(now, account, lender, min(shortfall, MAX_LEASE_PARTS))]
 
     def _back_off(self, now: float, account: ResourceAccount, lender: MemberId) -> None:
-        """Leave out for a while a lender that had less than was requested, or that did not answer."""
-        account.not_asked_until[lender] = now + self.terms.duration / 2
+        """Ask this lender for no new lease for a while: it granted less than requested, or did not answer."""
+        account.backoff_until[lender] = now + self.terms.duration / 2
 
     def _request(
         self, now: float, account: ResourceAccount, lender: MemberId, parts: int
--- a/cleatyoke/coordination/lease_events.py
+++ b/cleatyoke/coordination/lease_events.py
@@ -1,4 +1,4 @@
-"""What quota leases are told (events) and what they want sent (actions)."""
+"""Events and actions of ``QuotaLeases.step``."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 class DemandChanged:
     """What this front could use of each resource now, in parts of a home quota.
 
-    The front lends from its home quota in the resources named here. One that is named no more counts as one
-    with a demand of 0, and is lent from until all leases in it have ended. Nothing is lent of resources that
-    were never named, as a front that never had a request for a volume may not be one of the volume's fronts.
-    A demand of 0 names a resource to lend from.
+    The front lends from its home quota in the resources that are listed, including those with a demand of 0.
+    A resource that is no longer listed counts as one with a demand of 0, and is lent from until all its
+    leases have ended. A resource that was never listed is not lent from: a front that has never had a request
+    for a volume may not be one of the volume's fronts.
     """
 
     demand: Mapping[str, float]
@@ -38,10 +38,10 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaFractionChanged:
-    """The fraction of all quotas that this process may use, below 1 while two processes of a front live.
+    """The fraction of all quotas that this process may use; below 1 while two processes of a front run.
 
-    The user of the quota scales by it. Below 1 nothing is lent and nothing more is borrowed, so that within
-    one lease duration the front is back at its home quota.
+    The user of the quota applies it. Below 1 nothing is lent and nothing more is borrowed, so the front is
+    back at its home quota within one lease duration.
     """
 
     fraction: float
--- a/cleatyoke/coordination/lease_lender.py
+++ b/cleatyoke/coordination/lease_lender.py
@@ -1,4 +1,4 @@
-"""The lender's side of quota leases: which part of the home quota is granted, and until when it counts."""
+"""The lender's side of quota leases: how much of the home quota is granted, and until when a lease counts."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Lender:
-    """Grant leases from the surplus of this front's home quota, so that parts are never in use twice.
+    """Grants leases from the surplus of this front's home quota so that no part is in use twice.
 
-    Without the rules here two fronts would use the same parts, and the fleet would exceed a limit.
-    Why they hold, whatever the network and the processes do:
+    Two fronts that use the same parts would exceed the fleet's limit. These rules prevent it under any
+    behaviour of the network and of other processes:
 
-    - A granted lease counts as used from the moment of the grant until ``LeaseTerms.lender_expiry``, which is
-      never earlier than the borrower's own expiry. A lost grant, a stopped borrower or a partition costs
-      unused parts until then. That the membership no longer knows the borrower changes nothing.
-    - A repeated request (duplicate, or retry after a lost grant) gets the same lease again with the same
-      expiry, never a second or a longer one.
-    - A request that a later one of the same borrower has overtaken is ignored. A request for 0 parts says
-      that the borrower uses none of its leases and will accept no older grant: all of them end at once.
+    - A granted lease counts as used from the grant until ``LeaseTerms.lender_expiry``, which is never
+      earlier than the borrower's own expiry. After a lost grant, a stopped borrower or a partition, the parts
+      are unused until then. The membership's removal of the borrower does not end a lease.
+    - A repeated request (a duplicate, or a retry after a lost grant) is answered with the same lease and the
+      same expiry, never with a second or a longer lease.
+    - A request is ignored if a later one of the same borrower was received before. A request for 0 parts
+      says that the borrower uses none of its leases and will accept no older grant: they all end at once.
     """
 
     def __init__(self, terms: LeaseTerms) -> None:
@@ -37,12 +37,12 @@
         *,
         is_lending: bool,
     ) -> LeaseGrant | None:
-        """The answer to a request, or None where nobody waits for one.
+        """Return the answer to a request, or None if the borrower expects none.
 
         ``account`` is None for a resource in which this front has no home quota. ``is_lending``: whether
-        this process may lend at all now.
+        this process may grant leases now.
         """
-        if account is None or not account.is_home:
+        if account is None or not account.has_home_quota:
             return LeaseGrant(request.resource, request.number, 0, 0)
         account.invalidate()
         granted = account.granted.setdefault(borrower, GrantedLeases())
@@ -64,9 +64,9 @@
         return LeaseGrant(request.resource, request.number, parts, surplus)
 
     def drop_expired(self, now: float, account: ResourceAccount, peers: Collection[MemberId]) -> None:
-        """Drop leases that have expired here, and borrowers without any that are no longer peers.
+        """Drop expired leases, and borrowers that have no lease and are no longer peers.
 
-        The number of a peer's last request is kept, so that a late duplicate is not granted as a new one.
+        The number of a peer's last request is kept, so that a late duplicate is not granted as a new request.
         """
         for borrower, granted in list(account.granted.items()):
             granted.leases = {
@@ -76,9 +76,9 @@
                 del account.granted[borrower]
 
     def _surplus(self, now: float, account: ResourceAccount, borrower: MemberId) -> int:
-        """Parts that this borrower can have in all: neither needed here nor granted to others."""
+        """Return the most parts that this borrower can have: not needed here and not granted to others."""
         granted = sum(
             leases.outstanding(now) for other, leases in account.granted.items() if other != borrower
         )
-        own = max(NEVER_LEASED_PARTS, math.ceil(account.demand * self.terms.demand_headroom))
-        return max(0, HOME_PARTS - granted - own)
+        reserved = max(NEVER_LEASED_PARTS, math.ceil(account.demand * self.terms.demand_headroom))
+        return max(0, HOME_PARTS - granted - reserved)
--- a/cleatyoke/coordination/quota_leases.py
+++ b/cleatyoke/coordination/quota_leases.py
@@ -1,9 +1,9 @@
-"""Quota leases: fronts lend each other unused parts of a shared quota, never more in all than there is.
+"""Quota leases: fronts lend each other unused parts of a shared quota without exceeding the total.
 
-Every front has the same home quota in each resource, ``HOME_PARTS``. The homes add up to the whole resource,
-so that no agreement is needed on who begins with what. A front whose demand exceeds its home borrows from
-fronts with a surplus, by messages and for a short time (leases: Gray and Cheriton, 1989; the division of a
-bound into rights: O'Neil's escrow, 1986, and the bounded counter of Balegas and others, 2015).
+Every front has the same home quota in each resource, ``HOME_PARTS``. The home quotas add up to the whole
+resource, so fronts need not agree on an initial division. A front whose demand exceeds its home quota borrows
+from fronts with a surplus, by messages and for a short time (leases: Gray and Cheriton, 1989; the division of
+a bound into rights: O'Neil's escrow, 1986, and the bounded counter of Balegas and others, 2015).
 
 No I/O and no clock: ``step(now, events) -> actions``. The lender's rules are in ``lease_lender``, the
 borrower's in ``lease_borrower``.
@@ -28,26 +28,26 @@
 from cleatyoke.coordination.lease_terms import LeaseTerms
 from cleatyoke.membership.wire import LeaseGrant, LeaseRequest, MemberId
 
-MAX_RESOURCES = 4096  # with an account; nothing is lent or borrowed of further ones
-MAX_REQUESTS_PER_STEP = 16  # messages; reached, the remaining resources wait for the next step
+MAX_RESOURCES = 4096  # with an account; nothing is lent or borrowed of further resources
+MAX_REQUESTS_PER_STEP = 16  # messages; once reached, the remaining resources wait for the next step
 
 
 class QuotaLeases:
     """The leases of one process run of a front, in all resources.
 
-    It keeps the sum of what all fronts may use at or below the whole, in any partition, crash, pause, loss,
-    duplication or delay of messages. A failure would show as a rate limit exceeded by the fleet, or as a
-    node that is warming up and gets more than it can take. Why it holds:
+    Invariant: the parts that all fronts may use never exceed the whole resource, under any partition, crash,
+    pause, or loss, duplication or delay of messages. If it broke, the fleet would exceed a rate limit, or
+    overload a node that is warming up. It is maintained as follows:
 
-    - Every part is counted by its owner: at home, granted or borrowed. A granted part is not used at home
-      until it expires for the lender, and its borrower stops before that (``Lender``, ``Borrower``). Each
-      side uses its own monotonic clock; ``LeaseTerms`` bounds how far two clocks may drift apart.
-    - ``usable_parts`` compares with the clock at every use, so a process that was paused beyond a lease's
-      expiry does not use it when it resumes.
-    - A process does not know what the front's process before it had granted. Until all of that must have
-      expired, it uses only ``NEVER_LEASED_PARTS`` of its home and lends nothing.
+    - Every part is counted by its owner: at home, granted or borrowed. The lender does not use a granted part
+      until the lease expires for it, and the borrower stops before that (``Lender``, ``Borrower``). Each side
+      uses its own monotonic clock; ``LeaseTerms`` bounds how far two clocks may drift apart.
+    - ``usable_parts`` checks the clock at every use, so a process that was paused beyond a lease's expiry
+      does not use the lease when it resumes.
+    - A process does not know which leases the front's previous process granted. Until all of them must have
+      expired, it uses only ``NEVER_LEASED_PARTS`` of its home quota and lends nothing.
 
-    ``began``: when this process started, seconds of its monotonic clock, the clock of all times here.
+    ``began``: when this process started, in seconds of its monotonic clock, the clock of all times here.
     """
 
     def __init__(self, began: float, rng: random.Random, terms: LeaseTerms | None = None) -> None:
@@ -58,29 +58,29 @@
         self.accounts: dict[str, ResourceAccount] = {}
         self.peers: tuple[MemberId, ...] = ()
         self.quota_fraction = 1.0  # see QuotaFractionChanged
-        self.home_resources: frozenset[str] = frozenset()  # named by the last DemandChanged
-        self.refused_resources = 0  # demands for resources beyond MAX_RESOURCES
+        self.home_resources: frozenset[str] = frozenset()  # listed in the last DemandChanged
+        self.refused_resources = 0  # times that an account was denied because of MAX_RESOURCES
 
     def usable_parts(self, resource: str, now: float) -> int:
-        """The parts that this front may use at this moment. To be asked directly before each use."""
+        """Return the parts that this front may use now. Call it directly before each use."""
         account = self.accounts.get(resource)
         if account is None:
             return home_parts(now, self.home_available_at)
         return account.usable_parts(now)
 
     def step(self, now: float, events: Iterable[LeaseEvent] = ()) -> list[SendLeaseMessage]:
-        """Take the events in their order, then return the messages to send.
+        """Process the events in order and return the messages to send.
 
-        A grant rebalances its own resource, so that what it lacked is requested from another front at once;
-        any other event than a message rebalances all.
+        A grant rebalances its own resource, so that a remaining shortfall is requested from another front at
+        once. An event that is no message rebalances all resources.
         """
-        out: list[SendLeaseMessage] = []
+        messages: list[SendLeaseMessage] = []
         granted: set[str] = set()
         rebalance_all = False
         for event in events:
             match event:
                 case LeaseMessageReceived(sender, LeaseRequest() as request):
-                    out += self._answer(now, sender, request)
+                    messages += self._answer(now, sender, request)
                 case LeaseMessageReceived(sender, LeaseGrant() as grant):
                     self.borrower.accept_grant(now, self.accounts.get(grant.resource), sender, grant)
                     granted.add(grant.resource)
@@ -95,7 +95,7 @@
                     self.quota_fraction = fraction
                     rebalance_all = True
         resources = list(self.accounts) if rebalance_all else sorted(granted & self.accounts.keys())
-        return out + self._rebalance(now, resources)
+        return messages + self._rebalance(now, resources)
 
     def _answer(self, now: float, borrower: MemberId, request: LeaseRequest) -> list[SendLeaseMessage]:
         is_lending = now >= self.home_available_at and self.quota_fraction >= 1.0
@@ -108,12 +108,12 @@
         for resource, account in self.accounts.items():
             account.demand = demand.get(resource, 0.0)
         for resource, parts in demand.items():
-            if account_or_none := self._account(resource):
-                account_or_none.demand = parts
-                account_or_none.is_home = True
+            if listed := self._account(resource):
+                listed.demand = parts
+                listed.has_home_quota = True
 
     def _account(self, resource: str) -> ResourceAccount | None:
-        """The account of a resource, a new one if need be; None beyond ``MAX_RESOURCES``."""
+        """Return the account of a resource, creating it if needed; None beyond ``MAX_RESOURCES``."""
         if resource not in self.accounts:
             if len(self.accounts) >= MAX_RESOURCES:
                 self.refused_resources += 1
@@ -122,14 +122,14 @@
         return self.accounts[resource]
 
     def _rebalance(self, now: float, resources: Iterable[str]) -> list[SendLeaseMessage]:
-        """Drop what has expired, and accounts without demand or leases; borrow, renew and return."""
-        out: list[SendLeaseMessage] = []
+        """Drop expired leases and unused accounts, then borrow, renew and return leases."""
+        messages: list[SendLeaseMessage] = []
         for resource in resources:
             account = self.accounts[resource]
             account.invalidate()
             self.lender.drop_expired(now, account, self.peers)
             if resource not in self.home_resources and not account.has_leases():
                 del self.accounts[resource]
-            elif len(out) < MAX_REQUESTS_PER_STEP:
-                out += self.borrower.rebalance(now, account, is_borrowing=self.quota_fraction >= 1.0)
-        return out
+            elif len(messages) < MAX_REQUESTS_PER_STEP:
+                messages += self.borrower.rebalance(now, account, is_borrowing=self.quota_fraction >= 1.0)
+        return messages
--- a/cleatyoke/coordination/rate_limit_leases.py
+++ b/cleatyoke/coordination/rate_limit_leases.py
@@ -1,7 +1,7 @@
-"""Quota leases for the rate limits of volumes: what is measured, and what the scheduler is told.
+"""Quota leases for the rate limits of volumes: demand measurement, and quota changes for the scheduler.
 
-No I/O and no clock. The home quota of a volume is a front's even part of the limit, which the scheduler
-applies without leases. Times are seconds of the leases' monotonic clock.
+No I/O and no clock. The home quota in a volume is the front's equal share of the rate limit, which the
+scheduler applies without leases. Times are seconds of the leases' monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 def rate_limit_resource(volume: int) -> str:
-    """The name on the wire of a volume's rate limit."""
+    """Return the resource name, as used on the wire, of a volume's rate limit."""
     return f"limit:{volume:x}"
 
 
 class RateLimitLeases:
-    """Measure the demand for each limited volume, and report the quota that leases leave to this front.
+    """Measures the demand for each rate-limited volume, and reports this front's quota under its leases.
 
     ``plans`` returns the plans of the settings in force, by plan index.
     """
@@ -30,22 +30,22 @@
         self.leases = leases
         self.plans = plans
         self.meters: DemandMeters[int] = DemandMeters()
-        self.reported_parts: dict[int, int] = {}  # by volume, where not HOME_PARTS
+        self.reported_parts: dict[int, int] = {}  # by volume; HOME_PARTS if absent
 
     def observe(self, now: float, events: Iterable[SchedulerEvent]) -> None:
-        """Count the requests among these events."""
+        """Count the units of the requests among these events."""
         for event in events:
             if isinstance(event, RequestArrived) and (limit := self.plans()[event.plan_index].rate_limit):
                 home_rate = limit / max(1, event.front_count)
                 self.meters.record(now, event.volume_id, event.units, home_rate)
 
     def demand(self, now: float) -> dict[str, float]:
-        """By resource: what this front could use of the volumes that it has requests for."""
+        """Return, by resource, the demand for the volumes that this front has requests for."""
         return {rate_limit_resource(volume): parts for volume, parts in self.meters.demand(now).items()}
 
     def quota_changes(self, now: float) -> list[SchedulerEvent]:
-        """What the scheduler must be told before it decides anything at this moment."""
-        out: list[SchedulerEvent] = []
+        """Return the quota changes that the scheduler must process before it decides anything now."""
+        changes: list[SchedulerEvent] = []
         for volume in self.meters.by_key.keys() | self.reported_parts.keys():
             parts = self.leases.usable_parts(rate_limit_resource(volume), now)
             if parts == self.reported_parts.get(volume, HOME_PARTS):
@@ -53,5 +53,5 @@
             self.reported_parts[volume] = parts
             if parts == HOME_PARTS:
                 del self.reported_parts[volume]
-            out.append(QuotaLeaseChanged(volume, parts / HOME_PARTS))
-        return out
+            changes.append(QuotaLeaseChanged(volume, parts / HOME_PARTS))
+        return changes
--- a/cleatyoke/coordination/settings_digest.py
+++ b/cleatyoke/coordination/settings_digest.py
@@ -1,7 +1,8 @@
-"""The digest by which fronts notice that they run with different settings. No I/O.
+"""The settings digest, by which fronts detect that they run with different settings. No I/O.
 
-The digest is part of the membership messages, so that its text is a wire format: fronts of older releases sum
-up the same text. The tables below hold the names of that format, which are not the names of this code.
+Fronts compare the digest in membership messages. The text that it is computed from is therefore part of the
+wire format: fronts of older releases compute it from the same text. The names in that text are those of the
+format and differ from the names in this code.
 """
 
 from __future__ import annotations
@@ -29,12 +30,10 @@
 
 
 def settings_digest(settings: SchedulerSettings) -> int:
-    """CRC-32 of the settings that all fronts of a fleet share.
+    """Return the CRC-32 of the settings that all fronts of a fleet share.
 
-    It is the ``settings_checksum`` of the membership messages.
-
-    What belongs to one process only is left out: seed, start time, quota share and whether it replaces
-    another process.
+    It is the ``settings_checksum`` of the membership messages. Settings of a single process have fixed
+    values in it: seed, start time, quota fraction, and whether the process replaces another one.
     """
     return zlib.crc32(_settings_text(settings).encode())
 
--- a/cleatyoke/coordination/slow_start_leases.py
+++ b/cleatyoke/coordination/slow_start_leases.py
@@ -1,9 +1,9 @@
 """Quota leases for nodes that are warming up: how much of such a node's capacity this front may use.
 
-No I/O and no clock. The home quota is an even part of the units that the settings state for a node that has
-just started, which the scheduler applies without leases. The resource is a node in one of its process runs:
-fronts that know different start times of a node lend each other nothing, and each keeps to its home quota,
-which is the safe side.
+No I/O and no clock. The home quota is an equal share of the units that the settings allow for a node that has
+just started, which the scheduler applies without leases. The resource is one process run of a node. Fronts
+that know different start times of a node lend each other nothing and keep to their home quotas, which is the
+safe side.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 )
 from cleatyoke.scheduling.settings import SchedulerSettings
 
-MIN_HOME_RATE = 1e-9  # units a second; keeps a division from failing where the settings state no units
+MIN_HOME_RATE = 1e-9  # units a second; avoids a division by 0 if the settings allow no units
 
 
 @dataclass(slots=True, frozen=True)
 class WarmingNode:
-    """A live node that has not served for the whole slow start yet."""
+    """A live node whose slow start is not over."""
 
     resource: str  # its name on the wire
     shard: int | None
@@ -38,19 +38,19 @@
 
 
 def warming_node_resource(name: str, started: float) -> str:
-    """The name on the wire of a node's process run.
+    """Return the resource name, as used on the wire, of a node's process run.
 
-    ``started``: Unix time; milliseconds count, as discovery tells no more.
+    ``started``: Unix time; rounded to milliseconds, the precision of discovery.
     """
-    # "cold:" is part of the wire format: fronts of older releases use the same name
+    # The prefix "cold:" is part of the wire format: fronts of older releases use the same name.
     return "cold:" + hashlib.blake2s(f"{name}|{round(started * 1000)}".encode(), digest_size=12).hexdigest()
 
 
 class SlowStartLeases:
-    """Measure the demand for each node that warms up, and report the quota that leases leave to this front.
+    """Measures the demand for each warming node, and reports this front's quota under its leases.
 
-    ``settings`` returns the settings in force. ``node_name`` returns the id by which all fronts know a node,
-    or None for a node that is not listed.
+    ``settings`` returns the settings in force. ``node_name`` returns the id of a node that is the same at all
+    fronts, or None for a node that is not listed.
     """
 
     def __init__(
@@ -62,12 +62,12 @@
         self.leases = leases
         self.settings = settings
         self.node_name = node_name
-        self.warming_nodes: dict[int, WarmingNode] = {}  # by node
+        self.warming_nodes: dict[int, WarmingNode] = {}  # by node id
         self.meters: DemandMeters[str] = DemandMeters()
-        self.reported_parts: dict[int, int] = {}  # by node, where not HOME_PARTS
+        self.reported_parts: dict[int, int] = {}  # by node id; HOME_PARTS if absent
 
     def observe(self, now: float, unix_time: float, events: Iterable[SchedulerEvent]) -> None:
-        """Follow the endpoint updates and count the requests among these events.
+        """Apply the endpoint updates and count the requests among these events.
 
         ``now``: the leases' monotonic clock. ``unix_time``: the clock of the nodes' start times.
         """
@@ -81,13 +81,13 @@
                 self._count_request(now, event)
 
     def demand(self, now: float) -> dict[str, float]:
-        """By resource: what this front could use of each warming node; 0 for those it can lend."""
+        """Return, by resource, the demand for each warming node; 0 lists a node only to lend from it."""
         measured = self.meters.demand(now)
         return {node.resource: measured.get(node.resource, 0.0) for node in self.warming_nodes.values()}
 
     def quota_changes(self, now: float) -> list[SchedulerEvent]:
-        """What the scheduler must be told before it decides anything at this moment."""
-        out: list[SchedulerEvent] = []
+        """Return the quota changes that the scheduler must process before it decides anything now."""
+        changes: list[SchedulerEvent] = []
         for node_id in self.warming_nodes.keys() | self.reported_parts.keys():
             node = self.warming_nodes.get(node_id)
             parts = self.leases.usable_parts(node.resource, now) if node else HOME_PARTS
@@ -96,13 +96,13 @@
             self.reported_parts[node_id] = parts
             if parts == HOME_PARTS:
                 del self.reported_parts[node_id]
-            out.append(SlowStartLeaseChanged(node_id, parts / HOME_PARTS))
-        return out
+            changes.append(SlowStartLeaseChanged(node_id, parts / HOME_PARTS))
+        return changes
 
     def _home_rate(self) -> float:
-        """Units a second of one front's home quota in a node that has just started.
+        """Return the units a second of one front's home quota in a node that has just started.
 
-        Settings without a window say nothing of what a node bears.
+        Without a window (``overload_after`` is 0) the settings define no rate for a node.
         """
         settings = self.settings()
         window = settings.safety.overload_after
@@ -122,8 +122,8 @@
             self.warming_nodes.pop(endpoint.node_id, None)
             name = self.node_name(endpoint.node_id)
             warmed_up_at = endpoint.started_at + duration
-            is_known_start = endpoint.started_at > 0 and unix_time < warmed_up_at
-            if name and endpoint.state is EndpointState.LIVE and is_known_start:
+            is_warming = endpoint.started_at > 0 and unix_time < warmed_up_at
+            if name and endpoint.state is EndpointState.LIVE and is_warming:
                 self.warming_nodes[endpoint.node_id] = WarmingNode(
                     warming_node_resource(name, endpoint.started_at), endpoint.shard, warmed_up_at
                 )
--- a/tests/quota_lease_variants.py
+++ b/tests/quota_lease_variants.py
@@ -1,4 +1,4 @@
-"""Quota leases with one rule broken, which the tests must catch."""
+"""Faulty variants of quota leases, each with one safety rule broken, that the tests must detect."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from cleatyoke.membership.wire import LeaseGrant, MemberId
 
 
-class KeptOverRestart(QuotaLeases):
-    """A new incarnation uses its whole home quota at once."""
+class FullQuotaAfterRestart(QuotaLeases):
+    """A new incarnation uses its whole home quota at once, without waiting for old leases to expire."""
 
     def __init__(self, began: float, rng: random.Random, terms: LeaseTerms | None = None) -> None:
         super().__init__(began - 3600.0, rng, terms)
 
 
-class BorrowerByLendersClock(Borrower):
-    """Counts a lease from the moment the grant came."""
+class BorrowerExpiringFromGrant(Borrower):
+    """Counts a lease from the arrival of the grant."""
 
     def accept_grant(
         self, now: float, account: ResourceAccount | None, lender: MemberId, grant: LeaseGrant
@@ -33,16 +33,16 @@
                 lease.expires_at = self.terms.borrower_expiry(now)
 
 
-class EndsAfterGrant(QuotaLeases):
-    """The borrower counts its lease from the grant in place of its request."""
+class ExpiryFromGrant(QuotaLeases):
+    """The borrower counts its lease from the grant instead of from its request."""
 
     def __init__(self, began: float, rng: random.Random, terms: LeaseTerms | None = None) -> None:
         super().__init__(began, rng, terms)
-        self.borrower = BorrowerByLendersClock(self.terms, rng)
+        self.borrower = BorrowerExpiringFromGrant(self.terms, rng)
 
 
-class LenderByMembership(Lender):
-    """Takes silence for an end."""
+class LenderDroppingNonPeers(Lender):
+    """Drops the leases of a borrower that is no longer a peer, before they expire."""
 
     def drop_expired(self, now: float, account: ResourceAccount, peers: Collection[MemberId]) -> None:
         for borrower in [borrower for borrower in account.granted if borrower not in peers]:
@@ -50,9 +50,9 @@
         super().drop_expired(now, account, peers)
 
 
-class SilenceFrees(QuotaLeases):
-    """The lender takes back the leases of a borrower that is no longer a peer."""
+class LeasesEndWithMembership(QuotaLeases):
+    """The lender takes back leases as soon as the membership has removed their borrower."""
 
     def __init__(self, began: float, rng: random.Random, terms: LeaseTerms | None = None) -> None:
         super().__init__(began, rng, terms)
-        self.lender = LenderByMembership(self.terms)
+        self.lender = LenderDroppingNonPeers(self.terms)
--- a/tests/test_quota_leases_search.py
+++ b/tests/test_quota_leases_search.py
@@ -1,4 +1,4 @@
-"""An exhaustive search of all states that three fronts with quota leases can reach under a few faults."""
+"""Exhaustive search of the states that three fronts with quota leases can reach under a few faults."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.emulation.quota_leases import RESOURCE
 from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
-from tests.quota_lease_variants import EndsAfterGrant, KeptOverRestart
+from tests.quota_lease_variants import ExpiryFromGrant, FullQuotaAfterRestart
 
 FRONTS = 3
-PAUSE = 3  # seconds
+PAUSE_SECONDS = 3
 BUSY_DEMAND = 1500.0  # parts of a home quota
 IDS = [MemberId(str(front), 1) for front in range(FRONTS)]
 RESTART, PAUSED, LOST, DUPLICATED = "restart", "stop", "lost", "doubled"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Message:
-    """A message in flight; fronts by number."""
+    """A message in flight between two fronts, given by number."""
 
     source: int
     target: int
@@ -35,18 +35,18 @@
 
 @dataclass(frozen=True)
 class State:
-    """All fronts at the end of a second."""
+    """The state of all fronts at the end of a second."""
 
     leases: list[QuotaLeases]
-    flight: list[Message]
+    in_flight: list[Message]
     now: int
     faults_done: frozenset[str]
-    paused: int  # a front; -1: none
+    paused: int  # number of the paused front, or -1
     paused_until: int
 
 
 def terms_in_seconds(duration: float) -> LeaseTerms:
-    """Terms for whole seconds and exact clocks."""
+    """Lease terms for steps of whole seconds and clocks without drift."""
     return LeaseTerms(
         duration=duration,
         clock_drift=0.0,
@@ -59,78 +59,82 @@
 
 
 def advance(state: State, arriving: int) -> State:
-    """One second on: the first ``arriving`` messages reach their fronts, then every running front steps."""
+    """Advance by one second: deliver the first ``arriving`` messages, then step every running front."""
     leases = copy.deepcopy(state.leases)
-    coming, flight = state.flight[:arriving], list(state.flight[arriving:])
+    delivered, in_flight = state.in_flight[:arriving], list(state.in_flight[arriving:])
     busy = 0 if state.now < 5 else 1
-    for front, one in enumerate(leases):
-        mine = [message for message in coming if message.target == front]
+    for front, front_leases in enumerate(leases):
+        received = [message for message in delivered if message.target == front]
         if front == state.paused and state.now < state.paused_until:
-            flight += mine
+            in_flight += received
             continue
-        events: list[LeaseEvent] = [LeaseMessageReceived(IDS[one.source], one.body) for one in mine]
+        events: list[LeaseEvent] = [
+            LeaseMessageReceived(IDS[message.source], message.body) for message in received
+        ]
         events.append(PeersChanged(tuple(id for id in IDS if id.name != str(front))))
         events.append(DemandChanged({RESOURCE: BUSY_DEMAND if front == busy else 0.0}))
-        for action in one.step(float(state.now), events):
-            flight.append(Message(front, int(action.receiver.name), action.message))
-    return replace(state, leases=leases, flight=flight, now=state.now + 1)
+        for action in front_leases.step(float(state.now), events):
+            in_flight.append(Message(front, int(action.receiver.name), action.message))
+    return replace(state, leases=leases, in_flight=in_flight, now=state.now + 1)
 
 
-def restart(state: State, front: int, make: type[QuotaLeases], terms: LeaseTerms) -> State:
-    """A new incarnation of a front. Messages of and to the old one are nobody's any more."""
+def restart(state: State, front: int, leases_type: type[QuotaLeases], terms: LeaseTerms) -> State:
+    """Replace a front by a new incarnation. Messages from and to the old one are dropped."""
     leases = list(state.leases)
-    leases[front] = make(float(state.now), random.Random(1), terms)
-    flight = [one for one in state.flight if front not in (one.source, one.target)]
-    return replace(state, leases=leases, flight=flight, faults_done=state.faults_done | {RESTART})
+    leases[front] = leases_type(float(state.now), random.Random(1), terms)
+    in_flight = [message for message in state.in_flight if front not in (message.source, message.target)]
+    return replace(state, leases=leases, in_flight=in_flight, faults_done=state.faults_done | {RESTART})
 
 
-def following_states(
-    state: State, make: type[QuotaLeases], terms: LeaseTerms, faults: frozenset[str]
+def successor_states(
+    state: State, leases_type: type[QuotaLeases], terms: LeaseTerms, faults: frozenset[str]
 ) -> Iterator[State]:
-    """Each state that one more second may bring.
+    """Yield each possible state one second later.
 
-    Messages in flight arrive or wait. Each fault among ``faults`` happens once in all: a message is lost or
+    Messages in flight all arrive or all wait. Each of ``faults`` happens at most once: a message is lost or
     duplicated, a front is restarted or paused.
     """
-    flight, done = state.flight, state.faults_done
-    for arriving in {len(flight), 0}:
+    in_flight, done = state.in_flight, state.faults_done
+    for arriving in {len(in_flight), 0}:
         yield advance(state, arriving)
-    if flight and LOST in faults - done:
-        yield advance(replace(state, flight=flight[1:], faults_done=done | {LOST}), len(flight) - 1)
-    if flight and DUPLICATED in faults - done:
-        twice = replace(state, flight=[*flight, flight[0]], faults_done=done | {DUPLICATED})
-        yield advance(twice, len(flight))
+    if in_flight and LOST in faults - done:
+        yield advance(replace(state, in_flight=in_flight[1:], faults_done=done | {LOST}), len(in_flight) - 1)
+    if in_flight and DUPLICATED in faults - done:
+        duplicated = replace(state, in_flight=[*in_flight, in_flight[0]], faults_done=done | {DUPLICATED})
+        yield advance(duplicated, len(in_flight))
     for front in range(FRONTS):
         if RESTART in faults - done:
-            yield advance(restart(state, front, make, terms), len(flight))
+            yield advance(restart(state, front, leases_type, terms), len(in_flight))
         if PAUSED in faults - done:
-            paused = replace(state, paused=front, paused_until=state.now + PAUSE, faults_done=done | {PAUSED})
-            yield advance(paused, len(flight))
+            paused = replace(
+                state, paused=front, paused_until=state.now + PAUSE_SECONDS, faults_done=done | {PAUSED}
+            )
+            yield advance(paused, len(in_flight))
 
 
-def usable_together(state: State) -> int:
-    """The parts that all running fronts may use."""
+def total_usable_parts(state: State) -> int:
+    """Return the parts that all running fronts together may use."""
     return sum(
-        one.usable_parts(RESOURCE, float(state.now))
-        for front, one in enumerate(state.leases)
+        leases.usable_parts(RESOURCE, float(state.now))
+        for front, leases in enumerate(state.leases)
         if front != state.paused or state.now > state.paused_until
     )
 
 
-def search(make: type[QuotaLeases], duration: float, seconds: int, faults: str) -> tuple[int, int]:
-    """How many states there are, and the most parts that all together could use in any."""
+def search(leases_type: type[QuotaLeases], duration: float, seconds: int, faults: str) -> tuple[int, int]:
+    """Return the number of reachable states, and the most parts that all fronts may use in any of them."""
     terms = terms_in_seconds(duration)
-    leases = [make(-100.0, random.Random(1), terms) for _ in range(FRONTS)]
+    leases = [leases_type(-100.0, random.Random(1), terms) for _ in range(FRONTS)]
     states = [State(leases, [], 0, frozenset(), -1, 0)]
     count, most = 1, 0
     for _ in range(seconds):
-        found: dict[bytes, State] = {}
+        distinct: dict[bytes, State] = {}
         for state in states:
-            for following in following_states(state, make, terms, frozenset(faults.split())):
-                found.setdefault(pickle.dumps(following), following)
-        states = list(found.values())
+            for successor in successor_states(state, leases_type, terms, frozenset(faults.split())):
+                distinct.setdefault(pickle.dumps(successor), successor)
+        states = list(distinct.values())
         count += len(states)
-        most = max(most, *(usable_together(state) for state in states))
+        most = max(most, *(total_usable_parts(state) for state in states))
         if most > FRONTS * HOME_PARTS:
             break
     return count, most
@@ -140,15 +144,20 @@
 
 
 @pytest.mark.parametrize(("duration", "seconds", "faults"), SEARCHES)
-def test_no_state_that_can_be_reached_holds_more_than_the_whole(
+def test_usable_parts_in_every_reachable_state_never_exceed_the_total(
     duration: float, seconds: int, faults: str
 ) -> None:
-    """A message is lost and one duplicated, a front restarts or is paused, each at any moment."""
+    """Covers a lost and a duplicated message, and a restart or a pause of a front, each in any second.
+
+    Guards against an interleaving of these faults in which two fronts use the same parts.
+    """
     states, most = search(QuotaLeases, duration, seconds, faults)
     assert states > 500
     assert most == FRONTS * HOME_PARTS
 
 
-@pytest.mark.parametrize(("make", "place"), [(KeptOverRestart, 0), (EndsAfterGrant, 1)])
-def test_the_search_finds_wrong_variants(make: type[QuotaLeases], place: int) -> None:
-    assert search(make, *SEARCHES[place])[1] > FRONTS * HOME_PARTS
+@pytest.mark.parametrize(("leases_type", "search_index"), [(FullQuotaAfterRestart, 0), (ExpiryFromGrant, 1)])
+def test_search_of_a_faulty_variant_exceeds_the_total(
+    leases_type: type[QuotaLeases], search_index: int
+) -> None:
+    assert search(leases_type, *SEARCHES[search_index])[1] > FRONTS * HOME_PARTS
--- a/tests/test_slow_start_leases.py
+++ b/tests/test_slow_start_leases.py
@@ -1,4 +1,4 @@
-"""Quota leases for nodes that warm up: what is lent, and what the scheduler makes of it."""
+"""Quota leases for warming nodes: what is lent, and how the scheduler applies the leased quota."""
 
 from __future__ import annotations
 
@@ -47,22 +47,22 @@
     return warming
 
 
-def test_a_busy_front_borrows_of_a_warming_node_and_the_scheduler_is_told_before_it_decides() -> None:
+def test_busy_front_borrows_for_a_warming_node_and_reports_the_quota_to_the_scheduler() -> None:
     leases = QuotaLeases(-100.0, random.Random(1))
     warming, name = slow_start_leases(leases), warming_node_resource("s-7", 100.0)
-    for step in range(1, 9):  # 20 units a second at a home of 2
+    for step in range(1, 9):  # 20 units a second at a home quota of 2 units a second
         warming.observe(step * 0.25, 101.0, [request(f"a{step}", 5.0, shard=3)])
         demand = warming.demand(step * 0.25)
     assert list(demand) == [name]
     assert 8 * HOME_PARTS < demand[name] <= 10 * HOME_PARTS
-    [post] = leases.step(2.0, [DemandChanged(demand), PeersChanged((MemberId("b", 1),))])
-    assert isinstance(post.message, LeaseRequest)
-    assert post.message.parts == HOME_PARTS - NEVER_LEASED_PARTS
+    [sent] = leases.step(2.0, [DemandChanged(demand), PeersChanged((MemberId("b", 1),))])
+    assert isinstance(sent.message, LeaseRequest)
+    assert sent.message.parts == HOME_PARTS - NEVER_LEASED_PARTS
     leases.step(
         2.01,
         [
             LeaseMessageReceived(
-                MemberId("b", 1), LeaseGrant(name, post.message.number, HOME_PARTS - NEVER_LEASED_PARTS, 0)
+                MemberId("b", 1), LeaseGrant(name, sent.message.number, HOME_PARTS - NEVER_LEASED_PARTS, 0)
             )
         ],
     )
@@ -72,23 +72,23 @@
     assert warming.quota_changes(2.03) == []
     assert warming.quota_changes(9.0) == [
         SlowStartLeaseChanged(NODE, 1.0)
-    ]  # its lease is over, with no step between
+    ]  # the lease has expired, without a step in between
 
 
-def test_a_front_without_requests_for_a_warming_node_lends_and_has_less() -> None:
+def test_front_without_requests_for_a_warming_node_lends_and_reports_less_quota() -> None:
     leases = QuotaLeases(-100.0, random.Random(1))
     warming = slow_start_leases(leases)
     leases.step(1.0, [DemandChanged(warming.demand(1.0))])
-    [post] = leases.step(
+    [sent] = leases.step(
         1.0,
         [LeaseMessageReceived(MemberId("b", 1), LeaseRequest(warming_node_resource("s-7", 100.0), 1, 600))],
     )
-    assert isinstance(post.message, LeaseGrant)
-    assert post.message.parts == 600
+    assert isinstance(sent.message, LeaseGrant)
+    assert sent.message.parts == 600
     assert warming.quota_changes(1.0) == [SlowStartLeaseChanged(NODE, 0.4)]
 
 
-def test_only_live_nodes_that_warm_up_are_lent_each_incarnation_by_itself() -> None:
+def test_only_live_warming_nodes_are_resources_one_per_incarnation() -> None:
     leases = QuotaLeases(-100.0, random.Random(1))
     for changed in (
         endpoint(NODE, 3, DRAINING, 100.0),
@@ -99,7 +99,7 @@
         warming.observe(0.5, 101.0, [EndpointUpdate(UpdateKind.DELTA, [changed])])
         assert warming.demand(1.0) == {}
     warming = slow_start_leases(leases)
-    warming.observe(9.0, 110.5, [])  # warm by now
+    warming.observe(9.0, 110.5, [])  # the slow start is over
     assert warming.demand(9.0) == {}
     warming = slow_start_leases(leases)
     warming.observe(1.0, 101.0, [EndpointUpdate(UpdateKind.DELTA, [endpoint(NODE, 3, started_at=100.9)])])
@@ -108,25 +108,28 @@
         == [warming_node_resource("s-7", 100.9)]
         != [warming_node_resource("s-7", 100.0)]
     )
-    fresh = slow_start_leases(
+    restarted = slow_start_leases(
         QuotaLeases(0.0, random.Random(1))
-    )  # a new life, whose last may have lent: before any step of it
-    assert fresh.quota_changes(0.1) == [SlowStartLeaseChanged(NODE, NEVER_LEASED_PARTS / HOME_PARTS)]
-
-
-def units_sent(host: DrivenFront, seconds: float, part: float | None = None) -> float:
-    """Units sent to the one warming node under more demand than it can take; the part changes half way."""
-    units, began, halfway = 0.0, host.now, part
-    while host.now < began + seconds:
-        if halfway is not None and host.now >= began + seconds / 2:
-            host.step(SlowStartLeaseChanged(NODE, halfway))
-            halfway = None
-        name = f"{host.now:.3f}"
-        actions = host.step(request(name, 1.0, host.now), at=host.now + 0.02)
+    )  # a new process whose predecessor may have granted leases, before its first step
+    assert restarted.quota_changes(0.1) == [SlowStartLeaseChanged(NODE, NEVER_LEASED_PARTS / HOME_PARTS)]
+
+
+def units_sent(front: DrivenFront, seconds: float, fraction: float | None = None) -> float:
+    """Return the units sent to the one warming node under more demand than it can take.
+
+    The leased fraction changes to ``fraction`` after half of the time.
+    """
+    units, started_at, halfway_fraction = 0.0, front.now, fraction
+    while front.now < started_at + seconds:
+        if halfway_fraction is not None and front.now >= started_at + seconds / 2:
+            front.step(SlowStartLeaseChanged(NODE, halfway_fraction))
+            halfway_fraction = None
+        name = f"{front.now:.3f}"
+        actions = front.step(request(name, 1.0, front.now), at=front.now + 0.02)
         for action in actions:
             if isinstance(action, SendAttempt):
                 units += 1.0
-                host.step(
+                front.step(
                     AttemptFinished(
                         action.request_id, 0, NODE, AttemptOutcome.SERVED, 0.001, True, utilization=1.0
                     )
@@ -134,38 +137,42 @@
     return units
 
 
-def test_the_scheduler_sends_by_its_leased_part_from_the_moment_it_changes() -> None:
-    figures = {
+def test_scheduler_applies_a_changed_lease_at_once() -> None:
+    overrides = {
         "front_count": 4,
         "slow_start_units": 40.0,
         "safety": {"slow_start_duration": 100.0, "slow_start_initial_fraction": 0.2},
     }
 
-    def host() -> DrivenFront:
-        return DrivenFront(settings(**figures), [endpoint(NODE, 0, started_at=100.0)], now=100.0)  # type: ignore[arg-type]
+    def new_front() -> DrivenFront:
+        return DrivenFront(settings(**overrides), [endpoint(NODE, 0, started_at=100.0)], now=100.0)  # type: ignore[arg-type]
 
-    whole, more, none = units_sent(host(), 4.0), units_sent(host(), 4.0, 3.0), units_sent(host(), 4.0, 0.0)
-    assert 38 <= whole <= 46  # 10 a second, as it warms a little
-    assert 1.6 * whole <= more <= 2.1 * whole  # for half of the time three times as much
-    assert 0.45 * whole <= none <= 0.6 * whole
+    unchanged, tripled, zeroed = (
+        units_sent(new_front(), 4.0),
+        units_sent(new_front(), 4.0, 3.0),
+        units_sent(new_front(), 4.0, 0.0),
+    )
+    assert 38 <= unchanged <= 46  # about 10 a second; rises a little as the node warms up
+    assert 1.6 * unchanged <= tripled <= 2.1 * unchanged  # three times the rate for half of the time
+    assert 0.45 * unchanged <= zeroed <= 0.6 * unchanged
 
 
-def test_what_was_refilled_before_a_change_counts_by_the_part_before() -> None:
+def test_refill_before_a_lease_change_uses_the_previous_fraction() -> None:
     config = settings(front_count=4, slow_start_units=40.0, safety={"slow_start_duration": 100.0})
-    host = DrivenFront(config, [endpoint(NODE, 0, started_at=100.0)], now=100.0)
-    host.step(
+    front = DrivenFront(config, [endpoint(NODE, 0, started_at=100.0)], now=100.0)
+    front.step(
         SlowStartLeaseChanged(NODE, 0.0), request("first", 6.0)
-    )  # goes, and leaves a debt that nothing pays off
-    host.step(SlowStartLeaseChanged(NODE, 6.0), request("next", 1.0), at=100.8)
-    assert host.log[-1:] != [SendAttempt("next", NODE)]
-    host.step(TimerFired(0), at=100.95)
-    assert SendAttempt("next", NODE) in host.log
+    )  # sent, and leaves a debt that a rate of 0 never repays
+    front.step(SlowStartLeaseChanged(NODE, 6.0), request("next", 1.0), at=100.8)
+    assert front.log[-1:] != [SendAttempt("next", NODE)]
+    front.step(TimerFired(0), at=100.95)
+    assert SendAttempt("next", NODE) in front.log
 
 
-def test_settings_that_state_no_window_of_a_warming_node_raise_nothing() -> None:
-    """Guards against a division by 0 before each step of the scheduler, which lost the step's events."""
-    stated = settings(front_count=4, slow_start_units=8.0, safety={"overload_after": 0.0})
-    warming = SlowStartLeases(QuotaLeases(-100.0, random.Random(1)), lambda: stated, lambda node: f"s-{node}")
+def test_demand_with_settings_without_an_overload_window_raises_nothing() -> None:
+    """Guards against a division by 0 before a scheduler step, which lost the events of that step."""
+    config = settings(front_count=4, slow_start_units=8.0, safety={"overload_after": 0.0})
+    warming = SlowStartLeases(QuotaLeases(-100.0, random.Random(1)), lambda: config, lambda node: f"s-{node}")
     warming.observe(0.0, 101.0, [EndpointUpdate(UpdateKind.SNAPSHOT, [endpoint(NODE, 3, started_at=100.0)])])
     warming.observe(0.25, 101.0, [request("a", 5.0, shard=3)])
     assert list(warming.demand(0.25)) == [warming_node_resource("s-7", 100.0)]
