--- a/cleatyoke/membership/__init__.py
+++ b/cleatyoke/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the fleet of fronts after SWIM and Lifeguard: decisions only, no I/O and no clock."""
+"""Fleet membership of the fronts, after SWIM and Lifeguard: a pure state machine without I/O or clock."""
--- a/cleatyoke/membership/actions.py
+++ b/cleatyoke/membership/actions.py
@@ -1,4 +1,4 @@
-"""Actions: everything that the membership tells its caller to do."""
+"""Actions that the membership state machine returns for its caller to carry out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendDatagram:
-    """Send a datagram. ``address``: host and port."""
+    """Send a datagram to ``address`` (host and port)."""
 
     address: str
     data: bytes
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartExchange:
-    """Send the full state by stream, and report the answer with ``ExchangeAnswered``."""
+    """Send the full state over a stream; the caller reports the answer as ``ExchangeAnswered``."""
 
     address: str
     data: bytes
@@ -26,27 +26,27 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplyExchange:
-    """Answer the stream of this token with the full state."""
+    """Send the full state as the answer on the stream identified by ``token``."""
 
     token: int
     data: bytes
 
 
 class ChangeKind(Enum):
-    """Transition of a member; each is reported once. The values are written to the log."""
+    """State transition of a member, reported once each. The values appear in the log."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
     DEAD = "died"
-    RETURNED = "returned"  # it was believed dead, or suspected, and is alive
+    RETURNED = "returned"  # it was suspected or believed dead, and is alive
     LEFT = "left"
-    PAUSED = "away"  # this process itself was stopped for a while, and has noticed
-    RENAMED = "renamed"  # this process took a higher boot number, as its own had been used before
+    PAUSED = "away"  # this process itself was suspended for a while and has detected it
+    RENAMED = "renamed"  # this process took a higher boot number because its own was already in use
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipChanged:
-    """Log a transition. ``suspected_by``: name of the member that suspects, or empty."""
+    """Log a transition. ``suspected_by`` is the name of the suspecting member, or empty."""
 
     change: ChangeKind
     id: MemberId
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DeliverLeaseMessage:
-    """Hand a message that is not the membership's own to the quota leases."""
+    """Pass a lease message, which the membership only transports, to the quota leases."""
 
     sender: MemberId
     message: LeaseRequest | LeaseGrant
--- a/cleatyoke/membership/anti_entropy.py
+++ b/cleatyoke/membership/anti_entropy.py
@@ -1,7 +1,8 @@
-"""Anti-entropy: exchanges of full states by stream, which repair what gossip has missed.
+"""Anti-entropy: full-state exchanges over streams, which repair what gossip has missed.
 
-A full state goes to a random member now and then, to a peer whose checksum differs although nothing new has
-been heard for a while, and to one that is back after a partition. Replicated data travel with it.
+A full state is exchanged with a random member at intervals, with a peer whose checksum still differs after a
+period without updates, and with a member that is reachable again after a partition. It includes the
+replicated data.
 """
 
 from __future__ import annotations
@@ -24,35 +25,35 @@
 )
 from cleatyoke.transport.encoding import WireError
 
-QUIET_PERIODS = 4  # probe intervals without news, after which states that differ are exchanged
-FIXED_RATE_MEMBERS = 20  # up to which full states go at the stated interval; beyond, as much less often
-PUSH_FANOUT = 8  # members at once to which a local change of replicated data is pushed
+QUIET_PERIODS = 4  # probe intervals without updates after which differing states are exchanged
+FIXED_RATE_MEMBERS = 20  # above this size the exchange interval grows in proportion to the fleet
+PUSH_FANOUT = 8  # members per round to which a local change of replicated data is pushed
 
 
 class AntiEntropy(Probing):
-    """Starts and answers exchanges, and merges what they bring."""
+    """Starts and answers full-state exchanges, and merges the received states."""
 
     def __init__(self, identity: OwnIdentity, rng: random.Random, timing: MembershipTiming) -> None:
         super().__init__(identity, rng, timing)
-        self.has_joined = False  # a peer's full state has come, or there is nobody to ask
-        self.push_deadline = -math.inf  # until when a local change is pushed to members that lack it
+        self.has_joined = False  # a peer's full state has been received, or there are no other seeds
+        self.push_deadline = -math.inf  # local changes are pushed to members that lack them until then
 
     # Exchanges
 
     def start_exchange(self, address: str) -> None:
-        """Send the full state, and merge the peer's once it comes."""
+        """Send the full state to a peer; its answer is merged on arrival."""
         data = self.encode_state()
         self.counters.bytes_out += len(data)
         self.actions.append(StartExchange(address, data))
 
     def encode_state(self) -> bytes:
-        """Return all that this member knows, as a message."""
+        """Return the encoded full state: all known members and the replicated data."""
         replicas = self.store.dump() if self.store else b""
         updates = [record.update for record in self.records.values()]
         return encode_full_state(self.deployment, self.own_update(), updates, replicas)
 
     def handle_exchange_requested(self, event: ExchangeRequested) -> None:
-        """Merge a peer's full state, and answer with our own."""
+        """Merge a peer's full state and answer with this member's."""
         self.counters.bytes_in += len(event.data)
         state = decode_full_state(self.deployment, event.data)
         self.merge_full_state(state, is_first=not self.has_joined)
@@ -62,7 +63,7 @@
         self.counters.bytes_out += len(answer)
 
     def handle_exchange_answered(self, event: ExchangeAnswered) -> None:
-        """Merge the full state that answers ours, if one came."""
+        """Merge the full state received in answer, if any."""
         if event.data is None:
             return
         self.counters.bytes_in += len(event.data)
@@ -75,10 +76,10 @@
     def merge_full_state(self, state: FullState, *, is_first: bool) -> None:
         """Merge a full state.
 
-        Who is dead in it may be so for its sender only, as after a partition: it is suspected here, and
-        may refute.
-        ``is_first``: nobody has told us anything before, so that a higher boot number of our name is not a
-        successor's, as in an upgrade, but says that ours comes from an old memory.
+        A member that is dead in it may be unreachable for the sender only, as after a partition. It is
+        therefore only suspected here, so that it can refute.
+        ``is_first``: this is the first state received. A higher boot number of this member's own name then
+        doesn't belong to a successor, as in an upgrade, but shows that its own was read from stale storage.
         """
         sender = state.sender
         if sender.id != self.id:
@@ -94,15 +95,18 @@
                 self.merge_update(update)
 
     def _exceed_boot_numbers(self, updates: list[Update]) -> None:
-        boots = [update.id.boot for update in updates if update.id.name == self.id.name]
-        highest = max(boots, default=-1)
+        boot_numbers = [update.id.boot for update in updates if update.id.name == self.id.name]
+        highest = max(boot_numbers, default=-1)
         if highest > self.id.boot:
             self.adopt_higher_boot(highest)
 
     # When to exchange
 
     def exchange_at_interval(self) -> None:
-        """Exchange with a random member; in large fleets less often, so that the load of each stays flat."""
+        """Exchange with a random member.
+
+        The interval grows with the fleet, so that each member's traffic doesn't.
+        """
         interval = self.timing.exchange_interval * max(1.0, len(self.records) / FIXED_RATE_MEMBERS)
         self.due_at.exchange = self.now + interval * (0.75 + self.rng.random() / 2)
         if active := self.active_ids():
@@ -111,34 +115,34 @@
     def exchange_if_allowed(self, address: str) -> None:
         """Exchange outside the regular interval, at most once per ``dead_member_probe_interval``.
 
-        What each side believes dead is suspected on the other, where it can refute.
+        Members that one side believes dead become suspected on the other side, where they can refute.
         """
         if self.now >= self.due_at.extra_exchange:
             self.due_at.extra_exchange = self.now + self.timing.dead_member_probe_interval
             self.start_exchange(address)
 
-    def compare_checksums(self, theirs: int, address: str) -> None:
-        """Exchange with a peer that believes others active than we, though nothing new came for a while.
+    def compare_checksums(self, peer_checksum: int, address: str) -> None:
+        """Exchange with a peer whose checksum still differs after a period without updates.
 
-        Repairs what gossip has left out. Full states go by this and hardly by the clock, so that what a
-        member sends doesn't grow with the fleet.
+        Repairs what gossip has missed. Most full-state exchanges are started here rather than at fixed
+        intervals, so that a member's traffic doesn't grow with the fleet.
         """
-        quiet = QUIET_PERIODS * self.timing.probe_interval
-        if theirs != self.membership_checksum() and self.now >= self.last_change_at + quiet:
+        quiet_time = QUIET_PERIODS * self.timing.probe_interval
+        if peer_checksum != self.membership_checksum() and self.now >= self.last_change_at + quiet_time:
             self.exchange_if_allowed(address)
 
     # Replicated data
 
     def load_replicas(self, sender: MemberId, data: bytes) -> None:
-        """Merge replicated data that came with a full state; news are passed on at once, to a few."""
+        """Merge replicated data received with a full state; forward new data at once to a few members."""
         if self.store is None or not data or sender == self.id:
             return
         try:
-            has_news = self.store.load(sender, data)
+            has_new_data = self.store.load(sender, data)
         except ValueError as error:
             msg = f"copies {error}"
             raise WireError(msg) from error
-        if not has_news:
+        if not has_new_data:
             return
         self.last_change_at = self.now
         active = self.active_ids()
@@ -147,18 +151,18 @@
                 self.start_exchange(self.records[member].update.address)
 
     def push_local_change(self) -> None:
-        """Push replicated data that were changed here to all active members, some at a time."""
+        """Start to push locally changed replicated data to all active members, a few per round."""
         self.push_deadline = self.now + self.timing.exchange_interval
         self.last_change_at = self.now
         self.due_at.push = self.now
 
     def push_replicas(self) -> None:
-        """Exchange with some members that lack a change made here; ends the push where none is left."""
+        """Exchange with some members that lack a local change; stop the push once no member lacks it."""
         assert self.store
-        lacking = [member for member in self.active_members if self.store.is_behind(member)]
-        if not lacking:
+        members_behind = [member for member in self.active_members if self.store.is_behind(member)]
+        if not members_behind:
             self.push_deadline = -math.inf
             return
         self.due_at.push = self.now + self.timing.ack_timeout
-        for member in self.rng.sample(lacking, min(PUSH_FANOUT, len(lacking))):
+        for member in self.rng.sample(members_behind, min(PUSH_FANOUT, len(members_behind))):
             self.start_exchange(self.records[member].update.address)
--- a/cleatyoke/membership/conclusions.py
+++ b/cleatyoke/membership/conclusions.py
@@ -1,9 +1,9 @@
-"""What may be concluded from a membership view, and in which direction it errs.
+"""What can be concluded from a membership view, and in which direction each conclusion may be wrong.
 
-Silence proves nothing: a member that is not heard may be cut off and at work. Only its own message that it
-leaves, or its restart at the address that only its name may own, proves that a process is over. So the number
-of fronts here is never under the true one: too many fronts believed leave capacity unused, too few would
-overload a node or exceed a limit.
+Missing messages prove nothing: a member that doesn't answer may be partitioned and still serve requests. A
+process has certainly stopped only if it announced its leave, or if its front restarted at the address that
+only one process of that name can own. The number of fronts is therefore never underestimated: an estimate
+that is too high leaves capacity unused, one that is too low would overload a node or exceed a limit.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from cleatyoke.membership.wire import MemberId, MemberState, Update
 
-FRESH_SECONDS = 2.0  # for which a member that was heard directly is certainly up, as far as that can be known
+DIRECT_CONTACT_SECONDS = 2.0  # for this long after its last own message a member counts as certainly up
 
 
 @dataclass(slots=True, frozen=True)
 class ObservedMember:
-    """Another member as a view has it, and when it was last heard directly."""
+    """Another member's latest update, and when a message of its own was last received."""
 
     update: Update
     last_heard: float
@@ -26,44 +26,44 @@
 
 @dataclass(slots=True, frozen=True)
 class Conclusion:
-    """What is certain of each member, and how many fronts there may be."""
+    """Which members certainly run or have certainly stopped, and an upper bound of the number of fronts."""
 
-    certainly_up: frozenset[MemberId]  # errs low: heard a moment ago
-    perhaps_up: frozenset[MemberId]  # errs high: not proven to be over; includes those that are certainly up
-    certainly_stopped: frozenset[MemberId]  # errs low: by its own message, or by its restart
-    front_count: int  # fronts, by name, that may be at work: never under the true number
+    certainly_up: frozenset[MemberId]  # may lack some: a message was received a moment ago
+    perhaps_up: frozenset[MemberId]  # may have too many: not proven stopped; includes those certainly up
+    certainly_stopped: frozenset[MemberId]  # may lack some: announced its leave, or was restarted
+    front_count: int  # fronts, by name, that may be running; never below the true number
 
 
 def conclude(own: Update, members: Iterable[ObservedMember], front_count: int, now: float) -> Conclusion:
-    """Conclude from what is known at ``now``.
+    """Return what can be concluded at ``now``.
 
-    ``front_count``: of the settings. The result is never under it, as a front that started beyond a partition
-    is in nobody's view here: so nobody may start more fronts than the settings state.
+    ``front_count`` is the number in the settings. The result is never below it, because a front that started
+    on the other side of a partition is unknown here. No more fronts may be started than the settings state.
     """
-    known = list(members)
-    latest_boots = _latest_boots([own, *(member.update for member in known)])
+    observed = list(members)
+    latest_boots = _latest_boots([own, *(member.update for member in observed)])
     up = {own.id}
     perhaps_up = {own.id}
     stopped = set()
-    for member in known:
+    for member in observed:
         update = member.update
-        successor = latest_boots.get((update.id.name, update.address), -1)
-        was_restarted = update.owns_address and successor > update.id.boot
+        latest_boot = latest_boots.get((update.id.name, update.address), -1)
+        was_restarted = update.owns_address and latest_boot > update.id.boot
         if update.state is MemberState.LEFT or was_restarted:
             stopped.add(update.id)
             continue
         perhaps_up.add(update.id)
-        if update.state is MemberState.ALIVE and member.last_heard + FRESH_SECONDS >= now:
+        if update.state is MemberState.ALIVE and member.last_heard + DIRECT_CONTACT_SECONDS >= now:
             up.add(update.id)
     names = {id.name for id in perhaps_up}
     return Conclusion(frozenset(up), frozenset(perhaps_up), frozenset(stopped), max(front_count, len(names)))
 
 
 def _latest_boots(updates: Iterable[Update]) -> dict[tuple[str, str], int]:
-    """Highest boot number by name and address, of members that own their address."""
+    """Return the highest boot number by name and address, among members that own their address."""
     latest: dict[tuple[str, str], int] = {}
     for update in updates:
         if update.owns_address:
-            place = update.id.name, update.address
-            latest[place] = max(latest.get(place, -1), update.id.boot)
+            key = update.id.name, update.address
+            latest[key] = max(latest.get(key, -1), update.id.boot)
     return latest
--- a/cleatyoke/membership/events.py
+++ b/cleatyoke/membership/events.py
@@ -1,4 +1,4 @@
-"""Events: everything that the membership is notified of."""
+"""Events that the caller passes to the membership state machine."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True, frozen=True)
 class DatagramReceived:
-    """A datagram arrived."""
+    """A datagram has arrived."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class ExchangeRequested:
-    """A peer has sent its full state by stream and waits for ours; ``token`` names the stream."""
+    """A peer has sent its full state over a stream and expects one back; ``token`` identifies the stream."""
 
     token: int
     data: bytes
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeAnswered:
-    """Result of a ``StartExchange``: the peer's full state, or None."""
+    """Result of a ``StartExchange``: the peer's full state, or None if no answer came."""
 
     address: str
     data: bytes | None
@@ -30,12 +30,12 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaveRequested:
-    """A graceful shutdown begins: this process uses nothing more, and others may count it as stopped."""
+    """A graceful shutdown begins: this process uses no shared capacity any more and may count as stopped."""
 
 
 @dataclass(slots=True, frozen=True)
 class BootNumberRecovered:
-    """A boot number of this front that an earlier process used, as read from disk after this one started."""
+    """A boot number used by an earlier process of this front, read from disk after this process started."""
 
     boot: int
 
--- a/cleatyoke/membership/joining.py
+++ b/cleatyoke/membership/joining.py
@@ -1,4 +1,4 @@
-"""How a member joins and leaves the fleet, and announces a change of its own address or settings."""
+"""Joining and leaving the fleet, and announcing changes of this member's address or settings."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from cleatyoke.membership.timing import MembershipTiming
 from cleatyoke.membership.wire import Gossip
 
-LEAVE_FANOUT = 8  # members that are told at once of one that leaves
+LEAVE_FANOUT = 8  # members that a leaving member notifies immediately
 
 
 class Joining(AntiEntropy):
-    """``seeds``: addresses of members that are asked for the others."""
+    """Joins through ``seeds``: addresses of members that are asked for the rest of the fleet."""
 
     def __init__(
         self, identity: OwnIdentity, seeds: Sequence[str], rng: random.Random, timing: MembershipTiming
@@ -23,14 +23,14 @@
         self.seeds = list(seeds)
 
     def other_seeds(self) -> list[str]:
-        """Return the seeds that are not this member itself."""
+        """Return the seeds other than this member itself."""
         return [seed for seed in self.seeds if seed != self.address]
 
     def join(self) -> None:
         """Exchange full states with a seed at whose address no active member is known.
 
-        Goes on for ever, if slowly: two groups that formed around two seeds, each down when the other's first
-        member asked, would otherwise never meet.
+        Repeated indefinitely, at a longer interval once joined. Otherwise two groups that formed around two
+        seeds, each of which was down when the other group's first member asked it, would never merge.
         """
         active = {self.records[member].update.address for member in self.active_members}
         seeds = self.other_seeds()
@@ -42,7 +42,7 @@
             self.start_exchange(self.rng.choice(unknown or seeds))
 
     def leave(self) -> None:
-        """Shut down: tell several members at once, as the process may end directly after; then by gossip."""
+        """Begin to leave: notify several members at once, as the process may exit soon, then gossip it."""
         self.is_leaving = True
         self.transmit_counts = {self.id: 0}
         self.due_at.gossip = self.now
@@ -52,28 +52,32 @@
         self.transmit_counts = {self.id: 0}
 
     def change_address(self, address: str, *, owns_address: bool) -> None:
-        """Others reach this member elsewhere from now on."""
+        """Set and announce the address at which others reach this member from now on."""
         self.address = address
         self.owns_address = owns_address
         self._announce_change()
 
     def announce_settings(self, checksum: int) -> None:
-        """Say which settings this front runs with, by their checksum; they themselves never travel."""
+        """Announce the checksum of the settings this front runs with; the settings are never sent."""
         has_changed = checksum != self.settings_checksum
         self.settings_checksum = checksum
-        if has_changed and self.has_started:  # others may know an earlier checksum
+        if has_changed and self.has_started:  # others may have an earlier checksum
             self._announce_change()
 
     def fronts_with_other_settings(self) -> list[str]:
-        """Return the names of active members that run with other settings than this one.
+        """Return the names of active members whose settings differ from this member's.
 
         May be called from another thread.
         """
-        known = [
+        updates = [
             self.records[member].update for member in list(self.active_members) if member in self.records
         ]
         return sorted(
-            {one.id.name for one in known if one.settings_checksum not in (0, self.settings_checksum)}
+            {
+                update.id.name
+                for update in updates
+                if update.settings_checksum not in (0, self.settings_checksum)
+            }
         )
 
     def _announce_change(self) -> None:
--- a/cleatyoke/membership/member_table.py
+++ b/cleatyoke/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members that are known, indexed by state, and the base of all layers of the membership."""
+"""Table of known members, indexed by state; the base class of all membership layers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class MemberTable:
-    """Records of all other members, by state."""
+    """Records of all other members, with an index per state."""
 
     def __init__(self, identity: OwnIdentity, rng: random.Random, timing: MembershipTiming) -> None:
         self.deployment = identity.deployment
@@ -32,43 +32,43 @@
         self.due_at = DueTimes()
         self.actions: list[MembershipAction] = []  # of the current step
         self.counters = MembershipCounters()
-        self.records: dict[MemberId, MemberRecord] = {}  # of all other members; indexes of it:
+        self.records: dict[MemberId, MemberRecord] = {}  # all other members; the next five index it
         self.active_members: dict[MemberId, None] = {}  # alive or suspected
         self.suspected_members: dict[MemberId, MemberRecord] = {}
         self.recheck_at: dict[MemberId, float] = {}  # when each suspected member is pinged once more
         self.dead_members: dict[MemberId, None] = {}  # believed dead
-        self.left_members: dict[MemberId, None] = {}  # the first that left first
-        self.active_checksum = 0  # of the active members: the same where the same ones are
-        self.probe_round: list[MemberId] = []  # who is probed in this round, the next one last
-        self.last_change_at = -math.inf  # when something new was heard of anybody
-        self.changed_ids: list[MemberId] = []  # members of which this step has brought something new
-        self.transmit_counts: dict[MemberId, int] = {}  # updates that are still gossiped: times sent so far
+        self.left_members: dict[MemberId, None] = {}  # in the order in which they left
+        self.active_checksum = 0  # equal on members with the same active members
+        self.probe_round: list[MemberId] = []  # members still to be probed in this round, the next one last
+        self.last_change_at = -math.inf  # when a record or the replicated data last changed
+        self.changed_ids: list[MemberId] = []  # members whose records this step has changed
+        self.transmit_counts: dict[MemberId, int] = {}  # times sent, for each update that is still gossiped
 
     def active_ids(self) -> list[MemberId]:
-        """Return the members that are alive or suspected, the first known first."""
+        """Return the members that are alive or suspected, in the order in which they became active."""
         return list(self.active_members)
 
     def store_record(self, record: MemberRecord) -> None:
-        """Store a record whose update is new: it is gossiped from now on, and found by its state."""
+        """Store a record with a new update, start to gossip the update, and refresh the indexes."""
         member = record.update.id
         self.records[member] = record
         self.transmit_counts[member] = 0
         self.changed_ids.append(member)
         self.last_change_at = self.now
-        self._sum_up(record)
+        self._update_active_checksum(record)
         self._index_by_state(member, record.update.state)
         self._index_suspicion(record)
 
     def drop_expired_left_members(self) -> None:
-        """Forget who left so long ago that nobody asks for it any more."""
+        """Remove members that left longer than ``left_retention`` ago."""
         while self.left_members:
-            first = next(iter(self.left_members))
-            if self.now < self.records[first].state_since + self.timing.left_retention:
+            oldest = next(iter(self.left_members))
+            if self.now < self.records[oldest].state_since + self.timing.left_retention:
                 return
-            del self.left_members[first], self.records[first]
-            self.transmit_counts.pop(first, None)
+            del self.left_members[oldest], self.records[oldest]
+            self.transmit_counts.pop(oldest, None)
 
-    def _sum_up(self, record: MemberRecord) -> None:
+    def _update_active_checksum(self, record: MemberRecord) -> None:
         is_active = record.update.state in ACTIVE_STATES
         checksum = member_checksum(record.update) if is_active else 0
         self.active_checksum ^= record.checksum ^ checksum
--- a/cleatyoke/membership/members.py
+++ b/cleatyoke/membership/members.py
@@ -1,18 +1,19 @@
-"""Who is in the fleet: membership in the SWIM family, as one member's state machine.
+"""SWIM-style fleet membership, as the state machine of one member.
 
-``step(now, events) -> actions``, with time, randomness and messages passed in. ``Membership`` is the last
-class of an inheritance chain of layers, each with one job and using only those before it:
+The interface is ``step(now, events) -> actions``; time, randomness and messages are passed in. ``Membership``
+is the last class of an inheritance chain of layers, each with one responsibility and using only the layers
+before it:
 
 - ``member_table`` (``MemberTable``): the records of all members, by state;
-- ``dissemination`` (``Dissemination``): updates on every datagram, and gossip;
-- ``suspicion`` (``Suspicion``): how long a suspicion lasts, and telling its subject;
-- ``merging`` (``UpdateMerging``): which update wins (``merge_rules``), and refutation;
+- ``dissemination`` (``Dissemination``): piggybacked updates and gossip;
+- ``suspicion`` (``Suspicion``): suspicion timeouts, and notifying suspected members;
+- ``merging`` (``UpdateMerging``): merging updates by precedence (``merge_rules``), and refutation;
 - ``probing`` (``Probing``): failure detection by direct and indirect pings;
 - ``anti_entropy`` (``AntiEntropy``): exchanges of full states and of replicated data;
-- ``joining`` (``Joining``): join by seeds, leave, announce a change.
+- ``joining`` (``Joining``): joining through seeds, leaving, announcing changes.
 
-Here are the step, its timers and the dispatch of messages. Sources: SWIM (Das, Gupta, Motivala 2002),
-Lifeguard (Dadgar, Phillips, Currey 2017), page ``fleet-view.md``.
+This module has the step, its timers and the message dispatch. Sources: SWIM (Das, Gupta, Motivala 2002),
+Lifeguard (Dadgar, Phillips, Currey 2017); see also ``fleet-view.md``.
 """
 
 from __future__ import annotations
@@ -54,13 +55,13 @@
 )
 from cleatyoke.transport.encoding import WireError
 
-REJOIN_PROBES = 3  # of dead members that are sent at once where one has returned
+REJOIN_PROBES = 3  # probes of dead members sent at once when one has returned
 
 
 class Membership(Joining):
     """One member's view of the fleet."""
 
-    def __init__(  # noqa: PLR0913 - a constructor of plain settings, called by these words in many places
+    def __init__(  # noqa: PLR0913 - plain settings, passed by these names in many places
         self,
         deployment: str,
         name: str,
@@ -73,15 +74,16 @@
     ) -> None:
         identity = OwnIdentity(deployment, name, boot, address, owns_address)
         super().__init__(identity, seeds, rng, timing or MembershipTiming())
-        self.expected_step_at = -math.inf  # on the corrected clock, as self.now
-        self.clock_correction = 0.0  # seconds by which the caller's clock has jumped back
+        self.expected_step_at = -math.inf  # on the corrected clock, like self.now
+        self.clock_correction = 0.0  # seconds by which the caller's clock has jumped backwards
 
     # The step
 
     def step(self, now: float, events: Iterable[MembershipEvent] = ()) -> list[MembershipAction]:
-        """Take in events and do whatever is due.
+        """Handle events, run the timers that are due, and return the resulting actions.
 
-        ``now`` is of a monotonic clock; should it jump back, time goes on here from where it was.
+        ``now`` comes from a monotonic clock. If it jumps backwards nevertheless, the jump is corrected for,
+        so that time here never decreases.
         """
         self.actions = []
         self.changed_ids = []
@@ -100,26 +102,26 @@
         return self.actions
 
     def next_step_at(self) -> float:
-        """Return when the next step is due even if nothing arrives, by the caller's clock."""
+        """Return when the next step is due if no event arrives, by the caller's clock."""
         if self.has_left:
             return math.inf
         due_at = self.due_at
-        due = min(due_at.probe, due_at.exchange, due_at.dead_member_probe, due_at.join)
+        earliest = min(due_at.probe, due_at.exchange, due_at.dead_member_probe, due_at.join)
         if self.transmit_counts or self.is_leaving:
-            due = min(due, due_at.gossip)
+            earliest = min(earliest, due_at.gossip)
         if self.now < self.push_deadline:
-            due = min(due, due_at.push)
+            earliest = min(earliest, due_at.push)
         for probe in self.pending_probes.values():
-            due = min(due, probe.deadline if probe.helpers_asked else probe.indirect_at)
+            earliest = min(earliest, probe.deadline if probe.helpers_asked else probe.indirect_at)
         for relayed in self.relayed_pings.values():
-            due = min(due, relayed.nack_at)
+            earliest = min(earliest, relayed.nack_at)
         first_recheck_at = next(iter(self.recheck_at.values()), math.inf)
-        due = min(due, max(first_recheck_at, due_at.recheck))
+        earliest = min(earliest, max(first_recheck_at, due_at.recheck))
         deadlines = map(self.suspicion_deadline, self.suspected_members.values())
-        return max(self.now, min(due, min(deadlines, default=math.inf))) - self.clock_correction
+        return max(self.now, min(earliest, min(deadlines, default=math.inf))) - self.clock_correction
 
     def start_timers(self, now: float) -> None:
-        """Spread the first rounds at random, so that a fleet that starts at once doesn't stay in step."""
+        """Start the timers at random phases, so that members started together don't act in lockstep."""
         timing = self.timing
         draw = self.rng.random
         self.now = now
@@ -137,10 +139,11 @@
         )
 
     def resume_after_pause(self, now: float, gap: float) -> None:
-        """Go on after this process was stopped for ``gap`` seconds (SIGSTOP, a frozen machine).
+        """Resume after this process was suspended for ``gap`` seconds (SIGSTOP, a frozen machine).
 
-        What it did not hear meanwhile proves nothing of others, and they may believe it dead: it suspects
-        nobody for it, counts itself unwell, and says at once under a new incarnation that it is alive.
+        Messages missed meanwhile say nothing about other members, and those may believe this one dead. It
+        therefore suspects nobody for the gap, sets its own health score to the worst, and announces at once
+        under a new incarnation that it is alive.
         """
         self.pending_probes.clear()
         self.relayed_pings.clear()
@@ -155,7 +158,7 @@
         self.due_at.gossip = self.due_at.exchange = now
 
     def run_timers(self) -> None:
-        """Do whatever is due at ``now``, in this order."""
+        """Run everything that is due at ``now``, in this order."""
         self.check_probes()
         self.check_relayed_pings()
         self.declare_expired_suspects_dead()
@@ -182,7 +185,7 @@
     # Messages
 
     def handle_event(self, event: MembershipEvent) -> None:
-        """Take in one event; a message that is rejected is counted by its reason and changes nothing."""
+        """Handle one event; a rejected message is counted by its reason and changes nothing."""
         try:
             self._dispatch(event)
         except WireError as error:
@@ -206,7 +209,7 @@
                     self.adopt_higher_boot(boot)
 
     def handle_datagram(self, message: Datagram) -> None:
-        """Merge a datagram's updates and act on its body."""
+        """Merge a datagram's updates and handle its body."""
         sender = message.sender
         if sender.id == self.id:
             return
@@ -221,13 +224,13 @@
             self._rejoin(sender.address)
         for update in message.updates:
             self.merge_update(update)
-        if self.incarnation > incarnation:  # the sender believed us gone, or knows who does: refute at once
+        if self.incarnation > incarnation:  # an update said we were suspected or dead: refute it at once
             self.send(sender.address, Gossip(), sender.id)
         self._handle_body(sender, message.body)
         self.notify_suspect(record, sender)
 
     def _rejoin(self, address: str) -> None:
-        """Go on after a partition: look for more members beyond it, and exchange full states across it."""
+        """Reconnect after a partition: probe more dead members, and exchange full states with this one."""
         for _ in range(REJOIN_PROBES):
             self.probe_dead_member()
         self.exchange_if_allowed(address)
@@ -246,7 +249,7 @@
                 self.actions.append(DeliverLeaseMessage(sender.id, body))
 
     def _handle_ping(self, sender: Update, ping: Ping) -> None:
-        if ping.target != self.id:  # it took us for an earlier process at this address: let it learn of us
+        if ping.target != self.id:  # meant for an earlier process at this address: introduce ourselves
             self.send(sender.address, Gossip(), sender.id)
             return
         self.send(sender.address, Ack(ping.sequence), sender.id)
--- a/cleatyoke/membership/merge_rules.py
+++ b/cleatyoke/membership/merge_rules.py
@@ -1,6 +1,7 @@
-"""Which of two updates of one member wins.
+"""Precedence of updates about the same member.
 
-The order is total, so that updates merge in any order and any number of times to the same result.
+The order is total, so merging is commutative and idempotent: updates give the same result in any order and
+when they are merged repeatedly.
 """
 
 from __future__ import annotations
@@ -9,9 +10,9 @@
 
 
 def precedence(update: Update) -> tuple[bool, int, int]:
-    """Return a key: of two updates of one member the greater one wins.
+    """Return a sort key; of two updates about one member, the greater one wins.
 
-    Leaving is said by the member itself and final. Otherwise the higher incarnation wins, which only the
-    member itself raises, and at the same incarnation the graver state (SWIM, section 4.2).
+    A leave is announced by the member itself and final. Otherwise the higher incarnation wins, which only the
+    member itself raises, and at equal incarnations the more severe state (SWIM, section 4.2).
     """
     return update.state is MemberState.LEFT, update.incarnation, int(update.state)
--- a/cleatyoke/membership/merging.py
+++ b/cleatyoke/membership/merging.py
@@ -1,4 +1,4 @@
-"""Merging of updates into the table, and what a member does about updates of itself."""
+"""Merging of updates into the member table, refutation of updates about this member, and local health."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from cleatyoke.membership.timing import MembershipTiming
 from cleatyoke.membership.wire import MemberId, MemberState, Update
 
-MAX_HEALTH_SCORE = 8  # probes of a member with this score are nine times as patient
-CHANGE_OF_STATE = {
+MAX_HEALTH_SCORE = 8  # at this score, probe intervals and timeouts are nine times as long
+CHANGE_BY_STATE = {
     MemberState.ALIVE: ChangeKind.RETURNED,
     MemberState.SUSPECT: ChangeKind.SUSPECTED,
     MemberState.DEAD: ChangeKind.DEAD,
@@ -21,14 +21,14 @@
 
 
 class UpdateMerging(Suspicion):
-    """Merges updates; raises the own incarnation or boot number where others are wrong about this member."""
+    """Merges updates; raises this member's incarnation or boot number if others have a wrong view of it."""
 
     def __init__(self, identity: OwnIdentity, rng: random.Random, timing: MembershipTiming) -> None:
         super().__init__(identity, rng, timing)
-        self.health_score = 0  # Lifeguard's local health: 0 is well; above, this member doubts itself first
+        self.health_score = 0  # Lifeguard's local health multiplier: 0 is healthy, more means longer timeouts
 
     def merge_update(self, update: Update) -> None:
-        """Merge one update, and gossip it where it is news."""
+        """Merge one update, and gossip it if it is new."""
         if update.id == self.id:
             self.refute(update)
             return
@@ -38,7 +38,7 @@
             return
         current = record.update
         if update.incarnation < current.incarnation and update.state is not MemberState.LEFT:
-            return  # the most frequent case by far: old news
+            return  # outdated: by far the most frequent case
         if precedence(update) > precedence(current):
             self.apply_update(record, current, update)
         elif (
@@ -46,7 +46,7 @@
             and update.state is MemberState.SUSPECT
             and self.is_new_suspector(record, update.suspected_by)
         ):
-            record.suspectors.add(update.suspected_by)  # gossiped, as it shortens the suspicion
+            record.suspectors.add(update.suspected_by)  # gossiped, as it shortens the suspicion timeout
             record.update = update
             self.store_record(record)
 
@@ -66,20 +66,20 @@
             self.counters.false_deaths += 1
         if update.state in ACTIVE_STATES and current.state not in ACTIVE_STATES:
             self._add_to_probe_round(update.id)
-        change = CHANGE_OF_STATE[update.state]
+        change = CHANGE_BY_STATE[update.state]
         self.actions.append(MembershipChanged(change, update.id, update.suspected_by))
 
     def refute(self, update: Update) -> None:
-        """Answer an update of this member by others: go beyond its incarnation where it suspects us.
+        """Refute an update about this member that is not current, by taking a higher incarnation.
 
-        An incarnation that this process never used comes from one before it whose memory is lost: it is
+        An incarnation that this process never used belongs to an earlier process whose state was lost; it is
         exceeded too.
         """
         if self.is_leaving:
             return
         if update.state is MemberState.ALIVE and update.incarnation <= self.incarnation:
             return
-        if update.state is MemberState.LEFT:  # not said by us: who left never returns under its boot number
+        if update.state is MemberState.LEFT:  # of an earlier process with this boot number; a leave is final
             self.adopt_higher_boot(self.id.boot)
             return
         if update.incarnation >= self.incarnation:
@@ -89,10 +89,11 @@
             self.worsen_health(1)
 
     def adopt_higher_boot(self, boot: int) -> None:
-        """Take a boot number above this one, which another process of our name has used.
+        """Take a boot number above ``boot``, which another process of the same name has used.
 
-        Prevents that this process is taken for an earlier one that is over, as after its disk was replaced by
-        an old copy: its messages would be ignored for ever. The old number is said to have left.
+        Otherwise this process would be mistaken for an earlier one that has ended, for example after its disk
+        was replaced by an old copy, and its messages would be ignored forever. The old number is announced as
+        having left.
         """
         left = Update(self.id, self.address, MemberState.LEFT, self.incarnation, self.owns_address)
         self.store_record(MemberRecord(left, self.now))
@@ -102,18 +103,18 @@
         self.actions.append(MembershipChanged(ChangeKind.RENAMED, self.id))
 
     def declare_expired_suspects_dead(self) -> None:
-        """Declare dead who has not refuted its suspicion in time."""
+        """Declare suspected members dead that have not refuted in time."""
         for record in list(self.suspected_members.values()):
             if self.now >= self.suspicion_deadline(record):
                 self.counters.deaths += 1
                 self.merge_update(with_state(record.update, MemberState.DEAD))
 
     def worsen_health(self, by: int) -> None:
-        """Raise the health score: this member missed something, so that it may be slow or cut off itself."""
+        """Raise the health score: this member missed messages, so it may itself be slow or partitioned."""
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + by)
 
     def improve_health(self) -> None:
-        """Lower the health score: an answer came in time."""
+        """Lower the health score after an answer came in time."""
         self.health_score = max(0, self.health_score - 1)
 
     def _add_member(self, update: Update) -> None:
--- a/cleatyoke/membership/probing.py
+++ b/cleatyoke/membership/probing.py
@@ -1,8 +1,8 @@
-"""Failure detection: whom a member probes, and what it makes of a missing answer.
+"""Failure detection by direct and indirect probes.
 
-From SWIM: the probe of one member an interval, and the indirect probe by helpers of one that is silent. From
-Lifeguard: local health, by which a member that misses answers itself waits longer before it suspects others.
-Besides, members believed dead are probed, so that a partition heals with no operator.
+From SWIM: one member is probed per interval, and one that doesn't answer is probed indirectly by helpers.
+From Lifeguard: local health, by which a member that misses answers waits longer before it suspects others.
+In addition, members believed dead are probed, so that the fleet merges after a partition without an operator.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 
 class Probing(UpdateMerging):
-    """Pings of this member's own, and those that it relays for others."""
+    """Sends this member's own probes, and relays pings for others."""
 
     def __init__(self, identity: OwnIdentity, rng: random.Random, timing: MembershipTiming) -> None:
         super().__init__(identity, rng, timing)
         self.pending_probes: dict[int, Probe] = {}  # by sequence number
-        self.relayed_pings: dict[int, RelayedPing] = {}  # by our sequence number
+        self.relayed_pings: dict[int, RelayedPing] = {}  # by the sequence number of the relayed ping
 
     def probe_next_member(self) -> None:
-        """Probe one member, each once in a round whose order is drawn anew."""
+        """Probe the next member of the round; each round covers all active members in random order."""
         while self.probe_round:
             member = self.probe_round.pop()
             record = self.records.get(member)
@@ -43,7 +43,7 @@
             self.send_probe(self.probe_round.pop())
 
     def send_probe(self, member: MemberId) -> None:
-        """Ping a member and wait for the answer, the longer the worse this member's health is."""
+        """Ping a member and await the answer, with timeouts that grow with this member's health score."""
         health_factor = 1 + self.health_score
         probe = Probe(
             member,
@@ -53,18 +53,18 @@
         self.pending_probes[self.send_ping(member)] = probe
 
     def check_probes(self) -> None:
-        """Go on with the probes that have no answer yet."""
+        """Advance all probes that have not been answered yet."""
         for sequence, probe in list(self.pending_probes.items()):
             self.check_probe(sequence, probe)
 
     def check_probe(self, sequence: int, probe: Probe) -> None:
-        """Ask helpers, or suspect the member, if it is time for that."""
+        """Ask helpers or suspect the target, once the respective time has passed."""
         record = self.records.get(probe.target)
         if record is None or record.update.state not in ACTIVE_STATES:
             del self.pending_probes[sequence]
         elif self.now >= probe.deadline:
             del self.pending_probes[sequence]
-            silent_helpers = probe.helpers_asked - probe.nacks  # we don't hear these: the fault may be ours
+            silent_helpers = probe.helpers_asked - probe.nacks  # no nack either: the fault may be local
             self.worsen_health(silent_helpers if probe.helpers_asked else 1)
             self.counters.suspicions += 1
             self.merge_update(with_state(record.update, MemberState.SUSPECT, self.id.name))
@@ -72,13 +72,13 @@
             self.request_indirect_probes(sequence, probe, record.update.address)
 
     def request_indirect_probes(self, sequence: int, probe: Probe, address: str) -> None:
-        """Ask random members to ping the target, so that a link that fails one way suspects nobody."""
-        helpers = [member for member in self.active_ids() if member != probe.target]
-        chosen = self.rng.sample(helpers, min(self.timing.indirect_probes, len(helpers)))
-        for member in chosen:
+        """Ask random members to ping the target, so that a failed link alone raises no suspicion."""
+        candidates = [member for member in self.active_ids() if member != probe.target]
+        helpers = self.rng.sample(candidates, min(self.timing.indirect_probes, len(candidates)))
+        for member in helpers:
             self.send(self.records[member].update.address, PingRequest(sequence, probe.target, address))
-        probe.helpers_asked = len(chosen)
-        if not chosen:
+        probe.helpers_asked = len(helpers)
+        if not helpers:
             probe.indirect_at = probe.deadline
 
     def relay_ping(self, requester: str, request: PingRequest) -> None:
@@ -94,7 +94,7 @@
         self.send(request.address, ping)
 
     def check_relayed_pings(self) -> None:
-        """Tell requesters that there is no answer yet, and forget pings that nobody waits for any more."""
+        """Send nacks for relayed pings without an answer, and drop those whose deadline has passed."""
         for sequence, relayed in list(self.relayed_pings.items()):
             if self.now >= relayed.deadline:
                 del self.relayed_pings[sequence]
@@ -103,7 +103,7 @@
                 self.send(relayed.requester, Nack(relayed.requester_sequence))
 
     def handle_ack(self, sequence: int) -> None:
-        """End the probe that is answered, or pass the answer on to its requester."""
+        """Complete the probe that is answered, or forward the answer to the requester."""
         if sequence in self.pending_probes:
             del self.pending_probes[sequence]
             self.improve_health()
@@ -112,23 +112,28 @@
             self.send(relayed.requester, Ack(relayed.requester_sequence))
 
     def handle_nack(self, sequence: int) -> None:
-        """Count a helper that we hear, though it has no answer of the target."""
+        """Count a helper that is reachable, though it has no answer from the target."""
         if sequence in self.pending_probes:
             self.pending_probes[sequence].nacks += 1
 
     def probe_dead_member(self) -> None:
         """Ping one member that is believed dead, or one that left and has no successor at its address.
 
-        Prevents that the two sides of a partition stay apart after it has healed, and that a front that is
-        back finds nobody where all seeds are gone. The rate is one member's, however many have failed.
+        Without this, the two sides of a partition would stay separate after it has healed, and a front that
+        returns while all seeds are down would find nobody. One member is pinged at a time, however many have
+        failed.
         """
-        choices = [choice for choice in (list(self.dead_members), self._left_without_successor()) if choice]
+        choices = [group for group in (list(self.dead_members), self._left_without_successor()) if group]
         if choices:
             self.send_ping(self.rng.choice(self.rng.choice(choices)))
 
     def _left_without_successor(self) -> list[MemberId]:
         if not self.left_members:
             return []
-        addresses = {self.records[member].update.address for member in self.active_members}
-        addresses.add(self.address)
-        return [one for one in self.left_members if self.records[one].update.address not in addresses]
+        used_addresses = {self.records[member].update.address for member in self.active_members}
+        used_addresses.add(self.address)
+        return [
+            member
+            for member in self.left_members
+            if self.records[member].update.address not in used_addresses
+        ]
--- a/cleatyoke/membership/replicated_store.py
+++ b/cleatyoke/membership/replicated_store.py
@@ -1,4 +1,4 @@
-"""The interface to replicated data, which the membership carries along with every exchange of full states."""
+"""Interface to the replicated data that every full-state exchange includes."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class ReplicatedStore(Protocol):
-    """Data that all fronts replicate, merged in any order to the same result."""
+    """Data replicated on all fronts. Merging gives the same result in any order."""
 
     def digest(self) -> int:
-        """Return a checksum, equal where the data are equal."""
+        """Return a checksum that is equal for equal data."""
         ...
 
     def dump(self) -> bytes:
@@ -19,9 +19,12 @@
         ...
 
     def load(self, sender: MemberId, data: bytes) -> bool:
-        """Merge a peer's dump; whether anything was new. Raises ``ValueError`` and changes nothing then."""
+        """Merge a peer's dump; return whether anything was new.
+
+        Raises ``ValueError`` for an invalid dump, and then changes nothing.
+        """
         ...
 
     def is_behind(self, member: MemberId) -> bool:
-        """Whether this member is not known to have all that is known here."""
+        """Return whether ``member`` may lack data that are known here."""
         ...
--- a/cleatyoke/membership/suspicion.py
+++ b/cleatyoke/membership/suspicion.py
@@ -1,7 +1,7 @@
-"""How long a suspicion lasts, and how its subject hears of it in time to refute it.
+"""Suspicion timeouts, and notifying suspected members in time for them to refute.
 
-From Lifeguard (Dadgar, Phillips, Currey 2017): a suspicion is long with one suspector and shortens with each
-independent one, and a suspected member is told first.
+From Lifeguard (Dadgar, Phillips, Currey 2017): the timeout is long with one suspector and gets shorter with
+each independent further one, and a suspected member is notified with priority.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 from cleatyoke.membership.merge_rules import precedence
 from cleatyoke.membership.wire import Gossip, MemberState, Update
 
-SUSPECTORS_FOR_SHORTEST = 3  # independent ones by which a suspicion is as short as it gets
+SUSPECTORS_FOR_MIN_TIMEOUT = 3  # independent suspectors with which the timeout reaches its minimum
 
 
 class Suspicion(Dissemination):
-    """Deadlines of suspicions, and messages to their subjects."""
+    """Computes suspicion deadlines, rechecks suspected members and notifies them."""
 
     @staticmethod
     def is_new_suspector(record: MemberRecord, name: str) -> bool:
-        """Whether this is a further independent suspector that shortens the suspicion."""
-        return name not in record.suspectors and len(record.suspectors) < SUSPECTORS_FOR_SHORTEST
+        """Return whether ``name`` is a further independent suspector that shortens the timeout."""
+        return name not in record.suspectors and len(record.suspectors) < SUSPECTORS_FOR_MIN_TIMEOUT
 
     def suspicion_deadline(self, record: MemberRecord) -> float:
-        """Return when the member is declared dead unless it refutes (Lifeguard's logarithm)."""
+        """Return when the member is declared dead unless it refutes (Lifeguard's logarithmic formula)."""
         timing, size = self.timing, len(self.records) + 1
         shortest = timing.suspicion_multiplier * timing.probe_interval * max(1.0, math.log10(size))
         longest = shortest * timing.max_suspicion_multiplier
-        confirmed = math.log(max(1, len(record.suspectors))) / math.log(SUSPECTORS_FOR_SHORTEST)
-        return record.state_since + max(shortest, longest - (longest - shortest) * confirmed)
+        confirmation = math.log(max(1, len(record.suspectors))) / math.log(SUSPECTORS_FOR_MIN_TIMEOUT)
+        return record.state_since + max(shortest, longest - (longest - shortest) * confirmation)
 
     def recheck_suspect(self) -> None:
-        """Ping one member that has been suspected for a probe interval, at most one a gossip interval.
+        """Ping one member that has been suspected for a probe interval, at most one per gossip interval.
 
-        Prevents false deaths after a partition has healed: gossip reaches nearly all members and not all, so
-        that a few would miss the refutation. The ack carries the suspect's incarnation. No answer suspects
-        nobody.
+        Prevents false deaths after a partition has healed: gossip reaches nearly all members but not all, so
+        a few would miss the refutation. The ack carries the incarnation of the suspected member. A missing
+        answer has no effect.
         """
         if not self.recheck_at:
             return
@@ -49,11 +49,11 @@
         self.send_ping(member)
 
     def notify_suspect(self, record: MemberRecord, sender: Update) -> None:
-        """Tell the sender of a message at once that it is suspected or believed dead, so that it may refute.
+        """Notify the sender of a message at once if it is suspected or believed dead, so that it can refute.
 
-        At most once per ack timeout: two members that believe each other dead and of which one cannot refute
-        would answer each other without end, and each datagram that a link doubles would begin another such
-        exchange.
+        Sent at most once per ack timeout. Otherwise two members that believe each other dead would answer
+        each other endlessly if one cannot refute, and each datagram duplicated by a link would start another
+        such loop.
         """
         if record.update.state is MemberState.ALIVE or precedence(record.update) <= precedence(sender):
             return
--- a/cleatyoke/membership/wire.py
+++ b/cleatyoke/membership/wire.py
@@ -1,8 +1,8 @@
-"""Messages among fronts: MessagePack by msgspec, validated as a whole on arrival and otherwise rejected.
+"""Messages between fronts: MessagePack by msgspec, validated completely on receipt or rejected.
 
-Every message carries the deployment's name and the version of this format, so that neither a foreign fleet
-nor an older program is taken for a peer. Structures are encoded as arrays: field names never reach the wire,
-their order and the tags do. The format is described in the page ``fleet-view.md``.
+Every message carries the deployment's name and the version of this format, so that members of another fleet
+and incompatible releases are not mistaken for peers. Structures are encoded as arrays: the wire has the order
+of the fields and the tags, but no field names. The format is described in ``fleet-view.md``.
 """
 
 from __future__ import annotations
@@ -22,54 +22,50 @@
 )
 
 VERSION = 2
-MAX_DATAGRAM_BYTES = (
-    1200  # below the MTU of common links: a datagram is not cut in fragments that may be lost
-)
-MAX_STREAM_BYTES = 1 << 20  # of a full state: some ten thousand members
-MAX_REPLICA_BYTES = 1 << 18  # of the replicated data that goes along with a full state
-MAX_MEMBERS = 10_000  # entries of a full state
+MAX_DATAGRAM_BYTES = 1200  # below the MTU of common links, so that datagrams are not fragmented and lost
+MAX_STREAM_BYTES = 1 << 20  # of a full state: about ten thousand members
+MAX_REPLICA_BYTES = 1 << 18  # of the replicated data in a full state
+MAX_MEMBERS = 10_000  # in a full state
 MAX_UPDATES = 64  # in one datagram
-LIST_HEADER_BYTES = 3  # at most, that a list's length takes beyond an empty list's
+LIST_HEADER_BYTES = 3  # maximum by which a list's header exceeds an empty list's
 HOME_PARTS = 1000  # parts into which each front's own share of a shared resource is divided
 
 
 class MemberState(enum.IntEnum):
-    """State of a member, in the order in which one overrides another at the same incarnation."""
+    """State of a member; at equal incarnations, a higher value overrides a lower one."""
 
     ALIVE = 0
-    SUSPECT = 1  # it did not answer somebody, and may still refute that
+    SUSPECT = 1  # it did not answer some member, and can still refute the suspicion
     DEAD = 2  # its suspicion timed out; the process may still run behind a partition
-    LEFT = 3  # by its own message: certain
+    LEFT = 3  # announced by the member itself, and therefore certain
 
 
 class MemberId(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """One lifetime of a front's process: the front's name and a boot number, which rises with each start."""
+    """Identity of one process of a front: the front's name and a boot number that rises with each start."""
 
     name: Text
     boot: Count
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What one member says of another or of itself.
+    """One member's statement about another member or about itself.
 
-    ``incarnation`` is SWIM's: a counter that only its subject raises, to refute a suspicion.
+    ``incarnation`` is SWIM's: a counter that only the member itself raises, to refute a suspicion.
     """
 
     id: MemberId
     address: Text
     state: MemberState
     incarnation: Count
-    owns_address: bool = (
-        False  # it listens at the stated address of its name, so that no earlier process does
-    )
+    owns_address: bool = False  # listens at the configured address of its name, so no earlier process does
     suspected_by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # name of the member that suspects it
-    settings_checksum: Count = 0  # of the settings it runs with, as it says itself; 0: unknown
+    settings_checksum: Count = 0  # of the settings it runs with, reported by itself only; 0: unknown
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping", forbid_unknown_fields=True):
-    """A probe. ``target`` guards against an address that another member has taken over.
+    """A probe. ``target`` detects an address that another member has taken over.
 
-    ``membership_checksum``: of the members that the sender believes active, and of its replicated data.
+    ``membership_checksum`` covers the members that the sender believes active, and its replicated data.
     """
 
     sequence: Count
@@ -78,7 +74,7 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag="ack", forbid_unknown_fields=True):
-    """The answer to the ping of this sequence number."""
+    """Answer to the ping with this sequence number."""
 
     sequence: Count
 
@@ -92,19 +88,19 @@
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag="nack", forbid_unknown_fields=True):
-    """The helper has no answer yet (Lifeguard): so requester and helper at least hear each other."""
+    """The helper has no answer yet (Lifeguard), which shows that requester and helper can communicate."""
 
     sequence: Count
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True, tag="gossip", forbid_unknown_fields=True):
-    """Nothing but the updates that come with it."""
+    """A message without content of its own, sent for its piggybacked updates."""
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag="want", forbid_unknown_fields=True):
-    """Request a lease of so many parts, in place of all that was granted by lower numbers.
+    """Request a lease of ``parts``, which replaces all grants for lower request numbers.
 
-    0 parts: the sender uses nothing of the receiver's from here on.
+    0 parts: the sender returns everything leased from the receiver.
     """
 
     resource: Text
@@ -113,9 +109,9 @@
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag="grant", forbid_unknown_fields=True):
-    """Answer the request of this number, with fewer parts or none, maybe.
+    """Answer to the request of this number; may grant fewer parts than requested, or none.
 
-    ``surplus``: what the sender could still grant.
+    ``surplus``: parts that the sender could still grant.
     """
 
     resource: Text
@@ -128,7 +124,7 @@
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One message with the updates that are piggybacked on it."""
+    """One message with its piggybacked updates."""
 
     deployment: Text
     version: Count
@@ -138,7 +134,7 @@
 
 
 class FullState(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """All that a member knows, for an anti-entropy exchange by stream."""
+    """Everything that a member knows, for an anti-entropy exchange over a stream."""
 
     deployment: Text
     version: Count
@@ -153,7 +149,7 @@
 
 
 def encode_datagram(deployment: str, sender: Update, body: Body, updates: list[Update]) -> tuple[bytes, int]:
-    """Return the datagram, and how many of the updates, from the first on, had room in it."""
+    """Return the datagram, and the number of leading ``updates`` that fitted into it."""
     empty = encoder.encode(Datagram(deployment, VERSION, sender, body, []))
     size = len(empty) + LIST_HEADER_BYTES + CHECKSUM_BYTES
     used = 0
@@ -167,7 +163,7 @@
 
 
 def decode_datagram(deployment: str, data: bytes) -> Datagram:
-    """Raises ``WireError``: too long, corrupt, unreadable, foreign, version."""
+    """Decode and validate. Raises ``WireError``: too long, corrupt, unreadable, foreign, version."""
     try:
         message = _datagram_decoder.decode(verify_checksum(data, MAX_DATAGRAM_BYTES))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -178,14 +174,14 @@
 
 
 def encode_full_state(deployment: str, sender: Update, members: list[Update], replicas: bytes = b"") -> bytes:
-    """Return the message; of more than ``MAX_MEMBERS`` members the first ones."""
+    """Return the encoded message, with at most the first ``MAX_MEMBERS`` members."""
     return append_checksum(
         encoder.encode(FullState(deployment, VERSION, sender, members[:MAX_MEMBERS], replicas))
     )
 
 
 def decode_full_state(deployment: str, data: bytes) -> FullState:
-    """Raises ``WireError``: too long, corrupt, unreadable, foreign, version."""
+    """Decode and validate. Raises ``WireError``: too long, corrupt, unreadable, foreign, version."""
     try:
         message = _full_state_decoder.decode(verify_checksum(data, MAX_STREAM_BYTES))
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -195,8 +191,8 @@
     return message
 
 
-def _check_peer(ours: str, theirs: str, version: int) -> None:
-    if theirs != ours:
+def _check_peer(own_deployment: str, deployment: str, version: int) -> None:
+    if deployment != own_deployment:
         msg = "foreign"
         raise WireError(msg)
     if version != VERSION:
--- a/tests/membership_fleets.py
+++ b/tests/membership_fleets.py
@@ -1,4 +1,4 @@
-"""Helpers of the membership's tests: updates, fleets in virtual time, and members with one rule left out."""
+"""Helpers of the membership tests: updates, fleets in virtual time, and members that lack one rule."""
 
 from __future__ import annotations
 
@@ -10,44 +10,44 @@
 from cleatyoke.membership.members import Membership
 from cleatyoke.membership.wire import MemberId, MemberState, Update
 
-SIZE = 12  # fronts of a fleet
-HEAL_SECONDS = 3.0  # until there is one view again
-SETTLE_SECONDS = 20.0
+SIZE = 12  # fronts in a fleet
+HEAL_SECONDS = 3.0  # limit for the views to agree again after a fault has ended
+SETTLE_SECONDS = 20.0  # limit where members have to be declared dead or found first
 
 
 class NeverRefutes(Membership):
-    """Leaves suspicions of itself unanswered."""
+    """Doesn't refute suspicions of itself."""
 
     def refute(self, update: Update) -> None:
         pass
 
 
 class NeverProbesDeadMembers(Membership):
-    """Lets members that are believed dead rest."""
+    """Doesn't probe members that are believed dead."""
 
     def probe_dead_member(self) -> None:
         pass
 
 
 class NeverProbesIndirectly(Membership):
-    """Asks no helpers."""
+    """Asks no helpers for indirect probes."""
 
     def request_indirect_probes(self, sequence: int, probe: Probe, address: str) -> None:  # noqa: ARG002
         probe.indirect_at = probe.deadline
 
 
 class ForgetsBoot(Membership):
-    """Starts with boot number 1 each time, and never takes a higher one."""
+    """Starts with boot number 1 every time, and never takes a higher one."""
 
-    def __init__(self, deployment: str, name: str, boot: int, *rest: object, **more: object) -> None:  # noqa: ARG002
-        super().__init__(deployment, name, 1, *rest, **more)  # type: ignore[arg-type]
+    def __init__(self, deployment: str, name: str, boot: int, *args: object, **kwargs: object) -> None:  # noqa: ARG002
+        super().__init__(deployment, name, 1, *args, **kwargs)  # type: ignore[arg-type]
 
     def adopt_higher_boot(self, boot: int) -> None:
         pass
 
 
 class NotifiesWithoutBound(Membership):
-    """Tells a suspect what is believed of it at each of its messages."""
+    """Notifies a suspected member at each of its messages, without a minimum interval."""
 
     def notify_suspect(self, record: MemberRecord, sender: Update) -> None:
         record.notified_at = float("-inf")
@@ -55,27 +55,27 @@
 
 
 def started_fleet(
-    size: int = SIZE, make: type[Membership] = Membership, seed: int = 1, **network: float
+    size: int = SIZE, membership_class: type[Membership] = Membership, seed: int = 1, **link_faults: float
 ) -> Fleet:
-    """Return a fleet that has run for 12 s. ``network``: faults of all links."""
-    fleet = Fleet(size, seed, network=Network(seed, **network), make=make)  # type: ignore[arg-type]
+    """Return a fleet that has run for 12 s. ``link_faults``: fault rates of all links."""
+    fleet = Fleet(size, seed, network=Network(seed, **link_faults), make=membership_class)  # type: ignore[arg-type]
     fleet.start_all()
     fleet.run(12.0)
     return fleet
 
 
 def membership_of(fleet: Fleet, front: int) -> Membership:
-    """Return the membership of a front that runs."""
+    """Return the membership of a running front."""
     return fleet.running[fleet.address(front)].members
 
 
 def count_false_deaths(fleet: Fleet) -> int:
-    """Return how often a member that ran was declared dead."""
-    return sum(not true for _, _, _, true in fleet.journal.deaths)
+    """Return how often a running member was declared dead."""
+    return sum(not is_true for _, _, _, is_true in fleet.journal.deaths)
 
 
 def single_member() -> Membership:
-    """Return a member that knows nobody."""
+    """Return a member without seeds that knows no other member."""
     return Membership("test", "a", 1, "a:1", (), random.Random(1))
 
 
@@ -86,5 +86,5 @@
     incarnation: int = 0,
     suspected_by: str = "",
 ) -> Update:
-    """Return an update of a member that owns the address of its name."""
+    """Return an update about a member that owns the address of its name."""
     return Update(MemberId(name, boot), f"{name}:1", state, incarnation, True, suspected_by)
--- a/tests/test_membership_fault_scripts.py
+++ b/tests/test_membership_fault_scripts.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time through scripts of faults, drawn and found; a script that fails is shortened."""
+"""Random fault scripts against a fleet in virtual time, and shrinking of scripts that break a rule."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from tests.membership_fleets import SIZE, ForgetsBoot
 
 
-@pytest.mark.parametrize("ten", range(10))
-def test_drawn_scripts_break_no_rule(ten: int) -> None:
-    for seed in range(10 * ten + 1, 10 * ten + 11):
+@pytest.mark.parametrize("block", range(10))
+def test_membership_random_fault_scripts_break_no_rule(block: int) -> None:
+    for seed in range(10 * block + 1, 10 * block + 11):
         script = draw_script(seed, SIZE)
         assert run_script(script) == [], script
 
@@ -25,15 +25,15 @@
 
 @settings(deadline=None, derandomize=True, max_examples=15)
 @given(steps, st.sampled_from((0.0, 0.15, 0.3)), st.integers(0, 99))
-def test_no_order_of_faults_breaks_a_rule(
+def test_membership_generated_fault_scripts_break_no_rule(
     steps: list[tuple[float, str, list[int]]], loss: float, seed: int
 ) -> None:
-    in_order = sorted(([at, what, of] for at, what, of in steps), key=lambda step: step[0])
-    assert run_script({"size": SIZE, "seed": seed, "loss": loss, "steps": in_order}) == []
+    sorted_steps = sorted(([at, fault, of] for at, fault, of in steps), key=lambda step: step[0])
+    assert run_script({"size": SIZE, "seed": seed, "loss": loss, "steps": sorted_steps}) == []
 
 
-def test_a_script_that_breaks_a_rule_is_made_shorter() -> None:
-    """Fronts that forget their boot number break a rule by a leave and a start: only these steps stay."""
+def test_shrink_script_keeps_only_the_steps_that_break_the_rule() -> None:
+    """Fronts that forget their boot number break a rule by a leave and a start; only these steps remain."""
     steps = [
         [1.0, "kill", [3]],
         [2.0, "leave", [1]],
@@ -43,5 +43,5 @@
     ]
     script = {"size": 4, "seed": 1, "loss": 0.0, "steps": steps}
     assert run_script(script) == []
-    assert "one view" in {broken[:8] for broken in run_script(script, ForgetsBoot)}
+    assert "one view" in {violation[:8] for violation in run_script(script, ForgetsBoot)}
     assert shrink_script(script, "one view", ForgetsBoot)["steps"] == [steps[1], steps[3]]
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages among fronts: validated as a whole, rejected by one reason, harmless where they are garbage."""
+"""Messages between fronts: complete validation, rejection with one reason, no effect of garbage."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.membership_fleets import membership_of, single_member, started_fleet, update_of
 
 
-def test_a_message_is_accepted_as_a_whole_or_rejected_by_one_reason() -> None:
+def test_decode_datagram_rejects_invalid_messages_with_one_reason() -> None:
     ping = Ping(1, MemberId("b", 1), 0)
     data, used = wire.encode_datagram("ours", update_of(), ping, [update_of("c" * 30)] * 60)
     assert 10 < used < 60
@@ -22,7 +22,7 @@
     assert len(wire.decode_datagram("ours", data).updates) == used
     message = wire.Datagram("ours", 9, update_of(), Gossip(), [])
     other_version = encoding.append_checksum(wire.encoder.encode(message))
-    for deployment, bad, reason in (
+    for deployment, datagram, reason in (
         ("theirs", data, "foreign"),
         ("ours", other_version, "version"),
         ("ours", data[:-1], "corrupt"),
@@ -32,31 +32,31 @@
         ("ours", encoding.append_checksum(b"\x91" * 900), "unreadable"),
     ):
         with pytest.raises(encoding.WireError, match=f"^{reason}$"):
-            wire.decode_datagram(deployment, bad)
+            wire.decode_datagram(deployment, datagram)
     with pytest.raises(encoding.WireError, match="too long"):
         wire.decode_full_state("ours", bytes(wire.MAX_STREAM_BYTES + 1))
 
 
-def test_garbage_by_the_thousand_changes_nothing_and_is_counted() -> None:
-    """A stranger sends random bytes, messages that are cut short, and one valid message a thousand times."""
+def test_step_with_garbage_and_replayed_datagrams_changes_nothing() -> None:
+    """An unknown sender sends random bytes, truncated messages, and one valid message a thousand times."""
     fleet = started_fleet(4)
-    one, rng = membership_of(fleet, 0), random.Random(1)
-    other = membership_of(fleet, 1).id
-    good = wire.encode_datagram("test", one.records[other].update, Gossip(), [])[0]
-    before = one.operator_view_checksum()
-    bad = [rng.randbytes(rng.randrange(40)) for _ in range(1000)]
-    bad += [good[: rng.randrange(len(good))] for _ in range(1000)]
-    one.step(fleet.now, map(DatagramReceived, bad))
-    assert one.operator_view_checksum() == before
-    assert sum(one.counters.rejected.values()) == 2000
-    one.step(fleet.now, [DatagramReceived(good)] * 1000)  # replayed
-    assert one.operator_view_checksum() == before
-
-
-def test_a_full_state_is_answered_by_one() -> None:
-    one = single_member()
+    membership, rng = membership_of(fleet, 0), random.Random(1)
+    peer = membership_of(fleet, 1).id
+    valid = wire.encode_datagram("test", membership.records[peer].update, Gossip(), [])[0]
+    before = membership.operator_view_checksum()
+    invalid = [rng.randbytes(rng.randrange(40)) for _ in range(1000)]
+    invalid += [valid[: rng.randrange(len(valid))] for _ in range(1000)]
+    membership.step(fleet.now, map(DatagramReceived, invalid))
+    assert membership.operator_view_checksum() == before
+    assert sum(membership.counters.rejected.values()) == 2000
+    membership.step(fleet.now, [DatagramReceived(valid)] * 1000)  # replayed
+    assert membership.operator_view_checksum() == before
+
+
+def test_exchange_request_is_answered_with_a_full_state() -> None:
+    membership = single_member()
     state = wire.encode_full_state("test", update_of("b"), [update_of("c", state=MemberState.DEAD)])
-    actions = one.step(0.0, [ExchangeRequested(7, state)])
+    actions = membership.step(0.0, [ExchangeRequested(7, state)])
     assert [action.token for action in actions if isinstance(action, ReplyExchange)] == [7]
-    assert set(one.active_members) == {MemberId("b", 1)}
+    assert set(membership.active_members) == {MemberId("b", 1)}
     assert not [action for action in actions if isinstance(action, SendDatagram)]
