--- a/cleatyoke/durability/__init__.py
+++ b/cleatyoke/durability/__init__.py
@@ -1,5 +1,6 @@
-"""Durable state: what a front keeps over a loss of power, where it has a disk that lasts.
+"""Durable state: what a front keeps across a power loss, where it has a persistent disk.
 
-``records`` says what is stored and what is trusted of it, ``store`` reads and writes the files, ``writer`` is
-the thread that does so. See ``docs/recovery.md``. Off as shipped, and not imported while it is off.
+``records`` defines the stored rows and which of them are trusted, ``store`` reads and writes the files,
+``writer`` is the background thread that does so. See ``docs/recovery.md``. Disabled by default, and not
+imported while it is disabled.
 """
--- a/cleatyoke/durability/__main__.py
+++ b/cleatyoke/durability/__main__.py
@@ -1,6 +1,6 @@
-"""``python -m cleatyoke.durability``: read a front's durable state offline, check it and explain it.
+"""``python -m cleatyoke.durability``: checks and prints a front's durable state offline.
 
-Needs the extra ``tools``. It writes nothing in the folder, also while the front runs.
+Needs the extra ``tools``. Never writes to the folder, so it is safe to use while the front runs.
 """
 
 from __future__ import annotations
@@ -20,56 +20,56 @@
 
 @click.group()
 def main() -> None:
-    """What a front keeps over a loss of power."""
+    """Inspect the durable state of a front."""
 
 
 @main.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
-@click.option("--front", default="", help="DEPLOYMENT/NAME; else as the files say.")
+@click.option("--front", default="", help="DEPLOYMENT/NAME; default: as stored in the files.")
 def check(folder: Path, front: str) -> None:
-    """Read both files of FOLDER and say what a start would trust.
+    """Read both files of FOLDER and print what the front would restore from them.
 
-    Exit status 1 where something is not trusted or missing.
+    Exits with status 1 if a file is missing, or if a file or row would be rejected.
     """
     state = FrontState()
-    is_good = True
+    all_valid = True
     for name in FILE_NAMES:
-        rows = _rows_of_copy(folder, name)
+        rows = _read_rows_from_copy(folder, name)
         if rows is None:
-            is_good = False
+            all_valid = False
             continue
-        front = front or _front_in(rows)
+        front = front or _stored_owner(rows)
         loaded = decode_state(rows, front, name)
         state = state.merge(loaded.state)
         _print_file(name, len(rows), front, loaded)
-        is_good = is_good and not loaded.problems
+        all_valid = all_valid and not loaded.problems
     for path in sorted(folder.glob("*.doubtful-*")):
         click.echo(f"{path.name}: put aside by an earlier start")
     _print_state(state)
-    sys.exit(0 if is_good else 1)
+    sys.exit(0 if all_valid else 1)
 
 
-def _rows_of_copy(folder: Path, name: str) -> list[tuple[object, ...]] | None:
-    """The rows of one file; None, with the reason printed, where there are none to trust.
+def _read_rows_from_copy(folder: Path, name: str) -> list[tuple[object, ...]] | None:
+    """Return the rows of one file, or print the reason and return None if it can't be used.
 
-    The file is copied first, as even a reader of sqlite writes beside the file.
+    Works on a copy, because SQLite creates WAL files next to a database even when it only reads.
     """
     if not (folder / name).exists():
         click.echo(f"{name}: no file")
         return None
-    with tempfile.TemporaryDirectory() as copies:
+    with tempfile.TemporaryDirectory() as copy_folder:
         for path in folder.glob(f"{name}*"):
             if not path.name.startswith(f"{name}.doubtful"):
-                shutil.copy(path, copies)
+                shutil.copy(path, copy_folder)
         try:
-            return read_rows(Path(copies) / name)
+            return read_rows(Path(copy_folder) / name)
         except (DurabilityError, sqlite3.Error) as error:
             click.echo(f"{name}: not believed: {error}; a start puts it aside")
             return None
 
 
-def _front_in(rows: list[tuple[object, ...]]) -> str:
-    """Whose file it is, as its first row says."""
+def _stored_owner(rows: list[tuple[object, ...]]) -> str:
+    """Return the owner that is stored in the first row."""
     return str(rows[0][2]) if rows and len(rows[0]) > 2 else ""
 
 
@@ -84,10 +84,10 @@
 
 
 def _print_state(state: FrontState) -> None:
-    held = state.holds.dots_by_node
+    held_nodes = state.holds.dots_by_node
     click.echo(f"boot number: {state.boot_number}; the next life begins beyond it, whatever the clock says")
-    click.echo(f"held by hand: {len(held)} boxes; each stays held until somebody releases it")
-    for node, dots in sorted(held.items()):
+    click.echo(f"held by hand: {len(held_nodes)} boxes; each stays held until somebody releases it")
+    for node, dots in sorted(held_nodes.items()):
         placed = [f"{actor.name} (boot {actor.boot}, number {number})" for actor, number in sorted(dots)]
         click.echo(f"  {node}: placed by {', '.join(placed)}")
     click.echo(f"asked first at the next start: {', '.join(state.peers) or 'the seeds alone'}")
--- a/cleatyoke/durability/errors.py
+++ b/cleatyoke/durability/errors.py
@@ -1,11 +1,11 @@
-"""The errors of durable state, in one tree."""
+"""Exceptions raised by the durable state."""
 
 from __future__ import annotations
 
 
 class DurabilityError(Exception):
-    """Durable state can't be used. The text says why in a few words and is shown to operators."""
+    """Durable state can't be used. The message gives a short reason and is shown to operators."""
 
 
 class UnreadableStoreError(DurabilityError):
-    """A file as a whole can't be used: it is missing, damaged, foreign or of a newer schema."""
+    """A file can't be used as a whole: it is missing, damaged, foreign or has a newer schema."""
--- a/cleatyoke/durability/store.py
+++ b/cleatyoke/durability/store.py
@@ -1,8 +1,8 @@
-"""Two sqlite files with the same rows, in WAL mode with full synchronisation.
+"""Two SQLite files with the same rows, in WAL mode with ``synchronous=FULL``.
 
-Everything here blocks: only the writer's thread calls it, and the offline command. A write is complete when
-one of the files has it; what one file loses, the other has. A file that is damaged, foreign or of a newer
-schema is set aside under a name of its own and begun anew; nothing is deleted.
+All calls block; only the writer's thread and the offline command make them. A write is durable once one of
+the files has it, and data lost from one file is restored from the other. A file that is damaged, foreign or
+has a newer schema is renamed and replaced by a new one; nothing is deleted.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
     encode_state,
 )
 
-APPLICATION_ID = 0x436C5431  # sqlite's application_id: "ClT1"
+APPLICATION_ID = 0x436C5431  # SQLite's application_id: "ClT1"
 FILE_NAMES = ("front-a.sqlite", "front-b.sqlite")
-LOCK_TIMEOUT = 2.0  # seconds to wait for a lock, as while an older process of this front ends
-MAX_SHOWN_DAMAGE = 80  # characters of sqlite's report that operators see
+LOCK_TIMEOUT = 2.0  # seconds to wait for a lock, e.g. while the previous process of this front exits
+MAX_CHECK_REPORT_CHARS = 80  # longer quick_check reports are truncated in messages
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS rows (
     kind TEXT PRIMARY KEY, form INTEGER NOT NULL, front TEXT NOT NULL, data BLOB NOT NULL, sum INTEGER NOT
@@ -36,10 +36,10 @@
 
 @contextlib.contextmanager
 def open_database(path: Path, *, create: bool) -> Iterator[sqlite3.Connection]:
-    """Open and check a file; close it at the end.
+    """Open and validate a database file, and close it on exit.
 
-    Raises ``UnreadableStoreError`` for a file that can't be used, and ``sqlite3.Error`` where the disk does
-    not let it be used.
+    Raises ``UnreadableStoreError`` if the file itself can't be used, and ``sqlite3.Error`` on I/O and lock
+    errors.
     """
     if not create and not path.exists():
         msg = "no file"
@@ -57,7 +57,7 @@
 
 
 def _check_file(connection: sqlite3.Connection) -> bool:
-    """Whether the file is new. Raises ``UnreadableStoreError``."""
+    """Validate the file and return whether it is new. Raises ``UnreadableStoreError``."""
     application_id = connection.execute("PRAGMA application_id").fetchone()[0]
     schema_version = connection.execute("PRAGMA user_version").fetchone()[0]
     tables = connection.execute("SELECT count(*) FROM sqlite_schema").fetchone()[0]
@@ -69,38 +69,38 @@
         raise UnreadableStoreError(msg)
     report = connection.execute("PRAGMA quick_check").fetchone()[0]
     if report != "ok":
-        msg = f"damaged: {str(report)[:MAX_SHOWN_DAMAGE]}"
+        msg = f"damaged: {str(report)[:MAX_CHECK_REPORT_CHARS]}"
         raise UnreadableStoreError(msg)
     return not tables
 
 
 def read_rows(path: Path) -> list[tuple[Any, ...]]:
-    """All rows of a file, as they are. Raises ``UnreadableStoreError`` or ``sqlite3.Error``."""
+    """Return all rows of a file, unvalidated. Raises ``UnreadableStoreError`` or ``sqlite3.Error``."""
     with open_database(path, create=False) as connection:
         return connection.execute("SELECT kind, form, front, data, sum FROM rows ORDER BY kind").fetchall()
 
 
-def is_damage(error: sqlite3.Error) -> bool:
-    """Whether the file is at fault, rather than the disk or a process that holds a lock."""
+def is_corruption(error: sqlite3.Error) -> bool:
+    """Whether the file is corrupt, as opposed to a disk error or a lock held by another process."""
     return not isinstance(error, sqlite3.OperationalError) or "malformed" in str(error)
 
 
-def set_aside(path: Path) -> Path:
-    """Rename a file, with what sqlite keeps beside it, to a name that a start does not read.
+def quarantine(path: Path) -> Path:
+    """Rename a database file and its WAL files to a name that is not read at startup.
 
     Returns the new path. Raises ``OSError``.
     """
     number = 1
     while (target := path.with_name(f"{path.name}.doubtful-{number}")).exists():
         number += 1
-    for ending in ("-wal", "-shm", ""):
+    for suffix in ("-wal", "-shm", ""):
         with contextlib.suppress(FileNotFoundError):
-            path.with_name(path.name + ending).rename(target.with_name(target.name + ending))
+            path.with_name(path.name + suffix).rename(target.with_name(target.name + suffix))
     return target
 
 
 class StateDatabase:
-    """Both files of one front, in a folder of its own. ``front``: "DEPLOYMENT/NAME"."""
+    """Both files of one front, in a folder used by this front only. ``front``: "DEPLOYMENT/NAME"."""
 
     def __init__(self, folder: Path, front: str) -> None:
         self.folder = folder
@@ -108,7 +108,7 @@
         self.paths = [folder / name for name in FILE_NAMES]
 
     def load(self) -> LoadedState:
-        """Read and merge both files. Raises nothing: what fails is a problem in the answer."""
+        """Read and merge both files. Never raises; failures are returned as problems."""
         state = FrontState()
         problems: list[StorageProblem] = []
         for path in self.paths:
@@ -122,14 +122,14 @@
             state = state.merge(loaded.state)
             problems += loaded.problems
             if any(problem.is_foreign for problem in loaded.problems):
-                error_of_file = UnreadableStoreError("of another front")
-                problems.append(self._handle_unreadable(path, error_of_file))
+                foreign_file_error = UnreadableStoreError("of another front")
+                problems.append(self._handle_unreadable(path, foreign_file_error))
         return LoadedState(state, problems)
 
     def save(self, state: FrontState) -> list[StorageProblem]:
-        """Write the whole state to both files, one after the other; the files that failed.
+        """Write the complete state to both files, one after the other, and return the files that failed.
 
-        A row that was not trusted at the start is overwritten, as the rest of its file was.
+        Rows that were rejected at startup are overwritten along with the valid ones.
         """
         rows = encode_state(state, self.front)
         failed: list[StorageProblem] = []
@@ -138,19 +138,19 @@
                 self.folder.mkdir(parents=True, exist_ok=True)
                 self._write_rows(path, rows)
             except (DurabilityError, sqlite3.Error, OSError) as error:
-                failed.append(StorageProblem(path.name, _reason(error)))
+                failed.append(StorageProblem(path.name, _error_text(error)))
         return failed
 
     @staticmethod
     def _handle_unreadable(path: Path, error: Exception) -> StorageProblem:
-        """Set a file aside where it is at fault; leave it where the disk is, as the file may be good."""
-        reason = _reason(error)
-        if isinstance(error, OSError) or (isinstance(error, sqlite3.Error) and not is_damage(error)):
+        """Quarantine a corrupt or foreign file; keep it in place on a disk error, as it may be intact."""
+        reason = _error_text(error)
+        if isinstance(error, OSError) or (isinstance(error, sqlite3.Error) and not is_corruption(error)):
             return StorageProblem(path.name, reason)
         try:
-            return StorageProblem(path.name, f"{reason}; put aside as {set_aside(path).name}")
-        except OSError as failure:
-            return StorageProblem(path.name, f"{reason}; and not put aside, {failure.strerror}")
+            return StorageProblem(path.name, f"{reason}; put aside as {quarantine(path).name}")
+        except OSError as rename_error:
+            return StorageProblem(path.name, f"{reason}; and not put aside, {rename_error.strerror}")
 
     @staticmethod
     def _write_rows(path: Path, rows: list[Row]) -> None:
@@ -160,5 +160,5 @@
             connection.execute("COMMIT")
 
 
-def _reason(error: Exception) -> str:
+def _error_text(error: Exception) -> str:
     return str(error) or type(error).__name__
--- a/cleatyoke/durability/writer.py
+++ b/cleatyoke/durability/writer.py
@@ -1,8 +1,8 @@
-"""The thread that reads durable state at a start and writes it from then on.
+"""The thread that reads durable state at startup and writes it from then on.
 
-No request waits for the disk. Of several writes that wait only the newest is done, as each holds the whole
-state. A disk that is full, read-only, slow or gone costs the promise that what is new outlives a loss of
-power, and nothing else; it is reported once, and the write is repeated until it works.
+Requests never wait for the disk. Each write holds the complete state, so only the newest pending write is
+carried out. If the disk is full, read-only, slow or missing, new changes may not survive a power loss;
+nothing else is affected. The failure is reported once and the write is retried until it succeeds.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 
 from cleatyoke.durability.records import FrontState, LoadedState, StorageProblem, next_boot_number
 
-FLUSH_TIMEOUT = 0.3  # seconds that an orderly exit waits at the most for the last write
-RETRY_DELAY = 1.0  # seconds until a failed write is repeated
-COPIES = 2  # files that a store writes; a state in one of them is durable
+FLUSH_TIMEOUT = 0.3  # maximum seconds that a graceful exit waits for the last write
+RETRY_DELAY = 1.0  # seconds before a failed write is retried
+FILE_COUNT = 2  # files written by a store; a state is durable once one of them has it
 
 
 class StateStore(Protocol):
-    """The files. Both methods block, raise nothing, and are called from the writer's thread alone."""
+    """Storage for the state. Both methods block, never raise, and are called only on the writer's thread."""
 
     def load(self) -> LoadedState:
-        """What the files hold together."""
+        """Return the merged contents of the files."""
         ...
 
     def save(self, state: FrontState) -> list[StorageProblem]:
-        """Write to all files; return those that failed."""
+        """Write to all files and return those that failed."""
         ...
 
 
 @dataclass(slots=True, frozen=True)
 class RestoredState:
-    """What the files held when the process began.
+    """The stored state at process startup, with the boot number of this process.
 
-    ``state.boot_number`` is the one of this process. It was written before it is reported here, so that
-    no later process uses it again, unless ``write_problems`` names all files. ``was_found``: a previous
-    process had written there. ``problems``: what was not trusted.
+    ``state.boot_number`` belongs to this process. It is written before it is reported here, so that no later
+    process reuses it, unless ``write_problems`` lists all files. ``was_found``: a previous process had stored
+    its state. ``problems``: files and rows that were rejected.
     """
 
     state: FrontState
@@ -55,11 +55,13 @@
 class StateWriter:
     """A daemon thread between the event loop and a ``StateStore``.
 
-    Thread boundaries: ``start``, ``submit`` and ``stop`` are called from the event loop. They don't wait for
-    the disk, but for ``stop``, whose wait has a bound. ``is_written`` and the counters may be read from any
-    thread. ``on_loaded`` (once, as soon as the files were read), ``on_restored`` (once, after the new boot
-    number was written) and ``on_problems_changed`` (at each change of the failing files; an empty list when
-    all work again) are called on the writer's thread.
+    Threading: ``start``, ``submit`` and ``stop`` are called on the event loop. Of these only ``stop`` waits
+    for the disk, for a bounded time. ``is_written`` and the counters may be read from any thread. These
+    callbacks run on the writer's thread:
+
+    - ``on_loaded``: once, as soon as the files have been read;
+    - ``on_restored``: once, after the new boot number has been written;
+    - ``on_problems_changed``: whenever the set of failing files changes, with an empty list after recovery.
 
     ``wall_clock`` returns Unix time.
     """
@@ -77,22 +79,22 @@
         self.on_restored = on_restored
         self.on_problems_changed = on_problems_changed
         self.on_loaded = on_loaded
-        self.submitted = 0  # number of the last write that was submitted
-        self.written = 0  # number of the last write that is durable
+        self.submitted = 0  # number of the last submitted write
+        self.written = 0  # number of the last durable write
         self.problems: list[StorageProblem] = []  # of the last write
         self.writes = 0
-        self.failures = 0  # writes that reached no file
+        self.failures = 0  # writes that failed for all files
         self.thread = threading.Thread(target=self._run, name="durable", daemon=True)
         self._condition = threading.Condition()
         self._pending: _PendingWrite | None = None
         self._stopping = False
 
     def start(self) -> None:
-        """Begin to read the stored state."""
+        """Start the thread, which first reads the stored state."""
         self.thread.start()
 
     def submit(self, state: FrontState) -> int:
-        """Have a state written, in place of one that still waits; the number to ask ``is_written`` by."""
+        """Schedule a state for writing in place of a pending one; return its number for ``is_written``."""
         with self._condition:
             self.submitted += 1
             self._pending = _PendingWrite(self.submitted, state)
@@ -100,13 +102,13 @@
             return self.submitted
 
     def is_written(self, number: int) -> bool:
-        """Whether this write, or a later one, is durable."""
+        """Whether this write or a later one is durable."""
         return self.written >= number
 
     def stop(self, seconds_left: float = math.inf) -> None:
-        """Write what waits and end the thread, or leave it behind.
+        """Write a pending state and end the thread; after the timeout the thread is abandoned.
 
-        Waits ``FLUSH_TIMEOUT`` at the most, and no longer than the ``seconds_left``.
+        Waits for at most ``FLUSH_TIMEOUT``, and no longer than ``seconds_left``.
         """
         with self._condition:
             self._stopping = True
@@ -122,7 +124,7 @@
 
     def _restore(self) -> None:
         loaded = self.store.load()
-        self.on_loaded(loaded)  # before the write, which may be slow: holds count as soon as they are read
+        self.on_loaded(loaded)  # before the write, which may be slow, so that holds apply immediately
         was_found = loaded.state.boot_number > 0
         boot_number = next_boot_number(loaded.state.boot_number, self.wall_clock())
         state = replace(loaded.state, boot_number=boot_number)
@@ -130,7 +132,7 @@
         self.on_restored(RestoredState(state, was_found, loaded.problems, write_problems))
 
     def _next_write(self) -> _PendingWrite | None:
-        """Wait for a write; None once the writer stops and none waits."""
+        """Wait for a pending write; return None once the writer is stopping and nothing is pending."""
         with self._condition:
             while self._pending is None and not self._stopping:
                 self._condition.wait()
@@ -139,13 +141,13 @@
             return write
 
     def _finish_write(self, write: _PendingWrite, problems: list[StorageProblem]) -> bool:
-        """Note how a write ended and, if a file failed, wait before it is repeated; whether to go on."""
+        """Record the result of a write and delay a retry if a file failed. Returns whether to continue."""
         with self._condition:
             self.writes += 1
             if [problem.source for problem in problems] != [problem.source for problem in self.problems]:
                 self.on_problems_changed(problems)
             self.problems = problems
-            if len(problems) < COPIES:
+            if len(problems) < FILE_COUNT:
                 self.written = write.number
             else:
                 self.failures += 1
--- a/cleatyoke/fleet/__init__.py
+++ b/cleatyoke/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and timers that carry membership and coordination between fronts."""
+"""Sockets and timers that run membership and coordination among fronts."""
--- a/cleatyoke/fleet/hold_sharing.py
+++ b/cleatyoke/fleet/hold_sharing.py
@@ -1,6 +1,6 @@
-"""Operators' holds of nodes, kept in step among fronts and in a file.
+"""Synchronizes operators' holds of nodes among fronts and saves the replicated holds to a file.
 
-Between the file of this front's holds (``process.hold_file``) and their replication
+Connects the file of this front's holds (``process.hold_file``) with their replication
 (``coordination.hold_replication``).
 """
 
@@ -21,23 +21,25 @@
 if TYPE_CHECKING:
     from cleatyoke.fleet.view import FleetView
 
-# In the state directory: the replicated holds of all fronts; those in force here: ``process.hold_file``.
+# In the state directory: replicated holds of all fronts. ``process.hold_file`` has those applied here.
 REPLICATED_HOLDS_FILE = "cleatyoke-fleet-copies"
-REPLICATION_POLL = 0.01  # seconds between checks whether a hold has reached all fronts
+REPLICATION_POLL_INTERVAL = 0.01  # seconds between checks whether a hold has reached all fronts
 log = structlog.get_logger()
 
 
-class HoldSpread(NamedTuple):
-    """How far a hold or its release has come."""
+class ReplicationProgress(NamedTuple):
+    """How many fronts have a hold or its release."""
 
-    confirmed: int  # fronts that are known to have it, this one included
-    front_count: int  # that may be up
+    confirmed: int  # fronts known to have it, including this one
+    front_count: int  # fronts that may be up
 
 
-def wait_until_replicated(view: FleetView, node_name: str, *, is_held: bool, timeout: float) -> HoldSpread:
-    """Wait until all fronts and the disk have a hold, or its release, that was made here.
+def wait_until_replicated(
+    view: FleetView, node_name: str, *, is_held: bool, timeout: float
+) -> ReplicationProgress:
+    """Wait until all fronts and the disk have a hold, or its release, that was made at this front.
 
-    Blocks its thread, which must not be the loop's; returns after ``timeout`` seconds at the latest.
+    Blocks the calling thread, which must not be the event loop's, for at most ``timeout`` seconds.
     """
     replication = view.hold_replication
     deadline = time.monotonic() + timeout
@@ -49,19 +51,19 @@
             confirmed = 1 + sum(not replication.is_behind(member) for member in active)
         is_complete = is_applied and confirmed == len(active) + 1 and view.holds_are_on_disk()
         if is_complete or time.monotonic() >= deadline:
-            return HoldSpread(confirmed, max(view.conclusion().front_count, len(active) + 1))
-        time.sleep(REPLICATION_POLL)
+            return ReplicationProgress(confirmed, max(view.conclusion().front_count, len(active) + 1))
+        time.sleep(REPLICATION_POLL_INTERVAL)
 
 
 class HoldSharing:
-    """Takes operators' calls to the replication, and remote changes to this front's holds.
+    """Forwards operators' changes to the replication, and remote changes to this front's hold file.
 
-    What is known of holds stands in a file too, so that a release that this front misses while it is down
-    still counts for it. ``on_local_change`` is called after an operator's call here, ``save_state`` after
-    each change.
+    The replicated state is also saved to a file, so that a release made while this front is down takes effect
+    when it restarts. ``on_local_change`` is called after an operator's change at this front, ``save_state``
+    after every change.
     """
 
-    def __init__(  # noqa: PLR0913 - the parts that it connects
+    def __init__(  # noqa: PLR0913 - one parameter per connected part
         self,
         replication: HoldReplication,
         hold_file: HoldFile,
@@ -79,24 +81,24 @@
         self.save_state = save_state
 
     def start(self) -> None:
-        """Read what an earlier process knew, and share holds from now on."""
+        """Restore the saved replication state and start to synchronize holds."""
         data = b""
         with contextlib.suppress(OSError):
             data = self.path.read_bytes()
-        self.hold_file.poll()  # what an earlier process held
+        self.hold_file.poll()  # loads the holds of the previous process
         held = frozenset(self.hold_file.directory.holds.held)
         self.replication.restore(data, held)
         self.replication.on_change = self._apply_remote_change
         self.hold_file.on_local_change = self._apply_local_change
-        if absent := self.replication.holds.held_nodes() - frozenset(self.hold_file.directory.holds.held):
-            self.hold_file.apply_remote(absent, frozenset())
+        if unapplied := self.replication.holds.held_nodes() - frozenset(self.hold_file.directory.holds.held):
+            self.hold_file.apply_remote(unapplied, frozenset())
 
     def _apply_remote_change(self, held: frozenset[str], released: frozenset[str]) -> None:
         log.info("fleet_holds", held=sorted(held), released=sorted(released))
         self._save()
         self.hold_file.apply_remote(held, released)
 
-    def _apply_local_change(self, node_name: str, is_held: bool) -> None:  # called by position by HoldFile
+    def _apply_local_change(self, node_name: str, is_held: bool) -> None:  # HoldFile calls it by position
         if is_held:
             self.replication.hold(node_name)
         else:
@@ -107,6 +109,6 @@
     def _save(self) -> None:
         self.save_state()
         with self.faults.contain("fleet_copies"):
-            new = self.path.with_suffix(".new")
-            new.write_bytes(self.replication.dump())
-            new.replace(self.path)
+            new_path = self.path.with_suffix(".new")
+            new_path.write_bytes(self.replication.dump())
+            new_path.replace(self.path)
--- a/cleatyoke/fleet/lease_trading.py
+++ b/cleatyoke/fleet/lease_trading.py
@@ -1,7 +1,7 @@
-"""Quota leases among fronts: between the scheduler's core, the leases and the membership that carries them.
+"""Quota leases among fronts: connects the scheduler core, the leases and the membership that transports them.
 
-No decision is made here: what is needed comes from ``RateLimitLeases`` and ``SlowStartLeases``, what is
-granted from ``QuotaLeases``.
+Makes no decisions itself: ``RateLimitLeases`` and ``SlowStartLeases`` determine the demand, ``QuotaLeases``
+the grants.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from cleatyoke.membership.members import Membership
 from cleatyoke.scheduling.events import EndpointUpdate, QuotaShareChanged, SchedulerEvent
 
-LEASE_INTERVAL = 0.05  # seconds between two checks of what is needed
+LEASE_INTERVAL = 0.05  # seconds between demand updates
 
 
 class LeaseTrading:
-    """Drives the quota leases. ``perform`` carries out the membership's actions."""
+    """Runs the quota leases. ``perform`` executes actions of the membership."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self.slow_start_leases: SlowStartLeases | None = None
 
     def start(self, settings: FleetSettings, core: Core, node_name: Callable[[int], str | None]) -> None:
-        """Lease from now on, as far as the settings say. ``node_name``: id that all fronts know a node by."""
+        """Start the leases enabled by the settings. ``node_name`` maps a node number to its fleet-wide id."""
         self.core = core
         if settings.leases_rate_limits:
             self.rate_limit_leases = RateLimitLeases(self.quota_leases, lambda: core.scheduler.settings.plans)
@@ -58,49 +58,49 @@
         core.before_step = self.before_step
 
     def before_step(self, now: float, events: list[SchedulerEvent]) -> list[SchedulerEvent]:
-        """Return the events that the scheduler is to take in at ``now``, in place of ``events``.
+        """Return the events that the scheduler processes at ``now``, in place of ``events``.
 
-        Called directly before each of its steps: leases that have expired meanwhile count no longer. Endpoint
-        updates come first, as they name nodes that changes of leases refer to.
+        Called immediately before each scheduler step, so that leases that have expired since the last one no
+        longer count. Endpoint updates come first, because lease changes refer to nodes that they introduce.
         """
-        at = self.loop.time()
+        loop_now = self.loop.time()
         if self.rate_limit_leases:
-            self.rate_limit_leases.observe(at, events)
+            self.rate_limit_leases.observe(loop_now, events)
         if self.slow_start_leases:
-            self.slow_start_leases.observe(at, now, events)
+            self.slow_start_leases.observe(loop_now, now, events)
         for event in events:
             if isinstance(event, QuotaShareChanged):
                 self._step_leases(QuotaFractionChanged(event.fraction))
         updates = [event for event in events if isinstance(event, EndpointUpdate)]
         others = [event for event in events if not isinstance(event, EndpointUpdate)]
-        return [*updates, *self._quota_changes(at), *others]
+        return [*updates, *self._quota_changes(loop_now), *others]
 
     def receive(self, action: DeliverLeaseMessage) -> None:
-        """Take in a peer's message; ignored before ``start``."""
+        """Process a peer's message; ignored before ``start``."""
         if self.core:
             self._step_leases(LeaseMessageReceived(action.sender, action.message))
 
     def update_demand(self) -> None:
-        """Tell the leases what is needed and which peers are alive; they request and return what follows."""
+        """Pass current demand and live peers to the leases, which request or return quota accordingly."""
         now = self.loop.time()
         demand: dict[str, float] = {}
-        for leases in self._kinds():
+        for leases in self._enabled_leases():
             demand |= leases.demand(now)
         if demand or self.quota_leases.accounts:
             suspected = self.membership.suspected_members
-            alive = [member for member in self.membership.active_members if member not in suspected]
-            self._step_leases(PeersChanged(tuple(alive)), DemandChanged(demand))
+            live_peers = [member for member in self.membership.active_members if member not in suspected]
+            self._step_leases(PeersChanged(tuple(live_peers)), DemandChanged(demand))
 
-    def _kinds(self) -> Iterable[RateLimitLeases | SlowStartLeases]:
+    def _enabled_leases(self) -> Iterable[RateLimitLeases | SlowStartLeases]:
         return [leases for leases in (self.rate_limit_leases, self.slow_start_leases) if leases]
 
     def _quota_changes(self, now: float) -> list[SchedulerEvent]:
-        return [event for leases in self._kinds() for event in leases.quota_changes(now)]
+        return [event for leases in self._enabled_leases() for event in leases.quota_changes(now)]
 
     def _step_leases(self, *events: LeaseEvent) -> None:
         now = self.loop.time()
-        for sent in self.quota_leases.step(now, events):
-            for action in self.membership.send_lease_message(sent.receiver, sent.message):
+        for outgoing in self.quota_leases.step(now, events):
+            for action in self.membership.send_lease_message(outgoing.receiver, outgoing.message):
                 self.perform(action)
         if self.core:
             for event in self._quota_changes(now):
--- a/cleatyoke/fleet/sockets.py
+++ b/cleatyoke/fleet/sockets.py
@@ -1,7 +1,7 @@
-"""The fleet's sockets: one port for datagrams and streams, and a bound on the datagrams that are accepted.
+"""The fleet's sockets: one port for datagrams and streams, and a rate limit on received datagrams.
 
-Two processes of one name, as in an upgrade, both have a part in the fleet: the second one binds a port of its
-own until the stated one is free.
+Two processes with the same name can take part in the fleet at the same time, as during an upgrade: the
+second one binds a temporary port until the configured one is free.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 from cleatyoke.config.errors import ConfigError
 from cleatyoke.process.faults import Faults, PeriodicCall
 
-MAX_DATAGRAMS_PER_SECOND = 2000  # more are dropped, so that a flood costs no request its time
-BIND_ATTEMPTS = 8  # at a free port that both sockets can have
-STREAM_BACKLOG = 64  # connections that wait to be accepted
-CLAIM_INTERVAL = 1.0  # seconds between attempts to bind the stated port, where another process holds it
+MAX_DATAGRAMS_PER_SECOND = 2000  # the excess is dropped, so that a flood does not delay requests
+BIND_ATTEMPTS = 8  # attempts to find a port that is free for both sockets
+STREAM_BACKLOG = 64  # pending connections of the listener
+CLAIM_INTERVAL = 1.0  # seconds between attempts to bind the configured port
 
 AcceptStream = Callable[[asyncio.StreamReader, asyncio.StreamWriter], None]
 
 
 def format_address(address: Address) -> str:
-    """Return "HOST:PORT", as members tell it to one another."""
+    """Return "HOST:PORT", the form that members exchange."""
     return f"{address.host}:{address.port}"
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
-    """Passes datagrams on. ``on_error`` is called where nobody listens at an address that was sent to."""
+    """Forwards datagrams. ``on_error`` is called when no process listens at the destination."""
 
     def __init__(self, on_datagram: Callable[[bytes], None], on_error: Callable[[], None]) -> None:
         self.on_datagram = on_datagram
         self.on_error = on_error
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:  # noqa: ARG002 - asyncio's signature
-        """Pass a datagram on."""
+        """Forward a datagram."""
         self.on_datagram(data)
 
     def error_received(self, exc: Exception) -> None:  # noqa: ARG002 - asyncio's signature
@@ -53,7 +53,7 @@
     streams: asyncio.Server
 
     def port(self) -> int:
-        """Return the port that both have."""
+        """Return the common port."""
         return int(self.datagrams.get_extra_info("sockname")[1])
 
     def close(self) -> None:
@@ -65,9 +65,9 @@
 async def bind_sockets(
     host: str, port: int, receiver: Callable[[], DatagramReceiver], accept: AcceptStream
 ) -> SocketPair:
-    """Bind both sockets to one port; port 0: any that is free for both.
+    """Bind both sockets to one port; 0 selects any port that is free for both.
 
-    Raises ``OSError``, with ``EADDRINUSE`` where another process holds the port.
+    Raises ``OSError``, with ``EADDRINUSE`` if another process holds the port.
     """
     loop = asyncio.get_running_loop()
     for _ in range(BIND_ATTEMPTS):
@@ -81,18 +81,18 @@
                 raise
         else:
             return SocketPair(transport, server)
-    raise OSError(errno.EADDRINUSE, "no port free for datagrams and streams")
+    raise OSError(errno.EADDRINUSE, "no port is free for both datagrams and streams")
 
 
 class DatagramLimit:
-    """Bounds the datagrams that are accepted in each second of the loop's clock."""
+    """Limits the datagrams accepted in each second of the event loop's clock."""
 
     def __init__(self) -> None:
         self.second_began = 0.0
-        self.received = 0  # in this second
+        self.received = 0  # in the current second
 
     def admits(self, now: float) -> bool:
-        """Count a datagram that arrived at ``now``; whether it is within the bound."""
+        """Count a datagram that arrived at ``now`` and return whether it is within the limit."""
         if now >= self.second_began + 1:
             self.second_began = now
             self.received = 0
@@ -101,13 +101,13 @@
 
 
 class FleetSockets:
-    """The sockets of one front, at the stated address or, while another process holds it, beside it.
+    """The sockets of one front, on the configured port or, while that is in use, on a temporary one.
 
-    ``on_datagram`` and ``on_stream`` get what arrives, ``on_claimed`` is called once the stated address has
-    been bound in place of another port. ``dropped`` counts what was not accepted or sent, by reason.
+    ``on_datagram`` and ``on_stream`` receive datagrams and connections. ``on_claimed`` is called once the
+    configured port has replaced the temporary one. ``dropped`` counts rejected and unsent messages by reason.
     """
 
-    def __init__(  # noqa: PLR0913 - what it binds and whom it calls
+    def __init__(  # noqa: PLR0913 - address and callbacks
         self,
         listen: Address,
         faults: Faults,
@@ -129,9 +129,9 @@
         self._claim_task: asyncio.Task[None] | None = None
 
     async def open(self) -> bool:
-        """Bind the stated port, or any other where another process holds it; whether it is the stated one.
+        """Bind the configured port, or any free one if it is in use.
 
-        Raises ``OSError``.
+        Returns whether the configured port was bound. Raises ``OSError``.
         """
         try:
             self.pair = await self._bind(self.listen.port)
@@ -147,16 +147,16 @@
         return self.pair is not None
 
     def bound_address(self) -> str:
-        """Return the address at which others reach this front. To be called once the sockets are open."""
+        """Return the address at which peers reach this front. The sockets must be open."""
         assert self.pair
         return format_address(Address(self.listen.host, self.pair.port()))
 
     def start_claiming(self) -> None:
-        """Try to bind the stated port again and again until it is free."""
+        """Retry to bind the configured port periodically until it is free."""
         self._claim_timer.start()
 
     def send(self, address: str, data: bytes) -> None:
-        """Send a datagram; one that cannot be sent is counted."""
+        """Send a datagram; failures are counted in ``dropped``."""
         assert self.pair
         try:
             peer = read_address(address, "peer")
@@ -165,7 +165,7 @@
             self._count_unsendable()
 
     def stop_claiming(self) -> None:
-        """End the attempts to bind the stated port."""
+        """Stop the attempts to bind the configured port."""
         self._claim_timer.stop()
         if self._claim_task:
             self._claim_task.cancel()
@@ -191,14 +191,14 @@
         try:
             pair = await self._bind(self.listen.port)
         except OSError:
-            return  # the other process still holds it
+            return  # still in use
         self._claim_timer.stop()
         self.close()
         self.pair = pair
         self.on_claimed()
 
     def _receive(self, data: bytes) -> None:
-        if self.pair is None:  # its socket is open and its listener not yet: nothing can be answered
+        if self.pair is None:  # the stream listener is not open yet, so no reply can be sent
             self.dropped["early"] += 1
         elif self.datagram_limit.admits(self.loop.time()):
             self.on_datagram(data)
--- a/cleatyoke/fleet/startup.py
+++ b/cleatyoke/fleet/startup.py
@@ -1,7 +1,7 @@
-"""The staged start of a running front, where fronts keep a view of one another.
+"""The staged start of a running front in a fleet.
 
-Between the event loop and ``coordination.staged_start``, which says when a stage is passed. Imported only
-where the view is on.
+Connects the event loop with ``coordination.staged_start``, which decides when a stage is passed. Imported
+only if the fleet view is enabled.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class StagedStartRunner:
-    """Wait in each stage of one process's start for its evidence, or until its bound.
+    """Waits in each stage of the process's start for the stage's evidence or time limit.
 
-    The process opens its listeners after ``wait_for_endpoint_list``. Once ``shutdown_requested`` is set no
-    stage is waited for any more, as the process is not going to serve. To be made on the running event loop.
+    The process opens its listeners after ``wait_for_endpoint_list``. Once ``shutdown_requested`` is set, all
+    waits end, because the process is not going to serve. Must be created on the running event loop.
     """
 
     def __init__(self, shutdown_requested: asyncio.Event | None = None) -> None:
@@ -37,9 +37,9 @@
     async def restore_durable_state(
         self, fleet_settings: FleetSettings, name: str, faults: Faults
     ) -> DurableState | None:
-        """Wait for the front's durable state; None where none is kept.
+        """Wait for the front's durable state and return it, or None if durable state is disabled.
 
-        After the bound it is returned while it is still being read.
+        If the time limit is reached first, the state is returned while its files are still being read.
         """
         if fleet_settings.durable_folder is None:
             await self._wait_for(StartStage.DISK, asyncio.sleep(0), lambda: "none kept")
@@ -53,11 +53,11 @@
         return durable_state
 
     async def wait_for_peers(self, view: FleetView) -> None:
-        """Wait for a peer's full state."""
+        """Wait for the full state of any peer."""
         await self._wait_for(StartStage.PEERS, view.wait_for_peer(), view.describe_peer)
 
     async def wait_for_endpoint_list(self, *, has_cached_list: bool, received: asyncio.Event) -> None:
-        """Wait for discovery's first endpoint list, unless there is a cached one. ``received``: it came."""
+        """Wait for discovery's first endpoint list, which sets ``received``, unless there is a cached one."""
 
         def describe() -> str | None:
             if received.is_set():
@@ -74,15 +74,16 @@
     async def _wait_for(
         self, stage: StartStage, awaited: Awaitable[object], describe: Callable[[], str | None]
     ) -> None:
-        """Wait until this stage's evidence comes or its bound is reached.
+        """Wait for this stage's evidence until the stage's time limit.
 
-        ``describe`` returns the evidence, or None where it has not come. It is asked at the bound too: where
-        the loop runs late, the evidence and the bound come in one turn of it, and the evidence counts.
+        ``describe`` returns a description of the evidence, or None if there is none yet. It is called after a
+        timeout too: on a delayed event loop the evidence and the timeout can arrive in the same iteration,
+        and then the evidence takes precedence.
         """
         waits = [asyncio.ensure_future(awaited), asyncio.ensure_future(self.shutdown_requested.wait())]
         try:
-            seconds = max(0.0, self.staged_start.stage_ends_at() - self.loop.time())
-            await asyncio.wait(waits, timeout=seconds, return_when=asyncio.FIRST_COMPLETED)
+            timeout = max(0.0, self.staged_start.stage_ends_at() - self.loop.time())
+            await asyncio.wait(waits, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
         finally:
             for wait in waits:
                 wait.cancel()
@@ -91,15 +92,15 @@
         self._wait_for_old_leases()
 
     def _wait_for_old_leases(self) -> None:
-        """Step when the old leases have ended, and again where a timer fired a clock tick early."""
+        """Step when the old leases have expired, and again if the timer fired a clock tick early."""
         self._step()
         if self.staged_start.stage is StartStage.OLD_LEASES:
             self.loop.call_at(self.staged_start.stage_ends_at(), self._wait_for_old_leases)
 
     def _step(self, *events: Evidence) -> None:
         for passed in self.staged_start.step(self.loop.time(), events):
-            write = log.warning if passed.passed_by == PASSED_BY_BOUND else log.info
-            write(
+            write_log = log.warning if passed.passed_by == PASSED_BY_BOUND else log.info
+            write_log(
                 "recovery_stage",
                 passed=passed.stage.value,
                 by=passed.passed_by,
--- a/cleatyoke/fleet/status.py
+++ b/cleatyoke/fleet/status.py
@@ -1,8 +1,8 @@
-"""What operators are shown of the fleet: answers to ``show-fleet`` and ``show-replica``, and metrics.
+"""The fleet's status for operators: answers to ``show-fleet`` and ``show-replica``, and metrics.
 
-The texts are interfaces, described in the page ``fleet-view.md``. All functions are called from the
-operators' thread while the loop goes on: they copy each collection in one step of the interpreter before they
-read it.
+The texts are public interfaces, documented in ``fleet-view.md``. All functions run on the operators' thread
+while the event loop keeps changing the state, so they copy each collection with one call that the interpreter
+does not interrupt before they iterate over it.
 """
 
 from __future__ import annotations
@@ -16,28 +16,29 @@
 if TYPE_CHECKING:
     from cleatyoke.fleet.view import FleetView
 
-MAX_LACKING_SHOWN = 64  # fronts that are not known to have all replicated data
+MAX_BEHIND_SHOWN = 64  # fronts listed as not known to have all replicated data
 
 
 def fleet_lines(view: FleetView) -> list[str]:
-    """Return the answer to ``show-fleet``: this front, the number of fronts, the digest, each member."""
+    """Return the answer to ``show-fleet``: this front, the front count, the digest and each member."""
     membership = view.membership
     conclusion = view.conclusion()
     own = membership.own_update()
-    # Interface words: ``me`` is this front, ``life`` a member; ``alone``: nobody else holds its address.
-    place = "alone" if own.owns_address else "beside"
+    # Terms of the interface: ``me`` is this front, ``life`` a member. ``alone``: this process owns the
+    # configured address; ``beside``: another process does.
+    address_status = "alone" if own.owns_address else "beside"
     lines = [
-        f"fleet.me {own.id.name} {own.id.boot} {own.incarnation} {own.address} {place}",
+        f"fleet.me {own.id.name} {own.id.boot} {own.incarnation} {own.address} {address_status}",
         f"fleet.count {conclusion.front_count}",
         f"fleet.digest {membership.operator_view_checksum():08x}",
     ]
     for record in sorted(membership.records.values(), key=lambda record: record.update.id):
         update = record.update
         certainty = _certainty(conclusion, update.id)
-        heard = f"{membership.now - record.last_heard:.1f}" if record.last_heard > 0 else "never"
+        last_heard = f"{membership.now - record.last_heard:.1f}" if record.last_heard > 0 else "never"
         lines.append(
             f"fleet.life {update.id.name} {update.id.boot} {update.incarnation} {update.address} "
-            f"{update.state.name.lower()} {certainty} heard={heard}"
+            f"{update.state.name.lower()} {certainty} heard={last_heard}"
         )
     return lines
 
@@ -53,23 +54,23 @@
 def replica_lines(view: FleetView) -> list[str]:
     """Return the answer to ``show-replica``.
 
-    The holds, who is not known to have them, copies that differed and were settled by the merge rule, and
-    whether all is on disk; the settings' checksum; quota leases.
+    Covers the holds, the fronts not known to have them, the number of differing copies that were merged and
+    whether all holds are on disk; the settings' checksum; and the quota leases.
     """
     membership = view.membership
     replication = view.hold_replication
     active = list(membership.active_members)
-    lacking = sorted(member.name for member in active if replication.is_behind(member))
+    behind = sorted(member.name for member in active if replication.is_behind(member))
     differing = membership.fronts_with_other_settings()
     accounts = list(view.quota_leases.accounts.items())
-    loans = sum(len(account.granted) for _, account in accounts)
+    grant_count = sum(len(account.granted) for _, account in accounts)
     return [
         f"replica.holds entries={len(replication.holds.dots_by_node)} numbers={len(replication.holds.clock)} "
-        f"lacking={len(lacking)} of={len(active)} settled={replication.merges} disk={_disk_state(view)}",
+        f"lacking={len(behind)} of={len(active)} settled={replication.merges} disk={_disk_state(view)}",
         f"replica.settings {membership.settings_checksum:08x} differ={','.join(differing) or 'none'}",
         *(f"replica.hold {node}" for node in sorted(replication.holds.dots_by_node)),
-        *(f"replica.lacks {name}" for name in lacking[:MAX_LACKING_SHOWN]),
-        f"replica.rights resources={len(accounts)} loans={loans} "
+        *(f"replica.lacks {name}" for name in behind[:MAX_BEHIND_SHOWN]),
+        f"replica.rights resources={len(accounts)} loans={grant_count} "
         f"refused={view.quota_leases.refused_resources}",
     ]
 
@@ -81,7 +82,7 @@
 
 
 def metric_lines(view: FleetView) -> list[str]:
-    """Return the fleet's metrics, ``fleet.NAME=VALUE`` each, in their fixed order."""
+    """Return the fleet's metrics as ``fleet.NAME=VALUE``, in a fixed order."""
     membership = view.membership
     counters = membership.counters
     states = Counter(record.update.state for record in list(membership.records.values()))
--- a/cleatyoke/fleet/streams.py
+++ b/cleatyoke/fleet/streams.py
@@ -1,7 +1,7 @@
-"""Anti-entropy exchanges by stream: each connection carries one message each way and ends.
+"""Anti-entropy exchanges over TCP: each connection carries one message in each direction and is then closed.
 
-A message has its length in four bytes before it (``transport.framing``). Streams are bounded in number and in
-time, so that a peer that never answers, or a stranger that sends without end, costs little.
+Each message is preceded by its length in four bytes (``transport.framing``). The number and duration of
+streams are limited, which bounds the cost of unresponsive peers and of unknown senders of endless data.
 """
 
 from __future__ import annotations
@@ -18,15 +18,16 @@
 from cleatyoke.membership.wire import MAX_STREAM_BYTES
 from cleatyoke.transport.framing import read_message, write_message
 
-MAX_STREAMS = 16  # open at once, both ways together; one more is rejected
-EXCHANGE_TIMEOUT = 1.0  # seconds for a whole exchange
+MAX_STREAMS = 16  # open at once, incoming and outgoing together; further ones are rejected
+EXCHANGE_TIMEOUT = 1.0  # seconds for a complete exchange
 
 
 class ExchangeStreams:
-    """Runs exchanges as tasks of the running loop.
+    """Runs exchanges as tasks of the running event loop.
 
-    ``host``: local address of outgoing connections. ``on_requested`` gets a peer's request, and has to call
-    ``reply`` before it returns or the stream ends unanswered. ``dropped`` counts what failed, by reason.
+    ``host``: local address of outgoing connections. ``on_requested`` receives a peer's request; if it does
+    not call ``reply`` before it returns, the stream is closed without an answer. ``dropped`` counts failures
+    by reason.
     """
 
     def __init__(
@@ -41,38 +42,38 @@
         self.on_answered = on_answered
         self.dropped = dropped
         self.tasks: set[asyncio.Task[None]] = set()
-        self._replies: dict[int, asyncio.Future[bytes]] = {}  # by token, of streams that wait for our state
+        self._replies: dict[int, asyncio.Future[bytes]] = {}  # by token, for open incoming streams
         self._last_token = 0
 
     def start_exchange(self, address: str, data: bytes) -> None:
-        """Send a message to a peer; ``on_answered`` is called with the answer, or with None."""
-        self._open(self._exchange(address, data))
+        """Send a message to a peer; ``on_answered`` is called with the answer, or with None on failure."""
+        self._start_task(self._exchange(address, data))
 
     def reply(self, token: int, data: bytes) -> None:
-        """Answer the request of this token, if its stream still waits."""
+        """Answer the request with this token, if its stream is still open."""
         reply = self._replies.get(token)
         if reply and not reply.done():
             reply.set_result(data)
 
     def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a peer's connection, or abort it where there are too many."""
+        """Serve a peer's connection, or abort it if too many streams are open."""
         if len(self.tasks) >= MAX_STREAMS:
             self.dropped["streams"] += 1
             writer.transport.abort()
         else:
-            self._open(self._serve(reader, writer))
+            self._start_task(self._serve(reader, writer))
 
     def cancel(self) -> None:
-        """End all exchanges."""
+        """Cancel all exchanges."""
         for task in list(self.tasks):
             task.cancel()
 
-    def _open(self, conversation: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, exchange: Coroutine[Any, Any, None]) -> None:
         if len(self.tasks) >= MAX_STREAMS:
             self.dropped["streams"] += 1
-            conversation.close()
+            exchange.close()
             return
-        task = asyncio.create_task(conversation)
+        task = asyncio.create_task(exchange)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -103,7 +104,7 @@
                 reply = self._replies[token] = asyncio.get_running_loop().create_future()
                 self.on_requested(ExchangeRequested(token, data))
                 if not reply.done():
-                    return  # a message that is rejected gets no answer
+                    return  # rejected messages get no answer
                 await write_message(writer, reply.result())
                 writer.close()
                 await writer.wait_closed()
--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -1,8 +1,8 @@
-"""One front's part in its fleet: the membership and what is built on it, on sockets and the event loop.
+"""One front's participation in its fleet: runs membership and its users on sockets and the event loop.
 
-Decides nothing itself. ``FleetView`` owns the parts and their timers: the membership's state machine, its
+Makes no decisions itself. ``FleetView`` owns the parts and their timers: the membership's state machine, its
 sockets (``sockets``) and streams (``streams``), the replication of holds (``hold_sharing``), the quota leases
-(``lease_trading``), and what operators are shown (``status``). Imported only where the fleet is on.
+(``lease_trading``) and the status for operators (``status``). Imported only if the fleet is enabled.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from cleatyoke.coordination.settings_digest import settings_digest
 from cleatyoke.core import Core
 from cleatyoke.fleet import status
-from cleatyoke.fleet.hold_sharing import HoldSharing, HoldSpread, wait_until_replicated
+from cleatyoke.fleet.hold_sharing import HoldSharing, ReplicationProgress, wait_until_replicated
 from cleatyoke.fleet.lease_trading import LEASE_INTERVAL, LeaseTrading
 from cleatyoke.fleet.sockets import FleetSockets, format_address
 from cleatyoke.fleet.streams import ExchangeStreams
@@ -56,18 +56,18 @@
     from cleatyoke.durability.records import FrontState
     from cleatyoke.fleet.restore import DurableState
 
-SETTINGS_INTERVAL = 1.0  # seconds between checks whether all fronts run with the same settings
-MAX_REMEMBERED_PEERS = 8  # of those on disk that are asked beside the seeds
+SETTINGS_INTERVAL = 1.0  # seconds between checks that all fronts run with the same settings
+MAX_RESTORED_PEERS = 8  # peers from durable state that are contacted in addition to the seeds
 log = structlog.get_logger()
 
 
 class FleetView:
-    """One front's view of its fleet, and its part in it. To be made on the running event loop.
+    """One front's view of its fleet and its participation in it. Must be created on the running event loop.
 
-    ``front_count``: of the settings. ``boot``: of this process, as its disk has it; 0: the disk says nothing.
+    ``front_count``: as configured. ``boot``: boot number of this process from durable state, or 0 if unknown.
     """
 
-    def __init__(  # noqa: PLR0913 - a constructor of plain settings
+    def __init__(  # noqa: PLR0913 - all parameters are plain settings
         self,
         settings: FleetSettings,
         name: str,
@@ -84,10 +84,10 @@
         self.membership = _make_membership(settings, name, boot, seed)
         self.hold_replication = HoldReplication(lambda: self.membership.id)
         self.membership.store = self.hold_replication
-        # "rights" is only a part of the seed: another word would change the draws.
+        # "rights" is part of the random seed: changing it would change the random sequence.
         self.quota_leases = QuotaLeases(self.loop.time(), random.Random(f"rights:{seed}:{name}:{boot}"))
         self.lease_trading = LeaseTrading(self.quota_leases, self.membership, self.perform)
-        self.dropped: Counter[str] = Counter()  # messages that were not accepted or sent, by reason
+        self.dropped: Counter[str] = Counter()  # rejected and unsent messages, by reason
         self.streams = ExchangeStreams(settings.listen.host, self.step, self._handle_answer, self.dropped)
         self.sockets = FleetSockets(
             settings.listen,
@@ -95,38 +95,38 @@
             self.dropped,
             on_datagram=self.handle_datagram,
             on_stream=self.streams.accept,
-            on_claimed=self._move_to_stated_address,
+            on_claimed=self._use_configured_address,
         )
         self.step_timer: asyncio.TimerHandle | None = None
         self.settings_timer = PeriodicCall(faults, "fleet_settings", SETTINGS_INTERVAL, self.check_settings)
         self.lease_timer = PeriodicCall(
             faults, "fleet_limits", LEASE_INTERVAL, self.lease_trading.update_demand
         )
-        self.differing_fronts: list[str] = []  # that run with other settings, as last logged
-        self.durable_state: DurableState | None = None  # set where there is one, read or not
-        self._stored_boot_number = 0  # as the disk has it, where it came before the sockets were open
+        self.differing_fronts: list[str] = []  # fronts with other settings, as last logged
+        self.durable_state: DurableState | None = None  # set if enabled, even before it is read
+        self._stored_boot_number = 0  # kept until the sockets are open
         self.peer_state_received = asyncio.Event()
 
     # Start and stop
 
     async def start(self) -> None:
-        """Bind the stated port, or another one while an earlier process of this name still holds it.
+        """Bind the configured port, or a temporary one while a previous process of this front holds it.
 
-        Raises ``OSError`` where neither can be bound.
+        Raises ``OSError`` if neither can be bound.
         """
         if not await self.sockets.open():
             self.membership.address = self.sockets.bound_address()
             self.membership.owns_address = False
-            log.info("fleet_beside_another", address=self.membership.address)
+            log.info("fleet_address_in_use", address=self.membership.address)
             self.sockets.start_claiming()
         self.settings_timer.start()
         self.step()
         self.raise_boot_number(self._stored_boot_number)
 
     def stop(self, seconds_left: float = math.inf) -> None:
-        """Tell the others that this process leaves, and end everything: it uses nothing more from here on.
+        """Announce to the peers that this process leaves, and stop all parts; final.
 
-        ``seconds_left``: until the process has to exit, for a wait for the last write to the disk.
+        ``seconds_left``: until the process has to exit; limits the wait for the last write to disk.
         """
         with self.faults.contain("fleet_leave"):
             self.step(LeaveRequested())
@@ -145,25 +145,25 @@
         self.sockets.close()
 
     async def wait_for_peer(self) -> None:
-        """Wait until a peer's full state has come, where there is a peer to ask."""
+        """Wait until the full state of a peer is received, if any other seed is configured."""
         if self.membership.other_seeds():
             await self.peer_state_received.wait()
 
     def describe_peer(self) -> str | None:
-        """By what the wait for a peer is over, for the log of the start; None while it is not."""
+        """Return a log text for why the wait for a peer is over, or None while it is not."""
         if self.peer_state_received.is_set():
             return "a peer"
         return None if self.membership.other_seeds() else "nobody to ask"
 
-    # What arrives
+    # Incoming messages
 
     def handle_datagram(self, data: bytes) -> None:
-        """Take in a datagram."""
+        """Process a datagram."""
         self.step(DatagramReceived(data))
 
-    def _move_to_stated_address(self) -> None:
+    def _use_configured_address(self) -> None:
         self.membership.change_address(format_address(self.settings.advertise), owns_address=True)
-        log.info("fleet_alone", address=self.membership.address)
+        log.info("fleet_address_claimed", address=self.membership.address)
         self.step()
 
     def _handle_answer(self, event: ExchangeAnswered) -> None:
@@ -171,14 +171,14 @@
         if event.data is not None and self.membership.has_joined:
             self.peer_state_received.set()
 
-    # Steps of the membership
+    # Membership steps
 
     def step(self, *events: MembershipEvent) -> None:
-        """Let the membership take in events and do whatever is due; sets the timer of its next step."""
+        """Run a membership step with these events, perform its actions and schedule the next step."""
         try:
             for action in self.membership.step(self.loop.time(), events):
                 self.perform(action)
-        except Exception as error:  # noqa: BLE001 - guards the timer, which a fault would never set again
+        except Exception as error:  # noqa: BLE001 - otherwise a fault would end the step timer for good
             self.faults.report("fleet_fault", error)
         if self.step_timer:
             self.step_timer.cancel()
@@ -186,7 +186,7 @@
             self.step_timer = self.loop.call_at(self.membership.next_step_at(), self.step)
 
     def perform(self, action: MembershipAction) -> None:
-        """Carry out one action of the membership."""
+        """Execute one action of the membership."""
         match action:
             case SendDatagram(address, data):
                 self.sockets.send(address, data)
@@ -200,13 +200,17 @@
                 if change is ChangeKind.RENAMED and self.durable_state:
                     self.durable_state.save()
                 log.info(
-                    "fleet_change", change=change.value, of=member.name, boot=member.boot, by=suspected_by
+                    "fleet_change",
+                    change=change.value,
+                    member=member.name,
+                    boot=member.boot,
+                    suspected_by=suspected_by,
                 )
 
     # Holds and durable state
 
     def replicate_holds(self, hold_file: HoldFile, folder: Path) -> None:
-        """Keep operators' holds in step with the other fronts' from now on. ``folder``: of the state."""
+        """Start to synchronize operators' holds with the other fronts. ``folder``: the state directory."""
         HoldSharing(
             self.hold_replication,
             hold_file,
@@ -221,56 +225,56 @@
         self.step()
 
     def save_state(self) -> None:
-        """Have what changed written to the disk, where there is one."""
+        """Schedule a write of changed state, if durable state is enabled."""
         if self.durable_state:
             self.durable_state.save()
 
     def restore_state(self, state: FrontState) -> None:
-        """Take the holds and peers that the disk has, which may come after the start.
+        """Apply the stored holds and peers, possibly after startup.
 
-        Peers that this front knew before are asked too, as its seeds may be down.
+        Peers known before the restart are contacted too, because the seeds may be down.
         """
         self.hold_replication.holds = self.hold_replication.holds.merge(state.holds)
         seeds = self.membership.seeds
-        seeds += [peer for peer in state.peers if peer not in seeds][:MAX_REMEMBERED_PEERS]
+        seeds += [peer for peer in state.peers if peer not in seeds][:MAX_RESTORED_PEERS]
         self.hold_replication.on_change(self.hold_replication.holds.held_nodes(), frozenset())
 
     def raise_boot_number(self, boot_number: int) -> None:
-        """Go beyond the boot number that the disk has, which may come after the start."""
+        """Raise the boot number above the stored one, possibly after startup."""
         self._stored_boot_number = boot_number
         if boot_number > self.membership.id.boot and self.sockets.is_open():
             self.step(BootNumberRecovered(boot_number))
 
-    def state_to_save(self, before: FrontState) -> FrontState:
-        """Return what is to outlive a loss of power. ``before``: what was saved last."""
+    def state_to_save(self, previous: FrontState) -> FrontState:
+        """Return the state that must survive a power loss. ``previous``: the one saved last."""
         records = self.membership.records
         peers = sorted(records[member].update.address for member in self.membership.active_members)
         return dataclasses.replace(
-            before,
+            previous,
             holds=self.hold_replication.holds,
             boot_number=self.membership.id.boot,
-            peers=tuple(peers) or before.peers,
+            peers=tuple(peers) or previous.peers,
         )
 
     def holds_are_on_disk(self) -> bool:
-        """Whether all holds known here are on the disk, as far as there is one. From any thread."""
+        """Whether all known holds are on disk or durable state is disabled. Callable from any thread."""
         return self.durable_state is None or self.durable_state.has_written(self.hold_replication.holds)
 
-    def wait_until_replicated(self, node_name: str, is_held: bool, timeout: float) -> HoldSpread:
-        """Wait until all fronts and the disk have a hold, or its release, that was made here.
+    def wait_until_replicated(self, node_name: str, is_held: bool, timeout: float) -> ReplicationProgress:
+        """Wait until all fronts and the disk have a hold, or its release, that was made at this front.
 
-        Called from the operators' thread; returns after ``timeout`` seconds at the latest.
+        Called on the operators' thread, which it blocks for at most ``timeout`` seconds.
         """
         return wait_until_replicated(self, node_name, is_held=is_held, timeout=timeout)
 
     # Settings
 
     def announce_settings(self, settings: SchedulerSettings) -> None:
-        """Tell the others a checksum of the settings in force here, so that a difference is noticed."""
+        """Announce a checksum of the active settings to the peers, so that differences are detected."""
         self.membership.announce_settings(settings_digest(settings))
 
     def check_settings(self) -> None:
-        """Log when fronts begin or cease to run with other settings; each keeps its own."""
+        """Log changes in which fronts run with different settings; no settings are changed."""
         differing = self.membership.fronts_with_other_settings()
         if differing == self.differing_fronts:
             return
@@ -278,22 +282,22 @@
         if differing:
             log.warning("fleet_settings_differ", fronts=differing)
         else:
-            log.info("fleet_settings_alike")
+            log.info("fleet_settings_match")
 
     # Quota leases
 
     def start_leasing(self, core: Core, node_name: Callable[[int], str | None]) -> None:
-        """Lease parts of rate limits and of warming nodes to and from other fronts from now on.
+        """Start to lease shares of rate limits and of warming nodes to and from other fronts.
 
-        ``node_name``: of a node's number, the id by which all fronts know it.
+        ``node_name`` maps a node number to its fleet-wide id.
         """
         self.lease_trading.start(self.settings, core, node_name)
         self.lease_timer.start()
 
-    # What operators are shown; called from their thread
+    # Status for operators, called on the operators' thread
 
     def conclusion(self) -> Conclusion:
-        """Return what may be concluded from the view now."""
+        """Return the conclusions that the current view allows."""
         membership = self.membership
         members = [
             ObservedMember(record.update, record.last_heard) for record in list(membership.records.values())
@@ -327,7 +331,7 @@
 
 
 def _membership_timing(settings: FleetSettings) -> MembershipTiming:
-    """The intervals that the deployment sets, by the keys of ``[fleet]``."""
+    """Return the intervals configured in ``[fleet]``."""
     seconds = settings.timing
     return MembershipTiming(
         probe_interval=seconds["period"],
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a fleet: off means not imported, and each key is checked and named."""
+"""Fleet settings: nothing is imported while disabled, and invalid keys are reported by name."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from cleatyoke.config.fronts_file import read_fronts_file
 
 ROOT = Path(__file__).resolve().parent.parent
-GOOD = {"enabled": "true", "deployment": '"d"', "listen": '"127.0.0.1:7"', "seeds": "[]"}
+VALID_KEYS = {"enabled": "true", "deployment": '"d"', "listen": '"127.0.0.1:7"', "seeds": "[]"}
 
 
-def write_fronts(path: Path, keys: dict[str, str]) -> Path:
-    path.write_text("[fleet]\n" + "\n".join(f"{name} = {text}" for name, text in keys.items()))
+def write_fronts_file(path: Path, keys: dict[str, str]) -> Path:
+    path.write_text("[fleet]\n" + "\n".join(f"{name} = {value}" for name, value in keys.items()))
     return path
 
 
-def test_nothing_of_it_is_imported_while_it_is_off_and_operators_are_told_so() -> None:
-    look = (
+def test_fleet_modules_while_disabled_are_not_imported_and_show_fleet_fails() -> None:
+    script = (
         "import sys, cleatyoke.__main__; sys.exit(any(name.startswith(('cleatyoke.fleet', 'msgspec', "
         "'cleatyoke.membership', 'cleatyoke.coordination', 'cleatyoke.emulation')) "
         "for name in sys.modules))"
     )
-    assert subprocess.run([sys.executable, "-c", look], cwd=ROOT).returncode == 0
-    off = ControlCommands(lambda: True, list, bool, bool, lambda: None, lambda: None)
-    assert answer_command(off, "show-fleet") == ["FAILURE no view of the fleet is kept"]
+    assert subprocess.run([sys.executable, "-c", script], cwd=ROOT).returncode == 0
+    commands = ControlCommands(lambda: True, list, bool, bool, lambda: None, lambda: None)
+    assert answer_command(commands, "show-fleet") == ["FAILURE no view of the fleet is kept"]
 
 
 @pytest.mark.parametrize(
@@ -49,11 +49,11 @@
         ("hosts", "3"),
     ],
 )
-def test_a_key_with_a_bad_value_is_named(tmp_path: Path, key: str, value: str) -> None:
-    path = write_fronts(tmp_path / "fronts.toml", {**GOOD, key: value})
+def test_read_fronts_file_with_an_invalid_value_names_its_key(tmp_path: Path, key: str, value: str) -> None:
+    path = write_fronts_file(tmp_path / "fronts.toml", {**VALID_KEYS, key: value})
     with pytest.raises(ConfigError, match=f"^fronts.toml: fleet.{key}:"):
         read_fronts_file(path, {}, {})
 
 
-def test_good_keys_are_accepted(tmp_path: Path) -> None:
-    assert read_fronts_file(write_fronts(tmp_path / "fronts.toml", GOOD), {}, {})[3] is not None
+def test_read_fronts_file_with_valid_keys_returns_fleet_settings(tmp_path: Path) -> None:
+    assert read_fronts_file(write_fronts_file(tmp_path / "fronts.toml", VALID_KEYS), {}, {})[3] is not None
--- a/tests/test_staged_start.py
+++ b/tests/test_staged_start.py
@@ -1,4 +1,4 @@
-"""The staged start: its stages by themselves, and one front whose disk does not answer in time."""
+"""The staged start: its stages in isolation, and a front whose disk is slow or hangs."""
 
 from __future__ import annotations
 
@@ -33,57 +33,57 @@
 from cleatyoke.process.lifecycle import EXIT_MARGIN, FLUSH_MARGIN
 from cleatyoke.process.metrics import Metrics
 
-OLD_LEASES_END = 2.05  # seconds from the start
-Steps = list[tuple[float, list[StartStage]]]  # seconds since the last step, and the evidence that came
+OLD_LEASES_END = 2.05  # seconds after the start
+Steps = list[tuple[float, list[StartStage]]]  # seconds since the previous step, and the evidence received
 
 
-def broken_rules(make: type[StagedStart], steps: Steps) -> list[str]:
-    """The rules that a start breaks when it is taken through these steps."""
-    start = make(0.0, OLD_LEASES_END)
+def violated_rules(start_class: type[StagedStart], steps: Steps) -> list[str]:
+    """Return the rules that a start violates in these steps."""
+    start = start_class(0.0, OLD_LEASES_END)
     now = 0.0
-    out: list[str] = []
-    came: set[StartStage] = set()
-    for after, stages_with_evidence in steps:
-        now += after
-        came |= set(stages_with_evidence)
-        before = start.stage_began
-        for one in start.step(now, [Evidence(stage, "word") for stage in stages_with_evidence]):
-            if one.stage is StartStage.OLD_LEASES and now < OLD_LEASES_END:
-                out.append("lease")
-            bound = STAGE_BOUNDS.get(one.stage, 0.0)
-            if one.stage not in came and one.stage in STAGE_BOUNDS and now < before + bound:
-                out.append("early")
-        stages = [one.stage for one in start.passed]
+    violations: list[str] = []
+    received: set[StartStage] = set()
+    for elapsed, stages_with_evidence in steps:
+        now += elapsed
+        received |= set(stages_with_evidence)
+        stage_began = start.stage_began
+        for passed in start.step(now, [Evidence(stage, "word") for stage in stages_with_evidence]):
+            if passed.stage is StartStage.OLD_LEASES and now < OLD_LEASES_END:
+                violations.append("lease")
+            bound = STAGE_BOUNDS.get(passed.stage, 0.0)
+            if passed.stage not in received and passed.stage in STAGE_BOUNDS and now < stage_began + bound:
+                violations.append("early")
+        stages = [passed.stage for passed in start.passed]
         if stages != STAGE_ORDER[: len(stages)]:
-            out.append("order")
+            violations.append("order")
         if start.stage is not STAGE_ORDER[len(stages)]:
-            out.append("stage")
+            violations.append("stage")
         if start.stage is not StartStage.OPEN and now >= start.stage_ends_at():
-            out.append("bound")
-    return out
+            violations.append("bound")
+    return violations
 
 
-any_steps = st.lists(
+start_steps = st.lists(
     st.tuples(st.floats(0, 1.5), st.lists(st.sampled_from(STAGE_ORDER), max_size=2)), min_size=1, max_size=12
 )
 
 
 @settings(deadline=None, derandomize=True, max_examples=300)
-@given(any_steps)
-def test_stages_pass_in_order_by_evidence_or_their_bound_and_a_lease_by_time_alone(steps: Steps) -> None:
-    assert broken_rules(StagedStart, steps) == []
+@given(start_steps)
+def test_staged_start_with_any_evidence_passes_in_order_and_old_leases_only_by_time(steps: Steps) -> None:
+    assert violated_rules(StagedStart, steps) == []
 
 
-class ByTimeAlone(StagedStart):
-    """Waits for a while in place of evidence."""
+class FixedDelayStart(StagedStart):
+    """Faulty: passes stages after a fixed delay instead of by evidence."""
 
     def step(self, now: float, events: Iterable[Evidence] = ()) -> list[StagePassed]:
         del events
         return super().step(now, [Evidence(stage, "a while") for stage in STAGE_BOUNDS] if now > 0.4 else ())
 
 
-class TrustsItsDisk(StagedStart):
-    """Takes the disk's word for it that the old leases have expired."""
+class DiskEndsLeasesStart(StagedStart):
+    """Faulty: treats the old leases as expired once the disk has been read."""
 
     def step(self, now: float, events: Iterable[Evidence] = ()) -> list[StagePassed]:
         events = list(events)
@@ -92,14 +92,14 @@
         return super().step(now, events)
 
 
-def test_wrong_variants_are_caught() -> None:
-    everything = list(StartStage)
-    assert "early" in broken_rules(ByTimeAlone, [(0.45, [])])
-    assert "lease" in broken_rules(TrustsItsDisk, [(0.1, everything), (0.1, [])])
-    assert broken_rules(StagedStart, [(0.1, everything), (0.1, []), (1.9, [])]) == []
+def test_violated_rules_of_faulty_variants_are_reported() -> None:
+    all_stages = list(StartStage)
+    assert "early" in violated_rules(FixedDelayStart, [(0.45, [])])
+    assert "lease" in violated_rules(DiskEndsLeasesStart, [(0.1, all_stages), (0.1, [])])
+    assert violated_rules(StagedStart, [(0.1, all_stages), (0.1, []), (1.9, [])]) == []
 
 
-def test_the_status_says_what_a_start_waits_for() -> None:
+def test_status_lines_during_a_start_show_the_current_stage() -> None:
     start = StagedStart(10.0, 12.05)
     start.step(10.1, [Evidence(StartStage.DISK, "found"), Evidence(StartStage.ENDPOINT_LIST, "an old list")])
     assert start.status_lines(10.4) == [
@@ -107,48 +107,48 @@
         "recovery.passed disk by=found waited=0.100",
         "recovery.waits peers for=0.700",
     ]
-    assert [one.passed_by for one in start.step(11.2)] == ["bound", "an old list"]
+    assert [passed.passed_by for passed in start.step(11.2)] == ["bound", "an old list"]
     assert start.stage is StartStage.OLD_LEASES  # requests are accepted from here on
 
 
 def free_port() -> int:
-    with socket.socket() as one:
-        one.bind(("127.0.0.1", 0))
-        return int(one.getsockname()[1])
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
 
 
-def settings_of_one_front(folder: Path) -> FleetSettings:
-    """Of a front with a durable folder, and nobody to ask."""
+def single_front_settings(folder: Path) -> FleetSettings:
+    """Settings of a front with durable state and without seeds."""
     listen = read_address(f"127.0.0.1:{free_port()}", "listen")
     return FleetSettings("ours", listen, listen, [], 0, DEFAULT_FLEET_TIMING, durable_folder=folder)
 
 
-def test_a_disk_that_does_not_answer_is_waited_for_shortly_and_counts_once_it_does(tmp_path: Path) -> None:
+def test_start_on_a_hanging_disk_continues_and_applies_its_state_later(tmp_path: Path) -> None:
     """A front starts while its disk hangs.
 
-    It must go on after the stage's bound, without the hold that the disk has. Once the disk answers, the hold
-    counts, and the boot number rises beyond the stored one.
+    It must continue after the stage's time limit without the stored hold. Once the disk answers, the hold
+    must apply and the boot number must rise above the stored one.
     """
-    asyncio.run(start_beside_a_disk_that_hangs(tmp_path), debug=True)
+    asyncio.run(start_on_hanging_disk(tmp_path), debug=True)
 
 
-async def start_beside_a_disk_that_hangs(folder: Path) -> None:
-    disk_answers = threading.Event()
+async def start_on_hanging_disk(folder: Path) -> None:
+    reads_allowed = threading.Event()
     stored = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)
 
     class HangingDatabase(StateDatabase):
         def load(self) -> LoadedState:
-            disk_answers.wait(10)
+            reads_allowed.wait(10)
             return LoadedState(stored, [])
 
-    peers = settings_of_one_front(folder)
+    fleet_settings = single_front_settings(folder)
     faults = Faults(Metrics())
     startup = StagedStartRunner()
     with mock.patch("cleatyoke.fleet.restore.StateDatabase", HangingDatabase):
-        durable_state = await startup.restore_durable_state(peers, "n1", faults)
+        durable_state = await startup.restore_durable_state(fleet_settings, "n1", faults)
     assert durable_state
-    assert [one.passed_by for one in startup.staged_start.passed] == ["bound"]
-    view = FleetView(peers, "n1", 1, 1, faults, durable_state.state.boot_number)
+    assert [passed.passed_by for passed in startup.staged_start.passed] == ["bound"]
+    view = FleetView(fleet_settings, "n1", 1, 1, faults, durable_state.state.boot_number)
     durable_state.attach(view)
     changed: list[frozenset[str]] = []
     view.hold_replication.on_change = lambda held, _released: changed.append(held)
@@ -156,7 +156,7 @@
     await startup.wait_for_peers(view)
     await startup.wait_for_endpoint_list(has_cached_list=True, received=asyncio.Event())
     assert startup.staged_start.stage in (StartStage.OLD_LEASES, StartStage.OPEN)
-    disk_answers.set()
+    reads_allowed.set()
     async with asyncio.timeout(5):
         while not durable_state.restored.done() or not view.holds_are_on_disk():  # noqa: ASYNC110 - set by a thread
             await asyncio.sleep(0.01)
@@ -166,13 +166,13 @@
     assert StateDatabase(folder, "ours/n1").load().state.boot_number == (1 << 52) + 2
 
 
-def test_holds_count_once_they_are_read_though_the_write_of_the_boot_number_hangs(tmp_path: Path) -> None:
-    """Guards against requests to a held node: holds were kept back until a slow write was done."""
-    asyncio.run(start_beside_a_disk_whose_writes_hang(tmp_path), debug=True)
+def test_restored_holds_while_the_boot_number_write_hangs_apply_at_once(tmp_path: Path) -> None:
+    """Guards against requests to a held node: holds were not applied until a slow write had finished."""
+    asyncio.run(start_with_hanging_writes(tmp_path), debug=True)
 
 
-async def start_beside_a_disk_whose_writes_hang(folder: Path) -> None:
-    disk_writes = threading.Event()
+async def start_with_hanging_writes(folder: Path) -> None:
+    writes_allowed = threading.Event()
     stored = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)
 
     class HangingWrites(StateDatabase):
@@ -180,22 +180,22 @@
             return LoadedState(stored, [])
 
         def save(self, state: FrontState) -> list[StorageProblem]:
-            disk_writes.wait(10)
+            writes_allowed.wait(10)
             return super().save(state)
 
-    peers = settings_of_one_front(folder)
+    fleet_settings = single_front_settings(folder)
     faults = Faults(Metrics())
     startup = StagedStartRunner()
     with mock.patch("cleatyoke.fleet.restore.StateDatabase", HangingWrites):
-        durable_state = await startup.restore_durable_state(peers, "n1", faults)
+        durable_state = await startup.restore_durable_state(fleet_settings, "n1", faults)
     assert durable_state
-    view = FleetView(peers, "n1", 1, 1, faults, durable_state.state.boot_number)
+    view = FleetView(fleet_settings, "n1", 1, 1, faults, durable_state.state.boot_number)
     durable_state.attach(view)
     assert view.hold_replication.holds.held_nodes() == {"s-003"}
     await view.start()
-    # A hold that only this process's memory has is not reported as stored.
+    # A hold must not be reported as stored while only this process's memory has it.
     assert not view.holds_are_on_disk()
-    disk_writes.set()
+    writes_allowed.set()
     async with asyncio.timeout(5):
         while not view.holds_are_on_disk():  # noqa: ASYNC110 - set by a thread
             await asyncio.sleep(0.01)
@@ -204,16 +204,16 @@
     assert faults.metrics.faults == 0
 
 
-def test_what_the_disk_answers_while_the_sockets_are_opened_is_taken_in(tmp_path: Path) -> None:
-    """Guards against a lost boot number and a hold without effect: both came before the sockets were open."""
-    asyncio.run(answer_while_sockets_open(tmp_path), debug=True)
+def test_state_restored_before_the_sockets_open_is_applied(tmp_path: Path) -> None:
+    """Guards against a lost boot number and an ineffective hold, restored before the sockets were open."""
+    asyncio.run(restore_before_sockets_open(tmp_path), debug=True)
 
 
-async def answer_while_sockets_open(folder: Path) -> None:
+async def restore_before_sockets_open(folder: Path) -> None:
     stored = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)
-    peers = settings_of_one_front(folder)
+    fleet_settings = single_front_settings(folder)
     faults = Faults(Metrics())
-    view = FleetView(peers, "n1", 1, 1, faults)
+    view = FleetView(fleet_settings, "n1", 1, 1, faults)
     changed: list[frozenset[str]] = []
     view.hold_replication.on_change = lambda held, _released: changed.append(held)
     view.restore_state(stored)
@@ -225,50 +225,50 @@
     assert faults.metrics.faults == 0
 
 
-def test_evidence_that_comes_in_the_turn_of_the_bound_counts(tmp_path: Path) -> None:
-    """Guards against a stage passed by its bound, though its evidence was there: the loop had run late."""
-    asyncio.run(pass_a_stage_late(tmp_path), debug=True)
+def test_stage_with_evidence_and_timeout_in_one_loop_iteration_passes_by_evidence(tmp_path: Path) -> None:
+    """Guards against a stage that passed by its time limit despite its evidence, on a delayed event loop."""
+    asyncio.run(pass_stage_on_delayed_loop(tmp_path), debug=True)
 
 
-async def pass_a_stage_late(folder: Path) -> None:
-    disk_writes = threading.Event()
-    peers = settings_of_one_front(folder)
+async def pass_stage_on_delayed_loop(folder: Path) -> None:
+    writes_allowed = threading.Event()
+    fleet_settings = single_front_settings(folder)
     startup = StagedStartRunner()
 
     def block_past_the_bound() -> None:
-        disk_writes.set()
+        writes_allowed.set()
         time.sleep(STAGE_BOUNDS[StartStage.DISK])
 
     startup.loop.call_later(0.05, block_past_the_bound)
-    with mock.patch("cleatyoke.fleet.restore.StateDatabase", hanging_writes(disk_writes, first=1)):
-        await startup.restore_durable_state(peers, "n1", Faults(Metrics()))
-    assert [one.passed_by for one in startup.staged_start.passed] == ["nothing found"]
+    with mock.patch("cleatyoke.fleet.restore.StateDatabase", hanging_writes(writes_allowed, first=1)):
+        await startup.restore_durable_state(fleet_settings, "n1", Faults(Metrics()))
+    assert [passed.passed_by for passed in startup.staged_start.passed] == ["nothing found"]
 
 
-def test_an_exit_waits_for_a_slow_disk_no_longer_than_it_has_time_for(tmp_path: Path) -> None:
-    """Guards against an exit after SIGKILL: the wait for the last write was longer than the exit's margin."""
-    asyncio.run(stop_beside_a_slow_disk(tmp_path), debug=True)
+def test_stop_on_a_slow_disk_returns_within_the_exit_margin(tmp_path: Path) -> None:
+    """Guards against SIGKILL during shutdown: the last write was awaited longer than the exit margin."""
+    asyncio.run(stop_on_slow_disk(tmp_path), debug=True)
 
 
-async def stop_beside_a_slow_disk(folder: Path) -> None:
-    disk_writes = threading.Event()
-    peers = settings_of_one_front(folder)
+async def stop_on_slow_disk(folder: Path) -> None:
+    writes_allowed = threading.Event()
+    fleet_settings = single_front_settings(folder)
     startup = StagedStartRunner()
-    with mock.patch("cleatyoke.fleet.restore.StateDatabase", hanging_writes(disk_writes, first=2)):
-        durable_state = await startup.restore_durable_state(peers, "n1", Faults(Metrics()))
+    with mock.patch("cleatyoke.fleet.restore.StateDatabase", hanging_writes(writes_allowed, first=2)):
+        durable_state = await startup.restore_durable_state(fleet_settings, "n1", Faults(Metrics()))
     assert durable_state
-    view = FleetView(peers, "n1", 1, 1, Faults(Metrics()))
+    view = FleetView(fleet_settings, "n1", 1, 1, Faults(Metrics()))
     durable_state.attach(view)
     await view.start()
     view.hold_replication.hold("s-003")
-    began = startup.loop.time()
+    started_at = startup.loop.time()
     view.stop(seconds_left=FLUSH_MARGIN)
-    assert startup.loop.time() - began < EXIT_MARGIN
-    disk_writes.set()
+    assert startup.loop.time() - started_at < EXIT_MARGIN
+    writes_allowed.set()
 
 
-def hanging_writes(disk_writes: threading.Event, first: int) -> type[StateDatabase]:
-    """A database whose ``first`` write (1: that of the start), and each later one, waits for the event."""
+def hanging_writes(writes_allowed: threading.Event, first: int) -> type[StateDatabase]:
+    """A database whose writes wait for the event, beginning with write ``first``; 1 is that of the start."""
     writes = 0
 
     class HangingWrites(StateDatabase):
@@ -276,7 +276,7 @@
             nonlocal writes
             writes += 1
             if writes >= first:
-                disk_writes.wait(10)
+                writes_allowed.wait(10)
             return super().save(state)
 
     return HangingWrites
