--- a/cleatyoke/core.py
+++ b/cleatyoke/core.py
@@ -1,7 +1,7 @@
-"""The core of a front: one scheduler, its clock and timer, and the lifecycle of a request.
+"""Protocol-independent core of a front: the scheduler, its clock and timer, and the lifecycle of requests.
 
-It knows no protocol. A server brings a ``RequestArrived`` and a function that makes one attempt at a node;
-``Core.serve`` asks the scheduler where and when, and returns how the request ended.
+A protocol server passes a ``RequestArrived`` and a function that makes one attempt at a node. ``Core.serve``
+makes the attempts that the scheduler decides on, and returns the outcome of the request.
 """
 
 from __future__ import annotations
@@ -37,20 +37,20 @@
 from cleatyoke.scheduling.settings import SchedulerSettings
 
 T = TypeVar("T")
-# Times in seconds, in no setting. The two margins are what this process's own loop may run late by.
-ATTEMPT_MARGIN = 0.04  # an attempt ends this long before the client's deadline, so that the answer beats it
-ANSWER_MARGIN = 0.015  # the core answers by itself where the scheduler has not until so long before it
-FAULT_LOG_INTERVAL = 1.0  # between two lines of the log on faults of the scheduler
-MIN_DECISION_TIME = 0.005  # the scheduler decides in the next turn of the loop, however short the deadline
+# Seconds, not configurable. The two margins allow for delays of this process's own event loop.
+ATTEMPT_MARGIN = 0.04  # attempts end this long before the client's deadline, to leave time for the answer
+ANSWER_MARGIN = 0.015  # the core answers without the scheduler if it has not decided this long before it
+FAULT_LOG_INTERVAL = 1.0  # minimum time between two log lines about scheduler faults
+MIN_DECISION_TIME = 0.005  # the scheduler decides in the loop's next iteration, however short the deadline
 log = structlog.get_logger()
 
 
 @dataclass(slots=True)
 class AttemptResult(Generic[T]):
-    """How an attempt ended, and its answer.
+    """Outcome of an attempt, and its answer.
 
-    ``units_by_others``: units of its volume that the node served through other fronts. ``utilization``:
-    fraction of its capacity in use that the node reports.
+    ``units_by_others``: units that the node served this volume through other fronts. ``utilization``:
+    fraction of its capacity that the node reports as in use.
     """
 
     outcome: AttemptOutcome
@@ -59,21 +59,21 @@
     utilization: float | None = None
 
 
-MayBegin = Callable[[], bool]  # whether an attempt may begin: asked directly before its first byte
+MayBegin = Callable[[], bool]  # whether an attempt may still begin: checked directly before its first byte
 AttemptFunction = Callable[[int, MayBegin], Awaitable[AttemptResult[T]]]  # takes the node's id
 BeforeStep = Callable[[float, list[SchedulerEvent]], list[SchedulerEvent]]
 
 
 @dataclass(slots=True)
 class Served(Generic[T]):
-    """Final answer: a node has served the request, ``value`` is what its attempt returned."""
+    """Final answer: a node served the request, and its attempt returned ``value``."""
 
     value: T | None
 
 
 @dataclass(slots=True)
 class Rejected:
-    """Final answer: rejected, a retry by the client is harmless, best after ``retry_after`` seconds."""
+    """Final answer: rejected. The client may safely retry, ideally after ``retry_after`` seconds."""
 
     retry_after: float
 
@@ -84,10 +84,10 @@
 
 
 class PendingRequest:
-    """A request being served: the scheduler's decisions on it, and the timeouts that run.
+    """A request being served: the scheduler's decisions on it, and its running timeouts.
 
-    ``answer_timeout``: of its final answer. ``attempt_timeout``: of the attempt in flight, if any.
-    ``attempts``: made so far.
+    ``answer_timeout`` bounds the final answer, ``attempt_timeout`` the attempt in flight, if any.
+    ``attempts``: number of attempts made so far.
     """
 
     __slots__ = ("answer_timeout", "attempt_timeout", "attempts", "decisions")
@@ -99,32 +99,32 @@
         self.attempts = 0
 
 
-def _keep_events(_now: float, events: list[SchedulerEvent]) -> list[SchedulerEvent]:
+def _events_unchanged(_now: float, events: list[SchedulerEvent]) -> list[SchedulerEvent]:
     return events
 
 
 class Core:
-    """Owner of the one scheduler. Every event of one turn of the loop goes into one step.
+    """Runs the scheduler. All events of one event loop iteration are passed to it in one step.
 
-    ``unix_at_loop_zero``: Unix time at the loop's 0, where it is not the system's, as in virtual time.
-    ``pending``: requests being served, by id. ``endpoint_listeners``: are passed every endpoint update.
-    ``before_step``: takes the time and the events of a step, and returns them with those that the scheduler
-    must know of before it decides anything at that time, such as leases that have ended.
+    ``unix_at_loop_zero``: Unix time at the loop's time 0, if not taken from the system clock, as in virtual
+    time. ``pending``: requests being served, by id. ``endpoint_listeners``: called with every endpoint
+    update. ``before_step``: takes the time and events of a step, and returns the events together with those
+    that the scheduler must process before it decides anything at that time, such as expired leases.
     """
 
     def __init__(self, settings: SchedulerSettings, unix_at_loop_zero: float | None = None) -> None:
         self.loop = asyncio.get_running_loop()
-        # Read once: this clock goes on evenly if the system's jumps.
+        # Read only once, so that this clock stays monotonic when the system clock is stepped.
         self.unix_offset = time.time() - self.loop.time() if unix_at_loop_zero is None else unix_at_loop_zero
         self.scheduler = Scheduler(settings)
         self.pending: dict[str, PendingRequest] = {}
         self.endpoint_listeners: list[Callable[[EndpointUpdate], None]] = []
-        self.before_step: BeforeStep = _keep_events
-        self.answers_due_at = math.inf  # Unix time; earlier than requests' own deadlines in a shutdown
+        self.before_step: BeforeStep = _events_unchanged
+        self.answers_due_at = math.inf  # Unix time; set in a shutdown, which may end before the deadlines
         self._events: list[SchedulerEvent] = []
         self.timer: asyncio.TimerHandle | None = None
         self._fault_logged_at = -math.inf
-        self._faults_since_logged = 0  # with the one that is logged
+        self._faults_since_logged = 0  # including the one that is logged next
         self._ids_issued = 0
 
     def now(self) -> float:
@@ -132,12 +132,12 @@
         return self.loop.time() + self.unix_offset
 
     def new_id(self) -> str:
-        """Return an id for a request; ids are the core's own, as clients may repeat theirs."""
+        """Return a new request id. Client-supplied ids are not used, as clients may reuse them."""
         self._ids_issued += 1
         return str(self._ids_issued)
 
     def notify(self, event: SchedulerEvent) -> None:
-        """Pass an event to the scheduler, in the next turn of the loop."""
+        """Pass an event to the scheduler in the next iteration of the event loop."""
         if not self._events:
             self.loop.call_soon(self.step)
         self._events.append(event)
@@ -146,13 +146,13 @@
                 listener(event)
 
     def step(self) -> None:
-        """Let the scheduler decide on the events that came, and act on it."""
+        """Pass the collected events to the scheduler, and execute the actions it returns."""
         events = self._events
         self._events = []
         now = self.now()
         try:
             events = self.before_step(now, events)
-        except Exception as error:  # noqa: BLE001 - the events themselves count all the same
+        except Exception as error:  # noqa: BLE001 - the events themselves are still processed
             self._report_fault(error, "before_step")
         try:
             actions = self.scheduler.step(now, events)
@@ -162,10 +162,10 @@
         for fault in self.scheduler.take_faults():
             self._report_fault(fault.error, fault.subject)
         for action in actions:
-            self._act(action)
+            self._execute(action)
 
     def _report_fault(self, error: Exception, subject: str) -> None:
-        """Log an exception of the scheduler, seldom where its cause stands in every step."""
+        """Log an exception of the scheduler, rate-limited because a lasting fault recurs in every step."""
         self._faults_since_logged += 1
         if self.loop.time() < self._fault_logged_at + FAULT_LOG_INTERVAL:
             return
@@ -173,7 +173,7 @@
         self._fault_logged_at = self.loop.time()
         self._faults_since_logged = 0
 
-    def _act(self, action: SchedulerAction) -> None:
+    def _execute(self, action: SchedulerAction) -> None:
         match action:
             case SendAttempt(request_id) | Reject(request_id) | FailRequest(request_id):
                 if pending := self.pending.get(request_id):
@@ -185,27 +185,27 @@
                     self.timer.cancel()
                 self.timer = self.loop.call_at(self.loop.time() + delay, self.notify, TimerFired(token))
             case WatchEndpoints():
-                pass  # only the simulator polls; the core watches discovery by itself
+                pass  # polling is for the simulator only; a front always watches discovery
 
     def _cancel_attempt(self, request_id: str, attempt: int) -> None:
         pending = self.pending.get(request_id)
         if pending is None or attempt != pending.attempts - 1:
             return
         timeout = pending.attempt_timeout
-        if timeout and not timeout.expired():  # after a pause of the process both are due at once
+        if timeout and not timeout.expired():  # both may be due at once after the process was paused
             timeout.reschedule(self.loop.time())
 
     def begin_shutdown(self, answers_due_at: float) -> None:
-        """Answer every request, open ones and those that still come, by ``answers_due_at`` (Unix time).
+        """Answer all open and new requests by ``answers_due_at`` (Unix time).
 
-        Saves requests whose clients wait longer than the process has left.
+        Without this, requests whose deadline is after the end of the process would get no answer.
         """
         self.answers_due_at = answers_due_at
         for pending in self.pending.values():
-            self._shorten(pending.answer_timeout, answers_due_at - ANSWER_MARGIN)
-            self._shorten(pending.attempt_timeout, answers_due_at - ATTEMPT_MARGIN)
+            self._shorten_timeout(pending.answer_timeout, answers_due_at - ANSWER_MARGIN)
+            self._shorten_timeout(pending.attempt_timeout, answers_due_at - ATTEMPT_MARGIN)
 
-    def _shorten(self, timeout: asyncio.Timeout | None, unix_time: float) -> None:
+    def _shorten_timeout(self, timeout: asyncio.Timeout | None, unix_time: float) -> None:
         at = unix_time - self.unix_offset
         if timeout and not timeout.expired() and (timeout.when() or 0.0) > at:
             timeout.reschedule(at)
@@ -213,12 +213,12 @@
     async def serve(
         self, arrival: RequestArrived, attempt: AttemptFunction[T]
     ) -> Served[T] | Rejected | Failed:
-        """Serve a request, from its arrival to its one answer. Cancelled: its client has disconnected."""
+        """Serve a request from arrival to final answer. Cancel the call when the client disconnects."""
         pending = self.pending[arrival.request_id] = PendingRequest()
         self.notify(arrival)
         try:
             due = min(arrival.deadline, self.answers_due_at) - ANSWER_MARGIN - self.unix_offset
-            # A client that waits for less than the margin still gets the scheduler's decision.
+            # A client whose deadline is within the margin still gets the scheduler's decision.
             due = max(due, self.loop.time() + MIN_DECISION_TIME)
             async with asyncio.timeout_at(due) as pending.answer_timeout:
                 return await self._follow_decisions(arrival, pending, attempt)
@@ -227,7 +227,7 @@
             raise
         except TimeoutError:
             self.notify(ClientDisconnected(arrival.request_id))
-            return self._forced_answer(arrival, pending)
+            return self._answer_at_deadline(arrival, pending)
         finally:
             del self.pending[arrival.request_id]
             self._report_unused_decisions(arrival, pending)
@@ -248,15 +248,15 @@
                 case FailRequest():
                     return Failed()
 
-    def _forced_answer(self, arrival: RequestArrived, pending: PendingRequest) -> Rejected | Failed:
-        """Answer in time a request for which the scheduler has not decided, or the loop ran late."""
-        if self.answers_due_at < arrival.deadline:  # a shutdown: what was never sent may go to another front
+    def _answer_at_deadline(self, arrival: RequestArrived, pending: PendingRequest) -> Rejected | Failed:
+        """Return the answer at the deadline, when no decision came or the event loop was delayed."""
+        if self.answers_due_at < arrival.deadline:  # shutdown: a request never sent may go to another front
             return Failed() if pending.attempts else Rejected(0.0)
         log.warning("answer_forced", request=arrival.request_id, attempts=pending.attempts)
         return Failed()
 
     def _report_unused_decisions(self, arrival: RequestArrived, pending: PendingRequest) -> None:
-        """Report attempts that were decided on too late: the scheduler counts each in a slot of its node."""
+        """Report attempts decided on too late to be sent, so that the scheduler frees their slots."""
         while not pending.decisions.empty():
             decision = pending.decisions.get_nowait()
             if isinstance(decision, SendAttempt):
@@ -276,11 +276,11 @@
         decision: SendAttempt,
         attempt: AttemptFunction[T],
     ) -> AttemptResult[T]:
-        """Make one attempt, until its timeout ends it, or the scheduler cancels it by the same timeout.
+        """Make one attempt. Its timeout ends it; the scheduler cancels it by expiring the same timeout.
 
-        Its end is reported once its connection is free or closed, so that there are never two in flight. What
-        it is allowed by (until when nodes remember its idempotency key, and its own deadline) is looked at
-        again directly before its first byte, as a connection may take long to be made.
+        The end is reported only once its connection is released or closed, so that a request never has two
+        attempts in flight. Since connecting may take long, the idempotency window of the nodes and the
+        attempt's deadline are checked again directly before the first byte is sent.
         """
         number = pending.attempts
         node_id = decision.node_id
@@ -291,7 +291,7 @@
 
         pending.attempts += 1
         result = AttemptResult[T](AttemptOutcome.CANCELLED)
-        settled = True  # also when cancelled by a disconnect; the except branches below set it to False
+        settled = True  # also if cancelled by a client disconnect; the except branches set it to False
         try:
             timeout = asyncio.timeout_at(self.attempt_deadline(arrival) - self.unix_offset)
             async with timeout as pending.attempt_timeout:
@@ -304,7 +304,7 @@
         except Exception:
             log.exception("attempt_fault", node=node_id)
             settled = False
-            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)  # in doubt: it may have executed
+            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)  # the request may have executed
         finally:
             pending.attempt_timeout = None
             self.notify(
@@ -322,5 +322,5 @@
         return result
 
     def attempt_deadline(self, arrival: RequestArrived) -> float:
-        """Unix time at which an attempt for this request ends at the latest."""
+        """Return the latest Unix time at which an attempt for this request may end."""
         return min(arrival.deadline, self.answers_due_at) - ATTEMPT_MARGIN
--- a/cleatyoke/middleware.py
+++ b/cleatyoke/middleware.py
@@ -1,7 +1,7 @@
-"""aiohttp.web middleware: handlers run when and where the core says, under the same rules as the daemon.
+"""aiohttp.web middleware that schedules an application's requests by the same rules as the daemon.
 
-A handler finds its node in ``request[NODE]``; it may run again for a request only where nothing was
-executed or its class allows that.
+A handler reads the id of its node from ``request[NODE]``. It is run again for the same request only if the
+earlier run had no effect, or the request class allows retries.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from cleatyoke.scheduling.events import AttemptOutcome, RequestArrived
 
 NODE = web.RequestKey("node", int)
-Describe = Callable[[web.Request], Awaitable[RequestArrived | None]]
+DescribeRequest = Callable[[web.Request], Awaitable[RequestArrived | None]]
 
 
 class NeverExecutedError(Exception):
-    """Raised by a handler that is certain to have had no effect, such as one whose node rejected it."""
+    """Raised by a handler whose request certainly had no effect, for example if the node rejected it."""
 
 
-def scheduled(core: Core, describe: Describe) -> Middleware:
+def scheduled(core: Core, describe: DescribeRequest) -> Middleware:
     """Return a middleware that lets ``core`` schedule the requests of an application.
 
-    ``describe`` makes a ``RequestArrived`` of a request, or ``None`` for one that is not scheduled, and is
-    then handled at once. A rejected request is answered 503, with ``Retry-After`` in seconds where one is
-    known; one that failed has the answer of its last attempt, or 502.
+    ``describe`` returns the ``RequestArrived`` for a request, or ``None`` to handle it at once without
+    scheduling. Rejected requests are answered 503, with ``Retry-After`` in seconds if known; failed ones with
+    the response of their last attempt, or 502 if there is none.
     """
 
     @web.middleware
@@ -64,5 +64,5 @@
 
 
 def _outcome(response: web.StreamResponse) -> AttemptOutcome:
-    has_begun = response.prepared  # what has begun to reach the client cannot be made anew
+    has_begun = response.prepared  # a response that is already being sent to the client cannot be retried
     return AttemptOutcome.SERVED if response.status < 500 or has_begun else AttemptOutcome.ERROR
--- a/cleatyoke/scheduling/admission.py
+++ b/cleatyoke/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Admission by volume: rate limits, reserved rates, and what a volume may send beyond its reserve."""
+"""Admission control by volume: rate limits, reserved rates, and rates beyond the reserve (surplus)."""
 
 from __future__ import annotations
 
@@ -13,22 +13,21 @@
 from cleatyoke.scheduling.state import RETENTION, SchedulerState
 from cleatyoke.scheduling.verdict import ALLOWED, NEVER, Rule, Verdict
 
-OTHERS_AVERAGED_OVER = 1.0  # seconds over which a volume's use through other fronts is averaged
-SLACK_FRACTION = 0.5  # of the settings' slack of a limit, which fronts that start may use at once
-MIN_MULTIPLIER = 1e-9  # of a leased quota: a rate is divided by
-ASSUMED_UNUSED = RETENTION / 2  # seconds for which a volume is taken to be unused before its first use here
+USAGE_TIME_CONSTANT = 1.0  # seconds; time constant of the mean of a volume's use through other fronts
+SLACK_FRACTION = 0.5  # part of a limit's configured slack that fronts may use directly after their start
+MIN_MULTIPLIER = 1e-9  # lower bound of a lease multiplier, to avoid a division by zero
+ASSUMED_IDLE_TIME = RETENTION / 2  # seconds for which a volume is assumed idle before its first use here
 
 
 class RateLimits:
-    """Keep each volume within its rate limit, over all fronts together.
+    """Enforce each volume's rate limit over all fronts together.
 
-    Symptom without it: one volume's surge takes the nodes' capacity, and its owner is served more than was
-    booked. Why it works: each front has an even part of the limit, or what fronts lease of it to each
-    other. Another process of this front may have used all of it just before, so a bucket starts with a part
-    of the slack only, and fills from when this process, and so no other of this front, can send.
+    Without it, a surge of one volume takes the nodes' capacity, and its owner is served more than was booked.
+    Each front has an even share of the limit, adjusted by what fronts lease to each other. Another process of
+    this front may have used all of the share just before, so a bucket starts with only a part of the slack,
+    and fills from the time at which this process alone can send for this front.
 
-    Inputs: ``rate_limit`` (units a second), ``rate_limit_burst`` and ``rate_limit_slack`` (units) of the
-    plan.
+    Settings, by plan: ``rate_limit`` (units a second), ``rate_limit_burst`` and ``rate_limit_slack`` (units).
     """
 
     def __init__(self, state: SchedulerState) -> None:
@@ -38,7 +37,8 @@
     def on_lease_changed(self, event: QuotaLeaseChanged) -> None:
         """Set the lease multiplier on this front's even share of a volume's limit.
 
-        Where it has grown, what waits for the limit may go earlier than its nodes would look.
+        If it has grown, requests that wait for the limit may be sent before their nodes' next check, so they
+        are offered again.
         """
         state = self._state
         volume = state.volumes.get(event.volume_id)
@@ -51,9 +51,9 @@
                     state.offer(shard)
 
     def add_volume(self, volume_id: int, plan: VolumePlan, front_count: int, reserve: TokenBucket) -> Volume:
-        """Add a volume that is used for the first time, with the bucket of its limit."""
+        """Add a volume on its first use, with the token bucket of its rate limit."""
         state = self._state
-        filled_at = max(0.0, state.quota_clock.time(state.now) - ASSUMED_UNUSED)
+        filled_at = max(0.0, state.quota_clock.time(state.now) - ASSUMED_IDLE_TIME)
         slack = 0.0 if state.settings.replaces_process else plan.rate_limit_slack * SLACK_FRACTION
         bucket = TokenBucket(slack / front_count, filled_at)
         volume = Volume(reserve, bucket, self._multipliers.before_first_use(volume_id))
@@ -61,12 +61,12 @@
         return volume
 
     def draw(self, request: Request) -> None:
-        """Take the units of a request that is sent for the first time."""
+        """Take the units of a request from the bucket when it is first sent."""
         if not request.attempts:
             request.volume.rate_limit.level -= request.units
 
     def check(self, request: Request) -> Verdict:
-        """When the limit allows the request's first attempt; retries are not counted against it."""
+        """Return when the limit allows the request's first attempt; retries are not counted."""
         state = self._state
         plan = state.settings.plans[request.arrival.plan_index]
         if not plan.rate_limit or request.attempts:
@@ -83,7 +83,7 @@
         if missing <= 0:
             return ALLOWED
         fill_rate = rate * fraction * max(lease_clock.fraction, MIN_MULTIPLIER)
-        if not fill_rate:  # until the process has a share of its quotas again
+        if not fill_rate:  # this process has no share of the front's quotas at present
             return Verdict(NEVER, Rule.RATE_LIMIT)
         return Verdict(state.now + missing / fill_rate, Rule.RATE_LIMIT)
 
@@ -91,29 +91,29 @@
 class ReservedRates:
     """Serve each volume at full value up to its reserved rate, over all fronts together.
 
-    This front's part = max(reserve / fronts, reserve - rates of the other fronts as the nodes report them).
-    Symptom without the reports: the reserve of a volume that uses its fronts unevenly is not met. For a
-    moment, when the front with the most use changes, two fronts spend the same part.
+    This front's share = max(reserve / fronts, reserve - rates through the other fronts as reported by nodes).
+    Without the reports, a volume that uses its fronts unevenly does not get its reserve. Limitation: when the
+    most used front of a volume changes, two fronts spend the same share for a moment.
     """
 
     def __init__(self, state: SchedulerState) -> None:
         self._state = state
 
-    def part_here(self, volume_id: int, reserved_rate: float, front_count: int) -> float:
-        """Units a second of a volume's reserve that this front may spend."""
-        even = reserved_rate / front_count
+    def local_share(self, volume_id: int, reserved_rate: float, front_count: int) -> float:
+        """Return the part of a volume's reserved rate that this front may spend, in units a second."""
+        even_share = reserved_rate / front_count
         if volume_id not in self._state.volumes or not self._state.settings.reports_usage_by_others:
-            return even
+            return even_share
         reported = self._state.volumes[volume_id].used_by_others
         if not reported:
-            return even
-        return max(even, reserved_rate - sum(others.rate for others in reported.values()))
+            return even_share
+        return max(even_share, reserved_rate - sum(others.rate for others in reported.values()))
 
     def fill(self, event: RequestArrived, front_count: int, limits: RateLimits) -> Volume:
-        """Fill the reserve of the arriving request's volume until now; returns the volume."""
+        """Fill the reserve of the arriving request's volume up to now; returns the volume."""
         state = self._state
         plan = state.settings.plans[event.plan_index]
-        rate = self.part_here(event.volume_id, plan.reserved_rate, front_count)
+        rate = self.local_share(event.volume_id, plan.reserved_rate, front_count)
         ceiling = rate + state.settings.max_request_units if rate else 0.0
         volume = state.volumes.get(event.volume_id)
         if volume is None:
@@ -123,7 +123,7 @@
         return volume
 
     def draw(self, request: Request) -> None:
-        """Take what is left of the reserve for a request that arrives."""
+        """Reserve units for an arriving request, as far as the volume has any left."""
         state, volume = self._state, request.volume
         units = min(volume.reserve.level, request.units)
         volume.reserve.level -= units
@@ -132,18 +132,19 @@
         counted[request.shard] = counted.get(request.shard, 0.0) + units
 
     def on_sent(self, request: Request) -> None:
-        """Count what the attempt takes of the reserve."""
+        """Record the reserved units that the attempt uses."""
         request.reserved_units = reserved_units_left(request)
         request.volume.reserved_left[int(request.arrived_at)] -= request.reserved_units
 
     def on_not_served(self, request: Request) -> None:
-        """Give back what the attempt took of the reserve."""
+        """Return the reserved units of an attempt that was not served."""
         request.volume.reserved_left[int(request.arrived_at)] += request.reserved_units
 
     def on_usage_by_others(self, request: Request, node: Node, units: float) -> None:
-        """Take in what the node served the volume through other fronts since its last answer to this one.
+        """Update a volume's rate through other fronts.
 
-        Until more is known, the others are taken to use all of their parts.
+        ``units``: units that the node served the volume through other fronts since its last answer to this
+        one. Until reports arrive, the other fronts are assumed to use their full shares.
         """
         now, reported = self._state.now, request.volume.used_by_others
         plan = self._state.settings.plans[request.arrival.plan_index]
@@ -151,19 +152,19 @@
         rate, reported_at = reported.get(node.shard, assumed)
         span = now - reported_at
         if span > 0:
-            weight = 1 - math.exp(-span / OTHERS_AVERAGED_OVER)
+            weight = 1 - math.exp(-span / USAGE_TIME_CONSTANT)
             reported[node.shard] = RateByOthers(rate + weight * (units / span - rate), now)
         elif node.shard not in reported:
             reported[node.shard] = assumed
 
 
 class SurplusRates:
-    """Share a node's surplus among the volumes by weight: what they send beyond their reserves, or late.
+    """Share a node's surplus capacity among volumes by weight, for requests beyond the reserve or late.
 
-    Symptom without it: fronts that each see a free slot overfill a node together, and a volume with many
-    requests crowds out the others. Why it works: all fronts see the node's queue, and so come to similar
-    rates by weight. A new object, open to every node, has its rate at all of them together and is never sent
-    late. It does harm to a volume that uses its fronts very unevenly.
+    Without it, fronts that each see a free slot overload a node together, and a volume with many requests
+    starves the others. All fronts observe the same node's queue, and so arrive at similar rates by weight. A
+    new object, which any node can take, has one rate over all nodes together and is never sent late.
+    Limitation: a volume that uses its fronts very unevenly gets less than its share.
     """
 
     def __init__(
@@ -174,7 +175,7 @@
         self._concurrency = concurrency
 
     def value(self, request: Request, node: Node) -> float:
-        """Value of a unit of the request when it is sent to this node now."""
+        """Return the value of a unit of the request if it is sent to this node now."""
         settings, spec = self._state.settings, request.request_class
         reserved = reserved_units_left(request) / request.units
         fraction = reserved + (1 - reserved) * settings.unreserved_value
@@ -183,25 +184,25 @@
         return spec.priority_weight * weight * in_time
 
     def is_within_reserve(self, request: Request, node: Node) -> bool:
-        """Whether all of the request is within the reserve and expected to be answered in time."""
+        """Return whether the whole request is within the reserve and expected to be answered in time."""
         return reserved_units_left(request) >= request.units and self._estimates.meets_objective(
             request, node
         )
 
     def check(self, request: Request, node: Node) -> Verdict:
-        """When the volume's share of the node's surplus rate allows the request."""
+        """Return when the volume's share of the node's surplus rate allows the request."""
         if self.is_within_reserve(request, node):
             return ALLOWED
         now = self._state.now
         is_new_object = request.shard is None
-        places = request.front_count * (max(1, len(self._state.table.holders)) if is_new_object else 1)
-        is_wanted = self.value(request, node) > 0 and (
+        share_count = request.front_count * (max(1, len(self._state.table.holders)) if is_new_object else 1)
+        is_eligible = self.value(request, node) > 0 and (
             not is_new_object or self._estimates.meets_objective(request, node)
         )
         weight = self._state.settings.plans[request.arrival.plan_index].fair_share_weight
-        rate = node.surplus_rate * weight / places
-        if not is_wanted:
-            rate = 0.0  # the bucket is filled all the same
+        rate = node.surplus_rate * weight / share_count
+        if not is_eligible:
+            rate = 0.0  # the bucket's fill time is still advanced
         bucket = request.volume.surplus.get(node.id)
         if bucket is None:
             bucket = request.volume.surplus[node.id] = TokenBucket(rate, now)
@@ -213,7 +214,7 @@
         return Verdict(now - bucket.level / rate, Rule.SURPLUS_RATE)
 
     def charge(self, request: Request, node: Node) -> None:
-        """Take what an attempt costs: more, the less it is worth and the fewer slots its class may use."""
+        """Charge an attempt: the lower its value and its class's share of slots, the higher the price."""
         if self.is_within_reserve(request, node):
             return
         bound = max(MAX_BOUND_STEP, self._concurrency.slot_shares[request.class_index])
--- a/cleatyoke/scheduling/concurrency.py
+++ b/cleatyoke/scheduling/concurrency.py
@@ -1,13 +1,13 @@
-"""Shares of slots by request class: a control loop sets which part of the nodes' slots each class may use.
+"""Slot shares by request class: a control loop sets the part of the nodes' slots that each class may use.
 
-How many slots a node has is not decided here, but by its adaptive limit in ``outlier_detection``.
+The number of slots of a node is not set here, but by its adaptive limit in ``outlier_detection``.
 
-After Padala et al., "Automated Control of Multiple Virtualized Resources" (EuroSys 2009), once for each
-front: an application is a request class, its bound (``slot_shares``) is the fraction of all slots that it may
-use, and its performance is its latency objective over the mean time that its answers took. Every
-``CONTROL_INTERVAL`` each class asks for the bound at which it would meet its objective, arbitration grants
-the bounds that fit, and each class's bound is split over the nodes by where its requests are.
-``docs/design.md`` says what was kept of the paper.
+After Padala et al., "Automated Control of Multiple Virtualized Resources" (EuroSys 2009), run once per front:
+the paper's applications are request classes, a class's bound (``slot_shares``) is the fraction of all slots
+that it may use, and its performance is its latency objective divided by its mean answer time. Every
+``CONTROL_INTERVAL`` each class requests the bound at which it would meet its objective, arbitration grants
+bounds that fit, and each class's bound is split over the nodes according to where its requests are.
+``docs/design.md`` lists the differences from the paper.
 """
 
 from __future__ import annotations
@@ -22,22 +22,21 @@
 from cleatyoke.scheduling.state import CONTROL_INTERVAL, RETENTION, SEND_MARGIN, SchedulerState
 
 FIT_INTERVALS = 5  # control intervals in a slope fit
-MAX_BOUND_STEP = 0.05  # most that a normalized bound moves in an interval: the paper's
-MIN_TOTAL_ANSWER_TIME = 1e-6  # seconds: a performance is divided by
-SLOT_TOLERANCE = 1e-9  # slots: a whole number that rounding has made a little larger is not rounded up
-BISECTIONS = 60  # halvings of the interval in which the common error lies
-# Seconds by which the mean of reserved rates is longer: the first seconds after a start then weigh little.
+MAX_BOUND_STEP = 0.05  # maximum change of a normalized bound per interval, as in the paper
+MIN_TOTAL_ANSWER_TIME = 1e-6  # seconds, to avoid a division by zero
+SLOT_TOLERANCE = 1e-9  # slots; keeps a whole number with a floating-point error from being rounded up
+BISECTIONS = 60  # steps of the bisection for the common error
+# Seconds added to the averaging time of reserved rates, so that the first seconds after a start weigh little.
 RESERVED_EXTRA_SPAN = RETENTION / 16
-MAX_ERROR = 1e3  # bounds of the common error, times the largest priority weight
+MAX_ERROR = 1e3  # limit of the common error's absolute value, as a multiple of the largest priority weight
 
 
 class ConcurrencyController:
     """Bounds of the request classes, adjusted once in each control interval.
 
-    Symptom without it: classes share slots by arrival, so a surge of a class of little value takes the
-    slots of the valuable ones. Why it works: bounds that do not fit are reduced until the classes'
-    shortfalls, weighted by priority, are equal. ``slot_shares`` and ``asks`` are fractions of all slots,
-    by class.
+    Without it, classes share slots in order of arrival, so a surge of a low-value class takes the slots of
+    valuable ones. Bounds that do not fit are reduced until the priority-weighted shortfalls of all classes
+    are equal. ``slot_shares`` (granted) and ``requested_shares`` are fractions of all slots, by class.
     """
 
     def __init__(self, state: SchedulerState, slow_start: SlowStart) -> None:
@@ -45,42 +44,44 @@
         self._slow_start = slow_start
         count = len(state.settings.classes)
         self.slot_shares = [1.0 / count] * count
-        self.asks = list(self.slot_shares)
-        self.total_answer_time = [0.0] * count  # seconds, of the requests closed in this interval
+        self.requested_shares = list(self.slot_shares)
+        self.total_answer_time = [0.0] * count  # seconds, over requests closed in this interval
         self.closed_requests = [0] * count
         self.history: list[list[tuple[float, float]]] = [[] for _ in range(count)]  # slots, performance
-        self._started_at = self._interval_began = math.inf  # before the first step no interval is over
+        self._started_at = self._interval_started_at = math.inf  # no interval ends before the first step
 
     def start(self) -> None:
-        """Begin the first interval."""
-        self._started_at = self._interval_began = self._state.now
+        """Start the first interval."""
+        self._started_at = self._interval_started_at = self._state.now
 
     def is_due(self) -> bool:
-        """Whether the control interval is over."""
-        return self._state.now >= self._interval_began + CONTROL_INTERVAL
+        """Return whether the control interval is over."""
+        return self._state.now >= self._interval_started_at + CONTROL_INTERVAL
 
     def run_round(self) -> None:
-        """One control round: fit and ask, arbitrate, allocate to nodes."""
+        """Run one control round: fit slopes, request bounds, arbitrate, allocate slots to nodes."""
         state = self._state
-        began = self._interval_began
-        self._interval_began = state.now
+        interval_start = self._interval_started_at
+        self._interval_started_at = state.now
         for request in state.requests.values():
-            self._count_demand(request, began)
+            self._count_demand(request, interval_start)
         total_slots = max(1.0, state.table.total_concurrency_limit)
-        performance = self._ask(total_slots)
+        performance = self._update_requested_shares(total_slots)
         slopes = [slope * total_slots if slope else None for slope in map(fit_slope, self.history)]
-        self.slot_shares = arbitrate(self.slot_shares, self.asks, performance, slopes, state.priority_weights)
+        self.slot_shares = arbitrate(
+            self.slot_shares, self.requested_shares, performance, slopes, state.priority_weights
+        )
         nodes = state.table.nodes_in_use()
         for index, bound in enumerate(self.slot_shares):
             self.allocate(index, bound * total_slots, nodes)
-        passed = state.now - began
-        span = max(passed, min(RETENTION, state.now - self._started_at), SEND_MARGIN)
-        state.table.update_rates(passed, span, span + RESERVED_EXTRA_SPAN, self._slow_start.is_warming)
+        elapsed = state.now - interval_start
+        span = max(elapsed, min(RETENTION, state.now - self._started_at), SEND_MARGIN)
+        state.table.update_rates(elapsed, span, span + RESERVED_EXTRA_SPAN, self._slow_start.is_warming)
         self.total_answer_time = [0.0] * len(self.slot_shares)
         self.closed_requests = [0] * len(self.slot_shares)
 
-    def _ask(self, total_slots: float) -> list[float]:
-        """Let each class that had answers ask for a bound; returns the classes' performances."""
+    def _update_requested_shares(self, total_slots: float) -> list[float]:
+        """Update the requested bound of each class that had answers; returns the classes' performances."""
         performance = [1.0] * len(self.slot_shares)
         for index, spec in enumerate(self._state.settings.classes):
             closed = self.closed_requests[index]
@@ -92,14 +93,14 @@
             history.append((bound * total_slots, performance[index]))
             del history[: -FIT_INTERVALS - 1]
             if slope := fit_slope(history):
-                wanted = bound + (1 - performance[index]) / slope / total_slots
-                self.asks[index] = clamp(wanted, bound - MAX_BOUND_STEP, bound + MAX_BOUND_STEP)
+                target = bound + (1 - performance[index]) / slope / total_slots
+                self.requested_shares[index] = clamp(target, bound - MAX_BOUND_STEP, bound + MAX_BOUND_STEP)
         return performance
 
     def allocate(self, class_index: int, slots: float, nodes: list[Node]) -> None:
-        """Split a class's slots over nodes by its mean number of requests there, at least one each.
+        """Split a class's slots over nodes by its mean number of requests there, with at least one each.
 
-        ``nodes``: those in use; all others share one split.
+        ``nodes``: nodes in use; all others get the same number of slots.
         """
         total = sum(node.class_demand[class_index] for node in nodes)
         even = 1 / max(1, len(self._state.table.holders))
@@ -111,8 +112,8 @@
             node.class_demand[class_index] = 0.0
 
     def count_closed(self, request: Request) -> None:
-        """Note a request that is about to be closed, and how long it took."""
-        self._count_demand(request, self._interval_began)
+        """Count a request that is about to be closed, and the time it took."""
+        self._count_demand(request, self._interval_started_at)
         self.total_answer_time[request.class_index] += self._state.now - request.arrived_at
         self.closed_requests[request.class_index] += 1
 
@@ -123,9 +124,9 @@
             self._state.table.touched_nodes[holder.id] = holder
 
     def change_classes(self, event: SettingsReloaded) -> None:
-        """Give new classes an even part of the bounds, and take the part of those that are removed.
+        """Give new classes an even share, and take the shares of retired ones.
 
-        Requests in flight keep their class: each refers to it itself.
+        Requests in flight keep their class, as each holds a reference to it.
         """
         count = len(event.settings.classes)
         added = count - len(self.slot_shares)
@@ -135,21 +136,22 @@
             0.0 if index in event.retired_classes else bound or even for index, bound in enumerate(bounds)
         ]
         self.slot_shares = [part / (sum(parts) or 1.0) for part in parts]
-        self.asks = list(self.slot_shares)
+        self.requested_shares = list(self.slot_shares)
         self.history = [[] for _ in range(count)]
         self.total_answer_time = self.total_answer_time + [0.0] * added
         self.closed_requests = self.closed_requests + [0] * added
 
 
-class _Bid(NamedTuple):
-    """What arbitration knows of a class.
+class _ShareRequest(NamedTuple):
+    """Inputs of arbitration for one class.
 
-    ``bound``, ``ask``: present and wanted fraction of all slots; ``low`` and ``high``: least and most that it
-    may be granted. ``slope``: performance by bound, ``None`` where not known. ``weight``: priority weight.
+    ``bound``, ``requested``: current and requested fraction of all slots; ``low``, ``high``: range that may
+    be granted. ``slope``: change of performance per change of bound, ``None`` if unknown. ``weight``:
+    priority weight.
     """
 
     bound: float
-    ask: float
+    requested: float
     performance: float
     slope: float | None
     weight: float
@@ -157,56 +159,63 @@
     high: float
 
     def granted(self, error: float) -> float:
-        """Bound at which ``weight * (1 - performance)`` is this error: ``ask`` where the slope is not known.
+        """Return the bound at which ``weight * (1 - performance)`` equals ``error``.
 
-        With the slope it is ``bound + (1 - performance - error / weight) / slope``.
+        It is ``bound + (1 - performance - error / weight) / slope``, or ``requested`` without a slope.
         """
         if not self.slope:
-            return clamp(self.ask, self.low, self.high)
-        if not self.weight:  # its shortfall counts for nothing
+            return clamp(self.requested, self.low, self.high)
+        if not self.weight:  # the shortfall of a class of weight 0 is ignored
             return self.low
-        wanted = self.bound + (1 - self.performance - error / self.weight) / self.slope
-        return clamp(wanted, self.low, self.high)
+        target = self.bound + (1 - self.performance - error / self.weight) / self.slope
+        return clamp(target, self.low, self.high)
 
 
 def arbitrate(
     bounds: list[float],
-    asks: list[float],
+    requested_shares: list[float],
     performance: list[float],
     slopes: list[float | None],
     weights: list[float],
 ) -> list[float]:
     """Return the new bounds by class.
 
-    Asks that fit are granted, and what is left over is shared by weight; otherwise weight x (1 - performance)
-    is made equal for all classes, as far as bounds may move in an interval. ``slopes``: performance by bound.
-    A class of weight 0 gets what the others leave.
+    If the requested shares fit, they are granted and the rest is shared by weight. Otherwise
+    weight x (1 - performance) is equalized over all classes, as far as bounds may change in one interval.
+    ``slopes``: performance by bound. A class of weight 0 gets what the others leave.
     """
-    if sum(asks) <= 1:
-        left_over = 1 - sum(asks)
-        if not sum(weights):  # classes that are all worth nothing share alike
+    if sum(requested_shares) <= 1:
+        left_over = 1 - sum(requested_shares)
+        if not sum(weights):  # all weights are 0: share evenly
             weights = [1.0] * len(weights)
-        return [max(0.0, ask) + left_over * weight / sum(weights) for ask, weight in zip(asks, weights)]
+        return [
+            max(0.0, requested) + left_over * weight / sum(weights)
+            for requested, weight in zip(requested_shares, weights)
+        ]
     low = [max(0.0, bound - MAX_BOUND_STEP) for bound in bounds]
     high = [bound + MAX_BOUND_STEP for bound in bounds]
     goal = min(1.0, sum(high))
-    bids = [_Bid(*row) for row in zip(bounds, asks, performance, slopes, weights, low, high)]
-    error = _common_error(bids, goal)
-    result = [bid.granted(error) for bid in bids]
-    # What classes without a slope leave over or must give, by what they can move.
+    share_requests = [
+        _ShareRequest(*row) for row in zip(bounds, requested_shares, performance, slopes, weights, low, high)
+    ]
+    error = _common_error(share_requests, goal)
+    result = [share_request.granted(error) for share_request in share_requests]
+    # Classes without a slope make the sum differ from the goal; distribute that in proportion to headroom.
     remainder = goal - sum(result)
-    can_move = [most - now if remainder > 0 else now - least for now, least, most in zip(result, low, high)]
-    return [now + remainder * space / max(sum(can_move), 1e-12) for now, space in zip(result, can_move)]
+    headroom = [
+        top - share if remainder > 0 else share - floor for share, floor, top in zip(result, low, high)
+    ]
+    return [share + remainder * room / max(sum(headroom), 1e-12) for share, room in zip(result, headroom)]
 
 
-def _common_error(bids: list[_Bid], goal: float) -> float:
-    """Error at which the granted bounds add up to no more than the goal, by bisection."""
-    limit = max(bid.weight for bid in bids)
-    small, large = -MAX_ERROR * limit, MAX_ERROR * limit
+def _common_error(share_requests: list[_ShareRequest], goal: float) -> float:
+    """Find by bisection the smallest error at which the granted bounds add up to no more than the goal."""
+    max_weight = max(share_request.weight for share_request in share_requests)
+    lower, upper = -MAX_ERROR * max_weight, MAX_ERROR * max_weight
     for _ in range(BISECTIONS):
-        middle = (small + large) / 2
-        if sum(bid.granted(middle) for bid in bids) > goal:
-            small = middle
+        middle = (lower + upper) / 2
+        if sum(share_request.granted(middle) for share_request in share_requests) > goal:
+            lower = middle
         else:
-            large = middle
-    return large
+            upper = middle
+    return upper
--- a/cleatyoke/scheduling/load_probes.py
+++ b/cleatyoke/scheduling/load_probes.py
@@ -1,10 +1,10 @@
-"""Load probes: which node a front asks for its load, and when. A state machine with no input or output.
+"""Load probes: which node a front asks for its load, and when. A state machine that does no I/O.
 
-A report is of use for one thing here: the fraction of the nodes' capacity that all fronts together use, by
-which a warming node may be sent more (``slow_start``). So a front probes only while a listed node is
-warming up, one warm node after the other in an order of its own, so slowly that all fronts together ask
-each node once in ``PROBE_PERIOD`` at the most (protocol page, Fronts to chunk servers: each probe costs the
-node work).
+Reports are used only to estimate the fraction of the nodes' capacity in use by all fronts together, which
+determines how much more a warming node may be sent (``slow_start``). A front therefore probes only while a
+listed node is warming up. It probes one warm node after the other in its own random order, slowly enough
+that all fronts together probe each node at most once per ``PROBE_PERIOD``, because each probe costs the node
+work (protocol page, Fronts to chunk servers).
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from cleatyoke.scheduling.random_rounds import RandomRounds
 
-PROBE_PERIOD = 1.0  # seconds between two probes of a node, by all fronts together
-MIN_PROBE_GAP = 0.15  # seconds between two probes by a front
-REPORT_LIFETIME = 6.0  # seconds for which a report counts
-MIN_REPORTS = 3  # reports by which a mean counts, or one of each node where there are fewer
-UNKNOWN_UTILIZATION = 1.0  # all of the capacity: it would be wrong to take an unknown node for idle
+PROBE_PERIOD = 1.0  # minimum seconds between two probes of a node, by all fronts together
+MIN_PROBE_GAP = 0.15  # minimum seconds between two probes by a front
+REPORT_LIFETIME = 6.0  # seconds for which a report is valid
+MIN_REPORTS = 3  # reports needed for a mean, or one of each warm node if there are fewer nodes
+UNKNOWN_UTILIZATION = 1.0  # full, as a node of unknown load must not be taken for idle
 
 
 class LoadProber:
-    """One front's probes. Times are seconds on the caller's clock.
+    """Schedules one front's probes. Times are seconds on the caller's clock.
 
-    ``front_count``: fronts that share the nodes. ``slow_start_duration``: seconds until a node that has
-    started is warm.
+    ``front_count``: fronts that share the nodes. ``slow_start_duration``: seconds from the start of a node
+    until it is warm.
     """
 
     def __init__(self, front_count: int, slow_start_duration: float, seed: int) -> None:
         self._front_count = max(1, front_count)
         self._slow_start_duration = slow_start_duration
         self._rng = random.Random(seed)
-        self.warm_at: dict[int, float] = {}  # of each node that is warming up
+        self.warm_at: dict[int, float] = {}  # by node that is warming up, when it will be warm
         self.warm: RandomRounds[int] = RandomRounds(self._rng)
-        self._reports: dict[int, tuple[float, float]] = {}  # by node: when it was asked, its utilization
+        self._reports: dict[int, tuple[float, float]] = {}  # by node: time of the report, utilization
         self._probed_at = -math.inf
 
     def on_endpoints(self, event: EndpointUpdate) -> None:
-        """Take in an update of the endpoint list."""
+        """Process an update of the endpoint list."""
         if event.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED):
             listed = {endpoint.node_id for endpoint in event.endpoints}
             for node_id in [node_id for node_id in (*self.warm, *self.warm_at) if node_id not in listed]:
@@ -68,22 +68,22 @@
             self.warm.add(node_id)
 
     def gap(self) -> float:
-        """Seconds between two probes by this front."""
+        """Return the seconds between two probes by this front."""
         return max(MIN_PROBE_GAP, PROBE_PERIOD * self._front_count / max(1, len(self.warm)))
 
     def next_at(self, now: float) -> float:
-        """When ``step`` has something to do; infinite while no node is warming up, or none is warm."""
+        """Return when the next probe is due; infinite while no node is warming up, or none is warm."""
         self._end_slow_starts(now)
         if not self.warm_at or not self.warm:
             return math.inf
         return max(now, self._probed_at + self.gap())
 
     def step(self, now: float) -> int | None:
-        """Return the node to probe now, ``None`` where it is not time to."""
+        """Return the node to probe now, or ``None`` if no probe is due."""
         if self.next_at(now) > now:
             return None
         if self._probed_at + REPORT_LIFETIME < now:
-            # Fronts hear of a start together, so each begins at a random point of its gap.
+            # All fronts learn of a start at the same time, so each begins at a random point of its interval.
             self._probed_at = now - self._rng.random() * self.gap()
             if self.next_at(now) > now:
                 return None
@@ -91,15 +91,15 @@
         return self.warm.take()
 
     def on_report(self, node_id: int, now: float, utilization: float | None) -> None:
-        """Take in the answer to a probe; ``None``: no answer, or none that can be read.
+        """Record the answer to a probe; ``utilization`` is ``None`` if there was no readable answer.
 
-        A node that does not answer may be as busy as can be, and counts as that.
+        A node that does not answer may be overloaded, so it counts as fully used.
         """
-        reported = UNKNOWN_UTILIZATION if utilization is None else min(1.0, max(0.0, utilization))
-        self._reports[node_id] = now, reported
+        counted_utilization = UNKNOWN_UTILIZATION if utilization is None else min(1.0, max(0.0, utilization))
+        self._reports[node_id] = now, counted_utilization
 
     def utilization(self, now: float) -> float:
-        """Mean fraction of the nodes' capacity in use; all of it while too little is known."""
+        """Return the mean fraction of the nodes' capacity in use; 1 while there are too few valid reports."""
         current = [used for at, used in self._reports.values() if at + REPORT_LIFETIME >= now]
         if len(current) < min(MIN_REPORTS, max(1, len(self.warm))):
             return UNKNOWN_UTILIZATION
--- a/cleatyoke/scheduling/ordering.py
+++ b/cleatyoke/scheduling/ordering.py
@@ -1,4 +1,4 @@
-"""Ordering by key: requests of ordered classes that concern one item run one after the other."""
+"""Ordering by key: requests of ordered classes for the same item run one at a time, in order of arrival."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 class KeyOrdering:
     """Send only the oldest open request of a key, and none while the key is paused.
 
-    Symptom without it: two writes to one item overtake each other, and the older one's data stays. Why it
-    works: a request keeps its place until it is closed and nothing of it is in flight, and after an
-    attempt that may still be executing the key is paused for ``ordering_pause`` seconds. A request that is
-    not of an ordered class, or names no item, has no key: it neither waits nor makes others wait.
+    Without it, a write may overtake an older one to the same item, and the older data remains. A request
+    stays in its key's queue until it is closed and has no attempt in flight. After an attempt that may still
+    be executing, the key is paused for ``ordering_pause`` seconds. Requests that are not of an ordered class,
+    or name no item, have no key and are not ordered.
     """
 
     def __init__(self, state: SchedulerState) -> None:
@@ -22,28 +22,28 @@
         self.paused_until: dict[int, float] = {}
 
     def add(self, request: Request) -> None:
-        """Note a request that arrived."""
+        """Add an arriving request to its key's queue."""
         if request.order_key is not None:
             self.open_requests.setdefault(request.order_key, []).append(request)
 
     def remove(self, request: Request) -> None:
-        """Drop a request that is closed, and let the next one of its key go."""
+        """Remove a closed request, and offer the next one of its key to its nodes."""
         if request.order_key is None:
             return
         queue = self.open_requests.get(request.order_key, [])
-        if request not in queue:  # an exception came before it was added
+        if request not in queue:  # an exception was raised before it was added
             return
         queue.remove(request)
         for follower in queue[:1]:
             self._state.offer(follower.shard)
 
     def pause_key(self, request: Request) -> None:
-        """Pause the key: an attempt has ended that may still be executing."""
+        """Pause the key of a request whose attempt has ended but may still be executing."""
         if request.order_key is not None:
             self.paused_until[request.order_key] = self._state.now + self._state.safety.ordering_pause
 
     def check(self, request: Request) -> Verdict:
-        """When the request may be sent as far as its key says."""
+        """Return when the order of its key allows the request to be sent."""
         key = request.order_key
         if key is None:
             return ALLOWED
@@ -53,7 +53,7 @@
         return ALLOWED if paused_until <= self._state.now else Verdict(paused_until, Rule.KEY_ORDER)
 
     def forget_idle(self) -> None:
-        """Drop keys with no open request, and pauses that are over."""
+        """Drop keys without open requests, and expired pauses."""
         self.open_requests = {key: queue for key, queue in self.open_requests.items() if queue}
         now = self._state.now
         self.paused_until = {key: ends_at for key, ends_at in self.paused_until.items() if ends_at > now}
--- a/cleatyoke/scheduling/placement.py
+++ b/cleatyoke/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which queued request a node takes next, and which node a new object goes to."""
+"""Placement: which queued request a node is sent next, and which node a new object goes to."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class Placement:
-    """Let nodes with free slots choose among the requests that are queued for them.
+    """Assign queued requests to nodes with free slots.
 
-    Nodes choose in order of their expected answer times, so a new object, which any node can take, goes where
-    it is answered soonest. A node takes the request that is worth most there; classes within their slots go
-    before others, which only use slots that would stay idle.
+    Nodes are considered in order of their expected answer times, so a new object, which any node can take,
+    goes where it is answered soonest. Each node gets the queued request of the highest value there. Requests
+    of classes within their slots go first; other classes only use slots that would stay idle.
     """
 
     def __init__(self, rules: Rules, containment: FaultContainment) -> None:
@@ -25,24 +25,24 @@
         self._containment = containment
 
     def dispatch(self) -> None:
-        """Send what the nodes that were offered something in this step choose."""
+        """Send requests to the nodes that were offered any in this step."""
         offered = self._state.nodes_to_offer
         self._state.nodes_to_offer = {}
-        heap = [(self._new_object_time(node), place, node) for place, node in enumerate(offered.values())]
+        heap = [(self._new_object_time(node), order, node) for order, node in enumerate(offered.values())]
         heapify(heap)
         while heap:
-            _, place, node = heap[0]
+            _, order, node = heap[0]
             if request := self.choose(node):
                 try:
                     self._send(request, node)
-                except Exception as error:  # noqa: BLE001 - the other requests are sent all the same
+                except Exception as error:  # noqa: BLE001 - a fault of one request must not affect others
                     self._containment.on_request_failed(request, error)
-                heapreplace(heap, (self._new_object_time(node), place, node))
+                heapreplace(heap, (self._new_object_time(node), order, node))
             else:
                 heappop(heap)
 
     def choose(self, node: Node) -> Request | None:
-        """Return the queued request that the node takes next, or set a timer where all are delayed."""
+        """Return the queued request to send to the node next, or set a timer if all of them are delayed."""
         state, now = self._state, self._state.now
         queued = state.queues.get(node.shard, []) + state.queues.get(None, [])
         if not queued or not self._rules.outliers.has_free_slot(node):
@@ -58,7 +58,7 @@
                 if best_rank is not None and rank <= best_rank:
                     continue
                 verdict = request.verdict = self._rules.check(request, node)
-            except Exception as error:  # noqa: BLE001 - the other requests are sent all the same
+            except Exception as error:  # noqa: BLE001 - a fault of one request must not affect others
                 self._containment.on_request_failed(request, error)
                 continue
             if verdict.allowed_at <= now:
@@ -73,7 +73,7 @@
         return best
 
     def explain(self, request: Request) -> Verdict:
-        """Why a queued request waits: the verdict that delays it, as of its latest check."""
+        """Return the verdict that delays a queued request, as of its latest check."""
         nodes = list(self._state.table.holders_to_offer(request.shard))
         if not nodes:
             return Verdict(NEVER, Rule.NO_NODE)
@@ -82,17 +82,17 @@
         return request.verdict
 
     def _new_object_time(self, node: Node) -> float:
-        """Seconds until the node would answer a new object of mean size, by this front's backlog there."""
+        """Estimate the seconds until a new object of mean size is answered, given this front's backlog."""
         state = self._state
         service_time = node.service_time_per_unit or 0.0
-        answer = node.queue_delay + service_time * state.settings.mean_request_units
+        answer_time = node.queue_delay + service_time * state.settings.mean_request_units
         backlog = sum(node.in_flight_by_class) + len(state.queues.get(node.shard, [])) + 1
-        return answer * backlog / node.concurrency_limit
+        return answer_time * backlog / node.concurrency_limit
 
     def _send(self, request: Request, node: Node) -> None:
-        """Send an attempt, and count it with every rule.
+        """Send an attempt, and record it with every rule.
 
-        The rules come first, as they may fail: a slot is taken only for an attempt that is sent.
+        The rules are updated first, as they may raise: a slot is taken only for an attempt that is sent.
         """
         state, rules = self._state, self._rules
         rules.surplus.charge(request, node)
--- a/cleatyoke/scheduling/random_rounds.py
+++ b/cleatyoke/scheduling/random_rounds.py
@@ -1,4 +1,4 @@
-"""Items in rounds of a random order; to add, remove or take one costs alike however many there are."""
+"""Iteration over items in rounds of random order; adding, removing and taking an item are O(1)."""
 
 from __future__ import annotations
 
@@ -10,58 +10,58 @@
 
 
 class RandomRounds(Generic[Item]):
-    """Each item comes once in a round; one that is added takes part in the round that is under way."""
+    """Yields each item once per round, in random order; an added item takes part in the current round."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._items: list[Item] = []  # those taken in this round, then the others
-        self._places: dict[Item, int] = {}  # index of each item
-        self._taken = 0
+        self._items: list[Item] = []  # first those taken in this round, then the others
+        self._indexes: dict[Item, int] = {}  # index in ``_items`` of each item
+        self._taken = 0  # number of items taken in this round
 
     def __len__(self) -> int:
         return len(self._items)
 
     def __contains__(self, item: Item) -> bool:
-        return item in self._places
+        return item in self._indexes
 
     def __iter__(self) -> Iterator[Item]:
         return iter(self._items)
 
     def add(self, item: Item) -> None:
-        """Add an item; nothing changes where it is there."""
-        if item not in self._places:
-            self._places[item] = len(self._items)
+        """Add an item if it is not present."""
+        if item not in self._indexes:
+            self._indexes[item] = len(self._items)
             self._items.append(item)
 
     def discard(self, item: Item) -> None:
-        """Remove an item if it is there."""
-        place = self._places.get(item)
-        if place is None:
+        """Remove an item if it is present."""
+        index = self._indexes.get(item)
+        if index is None:
             return
-        if place < self._taken:  # the last one taken fills its place, so that the taken ones stay in front
+        if index < self._taken:  # swap with the last taken item, so that taken items stay contiguous
             self._taken -= 1
-            self._exchange(place, self._taken)
-            place = self._taken
-        self._exchange(place, len(self._items) - 1)
+            self._swap(index, self._taken)
+            index = self._taken
+        self._swap(index, len(self._items) - 1)
         self._items.pop()
-        del self._places[item]
+        del self._indexes[item]
 
     def take(self) -> Item:
-        """Return the next one.
+        """Return the next item of the round, starting a new round if all were taken.
 
-        Raises ``IndexError`` where there is none.
+        Raises ``IndexError`` if there are no items.
         """
         if self._taken >= len(self._items):
             self._taken = 0
         if not self._items:
             msg = "no items"
             raise IndexError(msg)
-        self._exchange(self._taken, self._rng.randrange(self._taken, len(self._items)))
+        self._swap(self._taken, self._rng.randrange(self._taken, len(self._items)))
         self._taken += 1
         return self._items[self._taken - 1]
 
-    def _exchange(self, one: int, other: int) -> None:
-        items, places = self._items, self._places
-        items[one], items[other] = items[other], items[one]
-        places[items[one]] = one
-        places[items[other]] = other
+    def _swap(self, first: int, second: int) -> None:
+        items, indexes = self._items, self._indexes
+        items[first], items[second] = items[second], items[first]
+        indexes[items[first]] = first
+        indexes[items[second]] = second
--- a/cleatyoke/simulator.py
+++ b/cleatyoke/simulator.py
@@ -1,6 +1,7 @@
-"""The simulator's wire on standard input and output, with one scheduler for each instance. Decides nothing.
+"""Adapter for the simulator's protocol on standard input and output, with one scheduler per instance.
 
-The names of the wire's events, actions and fields are the simulator's; they are mapped here and nowhere else.
+It makes no decisions. The names of events, actions and fields in the protocol are the simulator's; they are
+translated here and nowhere else.
 """
 
 from __future__ import annotations
@@ -54,16 +55,16 @@
     "warm_copy": UpdateKind.CACHED,
     "lost": UpdateKind.UNAVAILABLE,
 }
-IGNORED_EVENTS = {"FIRST", "MAIL"}  # begun streams and messages of peers; of neither is there any
-PROBE_TIMER_TOKEN = 1  # of the timers for load probes; the scheduler's have 0
+IGNORED_EVENTS = {"FIRST", "MAIL"}  # started streams and peer messages; this adapter uses neither
+PROBE_TIMER_TOKEN = 1  # token of timers for load probes; the scheduler's timers have 0
 
 
 class MalformedBatchError(Exception):
-    """A line that is not a batch of the wire."""
+    """Raised for a line that is not a valid batch of the simulator's protocol."""
 
 
 def read_entry(entry: dict[str, Any]) -> Endpoint:
-    """Translate a node of an endpoint list; one without a ``Pack`` holds no shard."""
+    """Translate an entry of an endpoint list; a node without a ``Pack`` holds no shard."""
     shard = entry.get("Pack")
     return Endpoint(
         node_id=entry["Shelf"],
@@ -74,8 +75,8 @@
     )
 
 
-def read_event(kind: str, event: dict[str, Any], lists: dict[int, list[Endpoint]]) -> SchedulerEvent:
-    """Translate one event of a living instance."""
+def read_event(kind: str, event: dict[str, Any], endpoint_lists: dict[int, list[Endpoint]]) -> SchedulerEvent:
+    """Translate one event of a running instance."""
     if kind == "REQ":
         return RequestArrived(
             request_id=event["Req"],
@@ -101,8 +102,10 @@
     if kind == "BELL":
         return TimerFired(event["Ref"])
     if kind == "ROSTER_CHANGE":
-        mode = UPDATE_KINDS[event["Mode"]]
-        return EndpointUpdate(mode, [] if mode is UpdateKind.UNAVAILABLE else lists[event["Slot"]])
+        update_kind = UPDATE_KINDS[event["Mode"]]
+        return EndpointUpdate(
+            update_kind, [] if update_kind is UpdateKind.UNAVAILABLE else endpoint_lists[event["Slot"]]
+        )
     if kind == "ABORTED":
         return ClientDisconnected(event["Req"])
     msg = f"unknown event type {kind!r}"
@@ -110,7 +113,7 @@
 
 
 def write_action(instance_id: int, action: SchedulerAction) -> dict[str, Any]:
-    """Translate an action of the instance ``instance_id``."""
+    """Translate an action of an instance."""
     match action:
         case SendAttempt(request_id, node_id):
             return {"type": "ROUTE", "Head": instance_id, "Req": request_id, "Shelf": node_id}
@@ -126,19 +129,19 @@
             return {"type": "WATCH", "Head": instance_id, "On": True}
 
 
-Pending = dict[int, list[SchedulerEvent]]  # by instance, its events of a batch
+PendingEvents = dict[int, list[SchedulerEvent]]  # by instance, its events of the current batch
 
 
 class SimulatorAdapter:
-    """All instances of one adapter process; they share nothing but the endpoint lists as they were read."""
+    """Runs all instances of one adapter process; they share only the endpoint lists that were received."""
 
     def __init__(self) -> None:
-        self.now = 0.0  # the batch's clock, in seconds
+        self.now = 0.0  # time of the current batch, in seconds
         self.schedulers: dict[int, Scheduler] = {}
-        self.lists: dict[int, list[Endpoint]] = {}
-        self.load_fields: dict[int, list[str]] = {}  # by instance, names of the fields of its load reports
-        self.probers: dict[int, LoadProber] = {}  # where nodes report their load to probes only
-        self.probe_timers: dict[int, float] = {}  # by instance, when the latest timer for a probe fires
+        self.endpoint_lists: dict[int, list[Endpoint]] = {}
+        self.load_fields: dict[int, list[str]] = {}  # by instance, field names of its load reports
+        self.probers: dict[int, LoadProber] = {}  # by instance whose nodes report load only when probed
+        self.probe_timers: dict[int, float] = {}  # by instance, expiry of its latest probe timer
 
     def reply(self, line: str) -> dict[str, Any]:
         """Answer one batch. Raises ``MalformedBatchError``."""
@@ -146,7 +149,7 @@
             batch = json.loads(line)
             now, number, news = float(batch["TsS"]), batch["round"], batch["news"]
             self.now = now
-            pending: Pending = {}
+            pending: PendingEvents = {}
             steps: list[dict[str, Any]] = []
             for event in news:
                 self._read(event, pending)
@@ -157,11 +160,11 @@
             self._step(instance_id, events, steps)
         return {"round": number, "steps": steps}
 
-    def _read(self, event: dict[str, Any], pending: Pending) -> None:
-        """Take in one event: translate it for its instance, or start or stop that instance."""
+    def _read(self, event: dict[str, Any], pending: PendingEvents) -> None:
+        """Process one event: translate it for its instance, or start or stop that instance."""
         kind = event["type"]
         if kind == "CATALOG":
-            self.lists[event["Slot"]] = [read_entry(entry) for entry in event["Elements"]]
+            self.endpoint_lists[event["Slot"]] = [read_entry(entry) for entry in event["Elements"]]
             return
         instance_id = event["Head"]
         if kind == "BORN":
@@ -174,7 +177,7 @@
         elif kind == "HEALTH":
             self._read_probe(instance_id, event, pending)
         elif kind == "BELL" and event["Ref"] == PROBE_TIMER_TOKEN:
-            if instance_id in self.schedulers:  # the timers of a stopped instance still fire
+            if instance_id in self.schedulers:  # timers of a stopped instance still fire
                 pending.setdefault(instance_id, [])
         elif kind not in IGNORED_EVENTS:
             self._read_for_scheduler(instance_id, event, pending)
@@ -190,17 +193,17 @@
             )
         self.load_fields[instance_id] = (event["Facts"].get("Report") or {}).get("Fields") or []
 
-    def _read_probe(self, instance_id: int, event: dict[str, Any], pending: Pending) -> None:
-        """Take in the answer to a load probe."""
+    def _read_probe(self, instance_id: int, event: dict[str, Any], pending: PendingEvents) -> None:
+        """Process the answer to a load probe."""
         prober = self.probers.get(instance_id)
         if prober is None:
             return
-        reported = self._utilization(instance_id, event) if event["Disposition"] == "completed" else None
-        prober.on_report(event["Shelf"], self.now, reported)
+        utilization = self._utilization(instance_id, event) if event["Disposition"] == "completed" else None
+        prober.on_report(event["Shelf"], self.now, utilization)
         pending.setdefault(instance_id, []).append(UtilizationReported(prober.utilization(self.now)))
 
-    def _read_for_scheduler(self, instance_id: int, event: dict[str, Any], pending: Pending) -> None:
-        translated = read_event(event["type"], event, self.lists)
+    def _read_for_scheduler(self, instance_id: int, event: dict[str, Any], pending: PendingEvents) -> None:
+        translated = read_event(event["type"], event, self.endpoint_lists)
         if isinstance(translated, AttemptFinished):
             translated.utilization = self._utilization(instance_id, event)
         if isinstance(translated, EndpointUpdate) and instance_id in self.probers:
@@ -209,15 +212,15 @@
             pending.setdefault(instance_id, []).append(translated)
 
     def _utilization(self, instance_id: int, event: dict[str, Any]) -> float | None:
-        """Fraction of its capacity in use that a node reports, by whatever name this site has for it."""
+        """Return the fraction of its capacity that a node reports as in use; field names differ by site."""
         report = dict(zip(self.load_fields.get(instance_id, []), event.get("HealthInfo") or []))
         return next((report[name] for name in LOAD_FIELDS if name in report), None)
 
     def _step(self, instance_id: int, events: list[SchedulerEvent], steps: list[dict[str, Any]]) -> None:
-        """Let one instance decide on its events of the batch."""
+        """Run one instance's scheduler on its events of the batch."""
         try:
             actions = self.schedulers[instance_id].step(self.now, events)
-        except Exception as error:  # noqa: BLE001 - any fault of the scheduler is reported on the wire
+        except Exception as error:  # noqa: BLE001 - any scheduler fault is reported to the simulator
             steps.append(
                 {"type": "INTERNAL_ERROR", "Head": instance_id, "Msg": f"{type(error).__name__}: {error}"}
             )
@@ -242,7 +245,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends. Raises ``MalformedBatchError``."""
+    """Answer batches until the input ends. Raises ``MalformedBatchError``."""
     adapter = SimulatorAdapter()
     for line in source:
         json.dump(adapter.reply(line), sink, separators=(",", ":"))
@@ -251,7 +254,7 @@
 
 
 def main() -> int:
-    """Serve standard input; returns the exit code, 2 after a malformed batch."""
+    """Serve standard input; returns the exit status, 2 after a malformed batch."""
     try:
         serve(sys.stdin, sys.stdout)
     except MalformedBatchError as error:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,25 +12,25 @@
 from tests.driven_front import DrivenFront, class_spec, endpoint, plan_spec, settings
 
 
-def test_what_is_beyond_the_reserve_waits_for_its_share_of_the_surplus_rate() -> None:
+def test_surplus_rate_delays_requests_beyond_the_reserve() -> None:
     front = DrivenFront(settings([class_spec(latency_objective=20.0)]), [endpoint(1, 1)])
     node = front.scheduler.nodes[1]
-    node.surplus_rate = 0.5  # units a second, and no more than a second of it at once
+    node.surplus_rate = 0.5  # units a second; at most one second of it accumulates
     front.step(*[front.arrival(f"r{number}", units=5.0, deadline=front.now + 20) for number in range(4)])
-    assert front.sent() == ["r0", "r1", "r2"]  # two in the reserve, one on the first credit
+    assert front.sent() == ["r0", "r1", "r2"]  # two within the reserve, one on the initial credit
     for name in ("r0", "r1", "r2"):
         front.finish(name, AttemptOutcome.SERVED)
     front.request("reserved", volume_id=2)
     assert front.sent()[3:] == ["reserved"]
     front.finish("reserved", AttemptOutcome.SERVED)
     node.surplus_rate = 0.6
-    front.run_until(front.now + 7.0)  # in debt by 4.5 units: seven and a half seconds
+    front.run_until(front.now + 7.0)  # a debt of 4.5 units takes 7.5 s to pay off
     assert "r3" not in front.sent()
     front.run_until(front.now + 1.0)
     assert front.sent()[4:] == ["r3"]
 
 
-def test_heavier_plans_have_more_of_the_surplus_rate() -> None:
+def test_surplus_rate_is_shared_by_plan_weight() -> None:
     front = DrivenFront(settings(plans=[plan_spec(), plan_spec(fair_share_weight=4.0)]), [endpoint(1, 1)])
     front.scheduler.nodes[1].surplus_rate = 1.0
     front.scheduler.nodes[1].concurrency_limit = 8.0
@@ -43,7 +43,7 @@
     start = len(front.sent())
     for _ in range(200):
         front.run_until(front.now + 0.02)
-        for name in [name for name, held in front.scheduler.requests.items() if held.in_flight]:
+        for name in [name for name, request in front.scheduler.requests.items() if request.in_flight]:
             front.finish(name, AttemptOutcome.SERVED, elapsed=0.01)
         front.scheduler.nodes[1].surplus_rate = 1.0
     later = front.sent()[start:]
@@ -51,23 +51,23 @@
     assert 2 * light < len(later) - light
 
 
-def test_requests_of_less_value_cost_more_of_the_surplus_rate() -> None:
-    paid = []
-    for worth in (4.0, 1.0):
+def test_surplus_rate_requests_of_lower_value_cost_more() -> None:
+    charged = []
+    for weight in (4.0, 1.0):
         front = DrivenFront(
-            settings([class_spec(priority_weight=worth), class_spec(priority_weight=4.0)]), [endpoint(1, 1)]
+            settings([class_spec(priority_weight=weight), class_spec(priority_weight=4.0)]), [endpoint(1, 1)]
         )
         front.scheduler.nodes[1].surplus_rate = 8.0
         front.step(front.arrival("a", units=6.0), front.arrival("b", units=6.0))
-        paid.append(8.0 - front.scheduler.volumes[1].surplus[1].level)
-    assert paid[1] == pytest.approx(4 * paid[0])
+        charged.append(8.0 - front.scheduler.volumes[1].surplus[1].level)
+    assert charged[1] == pytest.approx(4 * charged[0])
 
 
-def test_a_client_s_repeat_draws_the_reserve_once_and_keeps_its_objective() -> None:
-    """A client repeats a request that was not served.
+def test_reserve_client_retry_draws_once_and_keeps_its_objective() -> None:
+    """A client retries a request that was not served.
 
-    The repeat is the same piece of work: it must not draw the volume's reserve again, nor have a new
-    objective.
+    The retry is the same piece of work, so it must neither draw from the volume's reserve again nor get a new
+    latency objective.
     """
     front = DrivenFront(settings([class_spec(latency_objective=0.5)]), [endpoint(1, 1)])
     front.request("first", item=7, units=4.0, deadline=front.now + 0.2)
@@ -86,21 +86,18 @@
     assert front.scheduler.requests["new"].objective_at == pytest.approx(front.now + 0.5)
 
 
-def test_a_class_with_a_larger_bound_pays_less_of_the_surplus_rate() -> None:
-    paid = []
+def test_surplus_rate_class_with_a_larger_bound_is_charged_less() -> None:
+    charged = []
     for bounds in ([0.5, 0.5], [0.8, 0.2]):
         front = DrivenFront(settings([class_spec(), class_spec()]), [endpoint(1, 1)])
         front.scheduler.rules.concurrency.slot_shares, front.scheduler.nodes[1].surplus_rate = bounds, 8.0
         front.step(front.arrival("a", units=6.0), front.arrival("b", units=6.0))
-        paid.append(8.0 - front.scheduler.volumes[1].surplus[1].level)
-    assert paid[0] == pytest.approx(paid[1] * 0.8 / 0.5)
+        charged.append(8.0 - front.scheduler.volumes[1].surplus[1].level)
+    assert charged[0] == pytest.approx(charged[1] * 0.8 / 0.5)
 
 
-def test_many_fronts_together_send_no_more_at_the_least_surplus_rate_than_one() -> None:
-    """Sixteen fronts see a free slot each at a slow node.
-
-    Together they must not send more than one front would.
-    """
+def test_surplus_rate_at_its_minimum_many_fronts_send_no_more_than_one() -> None:
+    """Sixteen fronts each see a free slot at a slow node. Together they must not send more than one would."""
 
     def sends(fronts: int) -> float:
         front = DrivenFront(
@@ -111,16 +108,16 @@
         for number in range(100):
             front.request(f"r{number}", front_count=fronts)
             front.run_until(front.now + 0.2)
-            for name in [name for name, held in front.scheduler.requests.items() if held.in_flight]:
+            for name in [name for name, request in front.scheduler.requests.items() if request.in_flight]:
                 front.finish(
                     name, AttemptOutcome.SERVED, elapsed=0.6
-                )  # over the aim: the rate stays at its least
+                )  # slower than the objective: the rate stays at its minimum
         return len(front.sent())
 
     assert sends(16) <= sends(1) / 4
 
 
-def test_new_objects_share_one_surplus_rate_over_all_nodes_and_are_never_sent_late() -> None:
+def test_surplus_rate_new_objects_share_one_rate_over_all_nodes_and_are_never_sent_late() -> None:
     def sends(nodes: int) -> int:
         config = settings(plans=[plan_spec(reserved_rate=0.0, base_rate=2.0)])
         front = DrivenFront(config, [endpoint(node, node) for node in range(1, nodes + 1)])
@@ -129,7 +126,7 @@
                 node.surplus_rate = 2.0
             front.request(f"r{number}", shard=None, units=2.0)
             front.run_until(front.now + 0.2)
-            for name in [name for name, held in front.scheduler.requests.items() if held.in_flight]:
+            for name in [name for name, request in front.scheduler.requests.items() if request.in_flight]:
                 front.finish(name, AttemptOutcome.SERVED, node_id=1, elapsed=0.05)
         return len(front.sent())
 
@@ -141,7 +138,7 @@
     assert Reject("late") in front.run_until(front.now + 0.52)
 
 
-def test_a_rate_limit_is_drawn_once_a_request_from_this_front_s_part() -> None:
+def test_rate_limit_is_drawn_once_per_request_from_this_fronts_share() -> None:
     limited = plan_spec(rate_limit=4.0, rate_limit_burst=12.0)
     front = DrivenFront(
         settings([class_spec(latency_objective=2.0), class_spec()], [limited]), [endpoint(1, 1)]
@@ -157,24 +154,24 @@
     assert front.sent() == ["a", "a"]
 
 
-def test_a_rate_limit_s_bucket_fills_from_when_the_process_began() -> None:
-    """A front restarts. With an empty bucket for every volume, no reserve would be met for some seconds."""
+def test_rate_limit_bucket_fills_from_the_process_start() -> None:
+    """After a restart of the front, empty buckets would leave every volume short for some seconds."""
     limited = plan_spec(rate_limit=4.0, rate_limit_burst=12.0, rate_limit_slack=4.0)
     config = settings([class_spec(latency_objective=2.0), class_spec()], [limited], idle_since=99.0)
     front = DrivenFront(config, [endpoint(1, 1)])
     front.step(front.arrival("a", units=2.0, front_count=2), front.arrival("b", units=2.0, front_count=2))
-    assert front.sent() == ["a"], "a second's filling and half of the slack, by two fronts"
+    assert front.sent() == ["a"], "one second of the rate and half of the slack, split over two fronts"
     front.run_until(100.55)
     assert front.sent() == ["a", "b"]
     front.run_until(103.0)
     for name, units in (("c", 6.0), ("d", 2.0)):
         front.step(front.arrival(name, units=units, front_count=2, volume_id=2))
-    assert front.sent() == ["a", "b", "c"], "a volume that comes later finds its part, and never more"
+    assert front.sent() == ["a", "b", "c"], "a volume used later has its accumulated share, and no more"
 
 
-def test_a_front_has_what_the_others_leave_of_a_reserve_as_nodes_report() -> None:
-    def part(reports: bool, by_others: float) -> float:
-        """The part of a reserve of 8 units a second that one of two fronts takes for its own in the end."""
+def test_reserve_front_gets_what_nodes_report_as_unused_by_others() -> None:
+    def front_share(reports: bool, by_others: float) -> float:
+        """Return one of two fronts' final share of a reserve of 8 units a second."""
         front = DrivenFront(
             settings(plans=[plan_spec(reserved_rate=8.0)], reports_usage_by_others=reports), [endpoint(1, 1)]
         )
@@ -182,9 +179,9 @@
             front.request(f"r{number}", front_count=2)
             front.step(at=front.now + 0.1)
             front.finish(f"r{number}", AttemptOutcome.SERVED, elapsed=0.1, units_by_others=by_others)
-        return front.scheduler.rules.reserves.part_here(1, 8.0, 2)
+        return front.scheduler.rules.reserves.local_share(1, 8.0, 2)
 
-    assert part(False, 0.0) == 4.0
-    assert 7.5 < part(True, 0.0) <= 8.0  # the other one is idle
-    assert 5.5 < part(True, 0.2) < 6.5  # it takes two a second
-    assert part(True, 2.0) == 4.0  # it takes more than its part: an even one is this front's
+    assert front_share(False, 0.0) == 4.0
+    assert 7.5 < front_share(True, 0.0) <= 8.0  # the other front is idle
+    assert 5.5 < front_share(True, 0.2) < 6.5  # the other front uses two units a second
+    assert front_share(True, 2.0) == 4.0  # the other front exceeds its share: an even one is left
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The control loop: slope fit, arbitration and allocation, with figures worked by hand."""
+"""The concurrency control loop: slope fit, arbitration and allocation, with values worked out by hand."""
 
 import pytest
 
@@ -17,38 +17,38 @@
     return sum(node.concurrency_limit for node in front.scheduler.table.holders.values())
 
 
-def test_fit_finds_the_slope_of_performance_over_bound() -> None:
+def test_fit_slope_returns_performance_over_bound() -> None:
     assert fit_slope([(10.0, 0.5), (12.0, 0.6), (11.0, 0.55)]) == pytest.approx(0.05)
 
 
-def test_fit_weighs_larger_steps_more() -> None:
+def test_fit_slope_weighs_larger_steps_more() -> None:
     # steps (1, 0.1) and (2, 0.1): (0.1 + 0.2) / (1 + 4)
     assert fit_slope([(1.0, 0.1), (2.0, 0.2), (4.0, 0.3)]) == pytest.approx(0.06)
 
 
 @pytest.mark.parametrize("history", [[], [(5.0, 0.5)], [(5.0, 0.5), (5.0, 0.9)], [(5.0, 0.5), (6.0, 0.4)]])
-def test_without_a_positive_slope_there_is_no_fit(history: list[tuple[float, float]]) -> None:
+def test_fit_slope_without_a_positive_slope_returns_none(history: list[tuple[float, float]]) -> None:
     assert fit_slope(history) is None
 
 
-def test_asks_that_fit_are_granted_and_the_rest_goes_by_priority_weight() -> None:
+def test_arbitrate_shares_that_fit_are_granted_and_the_rest_goes_by_weight() -> None:
     assert arbitrate([0.4, 0.4], [0.35, 0.35], [1, 1], [None, None], [2, 1]) == pytest.approx([0.55, 0.45])
 
 
-def test_asks_exactly_at_the_cap_are_granted_as_they_are() -> None:
+def test_arbitrate_shares_that_sum_to_one_are_granted() -> None:
     assert arbitrate([0.5, 0.5], [0.45, 0.55], [1, 1], [1.0, 1.0], [2, 1]) == pytest.approx([0.45, 0.55])
 
 
-def test_one_class_has_all_slots() -> None:
+def test_arbitrate_single_class_has_all_slots() -> None:
     assert arbitrate([1.0], [1.05], [0.5], [0.5], [3]) == pytest.approx([1.0])
     assert arbitrate([1.0], [0.95], [1.2], [0.5], [3]) == pytest.approx([1.0])
 
 
-def test_overload_makes_weighted_shortfalls_equal() -> None:
+def test_arbitrate_overload_equalizes_weighted_shortfalls() -> None:
     # u = 0.5 + (0.4 - e/2)/10 and 0.5 + (0.4 - e)/10 sum to 1 at e = 8/15
-    """Two classes ask for more slots than there are.
+    """Two classes request more slots than there are.
 
-    The heavier one must fall short by less: half as much at twice the weight.
+    The one with the larger weight must fall short by less: half as much at twice the weight.
     """
     bounds = arbitrate([0.5, 0.5], [0.54, 0.54], [0.6, 0.6], [10.0, 10.0], [2, 1])
     assert bounds == pytest.approx([0.5 + 0.4 / 30, 0.5 - 0.4 / 30], abs=1e-6)
@@ -56,53 +56,53 @@
     assert 2 * shortfall[0] == pytest.approx(shortfall[1], abs=1e-5)
 
 
-def test_overload_moves_no_bound_by_more_than_the_step() -> None:
-    """A surge makes one class ten times as slow as the other.
+def test_arbitrate_overload_changes_no_bound_by_more_than_the_step() -> None:
+    """A surge makes one class miss its objective tenfold.
 
-    Its bound still moves by one step an interval, so that one noisy interval does not take all slots of the
-    other class.
+    Its bound still changes by only one step per interval, so that one noisy interval does not take all slots
+    of the other class.
     """
     bounds = arbitrate([0.5, 0.5], [0.55, 0.55], [0.1, 0.9], [0.5, 0.5], [5, 1])
     assert bounds == pytest.approx([0.55, 0.45])
 
 
-def test_bounds_far_under_the_cap_rise_by_the_step_only() -> None:
+def test_arbitrate_low_bounds_rise_by_one_step_only() -> None:
     # min(1, sum(c + l)) is 0.9 here
     assert arbitrate([0.4, 0.4], [0.6, 0.6], [0.5, 0.5], [1.0, 1.0], [1, 1]) == pytest.approx([0.45, 0.45])
 
 
-def test_a_class_without_a_slope_keeps_its_ask_in_overload() -> None:
+def test_arbitrate_overload_class_without_a_slope_keeps_its_requested_share() -> None:
     assert arbitrate([0.5, 0.5], [0.52, 0.55], [0.5, 0.5], [None, 1.0], [1, 1]) == pytest.approx([0.52, 0.48])
 
 
-def test_no_answers_in_an_interval_keep_the_ask() -> None:
+def test_control_round_without_answers_keeps_the_requested_shares() -> None:
     front = DrivenFront(settings([class_spec(), class_spec()]), [endpoint(1, 1)])
-    policy = front.scheduler
-    policy.rules.concurrency.asks = [0.3, 0.4]
+    scheduler = front.scheduler
+    scheduler.rules.concurrency.requested_shares = [0.3, 0.4]
     front.run_until(front.now + 2.5)
-    assert policy.rules.concurrency.asks == [0.3, 0.4]
+    assert scheduler.rules.concurrency.requested_shares == [0.3, 0.4]
 
 
-def test_an_ask_moves_at_most_a_step_towards_the_objective() -> None:
+def test_control_round_requested_share_changes_by_at_most_one_step() -> None:
     front = DrivenFront(settings(), [endpoint(1, 1)])
-    policy = front.scheduler
-    total_slots = policy.nodes[1].concurrency_limit
-    policy.rules.concurrency.history[0] = [(total_slots * 0.9, 0.10), (total_slots * 0.95, 0.11)]
-    policy.rules.concurrency.total_answer_time[0], policy.rules.concurrency.closed_requests[0] = (
+    scheduler = front.scheduler
+    total_slots = scheduler.nodes[1].concurrency_limit
+    scheduler.rules.concurrency.history[0] = [(total_slots * 0.9, 0.10), (total_slots * 0.95, 0.11)]
+    scheduler.rules.concurrency.total_answer_time[0], scheduler.rules.concurrency.closed_requests[0] = (
         4.0,
         1,
-    )  # performance 0.125, still rising with the bound
-    policy.rules.concurrency.run_round()
-    assert policy.rules.concurrency.asks[0] == pytest.approx(1.05)
+    )  # performance 0.125, rising with the bound
+    scheduler.rules.concurrency.run_round()
+    assert scheduler.rules.concurrency.requested_shares[0] == pytest.approx(1.05)
 
 
-def test_zero_demand_splits_evenly_over_listed_nodes() -> None:
+def test_allocate_without_demand_splits_evenly_over_listed_nodes() -> None:
     front = DrivenFront(settings(), [endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)])
     front.scheduler.rules.concurrency.allocate(0, 7.0, front.scheduler.table.nodes_in_use())
     assert [node.class_slots[0] for node in front.scheduler.nodes.values()] == [3, 3, 3]
 
 
-def test_split_follows_demand_rounded_up_with_a_floor_of_one() -> None:
+def test_allocate_splits_by_demand_rounded_up_with_at_least_one() -> None:
     front = DrivenFront(settings(), [endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)])
     for node, demand in zip(front.scheduler.nodes.values(), [6.0, 2.0, 0.0]):
         node.class_demand[0] = demand
@@ -111,9 +111,9 @@
     assert [node.class_slots[0] for node in front.scheduler.nodes.values()] == [5, 2, 1]
 
 
-def test_leaving_and_joining_nodes_change_the_total_and_the_split() -> None:
+def test_allocate_follows_nodes_that_leave_and_join() -> None:
     front = DrivenFront(settings(), [endpoint(1, 1), endpoint(2, 2)])
-    assert total_slots(front) == 8.0  # the default of eight a node, halved between two fronts
+    assert total_slots(front) == 8.0  # two nodes of eight slots, split between two fronts
     front.step(EndpointUpdate(UpdateKind.DELTA, [endpoint(2, 2, EndpointState.REMOVED)]))
     assert total_slots(front) == 4.0
     front.scheduler.rules.concurrency.allocate(0, 4.0, front.scheduler.table.nodes_in_use())
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency: what may be executed again, and where."""
+"""Idempotency: which requests may be sent again after an uncertain outcome, and to which nodes."""
 
 import pytest
 
@@ -14,42 +14,41 @@
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 from tests.driven_front import DrivenFront, class_spec, endpoint, settings
 
-ONCE = class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)
+NOT_IDEMPOTENT_CLASS = class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)
 
 
-def answers(actions: list[SchedulerAction], request: str) -> list[type]:
-    finals = (Reject, FailRequest)
-    return [type(action) for action in actions if isinstance(action, finals) and action.request_id == request]
+def final_answers(actions: list[SchedulerAction], request: str) -> list[type]:
+    types = (Reject, FailRequest)
+    return [type(action) for action in actions if isinstance(action, types) and action.request_id == request]
 
 
 @pytest.mark.parametrize(
     "outcome", [AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECTION_RESET]
 )
-def test_a_request_that_must_not_repeat_fails_once_it_may_have_executed(outcome: AttemptOutcome) -> None:
+def test_idempotency_non_idempotent_request_fails_once_it_may_have_executed(outcome: AttemptOutcome) -> None:
     """The answer to a write without an idempotency key is lost.
 
-    It may have been applied, so it must not be sent again, and the client must not be told that a retry is
-    harmless.
+    It may have been applied, so it must not be sent again, and the client must not be told to retry.
     """
-    front = DrivenFront(settings([ONCE]), [endpoint(1, 1)])
+    front = DrivenFront(settings([NOT_IDEMPOTENT_CLASS]), [endpoint(1, 1)])
     front.request("a")
-    assert answers(front.finish("a", outcome), "a") == [FailRequest]
+    assert final_answers(front.finish("a", outcome), "a") == [FailRequest]
     front.run_until(103.0)
     assert front.sent() == ["a"]
 
 
-def test_a_request_that_was_never_executed_is_sent_again() -> None:
-    front = DrivenFront(settings([ONCE]), [endpoint(1, 1)])
+def test_idempotency_request_that_never_executed_is_sent_again() -> None:
+    front = DrivenFront(settings([NOT_IDEMPOTENT_CLASS]), [endpoint(1, 1)])
     front.request("a")
     front.finish("a", AttemptOutcome.QUEUE_FULL)
     front.run_until(101.0)
     assert front.sent() == ["a", "a"]
 
 
-def test_a_keyed_request_is_retried_only_within_its_window() -> None:
-    """The answer to a keyed write is lost, and the window within which nodes discard its duplicate is over.
+def test_idempotency_keyed_request_is_retried_only_within_its_window() -> None:
+    """The answer to a keyed write is lost, and the window in which nodes discard duplicates has ended.
 
-    A retry could apply it twice.
+    A retry could apply the write twice.
     """
     keyed = class_spec(idempotency=Idempotency.KEYED, idempotency_window=0.5)
     front = DrivenFront(settings([keyed]), [endpoint(1, 1)])
@@ -60,13 +59,13 @@
     assert front.sent() == ["a"]
 
 
-def test_a_keyed_request_stays_in_its_scope() -> None:
+def test_idempotency_keyed_request_stays_in_its_scope() -> None:
     """A keyed write may have executed in one zone, or at one shard.
 
-    Only nodes of that zone or shard know its key, so a retry goes there even where another node is free
-    sooner.
+    Only nodes of that zone or shard know its key, so a retry must go there even if another node is free
+    earlier.
     """
-    for scope, fresh in ((IdempotencyScope.ZONE, 3), (IdempotencyScope.SHARD, 1)):
+    for scope, retry_node in ((IdempotencyScope.ZONE, 3), (IdempotencyScope.SHARD, 1)):
         keyed = class_spec(latency_objective=2.0, idempotency=Idempotency.KEYED, idempotency_scope=scope)
         front = DrivenFront(settings([keyed]), [endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)])
         front.scheduler.nodes[1].queue_delay = 0.001
@@ -77,4 +76,4 @@
         front.scheduler.nodes[1].paused_until = 110.0 if scope is IdempotencyScope.ZONE else 101.0
         front.finish("a", AttemptOutcome.CONNECTION_RESET)
         front.run_until(101.2)
-        assert front.log[-1] == SendAttempt("a", fresh)
+        assert front.log[-1] == SendAttempt("a", retry_node)
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -1,4 +1,4 @@
-"""The middleware in an aiohttp.web application, with handlers in the place of backends."""
+"""The middleware in an aiohttp.web application, with handlers in place of backends."""
 
 from __future__ import annotations
 
@@ -16,10 +16,12 @@
 
 
 class MiddlewareTest(unittest.IsolatedAsyncioTestCase):
-    async def ask(self, method: str, script: list[object], node: bool = True) -> tuple[int, list[int | None]]:
-        """The status, and the node of each run of the handler, which does as scripted."""
+    async def send(
+        self, method: str, script: list[object], has_node: bool = True
+    ) -> tuple[int, list[int | None]]:
+        """Return the status, and the node of each run of the handler, which follows ``script``."""
         core = Core(two_classes(plans=[plan_spec(base_rate=80.0, reserved_rate=80.0)]))
-        if node:
+        if has_node:
             core.notify(listed(Directory({}), instance("s-0", 1), whole=True))
         runs: list[int | None] = []
 
@@ -34,8 +36,8 @@
         async def describe(request: web.Request) -> RequestArrived | None:
             if request.path == "/free":
                 return None
-            kind = int(request.method == "PUT")
-            return RequestArrived(core.new_id(), kind, 0, 1, 1, 0, 1.0, core.now() + 1.0, 1)
+            class_index = int(request.method == "PUT")
+            return RequestArrived(core.new_id(), class_index, 0, 1, 1, 0, 1.0, core.now() + 1.0, 1)
 
         app = web.Application(middlewares=[scheduled(core, describe)])
         app.router.add_route("*", "/{path:.*}", handler)
@@ -43,17 +45,17 @@
             response = await client.request(method.split()[0], method.split()[1])
             return response.status, runs
 
-    async def test_a_handler_runs_at_the_node_that_the_core_names(self) -> None:
-        assert await self.ask("GET /tile", [200]) == (200, [1])
-        assert await self.ask("GET /free", [200]) == (200, [None])
+    async def test_handler_runs_with_the_node_chosen_by_the_core(self) -> None:
+        assert await self.send("GET /tile", [200]) == (200, [1])
+        assert await self.send("GET /free", [200]) == (200, [None])
 
-    async def test_a_write_runs_again_only_if_it_was_never_executed(self) -> None:
-        assert await self.ask("PUT /tile", [NeverExecutedError(), 201]) == (201, [1, 1])
-        assert await self.ask("PUT /tile", [500, 201]) == (500, [1])
-        assert await self.ask("PUT /tile", [RuntimeError("half done"), 201]) == (502, [1])
+    async def test_handler_of_a_write_runs_again_only_if_it_never_executed(self) -> None:
+        assert await self.send("PUT /tile", [NeverExecutedError(), 201]) == (201, [1, 1])
+        assert await self.send("PUT /tile", [500, 201]) == (500, [1])
+        assert await self.send("PUT /tile", [RuntimeError("half done"), 201]) == (502, [1])
 
-    async def test_an_http_exception_is_the_answer_of_the_handler(self) -> None:
-        assert await self.ask("GET /tile", [web.HTTPNotFound()]) == (404, [1])
+    async def test_handler_http_exception_is_its_response(self) -> None:
+        assert await self.send("GET /tile", [web.HTTPNotFound()]) == (404, [1])
 
-    async def test_without_a_node_a_request_is_rejected(self) -> None:
-        assert await self.ask("GET /tile", [200], node=False) == (503, [])
+    async def test_request_without_a_node_is_rejected(self) -> None:
+        assert await self.send("GET /tile", [200], has_node=False) == (503, [])
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -1,4 +1,4 @@
-"""Ordering by key: requests of ordered classes for one item."""
+"""Ordering by key: requests of ordered classes for the same item."""
 
 from cleatyoke.scheduling.events import (
     AttemptOutcome,
@@ -10,7 +10,7 @@
 ORDERED = class_spec(ordered=True)
 
 
-def test_requests_of_one_key_run_one_at_a_time_in_order() -> None:
+def test_ordering_requests_of_a_key_run_one_at_a_time_in_order() -> None:
     front = DrivenFront(settings([ORDERED, ORDERED]), [endpoint(1, 1)])
     front.step(
         front.arrival("a", item=5), front.arrival("b", item=5, class_index=1), front.arrival("c", item=6)
@@ -20,11 +20,8 @@
     assert front.sent()[-1] == "b"
 
 
-def test_a_key_rests_after_an_attempt_that_may_still_execute() -> None:
-    """A write times out, and its node may still be applying it.
-
-    The next write to the item must not overtake it.
-    """
+def test_ordering_key_is_paused_after_an_attempt_that_may_still_execute() -> None:
+    """A write times out while its node may still be applying it. The next write must not overtake it."""
     front = DrivenFront(
         settings([class_spec(ordered=True, idempotency=Idempotency.NOT_IDEMPOTENT)]), [endpoint(1, 1)]
     )
@@ -36,10 +33,10 @@
     assert front.sent() == ["a", "b"]
 
 
-def test_a_disconnected_client_s_request_holds_its_key_while_its_attempt_is_in_flight() -> None:
+def test_ordering_disconnected_request_blocks_its_key_while_in_flight() -> None:
     """A client disconnects while its write is in flight.
 
-    The write may still be applied, so the next one to the item waits until its attempt has ended.
+    The write may still be applied, so the next write to the item must wait until its attempt has ended.
     """
     front = DrivenFront(settings([ORDERED]), [endpoint(1, 1)])
     front.step(front.arrival("a", item=5), front.arrival("b", item=5))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: which queued request a node takes next, and where a new object goes."""
+"""Placement: which queued request a node is sent next, and where a new object goes."""
 
 from cleatyoke.scheduling.actions import (
     SendAttempt,
@@ -9,7 +9,7 @@
 from tests.driven_front import DrivenFront, class_spec, endpoint, settings
 
 
-def test_idle_slots_are_used_beyond_a_class_s_own() -> None:
+def test_placement_class_beyond_its_slots_uses_idle_ones() -> None:
     front = DrivenFront(settings(), [endpoint(1, 1)])
     front.scheduler.nodes[1].class_slots = [1]
     for number in range(6):
@@ -17,8 +17,8 @@
     assert front.sent() == ["r0", "r1", "r2", "r3"]
 
 
-def test_a_class_within_its_slots_goes_before_one_beyond_them() -> None:
-    """A valuable class has used its slots and still has requests queued.
+def test_placement_class_within_its_slots_goes_first() -> None:
+    """A high-priority class has used its slots and has more requests queued.
 
     A request of the other class, which has a slot left, must not wait for them.
     """
@@ -31,14 +31,14 @@
     assert front.sent() == ["a", "c"]
 
 
-def test_new_objects_go_where_they_are_answered_soonest() -> None:
+def test_placement_new_objects_go_to_the_node_that_answers_soonest() -> None:
     front = DrivenFront(settings(), [endpoint(1, 1), endpoint(2, 2)])
     front.scheduler.nodes[1].queue_delay, front.scheduler.nodes[2].queue_delay = 0.2, 0.05
     front.step(front.arrival("a", shard=None), front.arrival("b", shard=None))
     assert [action.node_id for action in front.log if isinstance(action, SendAttempt)] == [2, 2]
 
 
-def test_requests_within_the_reserve_go_before_more_valuable_ones_beyond_it() -> None:
+def test_placement_requests_within_the_reserve_go_before_more_valuable_ones_beyond_it() -> None:
     front = DrivenFront(
         settings([class_spec(priority_weight=2.0), class_spec(priority_weight=3.0)]), [endpoint(1, 1)]
     )
@@ -46,16 +46,13 @@
     node.concurrency_limit, node.class_slots = 1.0, [1, 1]
     front.request("out")
     front.scheduler.volumes[1].reserve.level = 0.0
-    front.step(front.arrival("dear", class_index=1), front.arrival("reserved", volume_id=2))
+    front.step(front.arrival("valuable", class_index=1), front.arrival("reserved", volume_id=2))
     front.finish("out", AttemptOutcome.SERVED)
     assert front.sent()[:2] == ["out", "reserved"]
 
 
-def test_late_requests_wait_for_those_that_can_still_be_in_time() -> None:
-    """A request has waited so long that its answer will be late.
-
-    A newer one that can still be in time goes first.
-    """
+def test_placement_late_requests_wait_for_those_still_in_time() -> None:
+    """A request whose answer will be late must not delay a newer one that can still be in time."""
     front = DrivenFront(settings(), [endpoint(1, 1)])
     front.scheduler.nodes[1].concurrency_limit = 1.0
     front.request("out")
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: the budget, the most attempts, and timeouts of attempts."""
+"""Retries: the retry budget, the maximum number of attempts, and attempt timeouts."""
 
 import pytest
 
@@ -16,19 +16,18 @@
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope, RequestClass
 from tests.driven_front import DrivenFront, class_spec, endpoint, plan_spec, settings
 
-ONCE = class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)
+NOT_IDEMPOTENT_CLASS = class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)
 
 
-def answers(actions: list[SchedulerAction], request: str) -> list[type]:
-    finals = (Reject, FailRequest)
-    return [type(action) for action in actions if isinstance(action, finals) and action.request_id == request]
+def final_answers(actions: list[SchedulerAction], request: str) -> list[type]:
+    types = (Reject, FailRequest)
+    return [type(action) for action in actions if isinstance(action, types) and action.request_id == request]
 
 
-def test_an_overdue_attempt_is_cancelled_and_its_request_rejected() -> None:
-    """An answer is lost at a front's only slot.
+def test_attempt_timeout_overdue_attempt_is_cancelled_and_its_request_rejected() -> None:
+    """The answer of an attempt in a front's only slot is lost.
 
-    The attempt is cancelled when the objective has passed, its request is rejected, and the slot serves the
-    next request.
+    The attempt must be cancelled once the objective has passed, its request rejected, and the slot freed.
     """
     front = DrivenFront(settings(front_count=8), [endpoint(1, 1)])
     front.request("lost")
@@ -37,47 +36,52 @@
     assert front.request("next") == [SendAttempt("next", 1)]
 
 
-@pytest.mark.parametrize(("late", "pace", "until"), [(0.1, 0.5, 1.5), (0.2, 0.5, 3.0), (0.0, 0.2, 0.5)])
-def test_a_slow_answer_is_waited_for_by_what_it_is_worth(late: float, pace: float, until: float) -> None:
-    front = DrivenFront(settings([class_spec(late_value=late)], front_count=8), [endpoint(1, 1)])
-    front.scheduler.nodes[1].service_time_per_unit = pace
-    began = front.now
-    front.request("slow", deadline=began + 9.0)
-    assert front.run_until(began + until - 0.1) == []
-    assert front.run_until(began + until + 0.2) == [CancelAttempt("slow", 0)]
+@pytest.mark.parametrize(
+    ("late_value", "service_time", "timeout"), [(0.1, 0.5, 1.5), (0.2, 0.5, 3.0), (0.0, 0.2, 0.5)]
+)
+def test_attempt_timeout_grows_with_the_value_of_a_late_answer(
+    late_value: float, service_time: float, timeout: float
+) -> None:
+    front = DrivenFront(settings([class_spec(late_value=late_value)], front_count=8), [endpoint(1, 1)])
+    front.scheduler.nodes[1].service_time_per_unit = service_time
+    sent_at = front.now
+    front.request("slow", deadline=sent_at + 9.0)
+    assert front.run_until(sent_at + timeout - 0.1) == []
+    assert front.run_until(sent_at + timeout + 0.2) == [CancelAttempt("slow", 0)]
 
 
 @pytest.mark.parametrize(
-    "kind", [ONCE, class_spec(idempotency=Idempotency.KEYED, idempotency_scope=IdempotencyScope.SHARD)]
+    "request_class",
+    [
+        NOT_IDEMPOTENT_CLASS,
+        class_spec(idempotency=Idempotency.KEYED, idempotency_scope=IdempotencyScope.SHARD),
+    ],
 )
-def test_no_attempt_is_cancelled_that_could_not_be_retried(kind: RequestClass) -> None:
-    front = DrivenFront(settings([kind]), [endpoint(1, 1)])
+def test_attempt_timeout_attempt_that_cannot_be_retried_is_kept(request_class: RequestClass) -> None:
+    front = DrivenFront(settings([request_class]), [endpoint(1, 1)])
     front.request("a")
     assert front.run_until(front.now + 1.9) == []
 
 
-def test_an_idempotent_request_is_retried_up_to_the_most_attempts() -> None:
+def test_retries_idempotent_request_is_sent_up_to_max_attempts() -> None:
     front = DrivenFront(settings(), [endpoint(1, 1)])
     front.request("a", deadline=130.0)
     for _ in range(3):
         assert front.scheduler.requests["a"].in_flight
         last = front.finish("a", AttemptOutcome.ERROR)
-    assert answers(last, "a") == [Reject]
+    assert final_answers(last, "a") == [Reject]
     assert front.sent() == ["a"] * 3
 
 
-def test_a_request_never_has_two_attempts_in_flight() -> None:
+def test_retries_request_never_has_two_attempts_in_flight() -> None:
     front = DrivenFront(settings(), [endpoint(1, 1)])
     front.request("a")
     front.run_until(101.9)
     assert front.sent() == ["a"]
 
 
-def test_retries_stay_within_the_budget() -> None:
-    """Every attempt fails.
-
-    Without a budget the fleet would be sent each request several times, just when it bears least.
-    """
+def test_retry_budget_limits_retries() -> None:
+    """While every attempt fails, unlimited retries would multiply the load on nodes that are overloaded."""
     budget = {"retry_budget_minimum": 1.0, "retry_budget_ratio": 0.0, "retry_budget_window": 1.0}
     front = DrivenFront(settings([class_spec(latency_objective=2.0)], safety=budget), [endpoint(1, 1)])
     front.step(front.arrival("a"), front.arrival("b"))
@@ -88,7 +92,7 @@
     assert front.sent() == ["a", "b", "a", "b"]
 
 
-def test_the_retry_budget_grows_with_accepted_requests() -> None:
+def test_retry_budget_grows_with_accepted_requests() -> None:
     budget = {"retry_budget_minimum": 0.0, "retry_budget_ratio": 0.5, "retry_budget_window": 1.0}
     front = DrivenFront(settings([class_spec(latency_objective=2.0)], safety=budget), [endpoint(1, 1)])
     front.request("a")
@@ -99,7 +103,7 @@
 
 
 def front_with_lost_answer(repeat: Idempotency) -> DrivenFront:
-    """``a`` is out at a node that has answered ``b``, which was sent later."""
+    """Return a front with ``a`` in flight at a node that has answered ``b``, which was sent later."""
     front = DrivenFront(
         settings([class_spec(idempotency=repeat)], [plan_spec(base_rate=80.0, reserved_rate=80.0)]),
         [endpoint(1, 1)],
@@ -112,23 +116,24 @@
     return front
 
 
-def test_a_read_whose_answer_is_lost_is_cancelled_in_time_for_a_retry() -> None:
+def test_attempt_timeout_read_with_a_lost_answer_is_cancelled_in_time_for_a_retry() -> None:
     """The answer to a read is lost, as an answer to a later request shows.
 
-    The read is cancelled early enough for a second attempt within its objective, and the node is not blamed.
+    The read must be cancelled early enough for a second attempt within its objective, and the loss must not
+    count as a failure of the node.
     """
     front = front_with_lost_answer(Idempotency.IDEMPOTENT)
-    depth = front.scheduler.nodes[1].concurrency_limit
+    limit = front.scheduler.nodes[1].concurrency_limit
     assert CancelAttempt("a", 0) in front.step(at=front.now + LOST_ANSWER_FRACTION * 0.5)
     front.finish("a", AttemptOutcome.CANCELLED, elapsed=0.5)
-    assert front.scheduler.nodes[1].concurrency_limit == depth, "a lost answer is no failure of its node"
+    assert front.scheduler.nodes[1].concurrency_limit == limit, "a lost answer is no failure of its node"
     assert front.log[-1] == SendAttempt("a", 1)
 
 
-def test_a_write_whose_answer_is_lost_gives_its_slot_back_and_is_not_retried() -> None:
-    """The answer to a write that must not repeat is lost.
+def test_attempt_timeout_write_with_a_lost_answer_frees_its_slot_and_is_not_retried() -> None:
+    """The answer to a write that is not idempotent is lost.
 
-    Its slot is given back once the objective has passed, and the client is told that it failed.
+    Its slot must be freed once the objective has passed, and the client told that the request failed.
     """
     front = front_with_lost_answer(Idempotency.NOT_IDEMPOTENT)
     assert front.step(at=front.now + LOST_ANSWER_FRACTION * 0.5) == []
--- a/tests/test_shutdown_of_requests.py
+++ b/tests/test_shutdown_of_requests.py
@@ -1,4 +1,4 @@
-"""What becomes of requests that are in flight as the process shuts down."""
+"""Requests that are in flight when the process shuts down."""
 
 from __future__ import annotations
 
@@ -18,46 +18,46 @@
 )
 from cleatyoke.scheduling.settings import Idempotency
 from tests.driven_front import class_spec, endpoint
-from tests.driven_front import settings as host_settings
+from tests.driven_front import settings as scheduler_settings
 
 
-class RequestsInFlight(unittest.IsolatedAsyncioTestCase):
-    async def test_requests_in_flight_are_answered_before_the_process_exits(self) -> None:
-        """Clients would wait for 8 s, and the process has 0.3 s left.
+class RequestsInFlightTest(unittest.IsolatedAsyncioTestCase):
+    async def test_shutdown_answers_requests_in_flight_before_the_process_exits(self) -> None:
+        """Clients have a deadline of 8 s, and the process has 0.3 s left.
 
-        Each request must be answered by then: those at a node that hangs have failed, and the one that
-        was never sent is rejected.
+        Each request must be answered by then: those at a node that hangs fail, and the one that was never
+        sent is rejected.
         """
-        core = Core(host_settings([class_spec(), class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)]))
+        core = Core(scheduler_settings([class_spec(), class_spec(idempotency=Idempotency.NOT_IDEMPOTENT)]))
         nodes = [endpoint(1, 1), endpoint(2, 2, state=EndpointState.DRAINING)]
         core.notify(EndpointUpdate(UpdateKind.SNAPSHOT, nodes))
         sent: list[str] = []
 
-        def ask(name: str, kind: int, cell: int) -> asyncio.Task[object]:
-            async def hang(_node: int, _may: MayBegin) -> AttemptResult[None]:
+        def serve(name: str, class_index: int, shard: int) -> asyncio.Task[object]:
+            async def hang(_node: int, _may_begin: MayBegin) -> AttemptResult[None]:
                 sent.append(name)
                 await asyncio.sleep(60)
                 return AttemptResult(AttemptOutcome.SERVED)
 
-            arrival = RequestArrived(name, kind, 0, 1, None, cell, 1.0, core.now() + 8.0, 1)
+            arrival = RequestArrived(name, class_index, 0, 1, None, shard, 1.0, core.now() + 8.0, 1)
             return asyncio.create_task(core.serve(arrival, hang))
 
-        calls = {"read": ask("read", 0, 1), "write": ask("write", 1, 1), "held": ask("held", 1, 2)}
+        calls = {"read": serve("read", 0, 1), "write": serve("write", 1, 1), "queued": serve("queued", 1, 2)}
         await asyncio.sleep(0.1)
         assert sent == ["read", "write"]
         core.begin_shutdown(core.now() + 0.3)
         async with asyncio.timeout(1.0):
             answers = {name: type(await call) for name, call in calls.items()}
-        assert answers == {"read": Failed, "write": Failed, "held": Rejected}
-        assert sent == ["read", "write"]  # nothing is sent for which no answer could come
+        assert answers == {"read": Failed, "write": Failed, "queued": Rejected}
+        assert sent == ["read", "write"]  # nothing is sent that could not be answered in time
 
-    async def test_an_attempt_cancelled_at_its_timeout_costs_no_other_request_its_decision(self) -> None:
+    async def test_cancellation_at_a_timeout_does_not_affect_other_requests(self) -> None:
         """After a pause of the process, one request's timeout and its cancellation are due at once.
 
-        The cancellation of an attempt that no longer exists must not keep the decisions of the same step
-        from the other requests.
+        Cancelling an attempt that has already timed out must not prevent the other decisions of the same
+        step.
         """
-        core = Core(host_settings())
+        core = Core(scheduler_settings())
         core.pending |= {name: PendingRequest() for name in ("late", "other")}
         decisions = [CancelAttempt("late", 0), FailRequest("other")]
         with (
@@ -67,7 +67,7 @@
             async with asyncio.timeout(0) as core.pending["late"].attempt_timeout:
                 try:
                     await asyncio.sleep(1)
-                finally:  # its time is up, and it has not ended yet
+                finally:  # the timeout has expired, and the attempt has not ended yet
                     core.pending["late"].attempts = 1
                     core.step()
         assert core.pending["other"].decisions.get_nowait() == FailRequest("other")
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: framing, bad input, faults, and instances that start and stop."""
+"""The simulator's adapter: framing, malformed input, scheduler faults, and starts and stops of instances."""
 
 from __future__ import annotations
 
@@ -87,13 +87,13 @@
     return [step for step in reply["steps"] if step["type"] != "TIMER"]
 
 
-def test_a_request_is_sent_and_unknown_keys_are_ignored() -> None:
+def test_request_is_sent_and_unknown_keys_are_ignored() -> None:
     adapter = simulator.SimulatorAdapter()
-    got = steps(adapter, [*born(), request("a")])
-    assert got == [{"type": "ROUTE", "Head": 0, "Req": "a", "Shelf": 11}]
+    actions = steps(adapter, [*born(), request("a")])
+    assert actions == [{"type": "ROUTE", "Head": 0, "Req": "a", "Shelf": 11}]
 
 
-def test_empty_batches_and_end_of_input() -> None:
+def test_serve_empty_batches_are_answered_until_end_of_input() -> None:
     sink = io.StringIO()
     simulator.serve(io.StringIO(batch(1, []) + "\n" + batch(2, []) + "\n"), sink)
     assert [json.loads(line) for line in sink.getvalue().splitlines()] == [
@@ -102,43 +102,43 @@
     ]
 
 
-def test_a_batch_of_megabytes_is_answered() -> None:
+def test_reply_answers_a_batch_of_megabytes() -> None:
     adapter = simulator.SimulatorAdapter()
-    got = steps(adapter, [*born(), *(request(f"r{number}") for number in range(8000))])
-    assert 1 <= len(got) <= 8
+    actions = steps(adapter, [*born(), *(request(f"r{number}") for number in range(8000))])
+    assert 1 <= len(actions) <= 8
 
 
-def test_a_stopped_instance_acts_no_more_and_a_new_one_starts_with_nothing() -> None:
+def test_instance_stopped_sends_nothing_and_a_new_one_starts_empty() -> None:
     adapter = simulator.SimulatorAdapter()
     steps(adapter, [*born(), request("a")])
-    got = steps(adapter, [request("b"), {"type": "SHUTDOWN", "Head": 0}, *born(), request("c")])
-    assert [step["Req"] for step in got] == ["c"]
+    actions = steps(adapter, [request("b"), {"type": "SHUTDOWN", "Head": 0}, *born(), request("c")])
+    assert [step["Req"] for step in actions] == ["c"]
     assert steps(adapter, [{"type": "SHUTDOWN", "Head": 0}, request("d")]) == []
 
 
-def test_instances_share_nothing() -> None:
+def test_instances_are_independent() -> None:
     adapter = simulator.SimulatorAdapter()
-    together = steps(adapter, [*born(0), *born(1), request("a", 0), request("b", 1)])
-    assert together == [
+    actions = steps(adapter, [*born(0), *born(1), request("a", 0), request("b", 1)])
+    assert actions == [
         {"type": "ROUTE", "Head": head, "Req": name, "Shelf": 11} for head, name in ((0, "a"), (1, "b"))
     ]
 
 
-def test_an_exception_in_the_scheduler_is_reported_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
+def test_scheduler_exception_is_reported_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(*_: object) -> None:
         msg = "out of slots"
         raise RuntimeError(msg)
 
-    monkeypatch.setattr(simulator.Scheduler, "step", broken)
-    got = steps(simulator.SimulatorAdapter(), born())
-    assert got == [{"type": "INTERNAL_ERROR", "Head": 0, "Msg": "RuntimeError: out of slots"}]
+    monkeypatch.setattr(simulator.Scheduler, "step", raise_error)
+    actions = steps(simulator.SimulatorAdapter(), born())
+    assert actions == [{"type": "INTERNAL_ERROR", "Head": 0, "Msg": "RuntimeError: out of slots"}]
 
 
 @pytest.mark.parametrize(
     "line",
     ["tea", "[]", '{"TsS":1}', '{"TsS":1,"round":1,"news":[{"type":"TEA","Head":0}]}', '{"TsS":1,"round":1,'],
 )
-def test_malformed_line_ends_with_one_plain_message(line: str) -> None:
+def test_malformed_line_exits_with_one_line_on_stderr(line: str) -> None:
     command = [sys.executable, "-B", "-m", "cleatyoke.simulator"]
     result = subprocess.run(command, cwd=ROOT, input=line + "\n", capture_output=True, text=True)
     assert result.returncode == 2
