--- a/cleatyoke/fleet/view.py
+++ b/cleatyoke/fleet/view.py
@@ -197,7 +197,7 @@
             case DeliverLeaseMessage():
                 self.lease_trading.receive(action)
             case MembershipChanged(change, member, suspected_by):
-                if change is ChangeKind.RENAMED and self.durable_state:
+                if change is ChangeKind.BOOT_NUMBER_RAISED and self.durable_state:
                     self.durable_state.save()
                 log.info(
                     "fleet_change",
--- a/cleatyoke/membership/actions.py
+++ b/cleatyoke/membership/actions.py
@@ -41,7 +41,9 @@
     RETURNED = "returned"  # it was suspected or believed dead, and is alive
     LEFT = "left"
     PAUSED = "away"  # this process itself was suspended for a while and has detected it
-    RENAMED = "renamed"  # this process took a higher boot number because its own was already in use
+    BOOT_NUMBER_RAISED = (
+        "renamed"  # this process took a higher boot number because its own was already in use
+    )
 
 
 @dataclass(slots=True, frozen=True)
--- a/cleatyoke/membership/merging.py
+++ b/cleatyoke/membership/merging.py
@@ -100,7 +100,7 @@
         self.id = MemberId(self.id.name, boot + 1)
         self.incarnation = 0
         self.announce_self()
-        self.actions.append(MembershipChanged(ChangeKind.RENAMED, self.id))
+        self.actions.append(MembershipChanged(ChangeKind.BOOT_NUMBER_RAISED, self.id))
 
     def declare_expired_suspects_dead(self) -> None:
         """Declare suspected members dead that have not refuted in time."""
--- a/cleatyoke/scheduling/admission.py
+++ b/cleatyoke/scheduling/admission.py
@@ -56,7 +56,7 @@
         filled_at = max(0.0, state.quota_clock.time(state.now) - ASSUMED_IDLE_TIME)
         slack = 0.0 if state.settings.replaces_process else plan.rate_limit_slack * SLACK_FRACTION
         bucket = TokenBucket(slack / front_count, filled_at)
-        volume = Volume(reserve, bucket, self._multipliers.before_first_use(volume_id))
+        volume = Volume(reserve, bucket, self._multipliers.initial_multiplier(volume_id))
         state.volumes[volume_id] = volume
         return volume
 
--- a/cleatyoke/scheduling/outlier_detection.py
+++ b/cleatyoke/scheduling/outlier_detection.py
@@ -7,7 +7,7 @@
 from cleatyoke.scheduling.regression import GAIN, clamp
 from cleatyoke.scheduling.retries import NEVER_EXECUTED
 from cleatyoke.scheduling.service_estimates import ServiceEstimates
-from cleatyoke.scheduling.state import QUEUE_FRACTION, SchedulerState
+from cleatyoke.scheduling.state import QUEUE_DELAY_FRACTION, SchedulerState
 from cleatyoke.scheduling.verdict import ALLOWED, Rule, Verdict
 
 MAX_CONCURRENCY = 8.0  # attempts in flight at a node: initially over all fronts, at most for each front
@@ -84,5 +84,5 @@
             node.queue_delay += gain * (waited - node.queue_delay)
         if event.outcome in NEVER_EXECUTED:
             # Keeps requests from using up their attempts on dead nodes that are still listed, or full queues.
-            backoff = min(2**node.consecutive_failures, 1 / QUEUE_FRACTION)
+            backoff = min(2**node.consecutive_failures, 1 / QUEUE_DELAY_FRACTION)
             node.paused_until = state.now + state.queue_delay_target * backoff
--- a/cleatyoke/scheduling/quotas.py
+++ b/cleatyoke/scheduling/quotas.py
@@ -53,7 +53,7 @@
     def __init__(self) -> None:
         self._multipliers: dict[int, float] = {}
 
-    def before_first_use(self, volume_id: int) -> float:
+    def initial_multiplier(self, volume_id: int) -> float:
         """Return the multiplier for the time before this front's first use of a volume.
 
         At most 1: quota leased to other fronts may have been used by them, and quota leased from other fronts
--- a/cleatyoke/scheduling/state.py
+++ b/cleatyoke/scheduling/state.py
@@ -15,7 +15,7 @@
 SEND_MARGIN = 0.04  # seconds left before a deadline or the end of an idempotency window, for timers and sends
 RETENTION = 60.0  # seconds until an unused volume or node is dropped: its buckets are full long before
 # Fraction of the shortest objective for waiting at a node; the rest is for service and queueing here.
-QUEUE_FRACTION = 0.125
+QUEUE_DELAY_FRACTION = 0.125
 UNKNOWN_FRONT_COUNT = math.inf  # an even share among an unknown number of fronts is 0
 
 
@@ -61,7 +61,9 @@
         self.front_count = settings.front_count if settings.front_count > 0 else UNKNOWN_FRONT_COUNT
         self.priority_weights = [spec.priority_weight for spec in settings.classes]
         # Longest time in seconds that a request should wait in a node's queue.
-        self.queue_delay_target = QUEUE_FRACTION * min(spec.latency_objective for spec in settings.classes)
+        self.queue_delay_target = QUEUE_DELAY_FRACTION * min(
+            spec.latency_objective for spec in settings.classes
+        )
         total_weight = sum(plan.fair_share_weight for plan in settings.plans)
         weight_per_class = total_weight / len(settings.classes) or 1.0
         # Initial and lowest surplus rate of a node: units per second, per weight, beyond a volume's reserve.
--- a/tests/recorded/fleet_adapter.py
+++ b/tests/recorded/fleet_adapter.py
@@ -72,7 +72,7 @@
     ChangeKind.RETURNED: "returned",
     ChangeKind.LEFT: "left",
     ChangeKind.PAUSED: "away",
-    ChangeKind.RENAMED: "renamed",
+    ChangeKind.BOOT_NUMBER_RAISED: "renamed",
 }
 STAGES = {
     "disk": StartStage.DISK,
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -50,12 +50,12 @@
     "Siblings": 2,
     "Unheard": {"of": 1},
 }
-SHELF = {"Pack": 0, "UpSinceS": None, "Shelf": 11, "Area": 0, "StageState": "live", "Scale": 1}
+LIST_ENTRY = {"Pack": 0, "UpSinceS": None, "Shelf": 11, "Area": 0, "StageState": "live", "Scale": 1}
 
 
 def born(head: int = 0) -> list[dict[str, Any]]:
     return [
-        {"type": "CATALOG", "Slot": 0, "Elements": [SHELF]},
+        {"type": "CATALOG", "Slot": 0, "Elements": [LIST_ENTRY]},
         {"type": "BORN", "Head": head, "RngSeed": 1, "Facts": FACTS},
         {"type": "ROSTER_CHANGE", "Head": head, "Slot": 0, "Revision": 1, "Mode": "warm_copy"},
     ]
