--- a/cleatyoke/__init__.py
+++ b/cleatyoke/__init__.py
@@ -1,9 +1,9 @@
-"""cleatyoke: a front (load balancer) before storage nodes.
+"""cleatyoke: a front (load balancer) for storage nodes.
 
-The "protocol page", "settings page" and "operations page" that docstrings name are documents of the platform;
-docs/glossary.md maps their words to this repository's.
+The "protocol page", "settings page" and "operations page" in docstrings are documents of the platform;
+docs/glossary.md maps their terms to those of this repository.
 """
 
 import time
 
-PROCESS_STARTED_AT = time.time()  # Unix time, before the slow imports
+PROCESS_STARTED_AT = time.time()  # Unix time; taken before the slow imports
--- a/cleatyoke/__main__.py
+++ b/cleatyoke/__main__.py
@@ -1,4 +1,4 @@
-"""The daemon's command: ``python -m cleatyoke [--fronts FILE]``."""
+"""Entry point of the daemon: ``python -m cleatyoke [--fronts FILE]``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import NoReturn
 
-from cleatyoke.process import fast_import  # noqa: F401  before anything imports aiohttp
+from cleatyoke.process import fast_import  # noqa: F401  must precede every import of aiohttp
 
 # isort: split
 from cleatyoke.config.deployment import read_config
@@ -23,7 +23,8 @@
 
 def main(arguments: Sequence[str] = ()) -> int:
     """Run the daemon and return its exit status (``docs/exits.md``)."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it, it would end the process
+    # The default action would end the process if SIGHUP came before the loop handles it.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     configure_logging()
     try:
         fronts_file = read_arguments(arguments)
@@ -35,7 +36,7 @@
 
 
 def read_arguments(arguments: Sequence[str]) -> Path:
-    """Return the fronts file: the one under ``deploy/`` unless another is named. Raises ``ConfigError``."""
+    """Return the fronts file: that of ``--fronts`` or the one in ``deploy/``. Raises ``ConfigError``."""
     if not arguments:
         return FRONTS_FILE
     if len(arguments) != 2 or arguments[0] != "--fronts":
@@ -44,11 +45,11 @@
     return Path(arguments[1])
 
 
-def exit_at_once(status: int) -> NoReturn:
-    """End the process without the end of the interpreter.
+def exit_immediately(status: int) -> NoReturn:
+    """Exit the process without finalizing the interpreter.
 
-    Everything is released by now, and taking all modules and objects apart takes longest when the machine is
-    busy, which is when SIGKILL is near.
+    All resources are already released. Finalizing modules and objects takes longest on a busy machine, where
+    the process is most likely to run into SIGKILL.
     """
     sys.stdout.flush()
     sys.stderr.flush()
@@ -56,4 +57,4 @@
 
 
 if __name__ == "__main__":
-    exit_at_once(main(sys.argv[1:]))
+    exit_immediately(main(sys.argv[1:]))
--- a/cleatyoke/process/__init__.py
+++ b/cleatyoke/process/__init__.py
@@ -1,1 +1,1 @@
-"""The process of a front: its start and shutdown, faults, logging, metrics, and upgrades."""
+"""The front's process: start, shutdown, fault handling, logging, metrics and upgrades."""
--- a/cleatyoke/process/command_line.py
+++ b/cleatyoke/process/command_line.py
@@ -1,4 +1,4 @@
-"""The way in which this package's commands end on a bad option: one line that names it, and exit status 2."""
+"""How commands of this package report an invalid option: one line that names it, and exit status 2."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def run_command(command: click.Command, arguments: Sequence[str] | None, program: str) -> int:
     """Run a command and return its exit status; ``program`` is its name in the usage text.
 
-    ``arguments`` of ``None``: those of the process.
+    Where ``arguments`` is ``None``, the arguments of the process are used.
     """
     args = None if arguments is None else list(arguments)
     try:
--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -1,4 +1,4 @@
-"""One process of a front: how its parts are put together, started, run and shut down."""
+"""One process of a front: assembly, start, service and shutdown of its components."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
     from cleatyoke.fleet.view import FleetView
     from cleatyoke.http.load_probes import LoadProbeRunner
 
-FIRST_LIST_TIMEOUT = 1.0  # seconds for discovery's first list where no cached one is configured
-DRAIN_POLL_INTERVAL = 0.02  # seconds between checks of what is still open during a shutdown
+FIRST_LIST_TIMEOUT = 1.0  # seconds to wait for discovery's first list where no cached list is configured
+DRAIN_POLL_INTERVAL = 0.02  # seconds between checks for open connections during a shutdown
 log = structlog.get_logger()
 
 
 class Daemon:
-    """The parts of one process. Made on the running loop, whose signal handlers it sets."""
+    """The components of one process. Created on the running event loop, whose signal handlers it installs."""
 
     def __init__(self, config: Config, fronts_file: Path) -> None:
         self.config = config
@@ -59,7 +59,7 @@
         self.metrics = Metrics()
         self.faults = Faults(self.metrics)
         self.faults.watch_loop(self.loop)
-        # First, so that an older process of this front sees this one as early as possible.
+        # Created first, so that an older process of this front sees this one's marker as early as possible.
         self.siblings = SiblingProcesses(config.state_dir, config.settings, self.faults, PROCESS_STARTED_AT)
         self.core = Core(config.settings)
         self.directory = Directory(config.zones)
@@ -78,7 +78,7 @@
             config.settings.front_count,
             config.seed,
             self.faults,
-            # Without a watch, an agent that serves this front alone is polled.
+            # Without watches, the discovery agent serves only this front and is polled.
             own_agent=not config.settings.watches_endpoints,
             drain_grace=config.drain_grace,
         )
@@ -93,16 +93,16 @@
         self._file_service_closing: asyncio.Task[None] | None = None
 
     def request_shutdown(self) -> None:
-        """SIGTERM or SIGINT came."""
+        """Handle SIGTERM or SIGINT: begin the shutdown at the first one."""
         if self.lifecycle.request_shutdown(self.loop.time()):
             self.shutdown_requested.set()
 
     def node_counts(self) -> NodeCounts:
-        """Return how many nodes are listed and how many receive nothing."""
+        """Return how many nodes are listed, and how many of them are sent no requests."""
         return NodeCounts(len(self.directory.instances), self.directory.count_unavailable())
 
     def shutdown_deadlines(self) -> ShutdownDeadlines:
-        """Return the deadlines of a shutdown by the present settings."""
+        """Return the shutdown deadlines that follow from the current settings."""
         classes = self.config.settings.classes
         return ShutdownDeadlines.from_grace_period(
             self.config.termination_grace_period(),
@@ -112,23 +112,23 @@
     # Start
 
     async def start(self) -> None:
-        """Do all that can fail before the first client is accepted. Raises ``ConfigError``.
+        """Run every step that can fail before the first client is accepted. Raises ``ConfigError``.
 
-        Where a shutdown is requested while the start waits for the fleet, it ends without a listener.
+        If a shutdown is requested while the start waits for the fleet, returns without opening a listener.
         """
         config = self.config
         if config.settings.load_by_probes:
             self.probes = optional_parts.start_load_probes(self)
         self._apply_cached_endpoints()
-        self._make_http_server()
+        self._create_http_server()
         self.discovery.start()
         if config.distribution:
             self.subscription = optional_parts.subscribe(self, config.distribution)
         self.loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
         if config.fleet:
-            self._open_control()  # early, so that operators can ask what the start waits for
+            self._open_control()  # opened early, so that operators can query the progress of the start
             await optional_parts.start_fleet_view(self, config.fleet)
-            if self.shutdown_requested.is_set():  # it may have waited for long, and nothing is owed yet
+            if self.shutdown_requested.is_set():  # the wait may be long, and no client has been accepted
                 self.lifecycle.abandon_start()
                 return
         await self._listen()
@@ -146,13 +146,13 @@
             listing = read_endpoint_list(self.config.cached_endpoints)
             self.discovery.apply(listing, UpdateKind.CACHED)
         except InvalidListError as error:
-            log.warning("known_list_skipped", why=str(error))
+            log.warning("cached_list_skipped", why=str(error))
 
-    def _make_http_server(self) -> None:
-        """Make the server, which is ready at once where there is a cached endpoint list.
+    def _create_http_server(self) -> None:
+        """Create the server, which is ready immediately where a cached endpoint list has entries.
 
-        A fleet whose fronts all restart at once would otherwise wait for an overloaded discovery, and all
-        requests meanwhile would be lost, which costs more than stale entries of the list.
+        If all fronts of a fleet restart together, they would otherwise wait for an overloaded discovery
+        service and lose all requests meanwhile, which costs more than stale list entries.
         """
         timeout = 0.0 if self.directory.instances else FIRST_LIST_TIMEOUT
         ready_at = self.loop.time() + timeout
@@ -198,7 +198,7 @@
     # Service and shutdown
 
     async def serve(self) -> None:
-        """Serve until a shutdown is requested, and return when it is complete."""
+        """Serve until a shutdown is requested; return when the shutdown is complete."""
         if self.lifecycle.stage is Stage.CLOSING:
             log.info("leaving", open=0)
             self._carry_out(ShutdownStep.RELEASE_RESOURCES)
@@ -206,8 +206,8 @@
             return
         self.lifecycle.start_serving()
         gc.collect()
-        gc.enable()  # ``fast_import`` left it off
-        gc.freeze()  # objects made by the start are not collected; later collections skip them
+        gc.enable()  # ``fast_import`` disabled it
+        gc.freeze()  # objects created by the start live as long as the process; collections skip them
         log.info(
             "ready",
             name=self.config.name,
@@ -218,19 +218,19 @@
         log.info("leaving", open=len(self.core.pending))
         self.http_server.begin_shutdown(self._seconds_until_answers_due())
         if self.fleet:
-            self.fleet.save_state()  # now, so that a slow disk does not hold up the exit
+            self.fleet.save_state()  # before draining, so that a slow disk does not delay the exit
         await self._shut_down()
         self._finish()
 
     def _finish(self) -> None:
-        """Log the last line; the process may exit."""
-        # ``down`` is not counted at the exit: it is always 0 in this line.
+        """Log the last line, and mark the lifecycle as ended."""
+        # Unavailable nodes are not counted at the exit: ``front.hosts_down`` is always 0 in this line.
         stat_lines = self.metrics.stat_lines(list(self.config.classes), len(self.directory.instances), 0)
         log.info(
             "left",
             faults=self.metrics.faults,
             seconds_left=round(self._seconds_until_answers_due(), 3),
-            figures=" ".join(stat_lines),
+            counters=" ".join(stat_lines),
         )
         self.lifecycle.finish()
 
@@ -238,7 +238,7 @@
         return self.lifecycle.answers_due_at() - self.loop.time()
 
     async def _shut_down(self) -> None:
-        """Carry out each step of the lifecycle when it is due, whatever fault another step had."""
+        """Carry out each shutdown step when it is due, even if another step has failed."""
         while True:
             is_closing = self._file_service_is_closing()
             steps = self.lifecycle.step(
@@ -265,14 +265,14 @@
             case ShutdownStep.STOP_ACCEPTING:
                 self.http_server.stop_accepting()
             case ShutdownStep.REPORT_UNANSWERED:
-                if self.core.pending:  # otherwise only connections that their clients have not closed yet
+                if self.core.pending:  # otherwise only connections that clients have not closed yet are open
                     log.warning("left_unanswered", open=len(self.core.pending))
             case ShutdownStep.RELEASE_RESOURCES:
                 self._release()
 
     def _release(self) -> None:
-        """Release each resource by itself: one that fails must not keep the others, nor fail the exit."""
-        steps = {  # by the name that a fault of the step has in the log
+        """Release each resource separately: a failure must not affect the others or the exit status."""
+        steps = {  # by the step name that the log gives for a fault
             "discovery": self.discovery.stop,
             "fleet": self._stop_fleet if self.fleet else None,
             "distribution": self.subscription.stop if self.subscription else None,
@@ -289,15 +289,16 @@
                     release()
 
     def _stop_fleet(self) -> None:
-        """Leave the fleet, and wait for the disk no longer than the exit has time for."""
+        """Leave the fleet; wait for the last write to the disk only as long as the exit deadline permits."""
         assert self.fleet
         self.fleet.stop(self.lifecycle.flush_due_at() - self.loop.time())
 
 
 async def run(config: Config, fronts_file: Path = FRONTS_FILE) -> ExitStatus:
-    """Run one process from its start to its end.
+    """Run one process from start to exit.
 
-    A fault at the start is a ``ConfigError``; a later one is reported and ends the process with status FAULT.
+    An unforeseen exception during the start is reported and raised as a ``ConfigError``; a later one is
+    reported and ends the process with status FAULT.
     """
     daemon = Daemon(config, fronts_file)
     try:
@@ -310,6 +311,6 @@
         raise ConfigError(msg) from error
     try:
         await daemon.serve()
-    except Exception as error:  # noqa: BLE001  reported; the exit status says the rest
+    except Exception as error:  # noqa: BLE001  reported here and by the exit status
         daemon.faults.report("serve_fault", error, stage=daemon.lifecycle.stage.value)
     return daemon.lifecycle.status
--- a/cleatyoke/process/fast_import.py
+++ b/cleatyoke/process/fast_import.py
@@ -1,11 +1,11 @@
-"""A cheaper import of aiohttp: the daemon imports this module before anything else that imports aiohttp.
+"""Imports aiohttp at a lower cost: the daemon imports this module before any other that imports aiohttp.
 
-On import, aiohttp makes a TLS context and reads the system's certificates into it. That takes 0.1 s of
-processor time and 2 MB, of a start of 0.4 s (docs/fleet.md), and the daemon speaks no TLS. The clients of a
-restarted front pay for each tenth of a second. So the certificates are an empty file during that import.
+On import, aiohttp creates a TLS context and loads the system's certificates into it. That takes 0.1 s of
+processor time, of a start of 0.4 s, and 2 MB (docs/fleet.md), and the daemon does not use TLS. Each tenth of
+a second delays the clients of a restarted front. The certificate store is therefore empty during the import.
 
-The garbage collector is off from here until the daemon serves, as the imports leave nothing to collect. The
-library part of the project does not import this module.
+The garbage collector is disabled from here until the daemon serves, as the imports leave nothing to collect.
+Modules that are used as a library do not import this one.
 """
 
 import gc
--- a/cleatyoke/process/faults.py
+++ b/cleatyoke/process/faults.py
@@ -1,7 +1,7 @@
-"""Containment of unforeseen exceptions: each is counted and logged, and the process goes on.
+"""Containment of unforeseen exceptions: each is counted and logged, and the process continues.
 
-asyncio alone does neither: a task that dies is reported when it is garbage collected, a timer that raises is
-not set again, and both go to the standard logger, where nobody counts them.
+asyncio alone is not enough: a task that fails is reported only when it is garbage collected, a timer whose
+callback raises is not rescheduled, and both are reported to the standard logger, which does not count them.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 
 
 class Faults:
-    """Counts and logs the exceptions that nothing foresaw."""
+    """Counts and logs unforeseen exceptions."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
 
     def report(self, event: str, error: BaseException | None, **fields: Any) -> None:
-        """Count one fault and log it under this event name, with its trace."""
+        """Count one fault, and log it under this event name with its traceback."""
         self.metrics.faults += 1
         log.error(event, exc_info=error, **fields)
 
     def watch_loop(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Report what the loop would hand to the standard logger: callbacks, protocols, lost tasks."""
+        """Report failures of callbacks, protocols and unawaited tasks, which the loop would only log."""
         loop.set_exception_handler(self._report_from_loop)
 
     def _report_from_loop(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -44,18 +44,18 @@
 
     @contextlib.contextmanager
     def contain(self, name: str) -> Iterator[None]:
-        """Run one step of several that must all run: an exception is reported and ends only this step."""
+        """Run one of several steps that must all run: an exception is reported and ends this step only."""
         try:
             yield
-        except Exception as error:  # noqa: BLE001  containing every exception is its job
+        except Exception as error:  # noqa: BLE001  contains every exception by design
             self.report("step_fault", error, step=name)
 
 
 class PeriodicCall:
-    """Calls ``action`` on the event loop at once and then every ``interval`` seconds until it is stopped.
+    """Calls ``action`` on the event loop immediately and then every ``interval`` seconds until stopped.
 
-    A call that raises is reported, and the next one comes all the same: a duty such as reading the other
-    process's holds never stops silently, as it would with a plain timer that is not set again.
+    A call that raises is reported and does not prevent the next one. With a plain timer, which is not
+    rescheduled after an exception, a task such as polling the other process's holds would stop silently.
     """
 
     def __init__(self, faults: Faults, name: str, interval: float, action: Callable[[], None]) -> None:
@@ -66,29 +66,29 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Call now, and from now on."""
+        """Call the action now, and schedule the next call."""
         self.timer = asyncio.get_running_loop().call_later(self.interval, self.start)
         with self.faults.contain(self.name):
             self.action()
 
     def stop(self) -> None:
-        """Call no more."""
+        """Cancel all further calls."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
 
 
 async def run_forever(
-    faults: Faults, name: str, duty: Callable[[], Awaitable[None]], delay: Callable[[], float]
+    faults: Faults, name: str, action: Callable[[], Awaitable[None]], delay: Callable[[], float]
 ) -> None:
-    """Run ``duty`` again, ``delay()`` seconds after each time it ended, until this is cancelled.
+    """Run ``action`` repeatedly, ``delay()`` seconds after each run has ended, until cancelled.
 
-    Without it a watch that died of an exception would leave the front serving for ever by the last endpoint
-    list, drained nodes included.
+    An exception is reported and does not prevent the next run. Otherwise a discovery watch that failed would
+    leave the front using the last endpoint list for ever, drained nodes included.
     """
     while True:
         try:
-            await duty()
-        except Exception as error:  # noqa: BLE001  a duty survives every exception
-            faults.report("duty_fault", error, duty=name)
+            await action()
+        except Exception as error:  # noqa: BLE001  contains every exception by design
+            faults.report("duty_fault", error, task=name)
         await asyncio.sleep(delay())
--- a/cleatyoke/process/file_service.py
+++ b/cleatyoke/process/file_service.py
@@ -1,4 +1,4 @@
-"""The file service of a front, where the fronts file enables it."""
+"""The SFTP file service of a front, with optional VRRP; the fronts file enables it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FileService:
-    """The SFTP server; with VRRP it is open only while this instance is the master. Off without a server."""
+    """The SFTP server; with VRRP, open only while this instance is master. Disabled without a server."""
 
     def __init__(self, server: SftpServer | None = None, carrier: VrrpCarrier | None = None) -> None:
         self.server = server
@@ -22,10 +22,10 @@
 
     @classmethod
     async def start(cls, config: Config, core: Core, directory: Directory) -> FileService:
-        """Start what the configuration enables; raises ``OSError`` where an address cannot be bound."""
+        """Start the service as configured; raises ``OSError`` if an address cannot be bound."""
         if config.sftp is None:
             return cls()
-        # Imported only where the service is on, as imports cost start time.
+        # Imported only where the service is enabled, as imports lengthen the start.
         from cleatyoke.sftp.backends import SftpBackends
         from cleatyoke.sftp.server import SftpServer
         from cleatyoke.vrrp.carrier import VrrpCarrier
@@ -50,8 +50,8 @@
         await carrier.start()
         return cls(server, carrier)
 
-    async def close(self, timeout: float) -> None:  # noqa: ASYNC109  the server ends its sessions by it
-        """Stop accepting sessions, and end those that are open within ``timeout`` seconds."""
+    async def close(self, timeout: float) -> None:  # noqa: ASYNC109  passed on to the server
+        """Stop accepting sessions, and end the open ones within ``timeout`` seconds."""
         if self.carrier:
             await self.carrier.stop()
         if self.server:
--- a/cleatyoke/process/front_drain.py
+++ b/cleatyoke/process/front_drain.py
@@ -1,4 +1,4 @@
-"""The drain of a whole front by an operator. No I/O."""
+"""An operator's drain of a whole front. No I/O."""
 
 from __future__ import annotations
 
@@ -7,21 +7,22 @@
 
 @dataclass(slots=True)
 class FrontDrain:
-    """Whether operators drain this front.
+    """Whether an operator is draining this front.
 
-    A draining front answers no to ``GET /up`` and closes client connections with their answers.
+    A draining front reports itself as unavailable at ``GET /up``, and closes each client connection after
+    the answer to its request.
     """
 
     draining: bool = False
 
     def start(self) -> None:
-        """Begin to drain."""
+        """Begin the drain."""
         self.draining = True
 
     def resume(self) -> None:
-        """Accept clients again."""
+        """End the drain: accept clients again."""
         self.draining = False
 
     def is_up(self, ready: bool) -> bool:
-        """Return what ``GET /up`` says of a front that is ready otherwise."""
+        """Return whether ``GET /up`` reports the front as available; ``ready``: its state without a drain."""
         return ready and not self.draining
--- a/cleatyoke/process/hold_file.py
+++ b/cleatyoke/process/hold_file.py
@@ -1,4 +1,4 @@
-"""The operator's holds on nodes, kept in a file so that both processes of an upgrade have the same ones."""
+"""Operators' holds on nodes, stored in a file that both processes of an upgrade share."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from cleatyoke.process.faults import Faults, PeriodicCall
 from cleatyoke.scheduling.events import EndpointUpdate, UpdateKind
 
-HOLD_FILE_NAME = "cleatyoke-holds.json"  # in $TMPDIR; ``OperatorHolds.encode`` says what it contains
+HOLD_FILE_NAME = "cleatyoke-holds.json"  # in $TMPDIR; the format is that of ``OperatorHolds.encode``
 HOLD_POLL_INTERVAL = 0.25  # seconds
 log = structlog.get_logger()
 
 
 class HoldFile:
-    """Applies holds and releases here, and exchanges them with the other process of this front.
+    """Applies holds and releases in this process, and exchanges them with the other process of this front.
 
-    A change by an operator here is made under a lock on a second file: the other process's changes are read
-    first, then the change is made, and the whole set is written anew. ``apply_remote`` only writes the whole
-    set, without that lock. The event loop polls the file for changes by the other process. A file that
-    cannot be read or written is logged, and the change holds in this process only.
+    An operator's change in this process is made under a lock on a second file: the other process's changes
+    are read first, then the change is applied, and the whole set is rewritten. ``apply_remote`` only rewrites
+    the whole set, without that lock. The event loop polls the file for changes by the other process. If the
+    file cannot be read or written, that is logged and the change applies to this process only.
     """
 
     def __init__(self, folder: Path, directory: Directory, core: Core, faults: Faults) -> None:
@@ -34,23 +34,24 @@
         self.directory = directory
         self.core = core
         self.loop = core.loop
-        self.on_local_change: Callable[[str, bool], None] | None = None  # of a command that was given here
+        # Called after an operator's command to this process has changed a hold.
+        self.on_local_change: Callable[[str, bool], None] | None = None
         self.poll_timer = PeriodicCall(faults, "holds", HOLD_POLL_INTERVAL, self.poll)
-        self._mutex = threading.Lock()  # the control thread changes holds as well
+        self._mutex = threading.Lock()  # the control thread also changes holds
         self._last_stamp: tuple[int, int] | None = None  # of the file when it was last read or written
 
     def start(self) -> None:
-        """Read the file now, and poll it from now on."""
+        """Read the file now, and begin to poll it."""
         self.poll_timer.start()
 
     def stop(self) -> None:
-        """Poll no more; the file stays for the other process."""
+        """Stop polling; the file remains for the other process."""
         self.poll_timer.stop()
 
     def disable(self, name: str) -> bool:
         """Hold a node, from the control thread; return whether the node is known.
 
-        New attempts are kept off the node at once, and the scheduler learns of it in its next turn.
+        New attempts to the node stop immediately; the scheduler is notified in the next turn of the loop.
         """
         return self._change(name, True)
 
@@ -59,13 +60,13 @@
         return self._change(name, False)
 
     def poll(self) -> None:
-        """On the loop: apply what the other process has changed."""
+        """On the event loop: apply the changes that the other process has made."""
         with self._mutex:
             changed = self._read_changes()
         self._notify(changed)
 
     def apply_remote(self, held: frozenset[str], released: frozenset[str]) -> None:
-        """On the loop: apply what other fronts have held and released."""
+        """On the event loop: apply the holds and releases of other fronts."""
         with self._mutex:
             now = self.core.now()
             for name in held:
@@ -75,7 +76,7 @@
             try:
                 self._write()
             except OSError as error:
-                log.warning("holds_not_kept", why=str(error))
+                log.warning("hold_file_error", why=str(error))
         self._notify([*held, *released])
 
     def _change(self, name: str, disable: bool) -> bool:
@@ -87,7 +88,7 @@
                     is_known = self._apply(name, disable)
                     self._write()
             except OSError as error:
-                log.warning("holds_not_kept", why=str(error))
+                log.warning("hold_file_error", why=str(error))
                 changed = []
                 is_known = self._apply(name, disable)
         self.loop.call_soon_threadsafe(self._notify, [*changed, name])
@@ -101,19 +102,19 @@
         return holds.disable(name, known) if disable else holds.enable(name, known, self.core.now())
 
     def _notify(self, names: Iterable[str]) -> None:
-        """On the loop: report nodes whose hold has changed to the scheduler and the backend pools."""
+        """On the event loop: report nodes whose hold has changed to the scheduler and the backend pools."""
         if entries := self.directory.refresh(list(names)):
             self.core.notify(EndpointUpdate(UpdateKind.DELTA, entries))
 
     def _read_changes(self) -> list[str]:
-        """Return the nodes whose hold the other process has changed since the last call."""
+        """Return the nodes whose hold the other process has changed since the last read."""
         stamp = self._file_stamp()
         if stamp is None or stamp == self._last_stamp:
             return []
         self._last_stamp = stamp
         try:
             text = self.path.read_text()
-        except (OSError, ValueError):  # removed meanwhile, or not text
+        except (OSError, ValueError):  # removed since ``_file_stamp``, or not valid text
             return []
         changes = self.directory.holds.merge(text, self.core.now())
         return changes.held + changes.released
@@ -126,7 +127,7 @@
 
     def _file_stamp(self) -> tuple[int, int] | None:
         try:
-            facts = self.path.stat()
+            status = self.path.stat()
         except OSError:
             return None
-        return facts.st_mtime_ns, facts.st_size
+        return status.st_mtime_ns, status.st_size
--- a/cleatyoke/process/lifecycle.py
+++ b/cleatyoke/process/lifecycle.py
@@ -1,18 +1,20 @@
-"""The stages of the process, from start to exit, as a state machine, without I/O or a clock.
-
-    stage      leaves it when                                          step given to the caller
-    STARTING   the start has succeeded                                 none
-    STARTING   the start was abandoned for a shutdown: CLOSING          none
-    SERVING    SIGTERM or SIGINT came                                  none
-    ACCEPTING  ``file_service_closes`` has passed: no new stage        CLOSE_FILE_SERVICE
-    ACCEPTING  ``accepting_ends`` has passed                           STOP_ACCEPTING
-    DRAINING   nothing is open, or ``answers_due`` has passed          REPORT_UNANSWERED, RELEASE_RESOURCES
-    CLOSING    the caller has released everything                      none
-    ENDED      never
-
-A graceful shutdown takes time on purpose: after SIGTERM new connections keep coming for over 0.7 s and are
-served, accepted requests are answered, and the process exits before SIGKILL (protocol page, Figures: a
-planned restart). The caller brings the time and the number of open connections, and carries out the steps.
+"""State machine of the process's stages, from start to exit; no I/O and no clock.
+
+    stage      event or condition                                      next stage           steps to carry out
+    STARTING   the start has succeeded                                 SERVING              none
+    STARTING   the start has succeeded after SIGTERM or SIGINT         ACCEPTING            none
+    STARTING   the start is abandoned after SIGTERM or SIGINT          CLOSING              none
+    SERVING    SIGTERM or SIGINT is received                           ACCEPTING            none
+    ACCEPTING  ``file_service_closes`` has passed                      ACCEPTING            CLOSE_FILE_SERVICE
+    ACCEPTING  ``accepting_ends`` has passed                           DRAINING             STOP_ACCEPTING
+    DRAINING   nothing is open                                         CLOSING              RELEASE_RESOURCES
+    DRAINING   ``answers_due`` has passed with something open          CLOSING              REPORT_UNANSWERED,
+                                                                                            RELEASE_RESOURCES
+    CLOSING    the caller has released all resources                   ENDED                none
+
+A graceful shutdown is deliberately slow: new connections, which clients open for over 0.7 s after SIGTERM,
+are served; accepted requests are answered; and the process exits before SIGKILL (protocol page, Figures: a
+planned restart). The caller supplies the time and the number of open connections, and carries out the steps.
 """
 
 from __future__ import annotations
@@ -22,40 +24,39 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MIN_ACCEPTING_TIME = (
-    0.75  # seconds after SIGTERM in which all connections are accepted: the page's 0.7, and slack
-)
-ATTEMPTS_FOR_LAST_REQUEST = 2.0  # a first attempt and a retry, of the shortest latency objective each
-EXIT_MARGIN = 0.15  # seconds for the exit itself: release, the last log line and the end of the process
-FLUSH_MARGIN = 0.05  # seconds of the exit margin for the last write to the disk
+# Seconds after SIGTERM for which connections are accepted: the 0.7 of the protocol page, plus a margin.
+MIN_ACCEPTING_TIME = 0.75
+ATTEMPTS_FOR_LAST_REQUEST = 2.0  # in shortest latency objectives: a first attempt and a retry
+EXIT_MARGIN = 0.15  # seconds to release resources, write the last log line and exit
+FLUSH_MARGIN = 0.05  # seconds of EXIT_MARGIN reserved for the last write to the disk
 
 
 class Stage(Enum):
-    """The stages of the process, in order; the values are logged."""
+    """The stages of the process, in order. The values appear in the log."""
 
-    STARTING = "starting"  # a fault ends the process: no client has been accepted yet
+    STARTING = "starting"  # no client has been accepted; a fault ends the process
     SERVING = "serving"
-    ACCEPTING = "accepting"  # shutdown was requested; requests and new connections are still served
-    DRAINING = "draining"  # nothing new is accepted; accepted requests are being answered
-    CLOSING = "closing"  # everything is answered, or the grace period has run out
+    ACCEPTING = "accepting"  # shutdown requested; new connections and requests are still served
+    DRAINING = "draining"  # no new connections; accepted requests are being answered
+    CLOSING = "closing"  # all requests are answered, or the grace period has expired
     ENDED = "ended"
 
 
 class ShutdownStep(Enum):
-    """What the caller is to do next; the values are logged where a step fails."""
+    """Steps for the caller to carry out. The values appear in the log."""
 
-    CLOSE_FILE_SERVICE = "close_files"  # earlier, as its commands may take longer than HTTP requests
+    CLOSE_FILE_SERVICE = "close_files"  # first, as file commands may take longer than HTTP requests
     STOP_ACCEPTING = "stop_accepting"
-    REPORT_UNANSWERED = "abandon"  # the grace period ran out with something open
-    RELEASE_RESOURCES = "release"  # backend connections, discovery, markers; then ``finish``
+    REPORT_UNANSWERED = "abandon"  # the grace period has expired with connections open
+    RELEASE_RESOURCES = "release"  # e.g. backend connections, discovery, marker; followed by ``finish``
 
 
 class ExitStatus(Enum):
     """Exit statuses of the process (``docs/exits.md``)."""
 
-    STOPPED = 0  # a graceful shutdown was requested and carried out
-    FAULT = 1  # an unforeseen exception while the process served; never expected
-    START_FAILED = 2  # one line on standard error names the key
+    STOPPED = 0  # after a complete graceful shutdown
+    FAULT = 1  # an unforeseen exception after the start
+    START_FAILED = 2  # one line on standard error names the faulty key
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,15 +65,15 @@
 
     file_service_closes: float  # the file service stops accepting
     accepting_ends: float  # the HTTP listener stops accepting
-    answers_due: float  # every accepted request is answered, or never will be
+    answers_due: float  # each accepted request is answered by then, or never
 
     @classmethod
     def from_grace_period(cls, grace_period: float, latency_objectives: Sequence[float]) -> ShutdownDeadlines:
         """Derive the deadlines from the seconds between SIGTERM and SIGKILL.
 
-        Connections are accepted for as long as the class with the shortest latency objective (seconds) can
-        still be answered, as clients may have no other front to go to. Slower requests have their deadline
-        cut to ``answers_due``, and are rejected at once where they cannot meet it.
+        Connections are accepted for as long as requests of the class with the shortest latency objective
+        (seconds) can still be answered, as clients may have no other front to use. Slower requests have their
+        deadline reduced to ``answers_due``, and are rejected immediately if they cannot meet it.
         """
         answers_due = max(MIN_ACCEPTING_TIME, grace_period - EXIT_MARGIN)
         last_request = ATTEMPTS_FOR_LAST_REQUEST * min(latency_objectives, default=0.0)
@@ -84,29 +85,32 @@
 
 
 class Lifecycle:
-    """The one owner of the stage of the process and of its exit status. Times are seconds of one clock."""
+    """Owns the process's stage and exit status. All times are in seconds of one clock."""
 
     def __init__(self, deadlines: ShutdownDeadlines) -> None:
         self.deadlines = deadlines
         self.stage = Stage.STARTING
-        self.status = ExitStatus.START_FAILED  # if the process ended now
+        self.status = ExitStatus.START_FAILED  # the status if the process ended now
         self.shutdown_requested_at: float | None = None
         self.file_service_closed = False
 
     def start_serving(self) -> None:
-        """The start has succeeded. A signal that came before counts from when it came."""
+        """Enter SERVING, or ACCEPTING if a shutdown was requested during the start.
+
+        Its deadlines count from the signal, not from the end of the start.
+        """
         if self.stage is not Stage.STARTING:
             return
         self.stage = Stage.SERVING if self.shutdown_requested_at is None else Stage.ACCEPTING
         self.status = ExitStatus.FAULT
 
     def abandon_start(self) -> None:
-        """A shutdown was requested before any client was accepted: nothing is owed to anybody."""
+        """Enter CLOSING directly if a shutdown was requested before any client was accepted."""
         if self.stage is Stage.STARTING and self.shutdown_requested_at is not None:
             self.stage = Stage.CLOSING
 
     def request_shutdown(self, now: float) -> bool:
-        """SIGTERM or SIGINT came; return whether it is the first. Further ones change nothing."""
+        """Handle SIGTERM or SIGINT; return whether it is the first. Further signals have no effect."""
         if self.shutdown_requested_at is not None:
             return False
         self.shutdown_requested_at = now
@@ -115,22 +119,22 @@
         return True
 
     def set_deadlines(self, deadlines: ShutdownDeadlines) -> None:
-        """Use other deadlines after a reload; a shutdown that has begun keeps its own."""
+        """Replace the deadlines after a reload; a shutdown in progress keeps its own."""
         if self.shutdown_requested_at is None:
             self.deadlines = deadlines
 
     def answers_due_at(self) -> float:
-        """Return when each answer is due, whatever its own deadline; infinite before a shutdown."""
+        """Return when all answers are due, whatever their own deadlines; infinite before a shutdown."""
         if self.shutdown_requested_at is None:
             return math.inf
         return self.shutdown_requested_at + self.deadlines.answers_due
 
     def flush_due_at(self) -> float:
-        """Return until when the exit may wait for the disk; infinite before a shutdown."""
+        """Return the deadline for the last write to the disk; infinite before a shutdown."""
         return self.answers_due_at() + FLUSH_MARGIN
 
     def step(self, now: float, connections: int, *, file_service_is_closing: bool) -> list[ShutdownStep]:
-        """Return the steps that are due, each once; ``connections``: those still open."""
+        """Return the steps that have become due, each once; ``connections``: the number still open."""
         if self.shutdown_requested_at is None:
             return []
         elapsed = now - self.shutdown_requested_at
@@ -159,7 +163,7 @@
         return [ShutdownStep.RELEASE_RESOURCES]
 
     def next_step_at(self) -> float:
-        """Return when a step is due even if nothing is closed by then; infinite while no time decides."""
+        """Return when the next step is due even if no connection closes; infinite if none depends on time."""
         if self.shutdown_requested_at is None:
             return math.inf
         if self.stage is Stage.DRAINING:
@@ -172,7 +176,7 @@
         return self.shutdown_requested_at + min(deadlines.file_service_closes, deadlines.accepting_ends)
 
     def finish(self) -> None:
-        """Everything is released; the process may exit with ``status``."""
+        """Enter ENDED after all resources are released; the process may exit with ``status``."""
         if self.stage is Stage.CLOSING:
             self.stage = Stage.ENDED
             self.status = ExitStatus.STOPPED
--- a/cleatyoke/process/logs.py
+++ b/cleatyoke/process/logs.py
@@ -1,4 +1,4 @@
-"""The format of the log, the same for every process: one line an event, ``key=value``, on standard error."""
+"""The log format of every process: one line per event, as ``key=value`` pairs on standard error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def configure_logging() -> None:
-    """Set the format, once, before the first line."""
+    """Configure the log format; called once, before the first event."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/cleatyoke/process/metrics.py
+++ b/cleatyoke/process/metrics.py
@@ -1,4 +1,4 @@
-"""The counters of one front, read by ``show-stat``, the log and the Prometheus exporter. No I/O."""
+"""Counters of one front, for ``show-stat``, the log and the Prometheus exporter. No I/O."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 
 
 class NodeCounts(NamedTuple):
-    """How many nodes are listed, and how many of these receive nothing."""
+    """How many nodes are listed, and how many of them are sent no requests."""
 
     listed: int
     down: int
 
 
 def outcome_of(status: int) -> str:
-    """Return the outcome of an HTTP status: success, busy (rejected; a retry is harmless) or failure."""
+    """Return the outcome of an HTTP status: success, busy (rejected; a retry is safe) or failure."""
     if status == 200:
         return "success"
     return "busy" if status in (429, 503) else "failure"
 
 
 class Metrics:
-    """Counted since the start of the process.
+    """Counters since the start of the process.
 
-    Written on the event loop and read from any thread; readers copy a dict before they iterate over it.
+    Written on the event loop and read from any thread; readers copy a dict before iterating over it.
     """
 
     def __init__(self) -> None:
         self.answers: dict[str, defaultdict[str, int]] = {name: defaultdict(int) for name in OUTCOMES}
-        self.backend_calls = 0  # attempts whose last byte was sent to a backend
-        self.in_flight = 0  # accepted requests that are not answered yet
+        self.backend_calls = 0  # attempts sent to a backend completely
+        self.in_flight = 0  # accepted requests not yet answered
         self.reloads_applied = 0
         self.reloads_rejected = 0
-        self.faults = 0  # unforeseen exceptions; not part of ``show-stat``
+        self.faults = 0  # unforeseen exceptions; not shown by ``show-stat``
 
     def count_answer(self, class_name: str, status: int) -> None:
         """Count one answer with this HTTP status."""
         self.answers[outcome_of(status)][class_name] += 1
 
     def stat_lines(self, classes: list[str], listed: int, down: int) -> list[str]:
-        """Return ``front.NAME=VALUE`` lines, in the words of the operations page's ``show-stat``.
+        """Return ``front.NAME=VALUE`` lines, named as in the operations page's ``show-stat``.
 
-        Each class stands under each outcome, classes that a reload has removed included.
+        Each outcome has a line for each class, including classes that a reload has removed.
         """
         lines = []
         for outcome in OUTCOMES:
-            counts = dict(self.answers[outcome])  # one step: the loop may add a class meanwhile
+            counts = dict(self.answers[outcome])  # a copy, as the loop may add a class concurrently
             for name in dict.fromkeys([*classes, *counts]):
                 lines.append(f"front.{outcome}.{name}={counts.get(name, 0)}")
         lines += [
--- a/cleatyoke/process/operator_commands.py
+++ b/cleatyoke/process/operator_commands.py
@@ -1,4 +1,4 @@
-"""What the operators' commands do in a daemon."""
+"""The implementation of the operators' commands in a daemon."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 if TYPE_CHECKING:
     from cleatyoke.process.daemon import Daemon
 
-HOLD_REPORT_TIMEOUT = 0.5  # seconds that a command waits for the other fronts to have the hold
+HOLD_REPORT_TIMEOUT = 0.5  # seconds that a command waits for the hold to reach the other fronts
 
 
 def operator_commands(daemon: Daemon) -> ControlCommands:
-    """Return the commands of a daemon, which may still be starting."""
+    """Return the commands for a daemon; they can be used while it is still starting."""
     server = daemon.http_server
     commands = ControlCommands(
         is_ready=lambda: (
--- a/cleatyoke/process/optional_parts.py
+++ b/cleatyoke/process/optional_parts.py
@@ -1,7 +1,7 @@
-"""Parts of the daemon that a configuration may enable, each imported only where it is on.
+"""Optional components of the daemon, each imported only where the configuration enables it.
 
-Imports cost start time, which the clients of a restarted front pay; some of the parts are optional extras.
-A part that cannot be imported or bound is a ``ConfigError`` that names its table.
+Imports lengthen the start, and thereby the wait of a restarted front's clients; some components are optional
+extras. A component that cannot be imported or bound raises a ``ConfigError`` that names its table.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def start_load_probes(daemon: Daemon) -> LoadProbeRunner:
-    """Start to probe nodes for their load, where they report it to probes only."""
+    """Start load probes, for nodes that report their load only to probes."""
     from cleatyoke.http.load_probes import LoadProbeRunner
     from cleatyoke.scheduling.load_probes import LoadProber
 
@@ -33,7 +33,7 @@
 
 
 def subscribe(daemon: Daemon, distribution_settings: DistributionSettings) -> Subscription:
-    """Start to receive distributed configuration. Serving waits for none of it."""
+    """Start receiving distributed configuration; the front serves without waiting for it."""
     try:
         from cleatyoke.distribution.subscription import Subscription
     except ImportError as error:
@@ -53,7 +53,7 @@
 
 
 def open_metrics_listener(daemon: Daemon, address: Address) -> MetricsListener:
-    """Start to serve the metrics to Prometheus."""
+    """Start the metrics endpoint for Prometheus."""
     try:
         from cleatyoke.admin.prometheus import MetricsListener
 
@@ -69,11 +69,11 @@
 
 
 async def start_fleet_view(daemon: Daemon, fleet_settings: FleetSettings) -> None:
-    """Go through what a front of a fleet waits for before it accepts clients, each within a bound.
+    """Run the staged start of a front of a fleet; each stage has a time limit.
 
-    These are its own durable state, the view of its peers, and the endpoint list
-    (``coordination.staged_start``). Sets the daemon's ``staged_start`` at once, and ``fleet`` once the view
-    has started, so that operators can ask how far the start has come.
+    Before it accepts clients, the front waits for its own durable state, for the view of its peers and for
+    the endpoint list (``coordination.staged_start``). Sets the daemon's ``staged_start`` first, and ``fleet``
+    once the view has started, so that operators can query the progress.
     """
     try:
         from cleatyoke.fleet.startup import StagedStartRunner
--- a/cleatyoke/process/reloading.py
+++ b/cleatyoke/process/reloading.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration while the process runs: by SIGHUP, or when distributed settings arrive."""
+"""Configuration reload in the running process, on SIGHUP or when distributed settings arrive."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class Reloader:
-    """Reads the configuration again and applies it as a whole, or not at all where it has any fault.
+    """Re-reads the configuration and applies it atomically: not at all if any part is invalid.
 
-    ``on_reloaded`` is called after each reload that was applied. Distributed settings win over the file's,
-    also at every later SIGHUP.
+    ``on_reloaded`` is called after each reload that was applied. Distributed settings take precedence over
+    those of the file, also at every later SIGHUP.
     """
 
     def __init__(
@@ -32,15 +32,15 @@
         self.fronts_file = fronts_file
         self.metrics = metrics
         self.on_reloaded = on_reloaded
-        self._settings_in_force: Callable[[Any], Any] = use_file_settings  # given the file's settings
+        self._settings_in_force: Callable[[Any], Any] = use_file_settings  # called with the file's settings
 
     def reload(self) -> None:
-        """Read the file again, at SIGHUP."""
+        """Handle SIGHUP: re-read the configuration file."""
         if reason := self._apply(self._settings_in_force):
             log.error("reload_failed", why=reason)
 
     def apply_distributed(self, settings: DistributedSettings) -> str:
-        """Apply distributed settings; return why they were rejected, or an empty text."""
+        """Apply distributed settings; return why they were rejected, or an empty string."""
         reason = self._apply(settings.merged)
         if not reason:
             self._settings_in_force = settings.merged
@@ -49,7 +49,7 @@
     def _apply(self, override_settings: Callable[[Any], Any]) -> str:
         try:
             result = self.config.reload(read_config(os.environ, self.fronts_file, override_settings))
-        except Exception as error:  # noqa: BLE001  the file can contain anything, and must not end the front
+        except Exception as error:  # noqa: BLE001  no content of the file may end the process
             self.metrics.reloads_rejected += 1
             return str(error) or type(error).__name__
         self.metrics.reloads_applied += 1
--- a/cleatyoke/process/sibling_processes.py
+++ b/cleatyoke/process/sibling_processes.py
@@ -1,4 +1,4 @@
-"""The processes of one front that run at the same time, as in an upgrade, and their shares of each limit."""
+"""Concurrent processes of one front, as during an upgrade, and the division of rate limits among them."""
 
 from __future__ import annotations
 
@@ -13,26 +13,29 @@
 from cleatyoke.scheduling.events import QuotaShareChanged, SchedulerEvent
 from cleatyoke.scheduling.settings import SchedulerSettings
 
-# Then the process id; the file is empty and stands in $TMPDIR. Older releases look for this name too.
-MARKER_PREFIX = "cleatyoke-life-"  # "life" and "lives", here and in the log: processes
-TAKEOVER_DELAY = (
-    0.15  # seconds after its marker from which a new process uses its share: the others saw it by then
-)
-SIBLING_POLL_INTERVAL = 0.05  # seconds; a process could use up the slack of a rate limit in 0.3 s
+# Prefix of the name of an empty marker file in $TMPDIR; the process id follows. Older releases use the same
+# name, so it must not change. "life" in it, and the step "lives" in the log, mean processes.
+MARKER_PREFIX = "cleatyoke-life-"
+# Seconds from its marker until a new process uses its share: the others have seen the marker by then.
+TAKEOVER_DELAY = 0.15
+SIBLING_POLL_INTERVAL = 0.05  # seconds; a process could exhaust the slack of a rate limit in 0.3 s
 log = structlog.get_logger()
 
 
 class SiblingProcesses:
-    """Counts the running processes of this front by their marker files, and divides the limits among them.
+    """Counts the running processes of this front by their marker files, and divides rate limits among them.
 
-    Without it, two processes of an upgrade would use each limit twice. A marker whose process is gone does
-    not count.
+    Otherwise two processes of an upgrade would each use the whole of every limit. The marker of a process
+    that no longer runs is ignored.
 
-    Made at the start, it tells the scheduler's settings what this process may use and from when: where an
-    older process runs, none of the slack, which that one has, and nothing until that one has seen the marker.
+    The constructor sets, in the scheduler's settings, which share of the limits this process may use and from
+    when. If an older process runs, the slack is left to that process, and this one gets no quota until the
+    older one has seen its marker.
     """
 
-    def __init__(self, folder: Path, settings: SchedulerSettings, faults: Faults, began: float) -> None:
+    def __init__(
+        self, folder: Path, settings: SchedulerSettings, faults: Faults, process_started_at: float
+    ) -> None:
         self.folder = folder
         self.marker = folder / f"{MARKER_PREFIX}{os.getpid()}"
         self.poll_timer = PeriodicCall(faults, "lives", SIBLING_POLL_INTERVAL, self.poll)
@@ -40,29 +43,29 @@
         try:
             self.marker.write_text("")
         except OSError as error:
-            log.warning("life_not_marked", why=str(error))
+            log.warning("process_marker_not_written", why=str(error))
         others = self._count_others()
-        self.quota_share = 1.0 / (1 + others)  # of every rate limit
+        self.quota_share = 1.0 / (1 + others)  # the fraction of every rate limit that this process may use
         settings.initial_quota_share = self.quota_share
         settings.replaces_process = others > 0
-        settings.idle_since = time.time() + TAKEOVER_DELAY if others else began
+        settings.idle_since = time.time() + TAKEOVER_DELAY if others else process_started_at
 
     def start(self, notify: Callable[[SchedulerEvent], None]) -> None:
-        """Count from now on; ``notify`` takes a ``QuotaShareChanged`` whenever the share changes."""
+        """Begin to poll; ``notify`` receives a ``QuotaShareChanged`` whenever the share changes."""
         self._notify = notify
         self.poll_timer.start()
 
     def stop(self) -> None:
-        """Count no more, and remove this process's marker."""
+        """Stop polling, and remove this process's marker."""
         self.poll_timer.stop()
         self.marker.unlink(missing_ok=True)
 
     def poll(self) -> None:
-        """Count the processes once."""
+        """Count the running processes, and update the share."""
         quota_share = 1.0 / (1 + self._count_others())
         if quota_share != self.quota_share:
             self.quota_share = quota_share
-            log.info("limits_shared", share=quota_share)
+            log.info("quota_share_changed", share=quota_share)
             self._notify(QuotaShareChanged(quota_share))
 
     def _count_others(self) -> int:
@@ -76,9 +79,9 @@
     except ProcessLookupError:
         return False
     except OSError:
-        return True  # it runs under another user
+        return True  # the process exists but belongs to another user
     return True
 
 
 def _ignore(_event: SchedulerEvent) -> None:
-    """Nothing is notified before ``start``."""
+    """Stand-in for ``notify`` before ``start``."""
