--- a/tests/daemon_process.py
+++ b/tests/daemon_process.py
@@ -1,4 +1,4 @@
-"""A daemon as a process of its own, for tests."""
+"""Starts a daemon as a separate process, for tests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     path = Path(folder) / "config.json"
     values = {"name": "n0", "listen": listen, "discovery": "127.0.0.1:1", "seed": "ff", "settings": FACTS}
     path.write_text(json.dumps(values))
-    kept = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -28,5 +28,5 @@
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
         pass_fds=fds,
-        env={**kept, **variables, "RELAY_CONFIG": str(path)},
+        env={**inherited, **variables, "RELAY_CONFIG": str(path)},
     )
--- a/tests/test_concurrent_starts.py
+++ b/tests/test_concurrent_starts.py
@@ -1,4 +1,4 @@
-"""Many daemons that start at once."""
+"""Many daemons starting at the same time."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 
 
 class ConcurrentStartTests(DaemonCase):
-    async def test_nine_in_ten_of_those_that_start_together_are_ready_in_time(self) -> None:
-        """Fronts start together with an old list, an empty one or none, and discovery says nothing.
+    async def test_concurrent_starts_without_discovery_are_ready_in_time(self) -> None:
+        """Fronts start together with a cached, an empty or no endpoint list; discovery does not respond.
 
-        A start that waited for discovery would not be ready in time.
+        A start that waited for discovery would not be ready in time. Nine in ten must be ready within 10 s.
         """
-        silent = await asyncio.start_server(lambda _reader, _writer: asyncio.sleep(60), "127.0.0.1", 0)
-        discovery = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
+        silent_agent = await asyncio.start_server(lambda _reader, _writer: asyncio.sleep(60), "127.0.0.1", 0)
+        discovery = f"127.0.0.1:{silent_agent.sockets[0].getsockname()[1]}"
         empty: dict[str, Any] = {"generation": 1, "reset": True, "instances": []}
-        old = {**empty, "instances": [listing_entry("SERVING")]}
-        loop, took = asyncio.get_running_loop(), []
+        cached = {**empty, "instances": [listing_entry("SERVING")]}
+        loop, start_times = asyncio.get_running_loop(), []
 
-        async def one(known: dict[str, Any]) -> None:
-            begun = loop.time()
+        async def start_one(known: dict[str, Any]) -> None:
+            started_at = loop.time()
             with tempfile.TemporaryDirectory() as folder:
                 daemon = await self.start_daemon(folder, known=known, discovery=discovery)
                 line = await self.wait_for_line(daemon, b"event='ready'")
                 port = int(line.split(b"port=")[1].split(b")")[0])
-                up = b""
-                while b" 200 " not in up:
+                status_line = b""
+                while b" 200 " not in status_line:
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
                     writer.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
-                    up = await reader.readline()
+                    status_line = await reader.readline()
                     writer.close()
                     await asyncio.sleep(0.02)
-                took.append(loop.time() - begun)
+                start_times.append(loop.time() - started_at)
                 daemon.kill()
                 await daemon.wait()
 
-        await asyncio.gather(*(one(known) for known in [old, empty, {}] * 4))
-        silent.close()
-        assert sorted(took)[int(0.9 * len(took))] < 10.0
+        await asyncio.gather(*(start_one(known) for known in [cached, empty, {}] * 4))
+        silent_agent.close()
+        assert sorted(start_times)[int(0.9 * len(start_times))] < 10.0
--- a/tests/test_exit_status.py
+++ b/tests/test_exit_status.py
@@ -1,4 +1,4 @@
-"""The exit status of the daemon, and what its log and standard error say."""
+"""Exit status, log and error output of the daemon."""
 
 from __future__ import annotations
 
@@ -19,11 +19,14 @@
 from tests.scripted_peers import FACTS
 
 
-class ExitStatuses(unittest.IsolatedAsyncioTestCase):
-    """The daemon as a process: its exit status and what its log says."""
+class ExitStatusTests(unittest.IsolatedAsyncioTestCase):
+    """Runs the daemon as a process, and checks its exit status and log."""
 
-    async def run_daemon(self, folder: str, signals: list[int], broken: str = "") -> tuple[int, bytes]:
-        """Start it, break the named file of TMPDIR once it serves, send the signals; status and log."""
+    async def run_daemon(self, folder: str, signals: list[int], file_to_block: str = "") -> tuple[int, bytes]:
+        """Start the daemon, send the signals once it is ready, and return its exit status and log.
+
+        Before the signals, ``file_to_block`` in TMPDIR is replaced by a directory of the same name.
+        """
         process = await start_daemon(folder, {"TMPDIR": folder}, ())
         assert process.stderr
         log = b""
@@ -33,11 +36,11 @@
                 if not line:
                     break
                 log += line
-            if broken:
-                path = Path(folder) / broken.replace("PID", str(process.pid))
+            if file_to_block:
+                path = Path(folder) / file_to_block.replace("PID", str(process.pid))
                 path.unlink(missing_ok=True)
                 path.mkdir()
-                await asyncio.sleep(0.4)  # it is polled meanwhile
+                await asyncio.sleep(0.4)  # the daemon polls it meanwhile
             for number in signals:
                 process.send_signal(number)
                 await asyncio.sleep(0.1)
@@ -45,13 +48,13 @@
             return await process.wait(), log
 
     def remove_marker(self, folder: str) -> None:
-        """Remove the marker that the test has made a directory."""
+        """Remove the directory that replaced the marker file."""
         next(Path(folder).glob("cleatyoke-life-*")).rmdir()
 
-    async def test_several_signals_cause_one_shutdown_with_status_0(self) -> None:
-        """An operator or the platform signals more than once.
+    async def test_several_signals_cause_one_shutdown_and_status_0(self) -> None:
+        """Operators or the platform may send several signals.
 
-        The shutdown must neither begin again nor be cut short, and must end with status 0.
+        The shutdown must neither restart nor be cut short, and must end with status 0.
         """
         with tempfile.TemporaryDirectory() as folder:
             status, log = await self.run_daemon(
@@ -60,31 +63,31 @@
         assert status == 0, log
         assert (log.count(b"event='leaving'"), log.count(b"event='left'")) == (1, 1), log
 
-    async def test_what_cannot_be_released_is_logged_and_the_status_is_still_0(self) -> None:
+    async def test_failed_release_step_is_logged_and_status_is_0(self) -> None:
         """The process's marker in $TMPDIR cannot be removed, as it has become a directory.
 
-        That step of the shutdown fails; the fault is logged, the other steps are taken, and the status is
-        0.
+        That step of the shutdown fails; the fault is logged, the other steps are carried out, and the exit
+        status is 0.
         """
         with tempfile.TemporaryDirectory() as folder:
-            status, log = await self.run_daemon(folder, [signal.SIGTERM], broken="cleatyoke-life-PID")
+            status, log = await self.run_daemon(folder, [signal.SIGTERM], file_to_block="cleatyoke-life-PID")
             self.remove_marker(folder)
         assert status == 0, log
         assert b"event='step_fault'" in log
         assert b"event='left'" in log
 
-    async def test_holds_that_cannot_be_read_end_neither_the_process_nor_the_polling(self) -> None:
-        """The hold file contains garbage. The front starts, serves and stops as if there were no holds."""
+    async def test_unreadable_hold_file_ends_neither_process_nor_polling(self) -> None:
+        """The hold file contains invalid bytes; the front starts, serves and stops as without holds."""
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "cleatyoke-holds.json").write_bytes(b"\xff\xfe\x00")
             status, log = await self.run_daemon(folder, [signal.SIGTERM])
         assert status == 0, log
         assert b"fault'" not in log
 
-    async def test_an_unforeseen_fault_at_the_start_is_status_2_with_one_line(self) -> None:
-        """The listener raises something that nobody foresaw.
+    async def test_unforeseen_exception_during_start_is_a_config_error(self) -> None:
+        """The listener raises an exception that the start does not expect.
 
-        No client was accepted yet, so the start fails with an error that names it.
+        No client has been accepted, so the start fails with an error that names the exception.
         """
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
@@ -95,14 +98,14 @@
             )
             config = read_config({"RELAY_CONFIG": str(path), "TMPDIR": folder})
             with (
-                mock.patch.object(daemon.HttpServer, "listen", side_effect=RuntimeError("odd")),
-                pytest.raises(ConfigError, match="start: RuntimeError: odd"),
+                mock.patch.object(daemon.HttpServer, "listen", side_effect=RuntimeError("unexpected")),
+                pytest.raises(ConfigError, match="start: RuntimeError: unexpected"),
             ):
                 await daemon.run(config)
 
-    def test_malformed_settings_are_errors_that_name_their_key(self) -> None:
-        """Files that the reader once answered with an IndexError, TypeError or RecursionError."""
-        for change, word in (
+    def test_malformed_settings_raise_errors_that_name_the_key(self) -> None:
+        """Malformed values must not cause an IndexError, TypeError or RecursionError, as these once did."""
+        for change, message in (
             ({"Lanes": []}, "settings.Lanes: want one"),
             ({"Contracts": []}, "settings.Contracts: want one"),
             ({"Extra": {"ChangesData": 7}}, "settings.Extra.ChangesData: want a list"),
@@ -117,5 +120,5 @@
                     if change is None
                     else json.dumps({**values, "settings": {**FACTS, **change}})
                 )
-                with pytest.raises(ConfigError, match=word):
+                with pytest.raises(ConfigError, match=message):
                     read_config({"RELAY_CONFIG": str(path)})
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Unforeseen exceptions: each is counted and reported, and the duty in which it came goes on."""
+"""Containment of unforeseen exceptions: each is counted, and periodic calls and watches continue."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from tests.scripted_peers import ScriptedDiscovery
 
 
-class ContainedFaults(unittest.IsolatedAsyncioTestCase):
-    async def test_a_periodic_call_goes_on_after_one_that_raises(self) -> None:
-        """The first call raises. It is counted as one fault, and the next calls come all the same."""
+class FaultContainmentTests(unittest.IsolatedAsyncioTestCase):
+    async def test_periodic_call_continues_after_an_exception(self) -> None:
+        """The first call raises; it is counted as one fault, and the following calls are made."""
         metrics, calls = Metrics(), []
 
         def act() -> None:
@@ -32,34 +32,34 @@
         assert len(calls) > 2
         assert metrics.faults == 1
 
-    async def test_a_lost_task_and_a_callback_that_raises_are_counted_and_end_nothing(self) -> None:
-        """A callback raises, and so does a task that nobody awaits. asyncio would only log both."""
+    async def test_loop_exceptions_in_callback_and_unawaited_task_are_counted(self) -> None:
+        """A callback and a task that is never awaited raise exceptions, which asyncio would only log."""
         metrics, loop = Metrics(), asyncio.get_running_loop()
         Faults(metrics).watch_loop(loop)
         loop.call_soon(lambda: [][0])
 
-        async def dies() -> None:
-            msg = "nobody awaits this"
+        async def fail() -> None:
+            msg = "never awaited"
             raise KeyError(msg)
 
-        task = asyncio.create_task(dies())
+        task = asyncio.create_task(fail())
         await asyncio.sleep(0.01)
         del task
         assert metrics.faults == 2
 
-    async def test_a_discovery_watch_that_raises_is_started_again_with_the_complete_list(self) -> None:
-        """An IndexError of ours ends the discovery watch.
+    async def test_failed_discovery_watch_restarts_with_the_complete_list(self) -> None:
+        """A fault in the front's own code ends the discovery watch with an IndexError.
 
-        Without a new one the front would serve for ever by the last list; it asks for the whole list
+        Without a new watch the front would use the last list for ever; it must request the complete list
         again.
         """
-        whole = {"generation": 4, "reset": True, "instances": []}
-        agent = await ScriptedDiscovery(whole, []).start()
+        full_list = {"generation": 4, "reset": True, "instances": []}
+        agent = await ScriptedDiscovery(full_list, []).start()
         metrics, directory, updates = Metrics(), Directory({}), []
         discovery = Discovery(
             Address("127.0.0.1", agent.port), directory, updates.append, faults=Faults(metrics)
         )
-        with mock.patch.object(directory, "apply", side_effect=[IndexError("a fault of ours"), []]):
+        with mock.patch.object(directory, "apply", side_effect=[IndexError("internal fault"), []]):
             discovery.start()
             async with asyncio.timeout(5):
                 while not updates:
--- a/tests/test_front_process.py
+++ b/tests/test_front_process.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: its start, SIGTERM, SIGHUP, and a bad configuration."""
+"""The daemon as a process: start, SIGTERM, SIGHUP and invalid configuration."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class FrontProcessTests(DaemonCase):
-    async def test_a_restarted_front_serves_by_its_last_list_at_once(self) -> None:
+    async def test_restarted_front_serves_immediately_from_cached_list(self) -> None:
         async def script(_trace: str) -> bytes:
             return answer()
 
-        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
-        known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
-        silent = await asyncio.start_server(lambda _reader, _writer: asyncio.sleep(60), "127.0.0.1", 0)
+        backend: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
+        known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", backend.port)]}
+        silent_agent = await asyncio.start_server(lambda _reader, _writer: asyncio.sleep(60), "127.0.0.1", 0)
         with tempfile.TemporaryDirectory() as folder:
-            address = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
+            address = f"127.0.0.1:{silent_agent.sockets[0].getsockname()[1]}"
             daemon = await self.start_daemon(folder, known=known, discovery=address)
             line = await self.wait_for_line(daemon, b"event='ready'")
             url = f"http://127.0.0.1:{int(line.split(b'port=')[1].split(b')')[0])}"
@@ -39,13 +39,13 @@
                     assert response.status == 200
             daemon.kill()
             await daemon.wait()
-        box.stop()
-        silent.close()
+        backend.stop()
+        silent_agent.close()
 
-    async def test_sigterm_answers_what_was_accepted_and_what_still_comes(self) -> None:
-        """The process is told to end while a request is open and clients keep sending.
+    async def test_sigterm_answers_open_and_new_requests(self) -> None:
+        """SIGTERM arrives while a request is open and clients keep sending new ones.
 
-        All of them get their answers within the grace that the platform grants, and the process exits with 0.
+        All are answered within the platform's grace period, and the process exits with status 0.
         """
         release = asyncio.Event()
 
@@ -56,8 +56,8 @@
                 await asyncio.sleep(60)
             return answer()
 
-        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
-        known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
+        backend: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
+        known = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", backend.port)]}
         agent = await ScriptedDiscovery(known, []).start()
         with tempfile.TemporaryDirectory() as folder:
             address = f"127.0.0.1:{agent.port}"
@@ -73,64 +73,66 @@
                         return response.status, response.headers.get("Connection")
 
                 before = asyncio.create_task(fetch("before"))
-                while not box.counts["before"]:
+                while not backend.counts["before"]:
                     await asyncio.sleep(0.005)
                 daemon.send_signal(signal.SIGTERM)
                 while b"event='leaving'" not in await daemon.stderr.readline():
                     pass
-                left = asyncio.get_running_loop().time()
-                assert await fetch("after") == (200, None)  # on a connection that is kept
+                shutdown_at = asyncio.get_running_loop().time()
+                assert await fetch("after") == (200, None)  # the connection is kept open
                 release.set()
                 assert (await before)[0] == 200
-                while asyncio.get_running_loop().time() < left + 0.9:
-                    assert (await fetch(str(box.accepted + len(box.heads))))[0] == 200
+                while asyncio.get_running_loop().time() < shutdown_at + 0.9:
+                    assert (await fetch(str(backend.accepted + len(backend.heads))))[0] == 200
                     await asyncio.sleep(0.1)
-                # Its time ends after the process must; idle connections are closed by then.
+                # Its deadline is after the end of the grace period; idle connections are closed by then.
                 assert (await fetch("silent"))[0] in (502, 503)
-                assert asyncio.get_running_loop().time() < left + 2.2
+                assert asyncio.get_running_loop().time() < shutdown_at + 2.2
                 async with asyncio.timeout(5):
                     rest = await daemon.stderr.read()
                     assert await daemon.wait() == 0, rest
-        box.stop()
+        backend.stop()
         agent.stop()
 
-    async def test_sighup_moves_to_the_files_discovery_and_keeps_the_old_on_an_error(self) -> None:
+    async def test_sighup_switches_discovery_and_keeps_the_old_one_on_error(self) -> None:
         async def script(_trace: str) -> bytes:
             return answer()
 
-        box: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
+        backend: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
         first = await ScriptedDiscovery({"generation": 9, "reset": True, "instances": []}, []).start()
-        whole = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", box.port)]}
-        second = await ScriptedDiscovery(whole, []).start()
-        at = [f"127.0.0.1:{agent.port}" for agent in (first, second)]
+        full_list = {"generation": 1, "reset": True, "instances": [listing_entry("SERVING", backend.port)]}
+        second = await ScriptedDiscovery(full_list, []).start()
+        addresses = [f"127.0.0.1:{agent.port}" for agent in (first, second)]
         with tempfile.TemporaryDirectory() as folder:
-            daemon = await self.start_daemon(folder, {"RELAY_DISCOVERY": at[0]}, discovery=at[0])
+            daemon = await self.start_daemon(
+                folder, {"RELAY_DISCOVERY": addresses[0]}, discovery=addresses[0]
+            )
             port = int((await self.wait_for_line(daemon, b"event='ready'")).split(b"port=")[1].split(b")")[0])
             path = Path(folder) / "config.json"
-            good = json.loads(path.read_text())
-            for change, word in (
+            valid_config = json.loads(path.read_text())
+            for change, expected in (
                 ({"discovery": "nowhere"}, b"discovery: want HOST:PORT"),
-                ({"discovery": at[1], "listen": "127.0.0.1:9"}, b"moved=True next_start=['listen']"),
-                ({"discovery": at[1]}, b"moved=False next_start=[]"),
+                ({"discovery": addresses[1], "listen": "127.0.0.1:9"}, b"moved=True next_start=['listen']"),
+                ({"discovery": addresses[1]}, b"moved=False next_start=[]"),
             ):
-                path.write_text(json.dumps({**good, **change}))
+                path.write_text(json.dumps({**valid_config, **change}))
                 daemon.send_signal(signal.SIGHUP)
-                assert word in await self.wait_for_line(daemon, b"event='reload")
+                assert expected in await self.wait_for_line(daemon, b"event='reload")
             url = f"http://127.0.0.1:{port}{TARGET}"
             async with aiohttp.ClientSession() as client, asyncio.timeout(10):
-                status, tries = 0, 0
-                while status != 200:  # the second agent alone lists the backend
-                    tries += 1
-                    async with client.get(url, headers={**HEADERS, "X-Trace-Id": f"t{tries}"}) as response:
+                status, attempts = 0, 0
+                while status != 200:  # only the second agent lists the backend
+                    attempts += 1
+                    async with client.get(url, headers={**HEADERS, "X-Trace-Id": f"t{attempts}"}) as response:
                         status = response.status
             daemon.send_signal(signal.SIGHUP)
-            daemon.send_signal(signal.SIGTERM)  # amid a reload
+            daemon.send_signal(signal.SIGTERM)  # during the reload
             async with asyncio.timeout(5):
                 assert await daemon.wait() == 0
-        for peer in (box, first, second):
+        for peer in (backend, first, second):
             peer.stop()
 
-    async def test_bad_configuration_ends_with_one_line_that_names_the_key(self) -> None:
+    async def test_invalid_configuration_exits_with_one_line_that_names_the_key(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             daemon = await self.start_daemon(folder, listen="nowhere")
             _, errors = await daemon.communicate()
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,6 +1,6 @@
-"""The front stops accepting while something is still owed to its clients.
+"""The front stops accepting while requests and answers are still in progress.
 
-The order is forced: a transport that is held from reading has bytes that the loop has not read.
+The tests force the order of events by pausing the reading of a transport, so that received bytes stay unread.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class GracefulShutdownTests(OneClientCase):
-    async def test_a_request_that_has_come_and_is_unread_as_accepting_ends_is_answered(self) -> None:
-        """A request has come, unread by the loop, as the front stops accepting.
+    async def test_unread_request_when_accepting_ends_is_answered(self) -> None:
+        """A request has arrived but is unread by the loop when the front stops accepting.
 
-        Its connection looks idle, and must not be closed as such.
+        Its connection appears idle, and must not be closed as idle.
         """
         client, streams = await self.connect_client()
         await self.wait_until(lambda: client in self.front.connections.idle)
@@ -32,10 +32,10 @@
         transport.resume_reading()
         await self.expect_answer_and_close(streams)
 
-    async def test_a_head_of_which_a_part_has_come_as_accepting_ends_is_read_on(self) -> None:
-        """Half a head has come as the front stops accepting.
+    async def test_partial_head_when_accepting_ends_is_read_to_its_end(self) -> None:
+        """Part of a request head has arrived when the front stops accepting.
 
-        Its client is owed an answer: the rest is read.
+        The rest must be read and the request answered.
         """
         client, streams = await self.connect_client(answer_at_once, self.request_head("t")[:20])
         await self.wait_until(lambda: client.head_started_at)
@@ -43,10 +43,10 @@
         streams[1].write(self.request_head("t")[20:])
         await self.expect_answer_and_close(streams)
 
-    async def test_a_body_that_is_on_its_way_as_accepting_ends_is_read_to_its_end(self) -> None:
-        """Half a body has come as the front stops accepting.
+    async def test_partial_body_when_accepting_ends_is_read_to_its_end(self) -> None:
+        """Part of a request body has arrived when the front stops accepting.
 
-        The rest is read and the request served; aiohttp's own shutdown would stop reading.
+        The rest must be read and the request served; aiohttp's own shutdown would stop reading.
         """
         head = self.request_head("t", "Content-Length: 9", method="PUT").replace(
             b"tile-read", b"record-write"
@@ -59,29 +59,31 @@
         await self.expect_answer_and_close(streams)
         assert self.backend.bodies["t"] == b"halfthere"
 
-    async def test_what_waits_in_the_backlog_as_the_listener_closes_is_answered(self) -> None:
-        """A connection with a request waits in the kernel's backlog as the listener closes.
+    async def test_connection_in_backlog_when_listener_closes_is_answered(self) -> None:
+        """A connection with a request is in the kernel's backlog when the listener closes.
 
-        The kernel would reset it; it is accepted first.
+        The kernel would reset it, so it must be accepted first.
         """
         await self.start_front(answer_at_once)
         with socket.create_connection(("127.0.0.1", self.front.address.port)) as first:
-            first.sendall(self.request_head("t"))  # the loop has had no turn since: the kernel holds it
+            first.sendall(
+                self.request_head("t")
+            )  # the loop has not run since, so the connection is still in the backlog
             assert self.front.listener
             assert not self.front.connections.clients
             self.front.stop_accepting()
             first.setblocking(False)
             async with asyncio.timeout(5):
-                heard = b""
-                while piece := await asyncio.get_running_loop().sock_recv(first, 65536):
-                    heard += piece
-        assert b" 200 " in heard
-        assert heard.endswith(b"tile"), heard
+                received = b""
+                while chunk := await asyncio.get_running_loop().sock_recv(first, 65536):
+                    received += chunk
+        assert b" 200 " in received
+        assert received.endswith(b"tile"), received
 
-    async def test_what_waits_at_a_shared_listener_is_left_to_the_other_process(self) -> None:
-        """The listening socket belongs to another process too, as during an upgrade.
+    async def test_connection_in_shared_backlog_is_left_to_the_other_process(self) -> None:
+        """Another process shares the listening socket, as during an upgrade.
 
-        That process accepts what waits, so this one leaves it.
+        That process accepts the waiting connections, so this one must leave them.
         """
         await self.start_front(answer_at_once)
         other = socket.create_server(("127.0.0.1", 0))
@@ -91,10 +93,10 @@
             assert is_readable(other.fileno())
         assert len(self.front.connections.clients) == 0
 
-    async def test_a_connection_without_a_request_does_not_delay_the_exit(self) -> None:
-        """A client is connected and never sends a request.
+    async def test_connection_without_request_does_not_delay_exit(self) -> None:
+        """A client connects and never sends a request.
 
-        It must not keep the process until its idle timeout.
+        The exit must not wait for the connection's idle timeout.
         """
         client, streams = await self.connect_client()
         client.opened_at -= client_connections_module.DRAIN_SILENCE_TIMEOUT
@@ -104,30 +106,30 @@
         streams[1].close()
         await self.wait_until(lambda: not self.front.open_connections())
 
-    async def test_the_exit_waits_until_an_answer_has_left_and_its_reader_has_ended(self) -> None:
-        """The last answer is written, and its client has not read it as the process would exit.
+    async def test_exit_waits_until_the_client_has_read_the_answer_and_closed(self) -> None:
+        """The last answer is written, but its client has not read it yet.
 
         An exit at that moment could reset the connection and lose the answer.
         """
         client, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         self.front.is_closing = True
         await self.wait_until(lambda: self.front.connections.closing)
-        await asyncio.sleep(0)  # the protocol hears of its end in the next turn of the loop
+        await asyncio.sleep(0)  # the protocol is notified in the next iteration of the loop
         assert self.front.open_connections() == 1
         assert client not in self.front.connections.clients
         await self.expect_answer_and_close(streams)
         streams[1].close()
         await self.wait_until(lambda: not self.front.open_connections())
 
-    async def test_a_peer_that_does_not_close_does_not_delay_the_exit(self) -> None:
-        """A client has had its answer and keeps its side of the connection open.
+    async def test_client_that_stays_connected_does_not_delay_exit(self) -> None:
+        """A client has received its answer and keeps its side of the connection open.
 
-        It has had the time to read, so the process need not wait for it.
+        It has had time to read the answer, so the process must not wait for it any longer.
         """
         _, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         self.front.is_closing = True
         await self.wait_until(lambda: self.front.connections.closing)
-        await asyncio.sleep(0)  # the protocol hears of its end in the next turn of the loop
+        await asyncio.sleep(0)  # the protocol is notified in the next iteration of the loop
         assert self.front.open_connections() == 1
         async with asyncio.timeout(0.5 * closing_module.CLOSE_TIMEOUT):
             while self.front.open_connections():
@@ -135,10 +137,10 @@
         assert len(self.front.connections.closing) == 1
         await self.expect_answer_and_close(streams)
 
-    async def test_a_drain_closes_no_connection_on_which_something_has_come(self) -> None:
-        """An operator drains the front while a request has come that is unread.
+    async def test_drain_keeps_a_connection_with_an_unread_request(self) -> None:
+        """An operator drains the front when a request has arrived but is unread.
 
-        The connection looks idle, and is closed only with the request's answer.
+        The connection appears idle, and must be closed only after the answer to the request.
         """
         client, streams = await self.connect_client(answer_at_once, self.request_head("t"))
         assert b" 200 " in await streams[0].readuntil(b"tile")
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -5,7 +5,7 @@
 from cleatyoke.process.metrics import Metrics
 
 
-def test_each_class_stands_under_each_outcome_and_rejections_are_busy() -> None:
+def test_stat_lines_list_each_class_per_outcome_and_count_rejections_as_busy() -> None:
     metrics = Metrics()
     for status in (200, 200, 503, 429, 502, 400):
         metrics.count_answer("tile-read", status)
