--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -223,7 +223,7 @@
         self._finish()
 
     def _finish(self) -> None:
-        """Log the last line, and mark the lifecycle as ended."""
+        """Log the last event, and complete the lifecycle; the process may then exit."""
         # Unavailable nodes are not counted at the exit: ``front.hosts_down`` is always 0 in this line.
         stat_lines = self.metrics.stat_lines(list(self.config.classes), len(self.directory.instances), 0)
         log.info(
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -66,9 +66,7 @@
         """
         await self.start_front(answer_at_once)
         with socket.create_connection(("127.0.0.1", self.front.address.port)) as first:
-            first.sendall(
-                self.request_head("t")
-            )  # the loop has not run since, so the connection is still in the backlog
+            first.sendall(self.request_head("t"))  # the loop does not run before the listener closes
             assert self.front.listener
             assert not self.front.connections.clients
             self.front.stop_accepting()
