--- a/cleatyoke/config/__init__.py
+++ b/cleatyoke/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: reading, checking and reloading of settings."""
+"""Configuration: reads, validates and reloads the settings."""
--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -1,7 +1,7 @@
-"""The configuration of one front: read from the environment, the JSON file and the fronts file.
+"""The configuration of one front, read from the environment, the JSON file and the fronts file.
 
-Every error is a ``ConfigError`` whose text begins with the faulty key. Faults are found in a fixed order, so
-that a configuration with several of them always names the same one.
+Every error is a ``ConfigError`` whose message begins with the invalid key. Values are checked in a fixed
+order, so that a configuration with several errors always reports the same one.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     merge_changes_data,
     merge_settings,
 )
-from cleatyoke.config.settings import read_front_settings, read_names, read_settings
+from cleatyoke.config.settings import read_front_settings, read_indexes, read_settings
 from cleatyoke.config.socket_budget import (
     DEFAULT_SOCKETS,
     RESERVED_SOCKETS,
@@ -39,10 +39,10 @@
 from cleatyoke.config.table import TableReader
 from cleatyoke.scheduling.settings import SchedulerSettings
 
-MAX_COUNTED_CLIENT_TIMEOUT = 3.0  # seconds; a longer client timeout does not lengthen the grace period
+MAX_COUNTED_CLIENT_TIMEOUT = 3.0  # seconds; longer client timeouts do not extend the grace period
 GRACE_PERIOD_MARGIN = 0.7  # seconds between SIGTERM and SIGKILL beyond the longest client timeout
-# Settings that take effect at the next start only: the attribute of ``Config`` by the name that the log's
-# ``next_start`` gives operators (docs/oncall.md), in the order in which the log names them.
+# Settings that take effect only after a restart. Maps the name that the log's ``next_start`` shows operators
+# (docs/oncall.md) to the attribute of ``Config``, in the order in which the log lists them.
 _FIXED_UNTIL_RESTART = {
     "name": "name",
     "listen": "listen",
@@ -62,15 +62,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ReloadResult:
-    """What a reload changed."""
+    """The outcome of a reload."""
 
-    discovery_moved: bool  # discovery has another address
-    needs_restart: list[str]  # changed settings that take effect at the next start, as the log names them
-    retired_classes: frozenset[int] | None  # indexes of removed classes; None: the settings are unchanged
+    discovery_moved: bool  # the address of discovery was changed
+    needs_restart: list[str]  # names, as logged, of changed settings that need a restart
+    retired_classes: frozenset[int] | None  # indexes of removed classes; None: no reloadable setting changed
 
 
 class _Reloadable(NamedTuple):
-    """The part of ``Config`` that a reload changes while requests are in flight."""
+    """The scheduler-related part of ``Config``, which a reload replaces while requests are in flight."""
 
     settings: SchedulerSettings
     classes: dict[str, int]
@@ -82,55 +82,55 @@
 
 @dataclass(slots=True)
 class Config:
-    """All that one front is configured with."""
+    """The complete configuration of one front."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
     socket_budget: SocketBudget
-    cached_endpoints: Any  # the last known endpoint list in discovery's form, decoded by the front
+    cached_endpoints: Any  # the last known endpoint list in discovery's format, not decoded yet
     settings: SchedulerSettings
     classes: dict[str, int]  # index by name
     plans: dict[str, int]  # index by name
-    client_timeouts: list[float]  # by class: seconds that its clients wait at most; infinite: not stated
-    body_memory_bytes: int  # for the bodies of all requests in flight
-    changes_data: list[bool | None]  # by class, or empty where the settings say nothing; None: unknown
-    shard_count: int  # shards are numbered from 0; 0: the settings say nothing
+    client_timeouts: list[float]  # by class: maximum seconds that its clients wait; infinite: not stated
+    body_memory_bytes: int  # limit for the bodies of all requests in flight
+    changes_data: list[bool | None]  # by class, None: unknown; empty: the settings do not state it
+    shard_count: int  # shards are numbered from 0; 0: the settings do not state it
     zones: dict[str, int]  # index by name
     connect_timeout: float  # seconds
-    idle_timeout: float  # seconds that a connection may stand without a request
-    drain_grace: float  # seconds after the report of a drain in which requests may still go to the node
-    discovery_in_file: Address  # as the file has it, whatever RELAY_DISCOVERY says
+    idle_timeout: float  # seconds without a request after which a connection is closed
+    drain_grace: float  # seconds after a drain is reported in which requests may still be sent to the node
+    discovery_in_file: Address  # the file's value, even where RELAY_DISCOVERY overrides it
     sftp: SftpSettings | None = None
     vrrp: VrrpSettings | None = None
     fleet: FleetSettings | None = None
     distribution: DistributionSettings | None = None
-    metrics_address: Address | None = None  # where Prometheus scrapes
-    accept_fd: int | None = None  # a listening socket passed on by the platform, in place of ``listen``
+    metrics_address: Address | None = None  # of the listener that Prometheus scrapes
+    accept_fd: int | None = None  # a listening socket inherited from the platform, instead of ``listen``
     control_address: Address | None = None  # of the operators' control listener
-    state_dir: Path = Path("/tmp")  # $TMPDIR: what both processes of an upgrade share
-    keys: frozenset[str] = frozenset()  # paths of all keys in the file
-    class_indexes: IndexAllocator | None = None  # once a reload has changed the classes
-    plan_indexes: IndexAllocator | None = None  # once a reload has changed the plans
+    state_dir: Path = Path("/tmp")  # $TMPDIR: for files shared by the old and new process of an upgrade
+    keys: frozenset[str] = frozenset()  # paths of all keys in the JSON file
+    class_indexes: IndexAllocator | None = None  # set by the first reload that changes settings
+    plan_indexes: IndexAllocator | None = None  # likewise
 
     def termination_grace_period(self) -> float:
-        """Return the seconds from SIGTERM to SIGKILL (protocol page, Figures: a planned restart)."""
+        """Return the seconds between SIGTERM and SIGKILL (protocol page, Figures: a planned restart)."""
         longest = max(self.client_timeouts[index] for index in self.classes.values())
         return min(MAX_COUNTED_CLIENT_TIMEOUT, longest) + GRACE_PERIOD_MARGIN
 
     def reload(self, new: Config) -> ReloadResult:
-        """Apply what may change while the process runs, or raise ``ConfigError`` and change nothing.
+        """Apply the settings that may change at run time, or raise ``ConfigError`` and change nothing.
 
         These are the scheduler's settings, ``classes``, ``plans``, ``client_timeouts``, ``changes_data``,
-        ``shard_count``, ``drain_grace``, and the address of discovery where the file names a new one. That
-        address wins over RELAY_DISCOVERY, as a running process cannot be given another environment.
-        ``cached_endpoints``, ``seed``, ``zones`` and ``body_memory_bytes`` count at a start only; the log's
-        ``next_start`` does not name these. A file without a key that the previous one
-        had is rejected: it may be half written.
+        ``shard_count``, ``drain_grace``, and the address of discovery if it changed in the file. A changed
+        address overrides RELAY_DISCOVERY, because the environment of a running process cannot be changed.
+        ``cached_endpoints``, ``seed``, ``zones`` and ``body_memory_bytes`` are used at startup only, and the
+        log's ``next_start`` does not list them. A file that lacks a key of the previous file is rejected, as
+        it may be incompletely written.
         """
-        if lost_key := first_missing_key(self.keys, new.keys):
-            msg = f"{lost_key}: missing, and the file had it before"
+        if missing_key := first_missing_key(self.keys, new.keys):
+            msg = f"{missing_key}: missing, and the file had it before"
             raise ConfigError(msg)
         needs_restart = [
             logged_name
@@ -147,15 +147,15 @@
         return ReloadResult(discovery_moved, needs_restart, retired_classes)
 
     def _apply_settings(self, new: Config) -> frozenset[int] | None:
-        """Return the indexes of removed classes, or None where nothing changed.
+        """Apply the reloadable settings; return the indexes of removed classes, or None if nothing changed.
 
-        A class or plan keeps its index for as long as the process runs, as requests in flight refer to it.
+        A class or plan keeps its index for the lifetime of the process, as requests in flight refer to it.
         """
         class_indexes = self.class_indexes or IndexAllocator.for_names(list(self.classes))
         class_indexes = class_indexes.with_names(list(new.classes))
         plan_indexes = self.plan_indexes or IndexAllocator.for_names(list(self.plans))
         plan_indexes = plan_indexes.with_names(list(new.plans))
-        applied = _Reloadable(
+        merged = _Reloadable(
             settings=merge_settings(self.settings, new.settings, class_indexes, plan_indexes),
             classes=class_indexes.indexes,
             plans=plan_indexes.indexes,
@@ -163,11 +163,11 @@
             client_timeouts=class_indexes.arrange(self.client_timeouts, new.client_timeouts),
             changes_data=merge_changes_data(self.changes_data, self.classes, class_indexes, new.changes_data),
         )
-        if applied == self._reloadable():
+        if merged == self._reloadable():
             return None
         self.class_indexes = class_indexes
         self.plan_indexes = plan_indexes
-        for attribute, value in applied._asdict().items():
+        for attribute, value in merged._asdict().items():
             setattr(self, attribute, value)
         return class_indexes.retired_indexes()
 
@@ -183,7 +183,7 @@
 
 
 def use_file_settings(settings: Any) -> Any:
-    """Return the file's settings themselves."""
+    """Return the file's settings unchanged."""
     return settings
 
 
@@ -194,37 +194,37 @@
 ) -> Config:
     """Read the whole configuration. Raises ``ConfigError``.
 
-    RELAY_* variables of the environment win over the same keys of the JSON file that RELAY_CONFIG names.
-    ``override_settings`` maps the file's settings to those in force, where others were distributed.
+    RELAY_* environment variables override the corresponding keys of the JSON file that RELAY_CONFIG names.
+    ``override_settings`` maps the file's settings to those in force, which may be distributed ones.
     """
     values = _read_json_file(environment.get("RELAY_CONFIG", ""))
     values = {**values, "settings": override_settings(values.get("settings"))}
     root = TableReader(values, "")
     seed = _read_seed(root)
-    facts = root.table("settings")
-    index_by_name = read_names(facts)
-    fronts_tables = read_fronts_file(fronts_file, index_by_name.classes, index_by_name.plans)
+    settings_table = root.table("settings")
+    indexes = read_indexes(settings_table)
+    fronts = read_fronts_file(fronts_file, indexes.classes, indexes.plans)
     sockets = root.table("limits", {}).integer("sockets", 2 * RESERVED_SOCKETS, 1 << 20, DEFAULT_SOCKETS)
     name = environment.get("RELAY_NAME") or root.text("name")
     listen = _read_address(root, environment, "RELAY_LISTEN", "listen")
     discovery = _read_address(root, environment, "RELAY_DISCOVERY", "discovery")
-    # An address that no file can state: the file has none, and RELAY_DISCOVERY names discovery.
+    # Without an address in the file, use one that no file can contain, so that a later one counts as changed.
     discovery_in_file = root.address("discovery") if "discovery" in values else Address("", 0)
-    cached_endpoints = root.get("known", {})  # {}: no list is known
-    scheduler_settings = read_settings(facts.values, seed)
+    cached_endpoints = root.get("known", {})  # {}: no cached list
+    scheduler_settings = read_settings(settings_table.values, seed)
     memory_bytes = body_memory_bytes(root.table("limits", {}).number("memory_mb", 0.0))
-    front_settings = read_front_settings(facts)
+    front_settings = read_front_settings(settings_table)
     return Config(
         name=name,
         listen=listen,
         discovery=discovery,
         discovery_in_file=discovery_in_file,
         seed=seed,
-        socket_budget=SocketBudget.divide(sockets, fronts_tables.sftp is not None),
+        socket_budget=SocketBudget.divide(sockets, fronts.sftp is not None),
         cached_endpoints=cached_endpoints,
         settings=scheduler_settings,
-        classes=index_by_name.classes,
-        plans=index_by_name.plans,
+        classes=indexes.classes,
+        plans=indexes.plans,
         client_timeouts=front_settings.client_timeouts,
         body_memory_bytes=memory_bytes,
         changes_data=front_settings.changes_data,
@@ -233,11 +233,11 @@
         connect_timeout=front_settings.connect_timeout,
         idle_timeout=front_settings.idle_timeout,
         drain_grace=front_settings.drain_grace,
-        sftp=fronts_tables.sftp,
-        vrrp=fronts_tables.vrrp,
-        fleet=fronts_tables.fleet,
-        distribution=fronts_tables.distribution,
-        metrics_address=fronts_tables.metrics,
+        sftp=fronts.sftp,
+        vrrp=fronts.vrrp,
+        fleet=fronts.fleet,
+        distribution=fronts.distribution,
+        metrics_address=fronts.metrics,
         accept_fd=_read_descriptor(environment.get("RELAY_ACCEPT_FD")),
         control_address=_read_control_address(root, environment),
         state_dir=Path(environment.get("TMPDIR") or "/tmp"),
--- a/cleatyoke/config/errors.py
+++ b/cleatyoke/config/errors.py
@@ -1,7 +1,7 @@
-"""The error that reading the configuration raises."""
+"""Errors raised by the configuration reader."""
 
 from __future__ import annotations
 
 
 class ConfigError(ValueError):
-    """A configuration value that cannot be used; the text begins with the key of the value."""
+    """An invalid or missing configuration value; the message begins with its key."""
--- a/cleatyoke/config/fronts_file.py
+++ b/cleatyoke/config/fronts_file.py
@@ -1,6 +1,6 @@
-"""The fronts file of a deployment, ``deploy/fronts.toml``: optional parts, each off unless it is enabled.
+"""The fronts file of a deployment, ``deploy/fronts.toml``: optional features, each off unless enabled.
 
-This module is the one place that knows the keys of that file.
+This module is the only place that knows the keys of that file.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from cleatyoke.scheduling.events import decode_shard
 
 FRONTS_FILE = Path(__file__).resolve().parent.parent.parent / "deploy" / "fronts.toml"
-MAX_WRITE_BYTES = 64 * 1024  # of one write by a client of the file service, and of an upload's body
+MAX_WRITE_BYTES = 64 * 1024  # limit for one write of a file service client, and for the body of an upload
 MAX_DEPLOYMENT_NAME = 64  # characters
 DEFAULT_FLEET_TIMING = {  # seconds; the key in the file has ``_s`` appended
     "period": 0.5,  # probe interval
@@ -31,34 +31,34 @@
 
 @dataclass(slots=True, frozen=True)
 class VolumePath:
-    """Files below ``prefix`` belong to this volume."""
+    """A path prefix of the file service, and the volume that files below it belong to."""
 
     prefix: str
-    volume: int  # its id
-    plan: int  # index of its plan
-    shard: int | None  # None: new objects, which have no shard yet
+    volume: int  # volume id
+    plan: int  # index of the volume's plan
+    shard: int | None  # None: for new objects, which have no shard yet
     front_count: int  # fronts that serve this volume
 
 
 @dataclass(slots=True, frozen=True)
 class SftpSettings:
-    """The file service."""
+    """Settings of the file service (SFTP)."""
 
     listen: Address
     volumes: list[VolumePath]  # longest prefix first
-    read_class: int  # index of the class for reading commands
+    read_class: int  # index of the class for read commands
     write_class: int
-    backend_port: int  # 0: the port that discovery lists
-    max_upload_bytes: int  # of one write
+    backend_port: int  # 0: use the port from the endpoint list
+    max_upload_bytes: int  # limit for one write
     unit_bytes: int  # bytes that count as one unit of work
-    max_open_files: int  # of one session
-    idle_timeout: float  # seconds that a client's connection may stand without a command
-    command_timeout: float  # seconds for one command, as the protocol states no deadline
+    max_open_files: int  # per session
+    idle_timeout: float  # seconds without a command after which a client's connection is closed
+    command_timeout: float  # seconds for one command, as the protocol carries no deadline
 
 
 @dataclass(slots=True, frozen=True)
 class VrrpSettings:
-    """VRRP for the addresses of the file service."""
+    """Settings of VRRP for the addresses of the file service."""
 
     listen: Address
     peers: list[Address]
@@ -71,45 +71,45 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetSettings:
-    """The membership protocol among the fronts of one deployment (``docs/fleet-view.md``)."""
+    """Settings of the membership protocol among a deployment's fronts (``docs/fleet-view.md``)."""
 
     deployment: str
     listen: Address  # for datagrams and streams
-    advertise: Address  # where the other fronts reach it
+    advertise: Address  # where other fronts reach this one
     seeds: list[Address]
-    boot: int  # boot number of this process; 0: the durable one, else Unix time in ms
-    timing: dict[str, float]  # seconds, by the keys of ``DEFAULT_FLEET_TIMING``
+    boot: int  # boot number of this process; 0: use the durable one, or else Unix time in ms
+    timing: dict[str, float]  # seconds; same keys as ``DEFAULT_FLEET_TIMING``
     leases_rate_limits: bool = False  # quotas of rate limits are leased among the fronts
     leases_slow_start: bool = False  # the slow-start capacity of nodes is leased among the fronts
-    durable_folder: Path | None = None  # for state that outlives a power loss, on a lasting disk
+    durable_folder: Path | None = None  # for state that survives a power loss, on a persistent disk
 
 
 @dataclass(slots=True, frozen=True)
 class DistributionSettings:
-    """Where distributed configuration is requested (``docs/distribution.md``)."""
+    """Settings of the client of distributed configuration (``docs/distribution.md``)."""
 
     deployment: str
     relays: list[Address]  # in this front's region
     other_relays: list[Address]  # in other regions
-    watches_nodes: bool  # draining and removed nodes are reported by the relays too
-    poll_interval: float  # seconds between two polls while nothing changes
-    max_bytes_per_second: float  # for polls and replies together
+    watches_nodes: bool  # draining and removed nodes are also learned from the relays
+    poll_interval: float  # seconds between polls while nothing changes
+    max_bytes_per_second: float  # limit for polls and replies together
 
 
 class FrontsFile(NamedTuple):
-    """The tables of the fronts file; ``None`` where one is absent or not enabled."""
+    """The tables of the fronts file; ``None`` for one that is absent or not enabled."""
 
     sftp: SftpSettings | None = None
     vrrp: VrrpSettings | None = None
-    metrics: Address | None = None  # where Prometheus scrapes
+    metrics: Address | None = None  # address that Prometheus scrapes
     fleet: FleetSettings | None = None
     distribution: DistributionSettings | None = None
 
 
 def read_fronts_file(path: Path, classes: Mapping[str, int], plans: Mapping[str, int]) -> FrontsFile:
-    """Read the fronts file; a file that does not exist enables nothing. Raises ``ConfigError``.
+    """Read the fronts file; a missing file enables nothing. Raises ``ConfigError``.
 
-    ``classes`` and ``plans``: the indexes by name that the file's volumes and classes are looked up in.
+    ``classes`` and ``plans``: indexes by name, for the classes and plans that the file refers to.
     """
     try:
         values = tomllib.loads(path.read_text())
@@ -174,8 +174,8 @@
     table.require(bool(listen.port), "listen", "want a port, as others have to find it again")
     timing = _read_fleet_timing(table)
     folder = table.text("durable", "")
-    is_usable = not folder or Path(folder).is_absolute()
-    table.require(is_usable, "durable", f"want an absolute path, found {folder!r}")
+    is_absolute_or_empty = not folder or Path(folder).is_absolute()
+    table.require(is_absolute_or_empty, "durable", f"want an absolute path, found {folder!r}")
     settings = FleetSettings(
         deployment=deployment,
         listen=listen,
@@ -236,19 +236,19 @@
 
 def _read_volume(entry: TableReader, plans: Mapping[str, int]) -> VolumePath:
     prefix = entry.text("path")
-    is_clean = prefix.startswith("/") and prefix == "/" + prefix.strip("/")
-    entry.require(is_clean, "path", f"want an absolute path without a closing slash, found {prefix!r}")
-    digits = entry.text("volume")
+    is_normalized = prefix.startswith("/") and prefix == "/" + prefix.strip("/")
+    entry.require(is_normalized, "path", f"want an absolute path without a closing slash, found {prefix!r}")
+    hex_digits = entry.text("volume")
     try:
-        volume = int(digits, 16)
+        volume = int(hex_digits, 16)
     except ValueError as error:
         key = "volume"
-        raise entry.error(key, f"want hex digits, found {digits!r}") from error
+        raise entry.error(key, f"want hex digits, found {hex_digits!r}") from error
     path = VolumePath(
         prefix=prefix,
         volume=volume,
         plan=entry.one_of("plan", plans),
-        shard=decode_shard(entry.integer("shard", -1, 1 << 31)),  # -1 stands for None
+        shard=decode_shard(entry.integer("shard", -1, 1 << 31)),  # -1 means None
         front_count=entry.integer("hosts", 1, 1 << 16, 1),
     )
     entry.reject_unknown_keys()
--- a/cleatyoke/config/reload.py
+++ b/cleatyoke/config/reload.py
@@ -1,8 +1,8 @@
-"""Settings that change while a front runs: which of two settings holds for what. No input, output or clock.
+"""Merging of reloaded settings into those in force. No I/O and no clock.
 
-Classes and plans are known to clients by name and to the scheduler by index. A name keeps its index for the
-life of the process, as requests in flight and limits per class and plan refer to it; a new name takes the
-next one, and one that is removed leaves its index retired until it comes back.
+Clients refer to classes and plans by name, the scheduler by index. A name keeps its index for the lifetime of
+the process, as requests in flight and per-class and per-plan limits refer to it. A new name gets the next
+unused index; the index of a removed name is retired until the name is configured again.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from cleatyoke.scheduling.settings import SchedulerSettings
 
 T = TypeVar("T")
-RETIRED_WEIGHT = 1e-9  # priority weight of a removed class: it takes no part in what is shared by weight
+RETIRED_WEIGHT = 1e-9  # priority weight of a removed class, so that it gets practically no share by weight
 
 
 @dataclass(slots=True, frozen=True)
 class IndexAllocator:
-    """Indexes of names. ``indexes``: of those in use. ``all_indexes``: of all names that ever had one."""
+    """Assigns indexes to names. ``indexes``: of names in use. ``all_indexes``: also of removed names."""
 
     indexes: dict[str, int]
     all_indexes: dict[str, int]
@@ -31,32 +31,32 @@
         return cls(indexes, dict(indexes))
 
     def with_names(self, names: Sequence[str]) -> IndexAllocator:
-        """Return the allocator for other names; those that had an index keep it."""
+        """Return an allocator with these names in use; names that already had an index keep it."""
         all_indexes = dict(self.all_indexes)
         for name in names:
             all_indexes.setdefault(name, len(all_indexes))
         return IndexAllocator({name: all_indexes[name] for name in names}, all_indexes)
 
     def retired_indexes(self) -> frozenset[int]:
-        """Indexes of names that are not in use."""
+        """Return the indexes of names that are no longer in use."""
         return frozenset(self.all_indexes.values()) - frozenset(self.indexes.values())
 
     def arrange(self, old: Sequence[T], new: Sequence[T]) -> list[T]:
-        """Return values by index: ``new``, in order of the names in use, and old ones of removed names."""
+        """Return the values by index: ``new``, in the order of the names in use; ``old`` for removed names."""
         values = [*old, *[None] * (len(self.all_indexes) - len(old))]
         for index, value in zip(self.indexes.values(), new):
             values[index] = value
-        # Each index has an old or a new value; the filter only tells the type checker so.
+        # Each index has an old or a new value; the filter is for the type checker only.
         return [value for value in values if value is not None]
 
 
 def merge_settings(
     old: SchedulerSettings, new: SchedulerSettings, classes: IndexAllocator, plans: IndexAllocator
 ) -> SchedulerSettings:
-    """Return the settings that hold from now on.
+    """Return the new settings, with each class and plan at its index.
 
-    These are the new ones with every class and plan at its index, and what belongs to this process (its seed,
-    when it began) as it was. ``classes`` and ``plans``: the allocators for the new names.
+    Fields that belong to the process, such as its seed and the time since which it is idle, keep their old
+    values. ``classes`` and ``plans``: the allocators for the new names.
     """
     specs = classes.arrange(old.classes, new.classes)
     for index in classes.retired_indexes():
@@ -78,11 +78,12 @@
     classes: IndexAllocator,
     new: Sequence[bool | None],
 ) -> list[bool | None]:
-    """Return by index which classes change data; ``None``: not known.
+    """Return, by index, whether each class changes data; ``None``: unknown.
 
-    A new list counts where it names as many as there are classes. The platform's stays as it was while
-    classes come and go, and would then be read for the wrong ones: a class keeps what was said of it, and
-    of a new one nothing is known. ``old_indexes``: the indexes by name that ``old`` goes by.
+    The new list is used only if it has one entry per class. The platform does not update its list when
+    classes are added or removed, and its entries would then be assigned to the wrong classes. In that case
+    known classes keep their old values, and new ones are unknown. ``old_indexes``: by name, the indexes in
+    ``old``.
     """
     merged: list[bool | None] = [None] * len(classes.all_indexes)
     if len(new) == len(classes.indexes):
@@ -95,22 +96,23 @@
 
 
 def key_paths(value: Any, path: str = "") -> frozenset[str]:
-    """Return the paths of all keys that a file holds; of a list's tables, those that all of them have."""
+    """Return the paths of all keys in a file; for a list of tables, only the keys that all of them have."""
     if isinstance(value, Mapping):
-        found: set[str] = set()
-        for key, one in value.items():
-            found.add(f"{path}{key}")
-            found |= key_paths(one, f"{path}{key}.")
-        return frozenset(found)
-    if isinstance(value, list) and value and all(isinstance(one, Mapping) for one in value):
-        return frozenset.intersection(*(key_paths(one, path[:-1] + "[].") for one in value))
+        paths: set[str] = set()
+        for key, item in value.items():
+            paths.add(f"{path}{key}")
+            paths |= key_paths(item, f"{path}{key}.")
+        return frozenset(paths)
+    if isinstance(value, list) and value and all(isinstance(item, Mapping) for item in value):
+        return frozenset.intersection(*(key_paths(item, path[:-1] + "[].") for item in value))
     return frozenset()
 
 
 def first_missing_key(old: frozenset[str], new: frozenset[str]) -> str | None:
-    """Return the first key that the file had and has no more, if any.
+    """Return the first of the old keys, in alphabetical order, that the new file lacks, if any.
 
-    A file that is written halfway, or by mistake, must change nothing, even where the key has a default.
+    A file that is incompletely written, or edited by mistake, must not be applied, even if the missing key
+    has a default.
     """
-    lost = sorted(old - new)
-    return lost[0] if lost else None
+    missing = sorted(old - new)
+    return missing[0] if missing else None
--- a/cleatyoke/config/settings.py
+++ b/cleatyoke/config/settings.py
@@ -1,8 +1,8 @@
-"""The platform's settings, translated into the scheduler's and the front's own.
+"""Conversion of the platform's settings to the scheduler's and the front's.
 
-This module is the one place that knows the keys of the platform's settings page (``Lanes``, ``AimS`` and so
-on). Unknown keys are ignored. A key that is read without a default is mandatory; the default of the others
-stands here.
+This module is the only place that knows the keys of the platform's settings page (``Lanes``, ``AimS`` and so
+on). Unknown keys are ignored. A key that is read without a default is mandatory; the defaults of optional
+keys are defined here.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
     "once": Idempotency.NOT_IDEMPOTENT,
 }
 IDEMPOTENCY_SCOPE_NAMES = {scope.value: scope for scope in IdempotencyScope}  # values of ``DedupScope``
-LOAD_FIELDS = ("util", "cpu")  # names under which a load report may give a node's utilization
-DEFAULT_DRAIN_GRACE = 1.0  # seconds, where the settings have no ``StopSendingWithinS``
-DEFAULT_CONNECT_TIMEOUT = 0.25  # seconds, where they have no ``DialTimeoutS``
-DEFAULT_IDLE_TIMEOUT = 30.0  # seconds, where they have no ``IdleCloseS``
+LOAD_FIELDS = ("util", "cpu")  # fields of a load report that may contain a node's utilization
+DEFAULT_DRAIN_GRACE = 1.0  # seconds, unless ``StopSendingWithinS`` is set
+DEFAULT_CONNECT_TIMEOUT = 0.25  # seconds, unless ``DialTimeoutS`` is set
+DEFAULT_IDLE_TIMEOUT = 30.0  # seconds, unless ``IdleCloseS`` is set
 
 
 @dataclass(slots=True, frozen=True)
-class ClassAndPlanNames:
-    """Request classes and volume plans by name, with the index that the scheduler knows them by."""
+class ClassAndPlanIndexes:
+    """The scheduler's indexes of request classes and volume plans, by name."""
 
     classes: dict[str, int]
     plans: dict[str, int]
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FrontSettings:
-    """What the settings say to the front itself, beside the scheduler; see ``deployment.Config``."""
+    """The settings of the front outside its scheduler; see ``deployment.Config``."""
 
     client_timeouts: list[float]
     changes_data: list[bool | None]
@@ -55,22 +55,22 @@
     drain_grace: float
 
 
-def read_names(facts: TableReader) -> ClassAndPlanNames:
-    """Read the names of classes and plans, and check that the tables that other readers use are tables."""
-    facts.table("PolicyLimits")
-    classes = facts.tables("Lanes")
-    facts.table("Extra", {})
-    return ClassAndPlanNames(index_by_name(classes), index_by_name(facts.tables("Contracts")))
+def read_indexes(settings: TableReader) -> ClassAndPlanIndexes:
+    """Read the names of classes and plans; check the types of tables that are read later."""
+    settings.table("PolicyLimits")
+    classes = settings.tables("Lanes")
+    settings.table("Extra", {})
+    return ClassAndPlanIndexes(index_by_name(classes), index_by_name(settings.tables("Contracts")))
 
 
 def index_by_name(tables: list[TableReader]) -> dict[str, int]:
-    """Return the ``Name`` of each table with its index in the list."""
+    """Return the index of each table in the list, by its ``Name``."""
     return {table.text("Name"): index for index, table in enumerate(tables)}
 
 
-def read_settings(facts: Mapping[str, Any], seed: int) -> SchedulerSettings:
-    """Return the scheduler's settings. Raises ``ConfigError``."""
-    root = TableReader(facts, "settings.")
+def read_settings(settings: Mapping[str, Any], seed: int) -> SchedulerSettings:
+    """Read the scheduler's settings. Raises ``ConfigError``."""
+    root = TableReader(settings, "settings.")
     safety = root.table("Safety", {})
     limits = root.table("PolicyLimits")
     extra = root.table("Extra", {})
@@ -84,7 +84,7 @@
         safety=_read_safety_limits(safety),
         seed=seed,
         front_count=int(root.amount("Siblings", 0)),
-        watches_endpoints=facts.get("Discovery") == "subscribe",
+        watches_endpoints=settings.get("Discovery") == "subscribe",
         max_attempts=limits.integer("SendCap", 1, 1000),
         can_cancel=limits.boolean("Cancel"),
         slow_start_units=extra.amount("ColdUnits", 0.0),
@@ -138,16 +138,16 @@
     )
 
 
-def read_front_settings(facts: TableReader) -> FrontSettings:
-    """Return what the settings say to the front itself. Raises ``ConfigError``."""
-    limits = facts.table("PolicyLimits")
-    extra = facts.table("Extra", {})
+def read_front_settings(settings: TableReader) -> FrontSettings:
+    """Read the settings of the front outside its scheduler. Raises ``ConfigError``."""
+    limits = settings.table("PolicyLimits")
+    extra = settings.table("Extra", {})
     return FrontSettings(
-        client_timeouts=[table.positive("GiveUpS", math.inf) for table in facts.tables("Lanes")],
+        client_timeouts=[table.positive("GiveUpS", math.inf) for table in settings.tables("Lanes")],
         changes_data=[bool(value) for value in extra.items("ChangesData", [])],
         shard_count=extra.integer("Shards", 0, 1 << 31, 0),
-        zones={str(zone): index for index, zone in enumerate(facts.items("Areas", []))},
+        zones={str(zone): index for index, zone in enumerate(settings.items("Areas", []))},
         connect_timeout=limits.amount("DialTimeoutS", DEFAULT_CONNECT_TIMEOUT),
         idle_timeout=limits.amount("IdleCloseS", DEFAULT_IDLE_TIMEOUT),
-        drain_grace=facts.table("Safety", {}).amount("StopSendingWithinS", DEFAULT_DRAIN_GRACE),
+        drain_grace=settings.table("Safety", {}).amount("StopSendingWithinS", DEFAULT_DRAIN_GRACE),
     )
--- a/cleatyoke/config/socket_budget.py
+++ b/cleatyoke/config/socket_budget.py
@@ -1,4 +1,4 @@
-"""How many sockets and how much memory each part of the process may use."""
+"""Limits on the sockets and memory that each part of the process may use."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from cleatyoke.http.body_limits import MAX_UPLOAD_BYTES
 
-DEFAULT_SOCKETS = 1024  # the deployment page's maximum, where the configuration names none
-RESERVED_SOCKETS = 56  # listeners, log, two discovery connections, files, connections that are being closed
+DEFAULT_SOCKETS = 1024  # the deployment page's maximum; used if the configuration sets none
+RESERVED_SOCKETS = 56  # listeners, log, two discovery connections, files, connections being closed
 MAX_FILE_SESSIONS = 32
-_SOCKETS_OF_A_FILE_SESSION = 3  # the client's connection; to backends, one in use and an idle one
-_BUDGET_FOR_A_FILE_SESSION = 12  # sockets; as a session uses 3, the file service has a quarter at most
-_BODY_MEMORY_FRACTION = 0.45  # of the memory that the front may use
+_SOCKETS_PER_FILE_SESSION = 3  # the client's connection, and one active and one idle backend connection
+_BUDGET_PER_FILE_SESSION = 12  # sockets; as a session uses 3, the file service gets a quarter at most
+_BODY_MEMORY_FRACTION = 0.45  # of the memory available to the front
 _MIN_BODY_MEMORY_BYTES = 4 * 1024 * 1024
 
 
@@ -19,31 +19,32 @@
 class SocketBudget:
     """The maximum number of connections of each kind.
 
-    A request in flight holds one client connection and at most one backend connection. There are as many
-    backend connections as client connections, so no attempt waits for a socket.
+    A request in flight uses one client connection and at most one backend connection. Both have the same
+    limit, so no attempt waits for a socket.
     """
 
     clients: int
-    max_idle_clients: (
-        int  # while more are idle, each is closed with its answer; a third of ``clients`` or more
-    )
+    # If more client connections are idle, each is closed after its response. At least a third of ``clients``.
+    max_idle_clients: int
     backends: int
-    file_sessions: int  # 0 where the file service is off
+    file_sessions: int  # 0 if the file service is off
 
     @classmethod
-    def divide(cls, sockets: int, with_files: bool) -> SocketBudget:
-        """Divide the descriptors that the process may open, with or without the file service."""
-        most_sessions = (sockets - RESERVED_SOCKETS) // _BUDGET_FOR_A_FILE_SESSION
-        file_sessions = min(MAX_FILE_SESSIONS, most_sessions) if with_files else 0
-        file_sockets = _SOCKETS_OF_A_FILE_SESSION * file_sessions
-        half = (sockets - RESERVED_SOCKETS - file_sockets) // 2
-        return cls(clients=half, max_idle_clients=sockets // 6, backends=half, file_sessions=file_sessions)
+    def divide(cls, sockets: int, with_file_service: bool) -> SocketBudget:
+        """Divide the file descriptors that the process may open among the kinds of connections."""
+        max_sessions = (sockets - RESERVED_SOCKETS) // _BUDGET_PER_FILE_SESSION
+        file_sessions = min(MAX_FILE_SESSIONS, max_sessions) if with_file_service else 0
+        file_sockets = _SOCKETS_PER_FILE_SESSION * file_sessions
+        clients = (sockets - RESERVED_SOCKETS - file_sockets) // 2
+        return cls(
+            clients=clients, max_idle_clients=sockets // 6, backends=clients, file_sessions=file_sessions
+        )
 
 
 def body_memory_bytes(memory_mb: float) -> int:
-    """Return the bytes that request bodies may occupy of a front's memory; ``memory_mb`` of 0: unknown.
+    """Return the bytes of memory that request bodies may occupy; ``memory_mb``: the front's, 0 if unknown.
 
-    The process itself takes about 30 MB of the memory.
+    The process itself uses about 30 MB.
     """
     if not memory_mb:
         return _MIN_BODY_MEMORY_BYTES + MAX_UPLOAD_BYTES
--- a/cleatyoke/config/table.py
+++ b/cleatyoke/config/table.py
@@ -1,4 +1,4 @@
-"""The checked reader of one table of a configuration file, JSON or TOML."""
+"""A validating reader for one table of a JSON or TOML configuration file."""
 
 from __future__ import annotations
 
@@ -10,61 +10,61 @@
 from cleatyoke.config.addresses import Address, read_address
 from cleatyoke.config.errors import ConfigError
 
-MAX_AMOUNT = 1e15  # a whole number up to it is exact as a float
-MAX_SHOWN = 80  # characters of a wrong value in an error
+MAX_AMOUNT = 1e15  # integers up to it are exact as floats
+MAX_REPR_LENGTH = 80  # characters of an invalid value in an error message
 
 
 @dataclass(slots=True)
 class TableReader:
     """Reads the keys of one table and checks the type and range of each value.
 
-    ``path`` stands before each key in error texts. Every reading method raises ``ConfigError`` for a value
-    that does not fit, and for a missing key without a default. A JSON null counts as missing.
+    ``path`` is prefixed to keys in error messages. Every reading method raises ``ConfigError`` for an invalid
+    value, and for a missing key without a default. A JSON null counts as missing.
     """
 
     values: Mapping[str, Any]
     path: str
-    used: set[str] = field(default_factory=set)  # keys that were asked for
+    read_keys: set[str] = field(default_factory=set)  # keys that a reading method was called for
 
     def error(self, key: str, reason: str) -> ConfigError:
         """Return the error for a key of this table."""
         return ConfigError(f"{self.path}{key}: {reason}")
 
-    def require(self, holds: bool, key: str, reason: str) -> None:  # a condition, as in an assertion
-        """Raise the error for ``key`` unless the condition holds."""
-        if not holds:
+    def require(self, condition: bool, key: str, reason: str) -> None:
+        """Raise the error for ``key`` unless the condition is true."""
+        if not condition:
             raise self.error(key, reason)
 
     def get(self, key: str, default: Any = None) -> Any:
-        """Return the value as it is, or the default; a default of ``None`` makes the key mandatory."""
-        self.used.add(key)
+        """Return the value unchecked, or the default; a default of ``None`` makes the key mandatory."""
+        self.read_keys.add(key)
         value = self.values.get(key)
         if value is None and default is None:
             raise self.error(key, "missing")
         return default if value is None else value
 
     def number(self, key: str, default: float | None = None) -> float:
-        """Read a number that a float can hold."""
+        """Read a number that a finite float can represent."""
         value = self.get(key, default)
         if value is not default and not is_finite_number(value):
-            raise self.error(key, f"want a number, found {_shown(value)}")
+            raise self.error(key, f"want a number, found {_truncated_repr(value)}")
         return float(value)
 
     def amount(self, key: str, default: float | None = None) -> float:
         """Read a number from 0 to ``MAX_AMOUNT``: a rate, a time, a size, a weight.
 
-        A negative one would turn decisions round, and sums of greater ones leave what floats can hold.
+        A negative one would reverse decisions, and sums of greater ones may exceed the range of floats.
         """
         value = self.number(key, default)
         if not 0 <= value <= MAX_AMOUNT:
-            found = _shown(self.values.get(key))
+            found = _truncated_repr(self.values.get(key))
             raise self.error(key, f"want a number from 0 to {MAX_AMOUNT:g}, found {found}")
         return value
 
     def positive(self, key: str, default: float | None = None) -> float:
-        """Read a finite number above 0; the default may be infinite ("not stated").
+        """Read a finite number greater than 0; the default may be infinite ("not stated").
 
-        A deadline of 0, say, would reject all requests.
+        A deadline of 0, for example, would reject all requests.
         """
         value = self.number(key, default)
         if not value > 0:
@@ -72,7 +72,7 @@
         return value
 
     def integer(self, key: str, minimum: int, maximum: int, default: int | None = None) -> int:
-        """Read an integer within both bounds, which are allowed values themselves."""
+        """Read an integer from ``minimum`` to ``maximum``, both inclusive."""
         value = self.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
             raise self.error(key, f"want a whole number from {minimum} to {maximum}, found {value!r}")
@@ -93,7 +93,7 @@
         return value
 
     def one_of(self, key: str, choices: Mapping[str, Any], default: str | None = None) -> Any:
-        """Read one of the keys of ``choices`` and return what it stands for."""
+        """Read a string that is a key of ``choices`` and return the value of that key."""
         value = self.text(key, default)
         if value not in choices:
             raise self.error(key, f"want one of {', '.join(choices)}, found {value!r}")
@@ -104,14 +104,14 @@
         return read_address(self.text(key), f"{self.path}{key}")
 
     def table(self, key: str, default: Mapping[str, Any] | None = None) -> TableReader:
-        """Read a table inside this one."""
+        """Read a nested table."""
         value = self.get(key, default)
         if not isinstance(value, Mapping):
             raise self.error(key, "want a table")
         return TableReader(value, f"{self.path}{key}.")
 
     def items(self, key: str, default: list[Any] | None = None) -> list[Any]:
-        """Read a list of anything."""
+        """Read a list, whatever its items are."""
         value = self.get(key, default)
         if not isinstance(value, list):
             raise self.error(key, "want a list")
@@ -125,7 +125,7 @@
         return values
 
     def tables(self, key: str, default: list[Any] | None = None) -> list[TableReader]:
-        """Read a list of tables; without a default it holds one at least."""
+        """Read a list of tables; without a default it must not be empty."""
         values = self.get(key, default)
         if not isinstance(values, list) or not all(isinstance(value, Mapping) for value in values):
             raise self.error(key, "want a list of tables")
@@ -134,23 +134,23 @@
         return [TableReader(value, f"{self.path}{key}[{index}].") for index, value in enumerate(values)]
 
     def reject_unknown_keys(self) -> None:
-        """Raise ``ConfigError`` for the first key that no reading method asked for."""
+        """Raise ``ConfigError`` for the first key that no reading method was called for."""
         for key in self.values:
-            if key not in self.used:
+            if key not in self.read_keys:
                 raise self.error(key, "unknown key")
 
 
 def is_finite_number(value: Any) -> bool:
-    """Return whether a value is an integer or float, but no boolean, that a finite float can hold."""
+    """Whether a value is an integer or float (not a boolean) that a finite float can represent."""
     if not isinstance(value, int | float) or isinstance(value, bool):
         return False
     try:
         return math.isfinite(value)
-    except OverflowError:  # an integer of hundreds of digits
+    except OverflowError:  # an integer with hundreds of digits
         return False
 
 
-def _shown(value: Any) -> str:
-    """Return a value as an error shows it, cut where it is long."""
+def _truncated_repr(value: Any) -> str:
+    """Return the repr of a value for an error message, truncated if it is long."""
     text = repr(value)
-    return text if len(text) <= MAX_SHOWN else f"{text[:MAX_SHOWN]}..."
+    return text if len(text) <= MAX_REPR_LENGTH else f"{text[:MAX_REPR_LENGTH]}..."
