--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -202,8 +202,8 @@
     root = TableReader(values, "")
     seed = _read_seed(root)
     settings_table = root.table("settings")
-    indexes = read_indexes(settings_table)
-    fronts = read_fronts_file(fronts_file, indexes.classes, indexes.plans)
+    class_and_plan_indexes = read_indexes(settings_table)
+    fronts = read_fronts_file(fronts_file, class_and_plan_indexes.classes, class_and_plan_indexes.plans)
     sockets = root.table("limits", {}).integer("sockets", 2 * RESERVED_SOCKETS, 1 << 20, DEFAULT_SOCKETS)
     name = environment.get("RELAY_NAME") or root.text("name")
     listen = _read_address(root, environment, "RELAY_LISTEN", "listen")
@@ -223,8 +223,8 @@
         socket_budget=SocketBudget.divide(sockets, fronts.sftp is not None),
         cached_endpoints=cached_endpoints,
         settings=scheduler_settings,
-        classes=indexes.classes,
-        plans=indexes.plans,
+        classes=class_and_plan_indexes.classes,
+        plans=class_and_plan_indexes.plans,
         client_timeouts=front_settings.client_timeouts,
         body_memory_bytes=memory_bytes,
         changes_data=front_settings.changes_data,
--- a/cleatyoke/config/reload.py
+++ b/cleatyoke/config/reload.py
@@ -42,7 +42,7 @@
         return frozenset(self.all_indexes.values()) - frozenset(self.indexes.values())
 
     def arrange(self, old: Sequence[T], new: Sequence[T]) -> list[T]:
-        """Return the values by index: ``new``, in the order of the names in use; ``old`` for removed names."""
+        """Return the values by index: ``new``, in the order of the names in use, ``old`` for removed ones."""
         values = [*old, *[None] * (len(self.all_indexes) - len(old))]
         for index, value in zip(self.indexes.values(), new):
             values[index] = value
--- a/cleatyoke/config/socket_budget.py
+++ b/cleatyoke/config/socket_budget.py
@@ -35,9 +35,12 @@
         max_sessions = (sockets - RESERVED_SOCKETS) // _BUDGET_PER_FILE_SESSION
         file_sessions = min(MAX_FILE_SESSIONS, max_sessions) if with_file_service else 0
         file_sockets = _SOCKETS_PER_FILE_SESSION * file_sessions
-        clients = (sockets - RESERVED_SOCKETS - file_sockets) // 2
+        connections = (sockets - RESERVED_SOCKETS - file_sockets) // 2
         return cls(
-            clients=clients, max_idle_clients=sockets // 6, backends=clients, file_sessions=file_sessions
+            clients=connections,
+            max_idle_clients=sockets // 6,
+            backends=connections,
+            file_sessions=file_sessions,
         )
 
 
--- a/cleatyoke/discovery/__init__.py
+++ b/cleatyoke/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint discovery: the watch on the platform's service, and the directory of nodes."""
+"""Endpoint discovery: watches the platform's discovery service and maintains the directory of nodes."""
--- a/cleatyoke/discovery/backoff.py
+++ b/cleatyoke/discovery/backoff.py
@@ -1,4 +1,4 @@
-"""Backoff with jitter for calls to a service that a whole fleet of clients shares.
+"""Backoff with jitter for calls to a service that is shared by a fleet of clients.
 
 No clock and no I/O: the caller waits.
 """
@@ -8,27 +8,27 @@
 import random
 from dataclasses import dataclass, field
 
-MAX_COUNTED_FAILURES = 30  # in a row; further ones no longer lengthen the span
+MAX_COUNTED_FAILURES = 30  # consecutive; further failures do not increase the span
 
 
 @dataclass(slots=True)
 class Backoff:
-    """Spread the repeated calls of a fleet, so that an overloaded service can answer some of them.
+    """Spreads the retries of a fleet of clients over time, so that an overloaded service can recover.
 
-    Symptom without it: all clients lose a shared service at the same moment and call it again at short,
-    fixed intervals. Each call waits in the service's queue, times out there, and delays the calls that could
-    have been answered, so the overload never ends.
+    Without backoff, all clients lose a shared service at the same moment and call it again at short, fixed
+    intervals. Each call waits in the service's queue, times out there, and delays calls that could have been
+    answered, so the overload never ends.
 
-    Why it holds: each client draws its delay at random from a span that goes with the size of the fleet and
-    doubles with each failure, so the rate of calls falls until the service keeps up; no client needs to know
-    what the others do. Because a client serves by outdated data while it waits, two calls never begin more
-    than ``max_call_interval`` apart. Once the span has reached that bound, the client calls once in that time
-    without drawing: the fleet stays spread by its earlier draws, and makes half the calls of delays drawn
-    anew within the same bound.
+    Each client draws its delay at random from a span that is proportional to the size of the fleet and
+    doubles with each failure. The rate of calls therefore falls until the service keeps up, without
+    coordination between the clients. As a client works with outdated data while it waits, consecutive calls
+    never start more than ``max_call_interval`` apart. Once the span has reached that limit, the delay is no
+    longer random: the fleet stays spread by its earlier random delays, and makes half as many calls as with
+    new random delays within the same limit.
 
     ``clients``: size of the fleet, infinite if unknown. ``seconds_per_call``: the service's time for one
-    client's call. The first span is ``clients * seconds_per_call`` seconds, at least ``min_span``; it grows
-    to ``max_growth`` times that. ``max_call_interval``: maximum seconds between the beginnings of two calls.
+    call. The first span is ``clients * seconds_per_call`` seconds, at least ``min_span``; it grows to at most
+    ``max_growth`` times that. ``max_call_interval``: maximum seconds between the starts of two calls.
     """
 
     rng: random.Random
@@ -44,7 +44,7 @@
         self.span = max(self.min_span, self.clients * self.seconds_per_call)
 
     def delay_after_failure(self, elapsed: float = 0.0) -> float:
-        """Return the seconds until the next call, after one that failed and began ``elapsed`` seconds ago."""
+        """Return the seconds until the next call, after a failed one that started ``elapsed`` seconds ago."""
         span = self.span * min(float(self.max_growth), 2.0**self.failures)
         delay = span
         if not self.failures or span < self.max_call_interval:
@@ -53,11 +53,11 @@
         return max(0.0, min(delay, self.max_call_interval - elapsed))
 
     def delay_after_disconnect(self, max_delay: float | None = None) -> float:
-        """Return the seconds until the next call, after an answer that had begun to arrive has ended.
+        """Return the seconds until the next call, after a response stream was interrupted.
 
-        It may have ended for all clients at once, so this delay is drawn too. ``max_delay``: upper bound in
-        seconds, ``max_call_interval`` by default.
+        All clients may be disconnected at the same moment, so this delay is random too. ``max_delay``: upper
+        bound in seconds, ``max_call_interval`` by default.
         """
         span = min(self.span, self.max_call_interval if max_delay is None else max_delay)
-        self.failures = 1  # the next failure counts as the second, as this disconnect was the first
+        self.failures = 1  # this disconnect counts as the first failure
         return self.rng.random() * span
--- a/cleatyoke/discovery/discovery.py
+++ b/cleatyoke/discovery/discovery.py
@@ -1,4 +1,4 @@
-"""Keep the directory, and through it the scheduler, current by watches on one or two discovery agents."""
+"""Keeps the directory and the scheduler up to date by watching one or more discovery agents."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import EndpointState, EndpointUpdate, SchedulerEvent, UpdateKind
 
-RETIRED_WATCH_LINGER = 0.25  # seconds in which data is still read that an agent had sent before a migration
+RETIRED_WATCH_LINGER = 0.25  # seconds for reading data that an agent sent before a migration
 
 
 class Discovery:
-    """Owner of the watches: one, or during a migration to another agent two or more.
-
-    ``notify`` is given each update for the scheduler, in the same turn of the event loop in which the
-    directory changes. ``fronts``: number of fronts that use the same service, 0 or less if unknown.
-    ``own_agent``: lists come from an agent that serves this front alone, so that a call costs nothing and
-    what the agent has counts as reported at once; otherwise calls load a service that all fronts share.
-    ``drain_grace``: seconds after a reported change in which a node may still be sent to, by the rule on
-    drains. ``first_answer`` is set once anything has arrived from an agent.
+    """Owns the watches: one, or two and more during a migration to another agent.
+
+    ``notify`` receives each update for the scheduler, in the same event loop iteration in which the directory
+    changes. ``fronts``: number of fronts that use the same service, 0 or less if unknown. ``own_agent``: the
+    agent serves this front alone, so calls cost nothing, and a change that the agent has counts as reported
+    immediately; otherwise calls load a service that all fronts share. ``drain_grace``: seconds after a
+    reported drain in which requests may still be sent to the node. ``first_answer`` is set once anything has
+    been received from an agent.
     """
 
-    def __init__(  # noqa: PLR0913 (collaborators and options of the one owner; options are keywords)
+    def __init__(  # noqa: PLR0913 (dependencies, and keyword-only options)
         self,
         address: Address,
         directory: Directory,
@@ -53,42 +53,43 @@
         self.own_agent = own_agent
         self.poll_interval = poll_interval(drain_grace)
         self.first_answer = asyncio.Event()
-        self.watches: list[Watch] = []  # the last one is on ``address``
-        self.retired: set[Watch] = set()  # replaced watches, while what their agents have sent is still read
+        self.watches: list[Watch] = []  # the last one is for ``address``
+        self.retired: set[Watch] = set()  # replaced watches whose remaining data is still read
         self.guard = DrainGuard(MAX_REPORTING_DELAY)
 
     def start(self) -> None:
-        """Begin to watch. If an old copy of the list was applied, it continues: versions are this agent's."""
+        """Start the watch, from the version of a cached list if one was applied: it is this agent's."""
         self.watches.append(Watch(self, self.address, self.directory.version))
 
     def stop(self) -> None:
-        """End all watches."""
+        """Stop all watches."""
         for watch in [*self.watches, *self.retired]:
             watch.task.cancel()
 
     def set_drain_grace(self, drain_grace: float) -> None:
-        """Change how often an own agent that does not answer is called, after a reload of the settings."""
+        """Update the poll interval for an own agent that does not answer, after a reload of the settings."""
         self.poll_interval = poll_interval(drain_grace)
 
     def migrate(self, address: Address) -> None:
-        """Watch another agent from now on.
+        """Start to watch another agent.
 
-        The new agent's complete list comes first, as versions mean nothing to another agent. Until it has
-        arrived the old watch continues: no change is missed, and an agent that doesn't answer does no harm.
+        The new watch requests the complete list first, as versions are specific to an agent. The old watch
+        continues until that list has been applied, so no change is missed, even if the new agent does not
+        answer.
         """
         self.address = address
         self.watches.append(Watch(self, address, None))
 
-    # What watches call
+    # Called by watches
 
     def is_retired(self, watch: Watch) -> bool:
-        """Whether a newer agent's complete list has replaced this watch."""
+        """Whether this watch was replaced by one on a newer agent."""
         return watch in self.retired
 
     def complete_list_applied(self, watch: Watch) -> None:
-        """Retire the watches that are older than this one, whose agent has sent its complete list.
+        """Retire the watches older than this one, as this one's complete list has been applied.
 
-        What an older agent has sent by now is still read, but only drains and removals in it count.
+        Data that older agents have already sent is still read, but only drains and removals are applied.
         """
         while self.watches and self.watches[0] is not watch:
             old = self.watches.pop(0)
@@ -96,17 +97,17 @@
             asyncio.get_running_loop().call_later(RETIRED_WATCH_LINGER, self.end_retired, old)
 
     def end_retired(self, watch: Watch) -> None:
-        """End a retired watch for good."""
+        """Stop a retired watch."""
         self.retired.discard(watch)
         watch.task.cancel()
 
     def apply(
         self, endpoint_list: EndpointList, kind: UpdateKind | None = None, watch: Watch | None = None
     ) -> None:
-        """Apply a list to the directory and, in the same turn, notify the scheduler.
+        """Apply a list to the directory and notify the scheduler, in one event loop iteration.
 
-        ``kind``: by default a snapshot for a complete list, else a delta. ``watch``: whose agent sent the
-        list; None if no agent did, and then it counts as it is.
+        ``kind``: by default a snapshot for a complete list, else a delta. ``watch``: the one that received
+        the list; None if it is not from an agent, and is applied without reconciliation.
         """
         if watch:
             endpoint_list = self._reconcile(endpoint_list, watch)
@@ -117,16 +118,16 @@
     async def apply_in_parts(self, endpoint_list: EndpointList, watch: Watch) -> None:
         """Apply a long list in parts, between which the event loop runs; empties ``endpoint_list``.
 
-        Symptom without it: a list of 25,000 nodes stops the event loop for longer than clients may wait.
+        Applied at once, a list of 25,000 nodes would block the event loop for longer than clients may wait.
 
-        Why it holds: nodes that drain or are gone come first, all in one turn, so that no drain is delayed by
-        the size of the list; nodes whose entries are unchanged are passed over. The directory has the new
-        version only once the whole list is applied. If a newer agent's list arrives meanwhile, that one
-        holds.
+        Draining and removed nodes are applied first, all in one iteration, so that no drain is delayed by the
+        length of the list. Unchanged nodes are skipped. The directory gets the new version only when the
+        whole list is applied. If a newer agent's complete list is applied meanwhile, the rest of this one is
+        discarded.
         """
         latest = {instance.name: instance for instance in endpoint_list.instances}
         names, version = frozenset(latest), self.directory.version or 0
-        endpoint_list.instances.clear()  # freed in parts, as freeing them all in one turn takes long
+        endpoint_list.instances.clear()  # freed in parts, as freeing all at once would block the event loop
         await asyncio.sleep(0)
         not_live = [instance for instance in latest.values() if instance.state is not EndpointState.LIVE]
         removed = self._removed_by(endpoint_list, names, watch)
@@ -142,7 +143,7 @@
             if changed:
                 self.apply(EndpointList(version, is_complete=False, instances=changed), None, watch)
         await asyncio.sleep(0)
-        # Once more, as another watch may have listed more nodes meanwhile.
+        # Again, as another watch may have added nodes meanwhile.
         removed = self._removed_by(endpoint_list, names, watch)
         self.apply(EndpointList(endpoint_list.version, is_complete=False, instances=removed), None, watch)
 
@@ -151,9 +152,9 @@
     def _removed_by(
         self, endpoint_list: EndpointList, names: Collection[str], watch: Watch
     ) -> list[Instance]:
-        """Return, as removed, the nodes that a complete list no longer has.
+        """Return the nodes that are missing from a complete list, in the removed state.
 
-        That a retired watch's agent does not list a node proves nothing.
+        Nothing follows from a node's absence from the list of a retired watch.
         """
         if not endpoint_list.is_complete or watch in self.retired:
             return []
@@ -161,10 +162,12 @@
         return [replace(instance, state=EndpointState.REMOVED) for instance in missing]
 
     def _reconcile(self, endpoint_list: EndpointList, watch: Watch) -> EndpointList:
-        """Return what of an agent's list may be applied beside what other agents have reported."""
+        """Return an agent's list, adjusted to what other agents have reported."""
         loop = asyncio.get_running_loop()
-        if watch in self.retired:  # only drains and removals count
-            not_live = [one for one in endpoint_list.instances if one.state is not EndpointState.LIVE]
+        if watch in self.retired:  # only drains and removals are applied
+            not_live = [
+                instance for instance in endpoint_list.instances if instance.state is not EndpointState.LIVE
+            ]
             endpoint_list = EndpointList(self.directory.version or 0, is_complete=False, instances=not_live)
         guarded = self.guard.filter(endpoint_list, watch, loop.time())
         for instance in guarded.withheld:
@@ -172,7 +175,7 @@
         return guarded.endpoint_list
 
     def _release(self, instance: Instance, watch: Watch) -> None:
-        """Apply an entry that was withheld, if its agent has not said something else meanwhile."""
+        """Apply a withheld entry, unless a later list has replaced it meanwhile."""
         if self.guard.release(instance):
             self.apply(
                 EndpointList(self.directory.version or 0, is_complete=False, instances=[instance]),
--- a/cleatyoke/discovery/drain_guard.py
+++ b/cleatyoke/discovery/drain_guard.py
@@ -1,4 +1,4 @@
-"""Retain reported drains while discovery migrates from one agent to another. No clock and no I/O."""
+"""Preserves reported drains while discovery migrates from one agent to another. No clock and no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class NodeRun(NamedTuple):
-    """One run of a node's process: a node that is started anew is another one."""
+    """One run of a node's process; a restart begins another one."""
 
     name: str
     started_at: float
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportedDrain:
-    """When an agent reported that a node drains or is gone, in loop time, and which agent did."""
+    """The report by an agent that a node is draining or removed, with its loop time."""
 
     reported_at: float
     agent: Hashable
@@ -27,32 +27,34 @@
 
 @dataclass(slots=True, frozen=True)
 class GuardedList:
-    """A list that may be applied, and the instances in it whose true entries are withheld for now."""
+    """A list that may be applied, and the original entries that were replaced in it for now."""
 
     endpoint_list: EndpointList
     withheld: list[Instance]
 
 
 class DrainGuard:
-    """Keep a node draining that one agent reported as such, against another agent's list.
+    """Keeps a node draining that one agent reported as draining, even if another agent lists it as live.
 
-    Symptom without it: discovery migrates to an agent whose list is older than the last change that the
-    previous agent sent; the node serves again, and requests reach it after its drain counts as reported.
+    Without this, discovery may migrate to an agent whose list is older than the last change that the previous
+    agent sent. The node would be used again, and requests would reach it after its drain counts as reported.
 
-    Why it holds: an older list can lag by ``max_reporting_delay`` seconds at most, so a node goes on draining
-    for that long, after which the new agent knows better and its own entry is released. An agent may revoke
-    its own report at once, and a node that was started anew is a new run.
+    A list can be outdated by ``max_reporting_delay`` seconds at most. The node is therefore kept draining for
+    that long, after which the new agent's entry is applied. An agent may revoke its own report at once, and
+    a restarted node is a new run, which the report does not apply to.
     """
 
     def __init__(self, max_reporting_delay: float) -> None:
         self.max_reporting_delay = max_reporting_delay
         self._drains: dict[NodeRun, ReportedDrain] = {}
-        self._withheld: dict[str, Instance] = {}  # by name: the entry that another agent's report overrides
+        self._withheld: dict[
+            str, Instance
+        ] = {}  # by name: the entry that is overridden by another agent's report
 
     def filter(self, endpoint_list: EndpointList, agent: Hashable, now: float) -> GuardedList:
-        """Return the list with the entries replaced that another agent's report overrides.
+        """Return the list, with entries that are overridden by another agent's report replaced.
 
-        The caller calls ``release`` for each withheld instance ``max_reporting_delay`` seconds later.
+        The caller has to call ``release`` for each withheld instance after ``max_reporting_delay`` seconds.
         """
         oldest = now - self.max_reporting_delay
         self._drains = {
@@ -77,9 +79,9 @@
         return GuardedList(replace(endpoint_list, instances=accepted), withheld)
 
     def release(self, instance: Instance) -> bool:
-        """Drop the report that overrides this entry; whether it may be applied.
+        """Drop the report that overrides this entry. Return whether the entry may be applied.
 
-        False if a later list has said something else of the node meanwhile.
+        It may not if a later list has replaced it meanwhile.
         """
         if self._withheld.get(instance.name) is not instance:
             return False
--- a/cleatyoke/discovery/errors.py
+++ b/cleatyoke/discovery/errors.py
@@ -1,18 +1,18 @@
-"""The errors of endpoint discovery."""
+"""Errors of endpoint discovery."""
 
 from __future__ import annotations
 
 
 class DiscoveryError(ValueError):
-    """Base of the errors of endpoint discovery."""
+    """Base class of the errors of endpoint discovery."""
 
 
 class ListTooLongError(DiscoveryError):
-    """A list of more than ``max_bytes`` bytes, which is not read to its end."""
+    """A list longer than ``max_bytes`` bytes; the rest of it is not read."""
 
     def __init__(self, max_bytes: int) -> None:
-        super().__init__(f"a list of more than {max_bytes} bytes")
+        super().__init__(f"endpoint list exceeds {max_bytes} bytes")
 
 
 class InvalidListError(DiscoveryError):
-    """A list, or a node in it, that can't be read; the text begins with the invalid key."""
+    """A malformed list or list entry; the message begins with the invalid key."""
--- a/cleatyoke/discovery/listings.py
+++ b/cleatyoke/discovery/listings.py
@@ -1,7 +1,7 @@
-"""Read endpoint lists from the discovery service's HTTP answers, and decode them.
+"""Reads endpoint lists from the discovery service's HTTP responses and decodes them.
 
-The JSON keys are those of the platform's discovery protocol. A short list is decoded in one go. A long one is
-decoded in parts, between which the event loop runs; it is accepted or rejected as a whole all the same.
+The JSON keys are those of the platform's discovery protocol. A short list is decoded at once. A long one is
+decoded in parts, between which the event loop runs, but is still accepted or rejected as a whole.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from cleatyoke.discovery.errors import InvalidListError, ListTooLongError
 from cleatyoke.scheduling.events import EndpointState, decode_shard
 
-MAX_LIST_BYTES = 16 * 1024 * 1024  # 25,000 nodes at four times what one takes on the wire
-MAX_NODES_PER_TURN = 500  # nodes that are decoded or applied in one turn of the event loop
-LONG_LIST_BYTES = 128 * 1024  # a shorter text holds some 900 nodes, which are decoded in 5 ms
+MAX_LIST_BYTES = 16 * 1024 * 1024  # 25,000 nodes, at four times the usual size of an entry
+MAX_NODES_PER_TURN = 500  # nodes that are decoded or applied in one event loop iteration
+LONG_LIST_BYTES = 128 * 1024  # a shorter list has at most some 900 nodes, which are decoded in 5 ms
 STATES = {  # by the value of "lifecycle"
     "SERVING": EndpointState.LIVE,
     "DRAINING": EndpointState.DRAINING,
@@ -33,7 +33,7 @@
 
 
 class ListHeader(NamedTuple):
-    """What a list says besides its nodes."""
+    """The fields of a list other than its nodes."""
 
     version: int
     is_complete: bool
@@ -41,10 +41,10 @@
 
 @contextlib.contextmanager
 def garbage_collection_paused() -> Iterator[None]:
-    """Pause garbage collection, and exclude from later collections all objects that exist afterwards.
+    """Pause garbage collection, then exclude all objects that exist at the end from later collections.
 
-    Symptom without it: with 25,000 nodes one collection stops the event loop for 50 ms. Excluded ("frozen")
-    objects are still freed by their reference counts.
+    Otherwise, with 25,000 nodes, one collection blocks the event loop for 50 ms. Excluded ("frozen") objects
+    are still freed by reference counting.
     """
     was_enabled = gc.isenabled()
     gc.disable()
@@ -57,7 +57,7 @@
 
 
 async def read_body(content: StreamReader) -> bytes:
-    """Read a list that is a complete body. Raises ``ListTooLongError``."""
+    """Read a list that is a whole response body. Raises ``ListTooLongError``."""
     body = bytearray()
     async for chunk in content.iter_any():
         body += chunk
@@ -67,13 +67,13 @@
 
 
 async def read_lines(content: StreamReader) -> AsyncIterator[bytes]:
-    """Yield the lines of a watch as they arrive, the last one even if unterminated.
+    """Yield the lines of a watch as they arrive, including an unterminated last one.
 
     Raises ``ListTooLongError``.
     """
     line = bytearray()
     async for chunk in content.iter_any():
-        for piece in chunk.splitlines(keepends=True):  # of bytes: LF, CR and CRLF end a line
+        for piece in chunk.splitlines(keepends=True):  # splits bytes at LF, CR and CRLF
             line += piece
             if len(line) > MAX_LIST_BYTES:
                 raise ListTooLongError(MAX_LIST_BYTES)
@@ -86,7 +86,7 @@
 
 async def decode_long_endpoint_list(text: bytes) -> EndpointList:
     """Decode a list as ``decode_endpoint_list`` does, in parts between which the event loop runs."""
-    import msgspec  # only for lists longer than the platform's: it takes time to import
+    import msgspec  # slow to import, and needed only for lists longer than the platform's usual ones
 
     try:
         fields = msgspec.json.decode(text, type=dict[str, msgspec.Raw])
@@ -96,7 +96,7 @@
         header = _read_header({**value, "instances": []})
         instances: list[Instance] = []
         entries.reverse()
-        while entries:  # freed in parts too, as freeing them all takes long
+        while entries:  # freed in parts too, as freeing all at once would block the event loop
             part = entries[: -MAX_NODES_PER_TURN - 1 : -1]
             entries[-MAX_NODES_PER_TURN:] = []
             instances += [read_instance(msgspec.json.decode(raw)) for raw in part]
@@ -107,7 +107,7 @@
 
 
 def decode_endpoint_list(text: str | bytes) -> EndpointList:
-    """Decode a list from JSON. Raises ``InvalidListError``, whose text begins with the invalid key."""
+    """Decode a list from JSON. Raises ``InvalidListError``, whose message begins with the invalid key."""
     try:
         return read_endpoint_list(json.loads(text))
     except ValueError as error:
@@ -115,7 +115,7 @@
 
 
 def read_endpoint_list(value: Any) -> EndpointList:
-    """Convert a decoded JSON value to a list. Raises as ``decode_endpoint_list`` does."""
+    """Convert a decoded JSON value to a list. Raises the same errors as ``decode_endpoint_list``."""
     header = _read_header(value)
     instances = [read_instance(entry) for entry in value["instances"]]
     return EndpointList(header.version, header.is_complete, instances)
@@ -136,9 +136,9 @@
 
 
 def read_instance(entry: Any) -> Instance:
-    """Convert one entry of a list's decoded JSON to a node.
+    """Convert one decoded entry of a list to a node.
 
-    Raises ``InvalidListError``, whose text begins with the invalid key.
+    Raises ``InvalidListError``, whose message begins with the invalid key.
     """
     if not isinstance(entry, dict):
         msg = "instances: want objects"
--- a/cleatyoke/discovery/operator_holds.py
+++ b/cleatyoke/discovery/operator_holds.py
@@ -1,4 +1,4 @@
-"""Nodes and fronts that operators take out of service by hand. No I/O and no clock."""
+"""Nodes that operators take out of service manually. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HoldChanges(NamedTuple):
-    """Nodes whose hold has changed."""
+    """Names of nodes whose hold has changed."""
 
     held: list[str]
     released: list[str]
@@ -16,24 +16,24 @@
 
 @dataclass(slots=True)
 class OperatorHolds:
-    """Nodes, by instance id, that receive nothing until they are released.
+    """Nodes, by instance id, that receive no requests until they are released.
 
-    Holds are not counted: one release ends any number of holds. A released node counts as started anew, as
-    its operators have restarted it meanwhile: it warms up by slow start.
+    Holds are not counted: one release ends any number of holds. A released node counts as restarted and goes
+    through slow start, as operators restart nodes while these are held.
     """
 
-    held: dict[str, None] = field(default_factory=dict)  # in the order of the holds
-    released: dict[str, float] = field(default_factory=dict)  # Unix time of the release
+    held: dict[str, None] = field(default_factory=dict)  # in the order in which they were held
+    released: dict[str, float] = field(default_factory=dict)  # Unix time of the latest release, by name
 
     def disable(self, name: str, known: bool) -> bool:
-        """Hold a node; return False where nobody has listed this id, which changes nothing."""
+        """Hold a node. Return False, and do nothing, if the id was never listed."""
         if not known and name not in self.held:
             return False
         self.held[name] = None
         return True
 
     def enable(self, name: str, known: bool, now: float) -> bool:
-        """Release a node at Unix time ``now``; return whether the id is known."""
+        """Release a node at Unix time ``now``. Return whether the id is known."""
         if name in self.held:
             del self.held[name]
             self.released[name] = now
@@ -41,19 +41,19 @@
         return known
 
     def is_held(self, name: str) -> bool:
-        """Return whether the node is held."""
+        """Whether the node is held."""
         return name in self.held
 
     def effective_start(self, name: str, started: float) -> float:
-        """Return the Unix time at which the node counts as started: its start, or a later release."""
+        """Return the Unix time from which slow start counts: the node's start, or a later release."""
         return max(started, self.released.get(name, 0.0))
 
     def encode(self) -> str:
-        """Return the contents of the hold file, JSON ``{"held": [ID], "released": {ID: TIME}}``."""
+        """Return the contents of the hold file: JSON ``{"held": [ID], "released": {ID: TIME}}``."""
         return json.dumps({"held": list(self.held), "released": self.released})
 
     def merge(self, text: str, now: float) -> HoldChanges:
-        """Apply a hold file that another process of this front wrote; return what changed here.
+        """Apply a hold file written by another process of this front. Return the changes.
 
         Malformed text changes nothing.
         """
--- a/cleatyoke/discovery/schedule.py
+++ b/cleatyoke/discovery/schedule.py
@@ -1,9 +1,9 @@
-"""When a watch calls discovery: the protocol's times, the timeouts that follow from them, and the next call.
+"""The schedule of calls to discovery: the protocol's times, the derived timeouts, and the next call.
 
-The guarantee: any change that the discovery service has, and could be reached for, is known here within
-``MAX_REPORTING_DELAY`` seconds, whatever calls failed meanwhile. The platform counts a change as reported
-after that time (protocol page, Figures): requests that reach a draining node later than that are a front's
-fault. The arithmetic stands in ``docs/architecture.md``. No clock and no I/O.
+Guarantee: a change that the discovery service has, and could be reached for, is known here within
+``MAX_REPORTING_DELAY`` seconds, whichever calls failed meanwhile. The platform counts a change as reported
+after that time (protocol page, Figures): a request that reaches a draining node later is an error of the
+front. See ``docs/architecture.md`` for the arithmetic. No clock and no I/O.
 """
 
 from __future__ import annotations
@@ -14,49 +14,49 @@
 from cleatyoke.discovery.backoff import Backoff
 
 MAX_REPORTING_DELAY = 6.0  # seconds after which a change counts as reported (protocol page, Figures)
-HEARTBEAT_INTERVAL = 2.0  # seconds between the empty lines of an unchanged watch (protocol page, Discovery)
-IDLE_TIMEOUT = (
-    HEARTBEAT_INTERVAL + 0.3
-)  # seconds without a line until a watch is dead: 0.3 for a late heartbeat
-ANSWER_TIMEOUT = 2.2  # seconds to connect and get the first line: a turn in an overloaded service takes two
-LOOP_LATENESS = 0.2  # seconds of ``MAX_REPORTING_DELAY`` reserved for an event loop that runs late
-# Seconds between the beginnings of two calls: a call that hangs costs no more than one that is refused.
+HEARTBEAT_INTERVAL = 2.0  # seconds between the empty lines of an idle watch (protocol page, Discovery)
+# Seconds without a line after which a watch counts as dead; 0.3 s allow for a late heartbeat.
+IDLE_TIMEOUT = HEARTBEAT_INTERVAL + 0.3
+ANSWER_TIMEOUT = 2.2  # seconds to connect and get the first line; an overloaded service takes two
+LOOP_LATENESS = 0.2  # seconds of ``MAX_REPORTING_DELAY`` reserved for delays of the event loop
+# Seconds between the starts of two calls. They count from the start, so that a call that hangs delays the
+# next one no longer than a refused one does.
 MAX_CALL_INTERVAL = MAX_REPORTING_DELAY - ANSWER_TIMEOUT - LOOP_LATENESS
-# Seconds until the first call after an idle timeout, of which the timeout itself has used a part.
+# Seconds until the first call after an idle timeout, which itself has used a part of the allowed delay.
 MAX_DELAY_AFTER_IDLE = MAX_REPORTING_DELAY - IDLE_TIMEOUT - ANSWER_TIMEOUT - LOOP_LATENESS
-SECONDS_PER_CALL = 0.075  # of an overloaded service for one front's call: it answers some ten a second
-MIN_BACKOFF_SPAN = 0.25  # seconds over which a small fleet's delays are spread
-MAX_BACKOFF_GROWTH = 4  # times the first span
-MAX_POLL_INTERVAL = 0.25  # seconds between two calls of an own agent that does not answer
+SECONDS_PER_CALL = 0.075  # time of an overloaded service for one call: it answers about ten calls a second
+MIN_BACKOFF_SPAN = 0.25  # seconds over which the delays of a small fleet are spread
+MAX_BACKOFF_GROWTH = 4  # multiple of the first span
+MAX_POLL_INTERVAL = 0.25  # seconds between two calls to an own agent that does not answer
 MIN_POLL_INTERVAL = MAX_POLL_INTERVAL / 5
-POLLS_PER_GRACE = 4  # calls of an own agent in the time that the rule on drains leaves
+POLLS_PER_GRACE = 4  # calls to an own agent within the drain grace period
 
 
 def poll_interval(drain_grace: float) -> float:
-    """Return the seconds between two calls of an own agent that does not answer.
+    """Return the seconds between two calls to an own agent that does not answer.
 
-    ``drain_grace``: seconds after a reported change in which a node may still be sent to. What an own agent
-    has counts as reported at once, so the calls have to be frequent enough for that rule alone.
+    ``drain_grace``: seconds after a reported drain in which requests may still be sent to the node. A change
+    that an own agent has counts as reported immediately, so the drain grace alone determines the interval.
     """
     return max(MIN_POLL_INTERVAL, min(MAX_POLL_INTERVAL, drain_grace / POLLS_PER_GRACE))
 
 
 @dataclass(slots=True, frozen=True)
-class CallEnd:
+class CallOutcome:
     """How a call ended.
 
-    ``answered``: a watch had begun. ``is_timeout``: it was ended by a timeout. ``elapsed``: seconds since the
-    call began. ``list_rejected``: the latest list was too long to be read.
+    ``answered``: the watch had received a line. ``timed_out``: the call ended by a timeout. ``elapsed``:
+    seconds since the call started. ``list_rejected``: the latest list was too long to be read.
     """
 
     answered: bool
-    is_timeout: bool
+    timed_out: bool
     elapsed: float
     list_rejected: bool
 
 
 class CallSchedule:
-    """When the calls of one watch begin.
+    """Schedules the calls of one watch.
 
     ``fronts``: number of fronts that may call the same service, infinite if unknown.
     """
@@ -67,20 +67,20 @@
             rng, fronts, SECONDS_PER_CALL, MAX_BACKOFF_GROWTH, MIN_BACKOFF_SPAN, MAX_CALL_INTERVAL
         )
 
-    def delay_after(self, end: CallEnd, own_agent_interval: float | None) -> float:
+    def delay_after(self, outcome: CallOutcome, own_agent_interval: float | None) -> float:
         """Return the seconds until the next call.
 
-        ``own_agent_interval``: poll interval of an agent that serves this front alone, whose calls cost
-        nothing; None for a service that all fronts share, where the backoff holds.
+        ``own_agent_interval``: poll interval for an agent that serves this front alone, calls to which cost
+        nothing; None for a service that all fronts share, to which the backoff applies.
         """
-        if end.list_rejected:
-            return MAX_CALL_INTERVAL  # reading it again costs, whoever sends it
+        if outcome.list_rejected:
+            return MAX_CALL_INTERVAL  # reading it again is expensive, also from an own agent
         if own_agent_interval is not None:
             return self.rng.random() * own_agent_interval
-        if end.answered:
-            return self.backoff.delay_after_disconnect(MAX_DELAY_AFTER_IDLE if end.is_timeout else None)
-        return self.backoff.delay_after_failure(end.elapsed)
+        if outcome.answered:
+            return self.backoff.delay_after_disconnect(MAX_DELAY_AFTER_IDLE if outcome.timed_out else None)
+        return self.backoff.delay_after_failure(outcome.elapsed)
 
     def delay_after_fault(self) -> float:
-        """Return the seconds until the next call, after an unexpected exception here."""
+        """Return the seconds until the next call, after an unexpected exception in the watch."""
         return self.backoff.delay_after_failure()
--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch on one discovery agent: the complete list, then its changes line by line, and calls anew."""
+"""The watch on one discovery agent: gets the complete list, then its changes line by line, and reconnects."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
     ANSWER_TIMEOUT,
     IDLE_TIMEOUT,
     MAX_REPORTING_DELAY,
-    CallEnd,
+    CallOutcome,
     CallSchedule,
 )
 from cleatyoke.process.faults import Faults, run_forever
 from cleatyoke.scheduling.events import UpdateKind
 
-AGENT_ANSWER_TIMEOUT = 0.7  # seconds in which an own agent answers unless discovery is down (protocol page)
-MAX_CONCURRENT_CALLS = 4  # unanswered calls of an own agent
-FAILURES_PER_LOG_LINE = 8  # failed calls, of which there may be many alike, for one that is logged
-READ_BUFFER_BYTES = 1 << 18  # read from a connection ahead of what is processed
+AGENT_ANSWER_TIMEOUT = 0.7  # seconds; an own agent answers in time unless discovery is down (protocol page)
+MAX_CONCURRENT_CALLS = 4  # unanswered calls to an own agent
+FAILURES_PER_LOG_LINE = 8  # one in so many is logged, as many may be alike
+READ_BUFFER_BYTES = 1 << 18  # bytes read ahead from a connection
 log = structlog.get_logger()
 
 
 class WatchOwner(Protocol):
-    """What a watch needs of the ``Discovery`` that owns it."""
+    """The interface of ``Discovery`` that its watches use."""
 
     rng: random.Random
     fronts: float
@@ -49,23 +49,23 @@
     first_answer: asyncio.Event
 
     def apply(self, endpoint_list: EndpointList, kind: UpdateKind | None, watch: Watch) -> None:
-        """Apply a list that the watch's agent has sent."""
+        """Apply a list that the watch has received."""
 
     async def apply_in_parts(self, endpoint_list: EndpointList, watch: Watch) -> None:
-        """Apply a long list."""
+        """Apply a long list, in parts."""
 
     def complete_list_applied(self, watch: Watch) -> None:
-        """Learn that the agent's complete list is applied."""
+        """Handle that the agent's complete list has been applied."""
 
     def is_retired(self, watch: Watch) -> bool:
-        """Whether the watch is replaced."""
+        """Whether the watch was replaced."""
 
 
 class Watch:
     """The watch on one agent. ``task`` calls the agent again whenever a call ends, until it is cancelled.
 
-    ``version``: that of the agent's latest list or change that was applied; None requests the complete list
-    first. Wherever a change may have been missed, the complete list is requested again.
+    ``version``: version of the agent's latest applied list or change; None if the complete list has to be
+    requested first, as at the start and whenever a change may have been missed.
     """
 
     def __init__(self, owner: WatchOwner, address: Address, version: int | None) -> None:
@@ -74,23 +74,23 @@
         self.version = version
         self.owner = owner
         self.schedule = CallSchedule(owner.rng, owner.fronts)
-        self.failures = 0  # calls that failed since the last line
-        self.has_answered = False  # the present call's watch has begun
-        self.call_began_at = 0.0  # loop time
-        self.list_rejected = False  # the latest list was too long, and that was logged
-        self.answered_call: asyncio.Task[None] | None = None  # of the concurrent calls of an own agent
+        self.failures = 0  # failed calls since the last received line
+        self.has_answered = False  # the current call has received a line
+        self.call_started_at = 0.0  # loop time
+        self.list_rejected = False  # the latest list was too long, which has been logged
+        self.answered_call: asyncio.Task[None] | None = None  # of the concurrent calls to an own agent
         self.task = asyncio.create_task(
             run_forever(owner.faults, "discovery", self.run, self._restart_after_fault)
         )
 
     def _restart_after_fault(self) -> float:
-        """Request the complete list next: the fault may have lost a change. Returns the delay in seconds."""
+        """Return the seconds until a restart, with the complete list, as the fault may have lost a change."""
         self.version = None
         return self.schedule.delay_after_fault()
 
     async def run(self) -> None:
         """Call the agent again and again until the watch is retired."""
-        timeout = aiohttp.ClientTimeout(total=None)  # each wait has its own
+        timeout = aiohttp.ClientTimeout(total=None)  # each wait has its own timeout
         async with aiohttp.ClientSession(
             timeout=timeout,
             cookie_jar=aiohttp.DummyCookieJar(),
@@ -98,11 +98,11 @@
             connector=aiohttp.TCPConnector(limit=0, force_close=self.owner.own_agent),
         ) as session:
             while not self.owner.is_retired(self):
-                is_timeout = await self._call_once(session)
-                await asyncio.sleep(self._delay(is_timeout=is_timeout))
+                timed_out = await self._call_once(session)
+                await asyncio.sleep(self._delay(timed_out=timed_out))
 
     async def _call_once(self, session: aiohttp.ClientSession) -> bool:
-        """Call the agent and watch until that ends; whether it ended by a timeout."""
+        """Call the agent and watch until the call ends. Return whether it ended by a timeout."""
         self.has_answered = False
         try:
             if self.owner.own_agent:
@@ -114,17 +114,17 @@
             self._reject_list(error)
         except InvalidListError as error:
             log.warning("discovery_line_skipped", why=str(error))
-            self.version = None  # the line may have held a change: request the complete list
+            self.version = None  # the line may have contained a change: request the complete list
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             self._record_failure(error)
             return isinstance(error, TimeoutError)
         return False
 
-    def _delay(self, *, is_timeout: bool) -> float:
-        """Seconds until the next call."""
-        elapsed = asyncio.get_running_loop().time() - self.call_began_at
-        end = CallEnd(self.has_answered, is_timeout, elapsed, self.list_rejected)
-        return self.schedule.delay_after(end, self.owner.poll_interval if self.owner.own_agent else None)
+    def _delay(self, *, timed_out: bool) -> float:
+        """Return the seconds until the next call."""
+        elapsed = asyncio.get_running_loop().time() - self.call_started_at
+        outcome = CallOutcome(self.has_answered, timed_out, elapsed, self.list_rejected)
+        return self.schedule.delay_after(outcome, self.owner.poll_interval if self.owner.own_agent else None)
 
     def _record_failure(self, error: Exception) -> None:
         if self.failures % FAILURES_PER_LOG_LINE == 0:
@@ -133,7 +133,7 @@
         self.failures += 1
 
     def _reject_list(self, error: Exception) -> None:
-        """Keep what is known, and log once until a list is accepted again."""
+        """Keep the last accepted list; log once until a list is accepted again."""
         if not self.list_rejected:
             log.error("discovery_list_refused", address=self.url, why=str(error))
         self.list_rejected = True
@@ -141,13 +141,14 @@
     # Calls
 
     async def _call_own_agent(self, session: aiohttp.ClientSession) -> None:
-        """Call an agent of the front's own until one call is answered; returns or raises as that one ends.
+        """Call an own agent until one call is answered; returns or raises when that call ends.
 
         Such an agent answers at once unless discovery is down. It may never answer a call that arrived while
-        discovery was down, and what it has at discovery's return counts as reported at once. Symptom of
-        waiting for one call: drains are learned a whole timeout late. So further calls begin every poll
-        interval, up to ``MAX_CONCURRENT_CALLS``; the first has the longest timeout, in case the agent is only
-        slow. The call that is answered first becomes the watch, and the others are cancelled.
+        discovery was down, and a change that it has when discovery returns counts as reported immediately. A
+        front that waits for a single call therefore learns of drains a whole timeout late. So another call is
+        started every poll interval, up to ``MAX_CONCURRENT_CALLS``. The first call has the longest timeout,
+        in case the agent is only slow. The call that is answered first becomes the watch, and the others are
+        cancelled.
         """
         calls: list[asyncio.Task[None]] = []
         self.answered_call = None
@@ -155,7 +156,8 @@
             while self.answered_call is None:
                 timeout = AGENT_ANSWER_TIMEOUT if calls else MAX_REPORTING_DELAY
                 call = asyncio.create_task(self._call(session, timeout))
-                call.add_done_callback(lambda done: done.cancelled() or done.exception())  # marks it as seen
+                # Marks the exception as retrieved, which asyncio would otherwise log.
+                call.add_done_callback(lambda done: done.cancelled() or done.exception())
                 calls.append(call)
                 await self._wait_for_answer(calls)
                 if len(calls) > MAX_CONCURRENT_CALLS:
@@ -171,9 +173,9 @@
                 self.answered_call.cancel()
 
     async def _wait_for_answer(self, calls: list[asyncio.Task[None]]) -> None:
-        """Wait until a call is answered, for one poll interval at most; removes calls that have ended.
+        """Wait until a call is answered, for one poll interval at most. Removes calls that have ended.
 
-        Raises what ended a call, unless that was a timeout.
+        Raises the exception of a failed call, unless it timed out.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self.owner.poll_interval
@@ -189,22 +191,21 @@
             await asyncio.sleep(remaining)
 
     async def _call(self, session: aiohttp.ClientSession, timeout: float) -> None:  # noqa: ASYNC109 (passed on)
-        """Get the complete list if it is needed, then the changes until they end.
+        """Get the complete list if needed, then the changes until the stream ends.
 
-        ``timeout``: seconds until an answer has to begin.
+        ``timeout``: seconds within which the agent has to answer.
         """
-        self.call_began_at = asyncio.get_running_loop().time()
+        self.call_started_at = asyncio.get_running_loop().time()
         if self.version is None:
             await self.fetch_complete_list(session, timeout)
             if self.owner.own_agent:
-                timeout = (
-                    self.owner.poll_interval
-                )  # it answers, and no other call runs beside this one any more
-        self.call_began_at = asyncio.get_running_loop().time()
+                # The agent answers, and no other call runs any more.
+                timeout = self.owner.poll_interval
+        self.call_started_at = asyncio.get_running_loop().time()
         await self.stream_changes(session, timeout)
 
     async def fetch_complete_list(self, session: aiohttp.ClientSession, seconds: float) -> None:
-        """Request and apply the complete list, within so many seconds."""
+        """Request the complete list, which has to arrive within ``seconds``, and apply it."""
         async with asyncio.timeout(seconds), session.get(self.url, raise_for_status=True) as response:
             body = await read_body(response.content)
         if self.claim_answer():
@@ -212,10 +213,10 @@
             self.owner.complete_list_applied(self)
 
     async def stream_changes(self, session: aiohttp.ClientSession, seconds: float) -> None:
-        """Apply the changes line by line, of which the first has to arrive within so many seconds.
+        """Apply the changes line by line; the first line has to arrive within ``seconds``.
 
         Returns when the agent ends the stream; raises ``TimeoutError`` after ``IDLE_TIMEOUT`` seconds without
-        a line. The time that is spent on a long list doesn't count.
+        a line. The time for applying a list does not count.
         """
         params = {"watch": "1", "after": str(self.version)}
         loop, limit = asyncio.get_running_loop(), asyncio.timeout(seconds)
@@ -233,9 +234,9 @@
                     limit.reschedule(loop.time() + IDLE_TIMEOUT)
 
     def claim_answer(self) -> bool:
-        """Make the running call the answered one if there is none yet; whether it is the answered one.
+        """Make the current call the answered one if there is none yet. Return whether it is the answered one.
 
-        Of concurrent calls only the one that was answered first counts: what another one says may be older.
+        Of concurrent calls only the one that was answered first counts: data from others may be older.
         """
         if not self.owner.own_agent:
             return True
@@ -246,7 +247,7 @@
     # Lists
 
     async def apply_text(self, text: bytes, kind: UpdateKind | None = None) -> None:
-        """Decode and apply a list or change, short or long. Raises ``InvalidListError``."""
+        """Decode and apply a list or change of any length. Raises ``InvalidListError``."""
         if len(text) < LONG_LIST_BYTES:
             self.apply(decode_endpoint_list(text), kind)
         else:
@@ -263,7 +264,7 @@
             self.apply(endpoint_list, kind)
 
     def apply(self, endpoint_list: EndpointList, kind: UpdateKind | None = None) -> None:
-        """Apply a list or change of this watch's agent."""
+        """Apply a list or change from this watch's agent."""
         self.owner.apply(endpoint_list, kind, self)
         self.version = endpoint_list.version
         self.owner.first_answer.set()
