--- a/cleatyoke/discovery/discovery.py
+++ b/cleatyoke/discovery/discovery.py
@@ -67,7 +67,7 @@
             watch.task.cancel()
 
     def set_drain_grace(self, drain_grace: float) -> None:
-        """Update the poll interval for an own agent that does not answer, after a reload of the settings."""
+        """Update the poll interval for an unresponsive dedicated agent, after a reload of the settings."""
         self.poll_interval = poll_interval(drain_grace)
 
     def migrate(self, address: Address) -> None:
--- a/cleatyoke/discovery/schedule.py
+++ b/cleatyoke/discovery/schedule.py
@@ -18,25 +18,26 @@
 # Seconds without a line after which a watch counts as dead; 0.3 s allow for a late heartbeat.
 IDLE_TIMEOUT = HEARTBEAT_INTERVAL + 0.3
 ANSWER_TIMEOUT = 2.2  # seconds to connect and get the first line; an overloaded service takes two
-LOOP_LATENESS = 0.2  # seconds of ``MAX_REPORTING_DELAY`` reserved for delays of the event loop
+EVENT_LOOP_MARGIN = 0.2  # seconds of ``MAX_REPORTING_DELAY`` reserved for delays of the event loop
 # Seconds between the starts of two calls. They count from the start, so that a call that hangs delays the
 # next one no longer than a refused one does.
-MAX_CALL_INTERVAL = MAX_REPORTING_DELAY - ANSWER_TIMEOUT - LOOP_LATENESS
+MAX_CALL_INTERVAL = MAX_REPORTING_DELAY - ANSWER_TIMEOUT - EVENT_LOOP_MARGIN
 # Seconds until the first call after an idle timeout, which itself has used a part of the allowed delay.
-MAX_DELAY_AFTER_IDLE = MAX_REPORTING_DELAY - IDLE_TIMEOUT - ANSWER_TIMEOUT - LOOP_LATENESS
+MAX_DELAY_AFTER_IDLE = MAX_REPORTING_DELAY - IDLE_TIMEOUT - ANSWER_TIMEOUT - EVENT_LOOP_MARGIN
 SECONDS_PER_CALL = 0.075  # time of an overloaded service for one call: it answers about ten calls a second
 MIN_BACKOFF_SPAN = 0.25  # seconds over which the delays of a small fleet are spread
 MAX_BACKOFF_GROWTH = 4  # multiple of the first span
-MAX_POLL_INTERVAL = 0.25  # seconds between two calls to an own agent that does not answer
+MAX_POLL_INTERVAL = 0.25  # seconds between two calls to a dedicated agent that does not answer
 MIN_POLL_INTERVAL = MAX_POLL_INTERVAL / 5
-POLLS_PER_GRACE = 4  # calls to an own agent within the drain grace period
+POLLS_PER_GRACE = 4  # calls to a dedicated agent within the drain grace period
 
 
 def poll_interval(drain_grace: float) -> float:
-    """Return the seconds between two calls to an own agent that does not answer.
+    """Return the seconds between two calls to a dedicated agent that does not answer.
 
     ``drain_grace``: seconds after a reported drain in which requests may still be sent to the node. A change
-    that an own agent has counts as reported immediately, so the drain grace alone determines the interval.
+    that a dedicated agent has counts as reported immediately, so the drain grace alone determines the
+    interval.
     """
     return max(MIN_POLL_INTERVAL, min(MAX_POLL_INTERVAL, drain_grace / POLLS_PER_GRACE))
 
@@ -67,16 +68,16 @@
             rng, fronts, SECONDS_PER_CALL, MAX_BACKOFF_GROWTH, MIN_BACKOFF_SPAN, MAX_CALL_INTERVAL
         )
 
-    def delay_after(self, outcome: CallOutcome, own_agent_interval: float | None) -> float:
+    def delay_after(self, outcome: CallOutcome, dedicated_agent_interval: float | None) -> float:
         """Return the seconds until the next call.
 
-        ``own_agent_interval``: poll interval for an agent that serves this front alone, calls to which cost
-        nothing; None for a service that all fronts share, to which the backoff applies.
+        ``dedicated_agent_interval``: poll interval for an agent that serves this front alone, calls to which
+        cost nothing; None for a service that all fronts share, to which the backoff applies.
         """
         if outcome.list_rejected:
-            return MAX_CALL_INTERVAL  # reading it again is expensive, also from an own agent
-        if own_agent_interval is not None:
-            return self.rng.random() * own_agent_interval
+            return MAX_CALL_INTERVAL  # reading it again is expensive, also from a dedicated agent
+        if dedicated_agent_interval is not None:
+            return self.rng.random() * dedicated_agent_interval
         if outcome.answered:
             return self.backoff.delay_after_disconnect(MAX_DELAY_AFTER_IDLE if outcome.timed_out else None)
         return self.backoff.delay_after_failure(outcome.elapsed)
--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -31,8 +31,9 @@
 from cleatyoke.process.faults import Faults, run_forever
 from cleatyoke.scheduling.events import UpdateKind
 
-AGENT_ANSWER_TIMEOUT = 0.7  # seconds; an own agent answers in time unless discovery is down (protocol page)
-MAX_CONCURRENT_CALLS = 4  # unanswered calls to an own agent
+# Seconds in which a dedicated agent answers unless discovery is down (protocol page).
+AGENT_ANSWER_TIMEOUT = 0.7
+MAX_CONCURRENT_CALLS = 4  # unanswered calls to a dedicated agent
 FAILURES_PER_LOG_LINE = 8  # one in so many is logged, as many may be alike
 READ_BUFFER_BYTES = 1 << 18  # bytes read ahead from a connection
 log = structlog.get_logger()
@@ -78,7 +79,7 @@
         self.has_answered = False  # the current call has received a line
         self.call_started_at = 0.0  # loop time
         self.list_rejected = False  # the latest list was too long, which has been logged
-        self.answered_call: asyncio.Task[None] | None = None  # of the concurrent calls to an own agent
+        self.answered_call: asyncio.Task[None] | None = None  # of the concurrent calls to a dedicated agent
         self.task = asyncio.create_task(
             run_forever(owner.faults, "discovery", self.run, self._restart_after_fault)
         )
@@ -106,7 +107,7 @@
         self.has_answered = False
         try:
             if self.owner.own_agent:
-                await self._call_own_agent(session)
+                await self._call_dedicated_agent(session)
             else:
                 await self._call(session, ANSWER_TIMEOUT)
             log.info("discovery_ended", address=self.url)
@@ -140,8 +141,8 @@
 
     # Calls
 
-    async def _call_own_agent(self, session: aiohttp.ClientSession) -> None:
-        """Call an own agent until one call is answered; returns or raises when that call ends.
+    async def _call_dedicated_agent(self, session: aiohttp.ClientSession) -> None:
+        """Call a dedicated agent until one call is answered; returns or raises when that call ends.
 
         Such an agent answers at once unless discovery is down. It may never answer a call that arrived while
         discovery was down, and a change that it has when discovery returns counts as reported immediately. A
--- a/tests/test_discovery_long_lists.py
+++ b/tests/test_discovery_long_lists.py
@@ -1,4 +1,4 @@
-"""A complete list of very many nodes is applied in parts; one that is too long is rejected without a loss."""
+"""Tests for long endpoint lists, which are applied in parts, and for lists over the size limit."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
 
 
 def ignore(_: object) -> None:
-    """A scheduler that is told of updates and does nothing."""
+    """Ignore updates, in place of a scheduler."""
 
 
 def listed_states(directory: Directory) -> dict[str, tuple[EndpointState, float]]:
-    return {one.name: (one.state, one.started_at) for one in directory.instances.values()}
+    return {node.name: (node.state, node.started_at) for node in directory.instances.values()}
 
 
 class TestLongLists(unittest.IsolatedAsyncioTestCase):
-    """``self.updates``: what the scheduler was notified of, step by step."""
+    """``self.updates``: the updates that the scheduler was notified of, in order."""
 
     def setUp(self) -> None:
         self.updates: list[EndpointUpdate] = []
 
-    def begin(self) -> Watch:
+    def start_watch(self) -> Watch:
         self.core = Core(nodes.settings(10))
 
         def notify(event: SchedulerEvent) -> None:
@@ -50,7 +50,7 @@
             self.core.notify(event)
 
         self.directory = Directory({})
-        with mock.patch.object(Watch, "run", asyncio.Event().wait):  # it calls nobody
+        with mock.patch.object(Watch, "run", asyncio.Event().wait):  # makes no calls
             self.discovery = Discovery(Address("127.0.0.1", 1), self.directory, notify, 10)
             return self.watch()
 
@@ -60,9 +60,9 @@
         self.discovery.watches.append(watch)
         return watch
 
-    async def test_a_long_list_is_applied_in_parts_with_the_same_outcome(self) -> None:
-        """A list of very many nodes must not stop the event loop, nor delay the drains that are in it."""
-        watch, text = self.begin(), nodes.list_text(4000, version=9, draining=40)
+    async def test_long_list_applied_in_parts_gives_the_same_directory(self) -> None:
+        """A list of very many nodes must neither block the event loop nor delay the drains in it."""
+        watch, text = self.start_watch(), nodes.list_text(4000, version=9, draining=40)
         await watch.apply_text(text, UpdateKind.SNAPSHOT)
         await asyncio.sleep(0.01)
         expected = Directory({})
@@ -75,30 +75,30 @@
         assert max(len(update.endpoints) for update in self.updates) <= MAX_NODES_PER_TURN
         assert len(self.updates) >= 3960 / MAX_NODES_PER_TURN
 
-    async def test_the_event_loop_runs_between_parts(self) -> None:
-        watch, turns = self.begin(), 0
+    async def test_long_list_leaves_turns_to_the_event_loop(self) -> None:
+        watch, iterations = self.start_watch(), 0
 
         async def count() -> None:
-            nonlocal turns
+            nonlocal iterations
             while True:
-                turns += 1
+                iterations += 1
                 await asyncio.sleep(0)
 
         counter = asyncio.create_task(count())
         await watch.apply_text(nodes.list_text(4000))
         counter.cancel()
-        assert turns >= 2 * 4000 / MAX_NODES_PER_TURN, "decoded in parts and applied in parts"
+        assert iterations >= 2 * 4000 / MAX_NODES_PER_TURN, "decoded in parts and applied in parts"
 
-    async def test_the_same_list_again_notifies_the_scheduler_of_nothing(self) -> None:
-        watch = self.begin()
+    async def test_long_list_without_changes_notifies_the_scheduler_of_nothing(self) -> None:
+        watch = self.start_watch()
         await watch.apply_text(nodes.list_text(4000))
         self.updates.clear()
         await watch.apply_text(nodes.list_text(4000, version=2))
         assert sum(len(update.endpoints) for update in self.updates) == 0
         assert self.directory.version == 2
 
-    async def test_nodes_that_a_long_list_no_longer_has_are_removed_first(self) -> None:
-        watch = self.begin()
+    async def test_long_list_removes_missing_nodes_first(self) -> None:
+        watch = self.start_watch()
         await watch.apply_text(nodes.list_text(4000))
         self.updates.clear()
         await watch.apply_text(nodes.list_text(3900, version=2))
@@ -107,11 +107,11 @@
         assert len(self.updates[0].endpoints) == 100
         assert len(self.core.scheduler.table.holders) == 3900
 
-    async def test_one_malformed_entry_rejects_a_long_list_as_a_whole(self) -> None:
-        """Half of a list that fails in its middle must not be applied: the rest would count as removed."""
-        watch = self.begin()
+    async def test_long_list_with_one_malformed_entry_is_rejected_as_a_whole(self) -> None:
+        """A list with an error in the middle must not be applied in part: the rest would count as removed."""
+        watch = self.start_watch()
         self.addCleanup(gc.enable if gc.isenabled() else gc.disable)
-        gc.enable()  # importing the daemon leaves it off
+        gc.enable()  # importing the daemon disables it
         await watch.apply_text(nodes.list_text(2000))
         before, self.updates[:] = listed_states(self.directory), []
         value = json.loads(nodes.list_text(3000, version=2, draining=2000))
@@ -119,29 +119,29 @@
             value["instances"][2500].update(malformed)
             with self.subTest(malformed=malformed), pytest.raises(InvalidListError):
                 await watch.apply_text(json.dumps(value).encode())
-        whole = nodes.list_text(3000)
-        number = b'{"generation":1,"instances":7' + b" " * 200_000 + b"}"
-        for text in (b"[" * 200_000, number, whole[:-2], whole.replace(b'n": 1,', b'n": "1",', 1)):
+        valid = nodes.list_text(3000)
+        not_a_list = b'{"generation":1,"instances":7' + b" " * 200_000 + b"}"
+        for text in (b"[" * 200_000, not_a_list, valid[:-2], valid.replace(b'n": 1,', b'n": "1",', 1)):
             with self.subTest(text=text[:40]), pytest.raises(InvalidListError):
                 await watch.apply_text(text)
         assert (listed_states(self.directory), self.updates, self.directory.version) == (before, [], 1)
         assert gc.isenabled()
 
-    async def test_a_replaced_agents_list_ends_where_a_newer_one_has_arrived(self) -> None:
-        """A long list of the old agent is half applied when the new agent's list arrives, which holds."""
-        old = self.begin()
+    async def test_long_list_of_a_replaced_agent_does_not_override_a_newer_list(self) -> None:
+        """The new agent's list arrives and overrides a long list of the old one that is partly applied."""
+        old = self.start_watch()
         await old.apply_text(nodes.list_text(2000))
         new = self.watch()
-        late = asyncio.create_task(old.apply_text(nodes.list_text(1500, version=2)))
+        old_task = asyncio.create_task(old.apply_text(nodes.list_text(1500, version=2)))
         with mock.patch.object(self.discovery, "end_retired"):
             self.discovery.complete_list_applied(new)
-            only_new = Instance("s-new", Address("10.9.9.9", 1), "z", 9999, EndpointState.LIVE, 5.0)
-            new.apply(EndpointList(50, False, [only_new]))
-            await late
+            new_node = Instance("s-new", Address("10.9.9.9", 1), "z", 9999, EndpointState.LIVE, 5.0)
+            new.apply(EndpointList(50, False, [new_node]))
+            await old_task
         assert self.directory.find("s-new")
 
-    async def test_a_long_line_is_no_silence(self) -> None:
-        """Applying a list may take longer than the idle timeout, and is no reason to give the watch up."""
+    async def test_long_list_that_takes_longer_than_the_idle_timeout_keeps_the_watch(self) -> None:
+        """Applying a list may take longer than the idle timeout, which must not end the watch."""
         agent = ScriptedDiscovery(json.loads(nodes.list_text(2)), [[nodes.list_text(3000, version=3)]])
         async with asyncio.timeout(10):
             await agent.start()
@@ -153,25 +153,25 @@
                 mock.patch("cleatyoke.discovery.watch.IDLE_TIMEOUT", 0.05),
                 structlog.testing.capture_logs() as logs,
             ):
-                real = listings.read_instance
+                original_read = listings.read_instance
 
                 def slow(entry: Any) -> Instance:
                     if entry["cell"] % 500 == 0:
                         time.sleep(0.02)
-                    return real(entry)
+                    return original_read(entry)
 
                 with mock.patch.object(listings, "read_instance", slow):
                     address = Address("127.0.0.1", agent.port)
                     discovery = Discovery(address, directory, ignore, own_agent=True)
                     discovery.start()
                     while directory.version != 3:
-                        assert not [one for one in logs if one["event"] == "discovery_lost"]
+                        assert not [entry for entry in logs if entry["event"] == "discovery_lost"]
                         await asyncio.sleep(0.005)
                 discovery.stop()
             agent.stop()
 
-    async def rejections(self, agent: ScriptedDiscovery, until: Callable[[], bool]) -> list[Any]:
-        """The log's events of a front that knows node s-known, until something holds."""
+    async def logged_rejections(self, agent: ScriptedDiscovery, is_done: Callable[[], bool]) -> list[Any]:
+        """Return the logged rejections of a front that knows node s-known, until a condition is true."""
         await agent.start()
         self.directory = Directory({})
         known = Instance("s-known", Address("10.0.0.1", 1), "z", 1, EndpointState.LIVE, 5.0)
@@ -185,24 +185,24 @@
             discovery = Discovery(address, self.directory, ignore, own_agent=True)
             discovery.start()
             async with asyncio.timeout(10):
-                while not until():  # noqa: ASYNC110 (what is waited for has no event)
+                while not is_done():  # noqa: ASYNC110 (there is no event to wait for)
                     await asyncio.sleep(0.005)
             discovery.stop()
         agent.stop()
-        return [one for one in logs if one["event"] == "discovery_list_refused"]
-
-    async def test_a_list_over_the_bound_is_rejected_once_and_loses_nothing(self) -> None:
-        """A list that would fill the memory is not read; the log says so once, and known nodes stay."""
-        long = nodes.list_text(100, version=5)
-        small = json.dumps({"generation": 6, "instances": []}).encode()
-        agent = ScriptedDiscovery({}, [[long], [long], [long], [small]])
-        (event,) = await self.rejections(agent, lambda: self.directory.version == 6)
+        return [entry for entry in logs if entry["event"] == "discovery_list_refused"]
+
+    async def test_change_over_the_size_limit_is_rejected_and_logged_once(self) -> None:
+        """A list that would exhaust the memory is not read; it is logged once, and known nodes stay."""
+        long_list = nodes.list_text(100, version=5)
+        short_list = json.dumps({"generation": 6, "instances": []}).encode()
+        agent = ScriptedDiscovery({}, [[long_list], [long_list], [long_list], [short_list]])
+        (event,) = await self.logged_rejections(agent, lambda: self.directory.version == 6)
         assert (event["log_level"], "2000 bytes" in event["why"]) == ("error", True)
         assert self.directory.find("s-known")
         assert len(agent.asked) == 4
 
-    async def test_a_complete_list_over_the_bound_that_was_requested_is_rejected_too(self) -> None:
-        agent = ScriptedDiscovery(json.loads(nodes.list_text(100, version=5)), [[b"spoilt"]])
-        events = await self.rejections(agent, lambda: len(agent.asked) >= 4)
+    async def test_complete_list_over_the_size_limit_is_rejected(self) -> None:
+        agent = ScriptedDiscovery(json.loads(nodes.list_text(100, version=5)), [[b"malformed"]])
+        events = await self.logged_rejections(agent, lambda: len(agent.asked) >= 4)
         assert len(events) == 1
         assert self.directory.find("s-known")
--- a/tests/test_discovery_migration.py
+++ b/tests/test_discovery_migration.py
@@ -1,4 +1,4 @@
-"""Watches over loopback: a migration to another agent, concurrent calls, and answers that are cut off."""
+"""Tests for watches over loopback: migration to another agent, concurrent calls, truncated responses."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from cleatyoke.discovery.watch import Watch
 from tests.scripted_peers import ScriptedDiscovery, instance
 
-MAX_REPORTING_DELAY = 6.0  # seconds, of the protocol page
+MAX_REPORTING_DELAY = 6.0  # seconds; from the protocol page
 HEAD = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def ignore(_: object) -> None:
-    """A scheduler that is told of updates and does nothing."""
+    """Ignore updates, in place of a scheduler."""
 
 
 def change(state: str, started: int = 0, version: int = 8) -> dict[str, Any]:
@@ -49,14 +49,14 @@
 
 async def until(is_true: Callable[[], Any]) -> None:
     async with asyncio.timeout(5):
-        while not is_true():  # noqa: ASYNC110 (what is waited for has no event)
+        while not is_true():  # noqa: ASYNC110 (there is no event to wait for)
             await asyncio.sleep(0.005)
 
 
 class TestMigration(unittest.IsolatedAsyncioTestCase):
-    """A front with an own agent that lists node 1 as serving."""
+    """A front with a dedicated agent that lists node 1 as serving."""
 
-    async def begin(self) -> None:
+    async def start_front(self) -> None:
         self.old: ScriptedDiscovery = await ScriptedDiscovery(complete_list("SERVING"), [[b""]]).start()
         self.directory = Directory({})
         self.discovery = Discovery(
@@ -64,9 +64,9 @@
         )
         self.discovery.start()
         await until(lambda: len(self.old.asked) == 2 and self.directory.is_serving(1))
-        self.addAsyncCleanup(self.end)
+        self.addAsyncCleanup(self.stop_front)
 
-    async def end(self) -> None:
+    async def stop_front(self) -> None:
         self.discovery.stop()
         self.old.stop()
 
@@ -81,63 +81,63 @@
         for writer in agent.writers:
             writer.write(chunk(value))
 
-    async def test_another_agents_list_does_not_undo_a_reported_drain(self) -> None:
+    async def test_migration_to_an_agent_with_an_older_list_keeps_a_reported_drain(self) -> None:
         """The new agent's list is older than a drain that the old agent has sent.
 
-        If it held at once, requests would go to a node that is being shut down. It holds once any older
-        report must have arrived.
+        If it were applied at once, requests would go to a node that is shutting down. It is applied after the
+        maximum reporting delay.
         """
         with mock.patch.object(discovery_module, "MAX_REPORTING_DELAY", 0.5):
-            await self.begin()
+            await self.start_front()
             self.write(self.old, change("DRAINING"))
             await until(lambda: not self.directory.is_serving(1))
             await self.migrate(complete_list("SERVING"))
             assert not self.directory.is_serving(1)
             await until(lambda: self.directory.is_serving(1))
 
-    async def test_a_node_that_was_started_anew_serves_by_another_agents_list_at_once(self) -> None:
-        """A drain of a node's previous incarnation must not keep requests from the new one."""
-        await self.begin()
+    async def test_migration_after_a_node_restart_uses_the_node_at_once(self) -> None:
+        """A drain of a node's previous incarnation must not block requests to the new one."""
+        await self.start_front()
         self.write(self.old, change("DRAINING"))
         await until(lambda: not self.directory.is_serving(1))
         await self.migrate(complete_list("SERVING", started=5_000))
         assert self.directory.is_serving(1)
 
-    async def test_an_agent_may_revoke_its_own_drain_at_once(self) -> None:
-        """Only another agent's list can be older than a drain: the same agent's later entry holds."""
-        await self.begin()
+    async def test_agent_that_revokes_its_own_drain_is_followed_at_once(self) -> None:
+        """Only another agent's list can be older than a drain: a later entry of the same agent is current."""
+        await self.start_front()
         self.write(self.old, change("DRAINING"))
         await until(lambda: not self.directory.is_serving(1))
         self.write(self.old, change("SERVING", version=9))
         await until(lambda: self.directory.is_serving(1))
 
-    async def test_a_drain_in_the_very_turn_in_which_its_watch_is_replaced_counts(self) -> None:
-        """A drain is in the socket, unread, as its watch is replaced: closing at once would lose it."""
-        await self.begin()
+    async def test_replaced_watch_with_an_unread_drain_applies_it(self) -> None:
+        """A drain is unread in the socket when its watch is replaced: closing at once would lose it."""
+        await self.start_front()
         complete_list_applied = self.discovery.complete_list_applied
 
-        def crossing(watch: Watch) -> None:
+        def apply_with_unread_line(watch: Watch) -> None:
             self.write(self.old, change("DRAINING"))
             complete_list_applied(watch)
 
-        with mock.patch.object(self.discovery, "complete_list_applied", crossing):
+        with mock.patch.object(self.discovery, "complete_list_applied", apply_with_unread_line):
             await self.migrate(complete_list("SERVING"))
             await until(lambda: not self.directory.is_serving(1))
         await until(lambda: not self.old.open)
         assert len(self.discovery.watches) == 1
         assert not self.discovery.retired
 
-    async def test_what_a_replaced_agent_sends_last_brings_no_node_back(self) -> None:
-        """The old agent lists a node as serving in its last line, which the new agent lists as draining."""
+    async def test_replaced_watch_with_an_unread_serving_entry_ignores_it(self) -> None:
+        """The old agent's last line lists a node as serving that the new agent lists as draining."""
         with mock.patch.object(discovery_module, "MAX_REPORTING_DELAY", 0.4):
-            await self.begin()
+            await self.start_front()
             complete_list_applied = self.discovery.complete_list_applied
 
-            def crossing(watch: Watch) -> None:
+            def apply_with_unread_line(watch: Watch) -> None:
                 self.write(self.old, change("SERVING", version=9))
                 complete_list_applied(watch)
 
-            with mock.patch.object(self.discovery, "complete_list_applied", crossing):
+            with mock.patch.object(self.discovery, "complete_list_applied", apply_with_unread_line):
                 await self.migrate(complete_list("DRAINING"))
                 await until(lambda: not self.old.open)
             await asyncio.sleep(0.5)
@@ -145,16 +145,16 @@
 
 
 class TestAnswers(unittest.IsolatedAsyncioTestCase):
-    async def test_of_calls_that_are_answered_late_only_the_first_counts(self) -> None:
-        """An agent that is slow at first has two calls of one front: what it answers last may be older."""
+    async def test_concurrent_calls_that_are_both_answered_apply_only_the_first_response(self) -> None:
+        """A slow agent has two concurrent calls of one front: the response that arrives last may be older."""
         asked: list[asyncio.StreamWriter] = []
 
-        async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def leave_unanswered(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             asked.append(writer)
             await asyncio.sleep(60)
 
-        server = await asyncio.start_server(slow, "127.0.0.1", 0)
+        server = await asyncio.start_server(leave_unanswered, "127.0.0.1", 0)
         directory = Directory({})
         directory.apply(EndpointList(7, True, [instance("s-a", 1)]))
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
@@ -171,13 +171,14 @@
         server.close()
 
     async def requests_until_drain(self, first: bytes, own_agent: bool) -> list[str]:
-        """What is requested of an agent whose first watch begins with ``first`` and ends, or stands if empty.
+        """Return the request targets that an agent gets until the front knows of its drain.
 
-        Its later answers are complete. Returns once the drain that it has since is known.
+        The body of the first watch is ``first``, after which the connection is closed, or stays open if
+        ``first`` is empty. Later responses are complete and contain the drain.
         """
         asked: list[str] = []
 
-        async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 target = (await reader.readuntil(b"\r\n\r\n")).decode().split()[1]
                 asked.append(target)
@@ -192,31 +193,31 @@
                 await reader.read()
                 return
 
-        server = await asyncio.start_server(converse, "127.0.0.1", 0)
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
         directory = Directory({})
         directory.apply(EndpointList(7, True, [instance("s-a", 1)]))
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
         discovery = Discovery(address, directory, ignore, 200, own_agent=own_agent)
         discovery.start()
         async with asyncio.timeout(MAX_REPORTING_DELAY):
-            while directory.is_serving(1):  # noqa: ASYNC110 (what is waited for has no event)
+            while directory.is_serving(1):  # noqa: ASYNC110 (there is no event to wait for)
                 await asyncio.sleep(0.005)
         discovery.stop()
         server.close()
         return asked
 
-    async def test_half_a_line_and_the_end_is_followed_by_the_complete_list(self) -> None:
-        """A connection ends amid a line that held a drain: a watch from the same version might skip it."""
-        half = chunk(change("DRAINING"))[:60]
+    async def test_watch_that_ends_within_a_line_is_followed_by_the_complete_list(self) -> None:
+        """The connection ends within a line with a drain, which a watch from the same version might skip."""
+        truncated_line = chunk(change("DRAINING"))[:60]
         for own_agent in (True, False):
             with self.subTest(own_agent=own_agent):
-                await self.requests_until_drain(half, own_agent)
+                await self.requests_until_drain(truncated_line, own_agent)
         line = json.dumps(change("DRAINING")).encode()
-        cut = b"1e\r\n" + line[:30] + b"\r\n0\r\n\r\n"  # the body ends in good order
-        assert (await self.requests_until_drain(cut, True))[1] == "/discovery/hosts"
+        terminated_body = b"1e\r\n" + line[:30] + b"\r\n0\r\n\r\n"  # the body itself is terminated correctly
+        assert (await self.requests_until_drain(terminated_body, True))[1] == "/discovery/hosts"
 
-    async def test_a_watch_that_answers_a_head_and_then_nothing_is_called_again(self) -> None:
-        """An HTTP head says nothing about nodes: the front must not take it for a watch that works."""
+    async def test_watch_that_receives_only_an_http_head_is_called_again(self) -> None:
+        """An HTTP head contains no nodes: the front must not take it for a working watch."""
         for own_agent in (True, False):
             with self.subTest(own_agent=own_agent):
                 assert len(await self.requests_until_drain(b"", own_agent)) >= 2
--- a/tests/test_settings_errors.py
+++ b/tests/test_settings_errors.py
@@ -1,4 +1,4 @@
-"""Errors in the configuration and in the fronts file name the faulty key."""
+"""Tests that errors in the configuration and in the fronts file name the invalid key."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class SettingsErrorTests(unittest.TestCase):
-    def test_errors_name_the_faulty_key(self) -> None:
-        good: dict[str, Any] = {"name": "n", "listen": "h:1", "discovery": "h:2", "settings": FACTS}
-        lanes = [{**FACTS["Lanes"][0], "Repeat": "tea"}]
+    def test_config_with_an_invalid_value_raises_an_error_that_names_the_key(self) -> None:
+        valid: dict[str, Any] = {"name": "n", "listen": "h:1", "discovery": "h:2", "settings": FACTS}
+        invalid_classes = [{**FACTS["Lanes"][0], "Repeat": "sometimes"}]
         cases: list[tuple[dict[str, Any], str]] = [
             ({"seed": "xyz"}, "seed:"),
-            ({"settings": {**FACTS, "Lanes": lanes}}, "settings.Lanes[0].Repeat:"),
+            ({"settings": {**FACTS, "Lanes": invalid_classes}}, "settings.Lanes[0].Repeat:"),
             ({"settings": {**FACTS, "PolicyLimits": {}}}, "settings.PolicyLimits.SendCap: missing"),
             ({"limits": {"sockets": "many"}}, "limits.sockets:"),
             ({"settings": {**FACTS, "Lanes": [{**FACTS["Lanes"][0], "AimS": 0}]}}, "settings.Lanes[0].AimS:"),
@@ -40,13 +40,13 @@
         ]
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
-            for change, said in cases:
-                path.write_text(json.dumps({**good, **change}))
-                with pytest.raises(ConfigError) as caught:
+            for change, expected_prefix in cases:
+                path.write_text(json.dumps({**valid, **change}))
+                with pytest.raises(ConfigError) as raised:
                     read_config({"RELAY_CONFIG": str(path)})
-                assert str(caught.value).startswith(said), caught.value
+                assert str(raised.value).startswith(expected_prefix), raised.value
 
-    def test_the_fronts_file_is_off_as_shipped_and_checked_when_on(self) -> None:
+    def test_fronts_file_is_disabled_as_shipped_and_validated_when_enabled(self) -> None:
         shipped = ROOT / "deploy" / "fronts.toml"
         classes, plans = {"tile-read": 0, "record-write": 1}, {"public": 0}
         assert read_fronts_file(shipped, classes, plans) == (None,) * 5
