--- a/cleatyoke/distribution/__init__.py
+++ b/cleatyoke/distribution/__init__.py
@@ -1,6 +1,6 @@
-"""Versioned configuration, distributed from one source through relays to the subscriber at every front.
+"""Distribution of versioned configuration from one source, through relays, to a subscriber at each front.
 
 ``records``, ``store``, ``server``, ``relay_selection``, ``byte_budget``, ``known_lane``, ``subscriber``,
-``relay``, ``contents`` and ``status`` use no socket, no clock and no randomness of their own. Off as shipped,
-and not imported where it is off. See ``docs/distribution.md``.
+``relay``, ``contents`` and ``status`` do no I/O; time and random number generators are passed in. Disabled by
+default, and not imported where it is disabled. See ``docs/distribution.md``.
 """
--- a/cleatyoke/distribution/__main__.py
+++ b/cleatyoke/distribution/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cleatyoke.distribution source | relay``: the processes of control machines."""
+"""``python -m cleatyoke.distribution source | relay``: the processes that run on control machines."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class AddressType(click.ParamType[Address]):
-    """An option's value ``HOST:PORT``."""
+    """Parameter type of options that take ``HOST:PORT``."""
 
     name = "address"
 
     def convert(
         self, value: str | Address, param: click.Parameter | None, ctx: click.Context | None
     ) -> Address:
-        """Read an address, or end with the option's error text."""
+        """Parse an address; an invalid one is reported as a usage error of the option."""
         if isinstance(value, Address):
             return value
         try:
@@ -45,8 +45,10 @@
             self.fail(str(error), param, ctx)
 
 
-LISTEN = click.option("--listen", type=AddressType(), required=True, help="HOST:PORT to answer on.")
-DEPLOYMENT = click.option("--deployment", required=True, help="Of another one nothing is answered.")
+LISTEN = click.option("--listen", type=AddressType(), required=True, help="HOST:PORT to listen on.")
+DEPLOYMENT = click.option(
+    "--deployment", required=True, help="Name of the deployment; polls of others get no reply."
+)
 MAX_SUBSCRIBERS = click.option("--most", type=click.IntRange(1, 100_000), default=160, show_default=True)
 
 
@@ -60,13 +62,21 @@
 @DEPLOYMENT
 @MAX_SUBSCRIBERS
 @click.option(
-    "--folder", type=click.Path(path_type=Path), required=True, help="A file KEY.json for each key."
+    "--folder",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="Directory with a file KEY.json for each key.",
+)
+@click.option(
+    "--epoch",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="File that stores the epoch, on durable storage.",
 )
-@click.option("--epoch", type=click.Path(path_type=Path), required=True, help="File of the epoch, on a disk.")
 def source(listen: Address, deployment: str, most: int, folder: Path, epoch: Path) -> None:
-    """Distribute what a folder holds; SIGHUP looks at it again."""
+    """Distribute the keys of a directory; SIGHUP scans it again."""
     if not folder.is_dir():
-        msg = f"--folder: {folder} is no folder"
+        msg = f"--folder: {folder} is not a directory"
         raise click.ClickException(msg)
     try:
         number = next_epoch(epoch)
@@ -78,23 +88,25 @@
 
 
 async def run_source(source: Source, folder: ConfigFolder, listen: Address) -> None:
-    """Distribute the folder's values until a signal asks to end. Raises ``OSError`` if it can't listen."""
+    """Distribute the folder's values until SIGTERM or SIGINT. Raises ``OSError`` if it can't listen."""
     loop = asyncio.get_running_loop()
 
     def scan() -> None:
-        found = folder.scan()
-        for key, value in found.changes.items():
+        result = folder.scan()
+        for key, value in result.changes.items():
             source.put(loop.time(), lane_of(key), key, value)
-        for reason in found.rejected:
+        for reason in result.rejected:
             log.error("change_refused", why=reason)
-        log.info("looked", epoch=source.store.epoch, number=source.last_number, changes=len(found.changes))
+        log.info(
+            "folder_scanned", epoch=source.store.epoch, number=source.last_number, changes=len(result.changes)
+        )
 
     scan()
     listener = PollListener(source)
     address = await listener.start(listen)
     loop.add_signal_handler(signal.SIGHUP, scan)
     log.info("ready", role="source", listen=address, epoch=source.store.epoch)
-    await wait_for_end()
+    await wait_for_shutdown_signal()
     listener.stop()
 
 
@@ -102,47 +114,53 @@
 @LISTEN
 @DEPLOYMENT
 @MAX_SUBSCRIBERS
-@click.option("--name", required=True, help="Its own, by which fronts tell their source.")
-@click.option("--upstream", type=AddressType(), multiple=True, required=True, help="Source, or other relays.")
+@click.option("--name", required=True, help="Name of this relay, as fronts report it.")
+@click.option(
+    "--upstream",
+    type=AddressType(),
+    multiple=True,
+    required=True,
+    help="The source or another relay; repeatable.",
+)
 def relay(listen: Address, deployment: str, most: int, name: str, upstream: Sequence[Address]) -> None:
-    """Answer fronts with what a source, or another relay, has."""
+    """Copy the configuration of a source or another relay, and serve it to fronts."""
     tiers = [[str(one) for one in upstream]]
     configure_logging()
     asyncio.run(run_relay(Relay(deployment, name, tiers, random.Random(name), most), listen))
 
 
 async def run_relay(relay: Relay, listen: Address) -> None:
-    """Poll upstream and answer polls until a signal asks to end. Raises ``OSError`` if it can't listen."""
+    """Poll upstream and answer polls until SIGTERM or SIGINT. Raises ``OSError`` if it can't listen."""
     listener = PollListener(relay)
     address = await listener.start(listen)
-    poller = RelayPoller(relay, _ignore, Faults(Metrics()))
+    poller = RelayPoller(relay, _ignore_action, Faults(Metrics()))
     poller.step()
     log.info("ready", role="relay", name=relay.name, listen=address)
-    await wait_for_end()
+    await wait_for_shutdown_signal()
     poller.stop()
     listener.stop()
 
 
-def _ignore(_: SubscriberAction) -> None:
-    """A relay uses all other actions itself."""
+def _ignore_action(_: SubscriberAction) -> None:
+    """Ignore an action: a relay has handled all but polls and relay changes itself."""
 
 
-async def wait_for_end() -> None:
-    """Wait for SIGTERM or SIGINT."""
-    asked = asyncio.Event()
+async def wait_for_shutdown_signal() -> None:
+    """Return at SIGTERM or SIGINT."""
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, asked.set)
-    await asked.wait()
+        asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
+    await stop_requested.wait()
 
 
-def main(words: Sequence[str] | None = None) -> int:
+def main(arguments: Sequence[str] | None = None) -> int:
     """Run a command and return its exit status.
 
     2 for an invalid option, after one line on stderr that begins with the option's name.
     """
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it, it would end the process
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # it would end the process before the event loop handles it
     try:
-        return run_command(commands, words, "python -m cleatyoke.distribution")
+        return run_command(commands, arguments, "python -m cleatyoke.distribution")
     except OSError as error:
         click.echo(f"--listen: {error}", err=True)
         return 2
--- a/cleatyoke/distribution/contents.py
+++ b/cleatyoke/distribution/contents.py
@@ -1,7 +1,7 @@
-"""What a front makes of the entries that are delivered: settings, and nodes that drain or are gone.
+"""Decoding of delivered entries into settings, and into nodes that drain or are gone.
 
-The key ``settings`` holds the complete settings object; ``settings/NAME`` holds one entry of it, which
-overrides the same entry there. A key ``nodes/ID`` holds a node in the form of discovery's lists.
+The key ``settings`` holds the complete settings object; ``settings/NAME`` holds one member, which overrides
+the same member of the complete object. A key ``nodes/ID`` holds a node in the format of discovery's lists.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ListedNodes(NamedTuple):
-    """Nodes in the form of discovery's lists, and the keys whose values can't be read."""
+    """Nodes in the format of discovery's lists, and the keys whose values can't be decoded."""
 
     values: list[Any]
     invalid_keys: list[str]
@@ -42,13 +42,13 @@
 
 @dataclass(slots=True)
 class DistributedSettings:
-    """The entries of the settings as they were delivered. ``version``: that of the newest entry."""
+    """Settings entries as delivered, by key. ``version``: that of the newest entry."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
     version: Version = NO_VERSION
 
     def with_entries(self, entries: Iterable[Entry]) -> DistributedSettings:
-        """Return these settings as the entries change them."""
+        """Return a copy of these settings with the entries applied."""
         changed = DistributedSettings(dict(self.entries), self.version)
         for entry in entries:
             changed.version = max(changed.version, entry.version)
@@ -59,7 +59,7 @@
         return changed
 
     def merged(self, base: dict[str, Any]) -> dict[str, Any]:
-        """Return the settings object; ``base`` is used if the complete object was not delivered.
+        """Return the settings object, built on ``base`` if no complete object was delivered.
 
         Raises ``InvalidValueError``.
         """
@@ -73,15 +73,15 @@
 
 
 def settings_entries(entries: Iterable[Entry]) -> list[Entry]:
-    """Return the entries that are about settings, oldest first."""
-    about_settings = [
+    """Return the entries with settings keys, oldest first."""
+    selected = [
         entry for entry in entries if entry.key == SETTINGS_KEY or entry.key.startswith(SETTINGS_PREFIX)
     ]
-    return sorted(about_settings, key=lambda entry: entry.version)
+    return sorted(selected, key=lambda entry: entry.version)
 
 
 def listed_nodes(entries: Iterable[Entry]) -> ListedNodes:
-    """Return the nodes among the entries, passing over removed keys."""
+    """Return the nodes among the entries; removed keys are skipped."""
     values, invalid_keys = [], []
     for entry in entries:
         if not entry.key.startswith(NODES_PREFIX) or entry.value is None:
--- a/cleatyoke/distribution/errors.py
+++ b/cleatyoke/distribution/errors.py
@@ -1,23 +1,23 @@
-"""The errors of the distribution."""
+"""Exceptions of the distribution of configuration."""
 
 from __future__ import annotations
 
 
 class DistributionError(ValueError):
-    """Base of the errors of the distribution."""
+    """Base class of the exceptions of the distribution."""
 
 
 class NoRelayError(DistributionError):
-    """A subscriber without a relay to poll."""
+    """A subscriber was configured without a relay."""
 
 
 class InvalidChangeError(DistributionError):
-    """A change that the source does not accept; the text begins with its key."""
+    """The source does not accept a change; the text begins with the key."""
 
 
 class InvalidValueError(DistributionError):
-    """A value that can't be read; the text begins with its key."""
+    """A value can't be decoded; the text begins with the key."""
 
 
 class EpochError(DistributionError):
-    """An epoch file that can't be used."""
+    """An epoch file does not hold a valid epoch."""
--- a/cleatyoke/distribution/folder.py
+++ b/cleatyoke/distribution/folder.py
@@ -1,6 +1,6 @@
-"""The source's folder with a file ``KEY.json`` for each key, and the file of its epoch.
+"""The source's folder, with a file ``KEY.json`` for each key, and its epoch file.
 
-A key may have slashes. Reads and writes files; decides no version.
+A key may contain slashes, which are subfolders. Versions are assigned by the source, not here.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 @dataclass(slots=True)
 class FolderScan:
-    """What a scan found.
+    """The result of a scan.
 
-    ``changes``: keys with their new values, None for removed ones. ``rejected``: why files can't be
-    distributed, each text beginning with the key.
+    ``changes``: new values by key, None for removed keys. ``rejected``: the reasons for files that can't be
+    distributed; each begins with the key.
     """
 
     changes: dict[str, bytes | None] = field(default_factory=dict)
@@ -31,19 +31,19 @@
 
 
 class ConfigFolder:
-    """The folder, and what it held at the last scan."""
+    """The folder, and the values that it contained at the last scan."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.known: dict[str, bytes] = {}
 
     def scan(self) -> FolderScan:
-        """Return what is new since the last scan. A file that can't be distributed counts as unchanged."""
-        found: set[str] = set()
+        """Return the changes since the last scan. A file that can't be distributed counts as unchanged."""
+        present_keys: set[str] = set()
         scan = FolderScan()
         for path in sorted(self.path.rglob(f"*{SUFFIX}")):
             key = path.relative_to(self.path).as_posix().removesuffix(SUFFIX)
-            found.add(key)
+            present_keys.add(key)
             try:
                 value = path.read_bytes()
             except OSError as error:
@@ -56,14 +56,14 @@
                 continue
             self.known[key] = value
             scan.changes[key] = value
-        for key in self.known.keys() - found:
+        for key in self.known.keys() - present_keys:
             del self.known[key]
             scan.changes[key] = None
         return scan
 
 
 def _invalid_reason(key: str, value: bytes) -> str | None:
-    """Return why this can't be distributed, beginning with the key; None if it can."""
+    """Return why the value can't be distributed, beginning with the key; None if it can."""
     if len(key) > MAX_KEY_LENGTH:
         return f"{key[:40]}: want a name of {MAX_KEY_LENGTH} characters at the most"
     if len(value) > MAX_VALUE_BYTES:
@@ -76,11 +76,12 @@
 
 
 def next_epoch(path: Path, unix: float | None = None) -> int:
-    """Return an epoch beyond all that this file has held, after it was written to the disk.
+    """Return an epoch higher than any that this file has stored, once it is on disk.
 
-    It is the wall clock's time in milliseconds where that is further; ``unix``: that time in seconds, by
-    default the present one. Symptom if an epoch came twice: subscribers would take a restarted source's new
-    numbers for old ones. Raises ``EpochError`` for a file that holds anything else, and ``OSError``.
+    The epoch is the wall clock's time in milliseconds if that is higher than the stored epoch. ``unix``: that
+    time in seconds; defaults to the current time. An epoch must not be used twice: subscribers would take a
+    restarted source's new change numbers for old ones. Raises ``EpochError`` if the file contains anything
+    but an epoch, and ``OSError``.
     """
     unix = time.time() if unix is None else unix
     last = 0
--- a/cleatyoke/distribution/known_lane.py
+++ b/cleatyoke/distribution/known_lane.py
@@ -1,7 +1,7 @@
-"""What a subscriber knows of a lane: the versions of its keys, and how far its copy goes.
+"""A subscriber's state of a lane: the versions of its keys, and how much of the lane is copied.
 
-A lane is an independently versioned key space (settings, nodes), not one of the settings page's ``Lanes``,
-which are request classes.
+A lane is an independently versioned key space (settings or nodes). It is unrelated to ``Lanes`` in the
+settings, which are request classes.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 
 class KnownLane:
-    """Versions of the known keys of a lane.
+    """Versions of the known keys of a lane, and the subscriber's position in it.
 
-    ``compacted_up_to``: up to this number the server may have discarded tombstones.
+    ``compacted_up_to``: the server may have discarded tombstones with numbers up to this one.
     """
 
     def __init__(self) -> None:
         self.versions: dict[str, Version] = {}
-        self.keys: list[str] = []  # in order
+        self.keys: list[str] = []  # sorted
         self.position = Position()
         self.compacted_up_to = 0
 
     def is_newer(self, entry: Entry) -> bool:
-        """Whether the entry is newer than what is known of its key."""
+        """Whether the entry is newer than the known version of its key."""
         return entry.version > self.versions.get(entry.key, NO_VERSION)
 
     def apply(self, entry: Entry) -> bool:
-        """Record an entry if it is newer than what is known; whether it was."""
+        """Record an entry if it is newer than the known version of its key; return whether it was."""
         if not self.is_newer(entry):
             return False
         if entry.value is None:
@@ -46,10 +46,10 @@
             del self.keys[bisect_left(self.keys, key)]
 
     def missing_in_page(self, changes: LaneChanges, at: Version) -> list[Entry]:
-        """Return tombstones of the known keys in a page's range that the page does not name.
+        """Return tombstones for the known keys in a page's range that the page does not list.
 
-        They were removed: a page names all keys of its range as of ``at``. Keys that are known from a newer
-        change are left alone.
+        These keys were removed, as a page lists all keys of its range as of ``at``. Keys with a change newer
+        than ``at`` are not included.
         """
         assert changes.page_after is not None
         first = bisect_right(self.keys, changes.page_after) if changes.page_after else 0
--- a/cleatyoke/distribution/network.py
+++ b/cleatyoke/distribution/network.py
@@ -1,8 +1,8 @@
-"""The distribution's exchanges on TCP: one stream for each poll, with one message each way.
+"""Transport of polls and replies over TCP: one connection for each poll, with one message in each direction.
 
-No decisions: what is polled, accepted and answered is decided by the state machines. Imported only where the
-distribution is on. A front opens streams and listens nowhere; ``PollListener`` is for the control machines'
-own processes.
+Polls and replies are created and checked by the state machines in ``subscriber`` and ``relay``. Imported only
+if the distribution is enabled. A front only opens connections; ``PollListener`` is used by the processes on
+control machines.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 from cleatyoke.transport.framing import read_message, write_message
 
 RETRY_INTERVAL = 1.0  # seconds until the next step after an unexpected exception here
-MAX_STREAMS = 512  # open at once at a control machine; further ones are closed unread
+MAX_CONNECTIONS = 512  # open at the same time; further ones are closed unread
 EXCHANGE_TIMEOUT = 1.0  # seconds for a complete exchange
-CHANGES_PER_LOG_LINE = 20  # changes to another relay for one that is logged
+CHANGES_PER_LOG_LINE = 20  # of the relay; only the first of as many is logged
 log = structlog.get_logger()
 
 
@@ -36,16 +36,16 @@
     """A subscriber, or a relay around one."""
 
     def step(self, now: float, events: Iterable[PollAnswered] = ()) -> Iterable[SubscriberAction]:
-        """Process events and what is due."""
+        """Process events and timers that are due at ``now``."""
 
     def due(self) -> float:
         """Return when the next step is due."""
 
 
 class RelayPoller:
-    """Run a polling client: a timer, and one stream for each poll.
+    """Runs a polling client: a timer, and a connection for each poll.
 
-    ``handle_action`` is given the client's actions other than polls and changes of the relay.
+    ``handle_action`` is called with the client's actions other than polls and relay changes.
     """
 
     def __init__(
@@ -69,14 +69,14 @@
             for action in self.client.step(self.loop.time(), events):
                 self._handle(action)
             delay = max(0.0, self.client.due() - self.loop.time())
-        except Exception as error:  # noqa: BLE001 (logged; the timer is set whatever failed)
+        except Exception as error:  # noqa: BLE001 (logged; the timer must be set after any failure)
             self.faults.report("distribution_fault", error)
         if self._timer:
             self._timer.cancel()
         self._timer = self.loop.call_later(delay, self.step)
 
     def stop(self) -> None:
-        """End all exchanges and the timer."""
+        """Cancel all exchanges and the timer."""
         self._is_stopped = True
         if self._timer:
             self._timer.cancel()
@@ -91,13 +91,13 @@
                 task.add_done_callback(self._exchanges.discard)
             case RelayChanged(relay, reason):
                 if self.relay_changes % CHANGES_PER_LOG_LINE == 0:
-                    log.info("config_relay_changed", relay=relay, why=reason, moves=self.relay_changes + 1)
+                    log.info("config_relay_changed", relay=relay, why=reason, changes=self.relay_changes + 1)
                 self.relay_changes += 1
             case _:
                 self.handle_action(action)
 
     async def _exchange(self, poll: SendPoll) -> None:
-        """Send a poll and read its answer; whatever fails counts as no answer."""
+        """Send a poll and read its answer; any failure counts as no answer."""
         data, writer = None, None
         try:
             address = read_address(poll.relay, "relay")
@@ -121,17 +121,19 @@
 
 
 class PollListener:
-    """Answer polls on an address of its own, at a control machine."""
+    """Listens for polls on a control machine and answers them."""
 
     def __init__(self, poll_server: PollServer) -> None:
         self.poll_server = poll_server
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
-        self.open_streams = 0
+        self.open_connections = 0
 
     async def start(self, listen: Address) -> Address:
-        """Begin to listen; returns the address. Raises ``OSError``."""
-        self.server = await asyncio.start_server(self._converse, listen.host, listen.port, backlog=512)
+        """Listen, and return the bound address. Raises ``OSError``."""
+        self.server = await asyncio.start_server(
+            self._handle_connection, listen.host, listen.port, backlog=512
+        )
         return Address(*self.server.sockets[0].getsockname()[:2])
 
     def stop(self) -> None:
@@ -139,14 +141,14 @@
         if self.server:
             self.server.close()
 
-    async def _converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open_streams += 1
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.open_connections += 1
         try:
-            if self.open_streams <= MAX_STREAMS:
+            if self.open_connections <= MAX_CONNECTIONS:
                 with contextlib.suppress(OSError, EOFError, ValueError, TimeoutError):
                     await self._answer(reader, writer)
         finally:
-            self.open_streams -= 1
+            self.open_connections -= 1
             with contextlib.suppress(OSError):
                 writer.transport.abort()
 
--- a/cleatyoke/distribution/records.py
+++ b/cleatyoke/distribution/records.py
@@ -1,9 +1,9 @@
-"""The distribution's messages: typed records in MessagePack, validated whole on arrival.
+"""Messages of the distribution: typed MessagePack records, validated completely on receipt.
 
-A subscriber polls and is answered; nothing is pushed, so that a relay stores nothing for a subscriber. Every
+Subscribers poll and nothing is pushed, so a relay keeps no state of the data that a subscriber has. Every
 message has a checksum and begins with a byte that no MessagePack value begins with, which distinguishes it
-from the other messages that the same streams could carry. All records are arrays on the wire: the names of
-fields and classes here never leave the process, their order does (``docs/distribution.md``).
+from other messages on the same kind of connection. All records are arrays on the wire: the order of fields is
+part of the protocol, the names of fields and classes are not (``docs/distribution.md``).
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 
 from cleatyoke.transport.encoding import Count, Text, WireError, append_checksum, verify_checksum
 
-FORMAT_VERSION = 1  # of these messages; others are rejected
+FORMAT_VERSION = 1  # messages with another one are rejected
 MESSAGE_MARK = b"\xc1"  # the first byte of each message
 MAX_MESSAGE_BYTES = 1 << 20
 MAX_VALUE_BYTES = 1 << 18
 MAX_KEY_LENGTH = 128  # characters
-MAX_ENTRIES_PER_LANE = 10_000  # changes, and entries of a page, of one lane of a reply
-ENTRY_OVERHEAD_BYTES = 24  # of an entry on the wire besides its key and value, at most
+MAX_ENTRIES_PER_LANE = 10_000  # limit of the changes, and of the page entries, for each lane of a reply
+ENTRY_OVERHEAD_BYTES = 24  # upper bound of an entry's size on the wire without its key and value
 
 Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_KEY_LENGTH)]
 Cursor = Annotated[str, msgspec.Meta(max_length=MAX_KEY_LENGTH)]
 
 
 class Lane(enum.IntEnum):
-    """An ordered log of changes, one of two that share the version numbers of a source.
+    """One of two ordered logs of changes, which share the version numbers of a source.
 
-    Where there is more than a reply may hold, changes of the first lane are sent first: a drain must not wait
-    for settings.
+    If changes exceed the size of a reply, those of the first lane are sent first: a drain must not wait for
+    settings.
     """
 
-    NODES = 0  # drains and changes of primary
+    NODES = 0  # node states: drains and primary changes
     SETTINGS = 1
 
 
 class Version(msgspec.Struct, array_like=True, frozen=True, order=True, forbid_unknown_fields=True):
-    """The version of a change: ``epoch`` rises with each start of the source, ``number`` with each change."""
+    """Version of a change: ``epoch`` increases with each start of the source, ``number`` with each change."""
 
     epoch: Count
     number: Count
 
 
-NO_VERSION = Version(0, 0)  # less than any change's
+NO_VERSION = Version(0, 0)  # lower than that of any change
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -56,14 +56,14 @@
     value: Annotated[bytes, msgspec.Meta(max_length=MAX_VALUE_BYTES)] | None
 
     def wire_size(self) -> int:
-        """Return the bytes on the wire, at most."""
+        """Return an upper bound of the entry's bytes on the wire."""
         return ENTRY_OVERHEAD_BYTES + len(self.key.encode()) + len(self.value or b"")
 
 
 class Position(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """How much of a lane a subscriber has: all changes up to ``number``, of the keys up to ``cursor``.
+    """How much of a lane a subscriber has: all changes up to ``number`` for the keys up to ``cursor``.
 
-    A ``cursor`` of None: of all keys; otherwise the subscriber is still copying the lane page by page.
+    A ``cursor`` of None means all keys; otherwise the subscriber is still copying the lane page by page.
     """
 
     number: Count = 0
@@ -76,11 +76,11 @@
 
 
 class Poll(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """A subscriber's request for what is new.
+    """A subscriber's request for changes.
 
-    ``poll_id`` returns with the reply. ``epoch`` and ``positions`` (by lane) are what the subscriber has.
-    ``max_bytes``: of entries in the reply. ``wants_tombstones``: pages are to name removed keys too, as a
-    relay needs them for its own subscribers.
+    ``poll_id`` is returned in the reply. ``epoch`` and ``positions`` (by lane) state what the subscriber has.
+    ``max_bytes``: limit of the entries in the reply. ``wants_tombstones``: pages are to include tombstones,
+    which a relay needs for its own subscribers.
     """
 
     deployment: Text
@@ -94,13 +94,13 @@
 
 
 class LaneChanges(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What a reply says of one lane.
+    """The part of a reply for one lane.
 
-    ``changes``: all with numbers over ``since`` up to ``up_to``, the latest one of each key.
+    ``changes``: the latest change of each key with a number above ``since`` and at most ``up_to``.
     ``compacted_up_to``: tombstones with numbers up to this one may have been discarded.
-    ``restarts``: the subscriber's position is of no use, and the pages begin anew.
-    ``page``: all keys over ``page_after`` (None: there is no page) up to ``page_to`` (None: to the end), as
-    of ``up_to`` or later.
+    ``restarts``: the subscriber's position can't be continued, and the lane is copied again from its start.
+    ``page``: all keys after ``page_after`` (None: no page) up to ``page_to`` (None: the end), as of ``up_to``
+    or later.
     """
 
     since: Count
@@ -114,21 +114,21 @@
 
 
 class Rejection(enum.StrEnum):
-    """Why a relay answers a poll without entries; the subscriber polls another one. Wire values."""
+    """Why a poll is answered without entries; the subscriber then polls another relay. Wire values."""
 
-    NONE = ""  # it does answer
-    FULL = "full"  # it has as many subscribers as it accepts
-    NOT_READY = "not ready"  # it has no complete copy yet
-    OLDER_EPOCH = "older epoch"  # the subscriber knows of a newer one
-    BEHIND = "behind"  # the subscriber has more changes
+    NONE = ""  # not rejected
+    FULL = "full"  # the relay has its maximum of subscribers
+    NOT_READY = "not ready"  # the relay has no complete copy yet
+    OLDER_EPOCH = "older epoch"  # the subscriber has a newer epoch
+    BEHIND = "behind"  # the subscriber has newer changes
 
 
 class Reply(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """The answer to a poll.
 
-    ``source``: name of the process that answers. ``age``: seconds since the source is known to have had
-    nothing newer. ``lanes``: one element for each lane, or none with a rejection. ``has_more``: the
-    subscriber is not up to date even with this reply.
+    ``source``: name of the process that answers. ``age``: seconds since the served copy is known to have been
+    up to date with the source. ``lanes``: one element for each lane, or none in a rejection. ``has_more``:
+    this reply does not bring the subscriber up to date.
     """
 
     deployment: Text
@@ -149,7 +149,7 @@
 
 
 def encode(message: Poll | Reply) -> bytes:
-    """Encode a message, with its mark and checksum."""
+    """Encode a message, with its first byte and checksum."""
     return MESSAGE_MARK + append_checksum(_encoder.encode(message))
 
 
--- a/cleatyoke/distribution/relay.py
+++ b/cleatyoke/distribution/relay.py
@@ -1,4 +1,4 @@
-"""Source and relay: a store that answers polls, filled by changes there or by a subscription here."""
+"""Source and relay: stores that answer polls, filled by local changes or by a subscription upstream."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class ChangeServer(ABC):
-    """What answers polls. ``rejected``: messages that were not accepted, by reason."""
+    """Base class of servers that answer polls. ``rejected``: counts of rejected messages, by reason."""
 
     def __init__(self, deployment: str, name: str, max_subscribers: int) -> None:
         self.deployment = deployment
@@ -58,10 +58,10 @@
 
     @abstractmethod
     def age(self, now: float) -> float:
-        """Return the seconds since the source is known to have had nothing newer than the served copy."""
+        """Return the seconds since the served copy is known to have been up to date with the source."""
 
     def answer(self, now: float, data: bytes) -> bytes | None:
-        """Return the reply to a message, or None to one that is no poll of this deployment."""
+        """Return the reply to a message, or None if it is not a valid poll of this deployment."""
         try:
             poll = decode_poll(self.deployment, data)
         except WireError as error:
@@ -80,7 +80,7 @@
 
 
 class Source(ChangeServer):
-    """Where changes are made. ``epoch`` has to be higher than that of any earlier start of the source."""
+    """The origin of changes. ``epoch`` must be higher than at any earlier start of the source."""
 
     def __init__(self, deployment: str, name: str, epoch: int, max_subscribers: int = 256) -> None:
         super().__init__(deployment, name, max_subscribers)
@@ -88,17 +88,17 @@
         self.last_number = 0
 
     def served_store(self) -> ChangeStore:
-        """Return the store, which is complete at any time."""
+        """Return the store, which is always complete."""
         return self.store
 
-    def age(self, now: float) -> float:  # noqa: ARG002 (a relay's age needs it)
-        """Return 0: nothing is newer than the source."""
+    def age(self, now: float) -> float:  # noqa: ARG002 (used by ``Relay.age``)
+        """Return 0, as the source is always up to date."""
         return 0.0
 
     def put(self, now: float, lane: Lane, key: str, value: bytes | None) -> Version:
-        """Make a change; a ``value`` of None removes the key.
+        """Add a change; a ``value`` of None removes the key.
 
-        Raises ``InvalidChangeError`` for one that no message could carry.
+        Raises ``InvalidChangeError`` if the change exceeds the limits of a message.
         """
         if not 1 <= len(key) <= MAX_KEY_LENGTH:
             msg = f"{key[:40]}: want a key of 1 to {MAX_KEY_LENGTH} characters"
@@ -113,11 +113,11 @@
 
 
 class Relay(ChangeServer):
-    """A copy of the source, or of another relay, that answers polls.
+    """A server of a copy of the source or of another relay.
 
-    A relay serves complete copies only: one that served half a copy would make its subscribers remove what
-    the other half holds. While it copies a new epoch, or anew after it was away for too long, it goes on
-    serving the copy that it has.
+    A relay serves complete copies only, because an incomplete copy would make its subscribers remove the keys
+    that it lacks. While it copies a new epoch, or copies again because its position was compacted, it keeps
+    serving its previous copy.
     """
 
     def __init__(  # noqa: PLR0913 (identity and options of the one state machine)
@@ -131,9 +131,9 @@
     ) -> None:
         super().__init__(deployment, name, max_subscribers)
         self.subscriber = Subscriber(deployment, name, upstream, rng, timing, wants_tombstones=True)
-        self.store: ChangeStore | None = None  # complete, and served
-        self.next_store: ChangeStore | None = None  # the copy that is being made, still without entries
-        self.copied_entries: dict[Lane, dict[str, Entry]] = {}  # of the next store
+        self.store: ChangeStore | None = None  # the complete copy that is served
+        self.next_store: ChangeStore | None = None  # the copy in progress; loaded when complete
+        self.copied_entries: dict[Lane, dict[str, Entry]] = {}  # for the next store
         self.complete_lanes: set[Lane] = set()  # of the next store
 
     def served_store(self) -> ChangeStore | None:
@@ -141,15 +141,15 @@
         return self.store
 
     def age(self, now: float) -> float:
-        """Return the seconds since the source is known to have had nothing newer."""
+        """Return the seconds since the copy is known to have been up to date with the source."""
         return max(0.0, self.subscriber.age(now))
 
     def due(self) -> float:
-        """Return when the next step is due even if nothing has happened."""
+        """Return when the next step is due if there is no event before."""
         return self.subscriber.due()
 
     def step(self, now: float, events: Iterable[PollAnswered] = ()) -> list[SendPoll | RelayChanged]:
-        """Process what has happened and what is due at ``now``; returns what is to be done, in order."""
+        """Process events and timers that are due at ``now``; return the actions in order."""
         outgoing: list[SendPoll | RelayChanged] = []
         for action in self.subscriber.step(now, events):
             if isinstance(action, SendPoll | RelayChanged):
@@ -158,8 +158,8 @@
                 self._handle(now, action)
         if self.store and not self.next_store:
             for lane, known in self.subscriber.lanes.items():
-                # The position passes changes without an entry here too: those that were superseded, and
-                # those that a page had brought already.
+                # The position also advances over changes for which no entry is delivered: superseded ones,
+                # and ones that were in a page already.
                 served = self.store.lanes[lane]
                 served.last_number = max(served.last_number, known.position.number)
         return outgoing
@@ -174,12 +174,14 @@
                 self._finish_lane(now, lane)
 
     def _begin_lane(self, lane: Lane, epoch: int) -> None:
-        """Begin the next copy if none is begun: lanes are replaced together, as they are served as one."""
+        """Start the copy of a lane. All lanes are replaced together, as they are served together."""
         if self.next_store is None or self.next_store.epoch != epoch:
             self.next_store = ChangeStore(epoch)
-            retained = self.store if self.store and self.store.epoch == epoch else None
-            self.copied_entries = {one: dict(retained.lanes[one].entries) if retained else {} for one in Lane}
-            self.complete_lanes = set(Lane) if retained else set()
+            same_epoch_store = self.store if self.store and self.store.epoch == epoch else None
+            self.copied_entries = {
+                one: dict(same_epoch_store.lanes[one].entries) if same_epoch_store else {} for one in Lane
+            }
+            self.complete_lanes = set(Lane) if same_epoch_store else set()
         self.copied_entries[lane] = {}
         self.complete_lanes.discard(lane)
 
@@ -195,7 +197,7 @@
                 self.store.lanes[lane].put(now, entry)
 
     def _finish_lane(self, now: float, lane: Lane) -> None:
-        """Serve the next copy if this was its last incomplete lane."""
+        """Mark a lane as complete, and serve the next copy if all its lanes are complete."""
         self.complete_lanes.add(lane)
         if self.next_store is None or len(self.complete_lanes) < len(Lane):
             return
--- a/cleatyoke/distribution/relay_selection.py
+++ b/cleatyoke/distribution/relay_selection.py
@@ -1,4 +1,4 @@
-"""Which relay a subscriber polls: failover to another one, and the return to the own region. No clock."""
+"""Selection of the relay that a subscriber polls: failover and return to the own region. Uses no clock."""
 
 from __future__ import annotations
 
@@ -10,68 +10,71 @@
 
 
 class RelaySelector:
-    """The relays in the order of preference, and the one that is polled.
+    """The relays in order of preference, and the one that is polled.
 
-    ``tiers``: relays by nearness, of which the first tier is the own region's. Relays within a tier are
-    alike, and each subscriber has them in an order of its own, so that the subscribers of a region spread.
+    ``tiers``: relays by proximity; the first tier is the subscriber's own region. Relays within a tier are
+    equivalent, and each subscriber shuffles them, so that the subscribers of a region are spread over them.
     """
 
     def __init__(self, tiers: Sequence[Sequence[str]], rng: random.Random) -> None:
         self.order = [relay for tier in tiers for relay in rng.sample(list(tier), len(tier))]
         if not self.order:
-            msg = "want one relay at the least"
+            msg = "at least one relay is required"
             raise NoRelayError(msg)
-        self.own_region_count = len(tiers[0])  # of the order, the relays of the own region
-        self.place = 0  # of the polled relay in the order
-        self._avoided_until: dict[int, float] = {}  # by place
-        self._away_since: float | None = None  # when the own region was last left, or last tried again
+        self.own_region_count = len(tiers[0])  # number of own-region relays, which come first in ``order``
+        self.index = 0  # of the polled relay in ``order``
+        self._avoided_until: dict[int, float] = {}  # by index
+        self._own_region_left_at: float | None = None  # or when it was last tried again
 
     @property
     def current(self) -> str:
         """The relay that is polled."""
-        return self.order[self.place]
+        return self.order[self.index]
 
     @property
     def has_alternatives(self) -> bool:
-        """Whether there is another relay to fail over to."""
+        """Whether there is a relay to fail over to."""
         return len(self.order) > 1
 
     @property
     def is_in_own_region(self) -> bool:
-        """Whether the polled relay is of the subscriber's own region."""
-        return self.place < self.own_region_count
+        """Whether the polled relay is in the subscriber's own region."""
+        return self.index < self.own_region_count
 
     def fail_over(self, now: float, avoid_duration: float) -> None:
-        """Choose another relay, and avoid the present one for so many seconds."""
-        self._avoided_until[self.place] = now + avoid_duration
-        self.place = self._next_place(now, len(self.order))
+        """Select another relay, and avoid the current one for ``avoid_duration`` seconds."""
+        self._avoided_until[self.index] = now + avoid_duration
+        self.index = self._next_index(now, len(self.order))
         if self.is_in_own_region:
-            self._away_since = None
-        elif self._away_since is None:
-            self._away_since = now
+            self._own_region_left_at = None
+        elif self._own_region_left_at is None:
+            self._own_region_left_at = now
 
     def return_to_own_region(self, now: float, interval: float) -> bool:
-        """Choose a relay of the own region, ``interval`` seconds after it was left; whether one was chosen.
+        """Select an own-region relay ``interval`` seconds after the region was left; return whether it did.
 
-        Symptom without it: after a region's relays were down for a moment, its subscribers load another
-        region's for good.
+        Without it, subscribers whose relays were briefly down would load another region's relays permanently.
         """
-        if self.is_in_own_region or self._away_since is None or now < self._away_since + interval:
+        if (
+            self.is_in_own_region
+            or self._own_region_left_at is None
+            or now < self._own_region_left_at + interval
+        ):
             return False
-        self.place = self._next_place(now, self.own_region_count)
-        self._away_since = now
+        self.index = self._next_index(now, self.own_region_count)
+        self._own_region_left_at = now
         return True
 
-    def _next_place(self, now: float, count: int) -> int:
-        """Return the next of the first ``count`` places that is not avoided, those of the own region first.
+    def _next_index(self, now: float, count: int) -> int:
+        """Return the next of the first ``count`` indexes that is not avoided, own region first.
 
-        If all are avoided, the one whose avoidance ends first.
+        If all are avoided, return the one whose avoidance ends first.
         """
-        places = sorted(
-            range(count), key=lambda place: (place >= self.own_region_count, self._distance(place))
+        indexes = sorted(
+            range(count), key=lambda index: (index >= self.own_region_count, self._distance(index))
         )
-        usable = [place for place in places if self._avoided_until.get(place, -math.inf) <= now]
-        return usable[0] if usable else min(places, key=lambda place: self._avoided_until[place])
+        usable = [index for index in indexes if self._avoided_until.get(index, -math.inf) <= now]
+        return usable[0] if usable else min(indexes, key=lambda index: self._avoided_until[index])
 
-    def _distance(self, place: int) -> int:
-        return (place - self.place - 1) % len(self.order)
+    def _distance(self, index: int) -> int:
+        return (index - self.index - 1) % len(self.order)
--- a/cleatyoke/distribution/server.py
+++ b/cleatyoke/distribution/server.py
@@ -1,6 +1,6 @@
-"""The answer to a poll from a store, which a source and a relay give alike.
+"""Replies to polls from a store, for both sources and relays.
 
-Nothing is stored for a subscriber but when it last polled, by which a relay limits how many it accepts.
+The only state of a subscriber is when it last polled, which is used to limit the number of subscribers.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 )
 from cleatyoke.distribution.store import ChangeStore, LaneStore
 
-SUBSCRIBER_TIMEOUT = 15.0  # seconds after its last poll in which a subscriber counts as one
+SUBSCRIBER_TIMEOUT = 15.0  # seconds after its last poll until a subscriber no longer counts
 
 
 @dataclass(slots=True)
 class PollAdmission:
-    """Limit the subscribers of a relay, so that one relay doesn't get those of all that have failed.
+    """Limits the subscribers of a relay, so that it is not overloaded by those of relays that have failed.
 
-    A subscriber that is known is always admitted. ``last_polled_at``: by subscriber, the latest last.
+    A known subscriber is always admitted. ``last_polled_at``: time by subscriber, in ascending order.
     """
 
     max_subscribers: int
     last_polled_at: dict[str, float] = field(default_factory=dict)
 
     def admit(self, now: float, subscriber: str) -> bool:
-        """Whether the subscriber's poll may be answered; it then counts as a subscriber."""
+        """Return whether the subscriber's poll may be answered, and record the poll if so."""
         while self.last_polled_at and now - next(iter(self.last_polled_at.values())) > SUBSCRIBER_TIMEOUT:
             del self.last_polled_at[next(iter(self.last_polled_at))]
         is_known = self.last_polled_at.pop(subscriber, None) is not None
@@ -49,10 +49,10 @@
 
 
 def answer_poll(poll: Poll, source: str, store: ChangeStore, age: float) -> Reply:
-    """Return the reply to a poll. ``age``: of the store, in seconds.
+    """Return the reply to a poll. ``age``: seconds since the store is known to have been up to date.
 
-    Changes go before pages, and changes of nodes before those of settings. Pages of settings go first, as
-    they are few.
+    Changes come before pages, and changes of nodes before those of settings. Of the pages, those of settings
+    come first, as they are few.
     """
     if poll.epoch > store.epoch:
         return reject_poll(poll, source, store.epoch, Rejection.OLDER_EPOCH)
@@ -114,8 +114,8 @@
 ) -> LaneChanges:
     """Return a lane's changes after a subscriber's position.
 
-    A position of another epoch, or from before the compaction, is of no use: the lane begins anew, by pages
-    and by the changes from now on.
+    A position of another epoch, or from before the compaction, can't be continued: the lane is then copied
+    again by pages, with the changes from now on.
     """
     if not is_same_epoch or position.number < store.compacted_up_to:
         return LaneChanges(store.last_number, store.last_number, store.compacted_up_to, restarts=True)
--- a/cleatyoke/distribution/status.py
+++ b/cleatyoke/distribution/status.py
@@ -1,4 +1,4 @@
-"""What distributed configuration is in force at a front, how old it is and where it came from. No I/O."""
+"""State of the distributed configuration at a front: its version, age and source. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from cleatyoke.distribution.records import NO_VERSION, Lane, Version
 from cleatyoke.distribution.subscriber import Subscriber
 
-MAX_AGE = 13.0  # seconds after which the configuration in force is reported as possibly outdated
+MAX_AGE = 13.0  # seconds; an older configuration is reported as possibly outdated
 
 
 @dataclass(slots=True, frozen=True)
 class RejectedVersion:
-    """A change that is not valid, and why."""
+    """A change that is not valid, and the reason."""
 
     version: Version
     reason: str
@@ -25,7 +25,7 @@
     """The state of a front's subscription for operators.
 
     ``in_force``: version of the settings that the scheduler uses. ``rejected``: by key, the latest version if
-    that is not valid. ``reported_stale``: whether the configuration was last reported as outdated.
+    it is not valid. ``reported_stale``: whether the configuration was last reported as outdated.
     """
 
     subscriber: Subscriber
@@ -34,7 +34,7 @@
     reported_stale: bool = False
 
     def settings_applied(self, version: Version, keys: Iterable[str]) -> None:
-        """Record that settings are in force, with the latest values of these keys."""
+        """Record that settings with the latest values of these keys are in force."""
         self.in_force = version
         for key in keys:
             self.rejected.pop(key, None)
@@ -44,7 +44,7 @@
         self.rejected[key] = RejectedVersion(version, reason)
 
     def check_staleness(self, now: float) -> bool | None:
-        """Return whether the configuration is outdated if that has changed since the last call, else None."""
+        """Return whether the configuration is outdated, or None if unchanged since the last call."""
         is_stale = self.subscriber.age(now) > MAX_AGE
         if is_stale == self.reported_stale:
             return None
@@ -78,7 +78,7 @@
         ]
 
     def gauges(self, now: float) -> dict[str, float]:
-        """Return the numbers for metrics, by name. An unknown age is infinite."""
+        """Return the values of metrics by name. An unknown age is infinite."""
         return {
             "config_epoch": float(self.in_force.epoch),
             "config_number": float(self.in_force.number),
--- a/cleatyoke/distribution/store.py
+++ b/cleatyoke/distribution/store.py
@@ -1,8 +1,8 @@
-"""The latest entry of each key of a lane, in the order of versions (the log) and in the order of keys.
+"""Store of the latest entry of each key of a lane, ordered by version (the log) and by key.
 
-A key that changed ten times stands in the log once, so that a slow reader gets it once, and the store grows
-with the keys and not with the changes. Tombstones of removed keys are retained for a while, as a reader that
-was away has to learn of them; then compaction discards them.
+The log is coalesced: a key that changed ten times is in it once, so that a slow reader gets it once, and the
+store grows with the number of keys and not of changes. Tombstones of removed keys are retained for a time, so
+that readers that were disconnected get them; compaction then discards them.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 TOMBSTONE_RETENTION = 7200.0  # seconds
 MAX_TOMBSTONES = 50_000
-MAX_STALE_SLOTS = 64  # of the log until it is rebuilt, in addition to as many as there are keys
+MAX_STALE_SLOTS = 64  # the log is rebuilt when it has more stale slots than this plus one per key
 
 
 class ChangeBatch(NamedTuple):
-    """Entries in the order of their numbers, and the number up to which these are all changes."""
+    """Entries in order of their numbers, and the number up to which they are complete."""
 
     entries: list[Entry]
     up_to: int
 
 
 class Page(NamedTuple):
-    """Entries in the order of their keys, and the key up to which these are all; None at the end."""
+    """Entries in order of their keys, and the key up to which they are complete; None at the end."""
 
     entries: list[Entry]
     up_to: str | None
@@ -36,26 +36,26 @@
 class LaneStore:
     """The entries of one lane.
 
-    ``last_number``: the highest number that is known. ``compacted_up_to``: up to this number, tombstones may
-    have been discarded, so that a reader from before it needs pages.
+    ``last_number``: the highest known change number. ``compacted_up_to``: tombstones with numbers up to this
+    one may have been discarded, so a reader with a lower position has to copy the lane by pages.
     """
 
     def __init__(self) -> None:
-        self.entries: dict[str, Entry] = {}  # tombstones too
-        self.keys: list[str] = []  # in order
-        self.log_numbers: list[int] = []  # in order ...
+        self.entries: dict[str, Entry] = {}  # including tombstones
+        self.keys: list[str] = []  # sorted
+        self.log_numbers: list[int] = []  # sorted ...
         self.log_keys: list[str] = []  # ... and their keys; a slot is stale where the key has changed since
-        self.tombstones: deque[tuple[float, Entry]] = deque()  # with the times of their removal
+        self.tombstones: deque[tuple[float, Entry]] = deque()  # with the time of removal, oldest first
         self.last_number = 0
         self.compacted_up_to = 0
 
     def put(self, now: float, entry: Entry) -> bool:
-        """Store an entry that is newer than all others of its lane; False, and no change, if it is not."""
+        """Store an entry if it is newer than all others of its lane; return whether it was."""
         number = entry.version.number
         if number <= self.last_number:
             return False
         self._insert(now, entry)
-        slot = bisect_right(self.log_numbers, number)  # the end, unless a copy had newer entries already
+        slot = bisect_right(self.log_numbers, number)  # the end, unless a loaded copy had newer entries
         self.log_numbers.insert(slot, number)
         self.log_keys.insert(slot, entry.key)
         self.last_number = number
@@ -64,7 +64,7 @@
         return True
 
     def load(self, now: float, entries: Iterable[Entry], last_number: int, compacted_up_to: int) -> None:
-        """Store a complete copy, in any order."""
+        """Store a complete copy, with entries in any order."""
         for entry in entries:
             self._insert(now, entry)
         self.last_number = last_number
@@ -72,32 +72,32 @@
         self._rebuild_log()
 
     def changes_since(self, since: int, max_bytes: int) -> ChangeBatch:
-        """Return the entries with numbers over ``since``, within so many bytes but at least one."""
-        found: list[Entry] = []
+        """Return entries with numbers above ``since``: at most ``max_bytes``, but at least one entry."""
+        selected: list[Entry] = []
         size = 0
         for slot in range(bisect_right(self.log_numbers, since), len(self.log_numbers)):
             entry = self.entries.get(self.log_keys[slot])
             if entry is None or entry.version.number != self.log_numbers[slot]:
-                continue  # stale: the key has changed since, or its tombstone is discarded
+                continue  # stale: the key has changed since, or its tombstone was discarded
             size += entry.wire_size()
-            if found and (size > max_bytes or len(found) >= MAX_ENTRIES_PER_LANE):
-                return ChangeBatch(found, found[-1].version.number)
-            found.append(entry)
-        return ChangeBatch(found, self.last_number)
+            if selected and (size > max_bytes or len(selected) >= MAX_ENTRIES_PER_LANE):
+                return ChangeBatch(selected, selected[-1].version.number)
+            selected.append(entry)
+        return ChangeBatch(selected, self.last_number)
 
     def page_after(self, after: str, max_bytes: int, *, with_tombstones: bool) -> Page:
-        """Return the entries of the keys over ``after``, within so many bytes but at least one."""
-        found: list[Entry] = []
+        """Return entries with keys after ``after``: at most ``max_bytes``, but at least one entry."""
+        selected: list[Entry] = []
         size = 0
-        for place in range(bisect_right(self.keys, after) if after else 0, len(self.keys)):
-            entry = self.entries[self.keys[place]]
+        for index in range(bisect_right(self.keys, after) if after else 0, len(self.keys)):
+            entry = self.entries[self.keys[index]]
             if entry.value is None and not with_tombstones:
                 continue
             size += entry.wire_size()
-            if found and (size > max_bytes or len(found) >= MAX_ENTRIES_PER_LANE):
-                return Page(found, found[-1].key)
-            found.append(entry)
-        return Page(found, None)
+            if selected and (size > max_bytes or len(selected) >= MAX_ENTRIES_PER_LANE):
+                return Page(selected, selected[-1].key)
+            selected.append(entry)
+        return Page(selected, None)
 
     def _insert(self, now: float, entry: Entry) -> None:
         if entry.key not in self.entries:
@@ -113,7 +113,7 @@
         self.log_keys = [key for _, key in ordered]
 
     def _compact(self, now: float) -> None:
-        """Discard tombstones that are old or too many, so that a long life of removals fills no memory."""
+        """Discard tombstones that are too old or too many, so that removals don't use unbounded memory."""
         while self.tombstones:
             removed_at, entry = self.tombstones[0]
             if now - removed_at <= TOMBSTONE_RETENTION and len(self.tombstones) <= MAX_TOMBSTONES:
@@ -126,7 +126,7 @@
 
 
 class ChangeStore:
-    """All lanes of one epoch of the source."""
+    """The lanes of one epoch of the source."""
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
--- a/cleatyoke/distribution/subscriber.py
+++ b/cleatyoke/distribution/subscriber.py
@@ -1,6 +1,6 @@
-"""A subscriber: when it polls, what it accepts of the replies, and what it delivers.
+"""State machine of a subscriber: it schedules polls, validates replies and delivers changes.
 
-``step(now, events) -> actions``, with time, randomness and messages passed in.
+``step(now, events) -> actions``; time, random numbers and messages are passed in.
 """
 
 from __future__ import annotations
@@ -38,24 +38,26 @@
 )
 from cleatyoke.transport.encoding import WireError
 
-MIN_REPLY_BYTES = 256  # of entries that a poll requests at least
-FULL_FRACTION = 0.9  # of the burst that is saved up before more is requested, as each exchange has a cost
-MIN_POLL_GAP = 0.01  # seconds between a reply that has more and the next poll
+MIN_REPLY_BYTES = 256  # minimum that a poll requests, of entries
+REFILL_FRACTION = (
+    0.9  # of the burst that must be available before more is requested: each exchange has a fixed cost
+)
+MIN_POLL_INTERVAL = 0.01  # seconds from a reply that has more to the next poll
 MAX_SPREAD_DOUBLINGS = 10
 
 
 class Subscriber:
-    """Copies the source's lanes through one relay at a time, one poll at a time.
+    """Copies the source's lanes from one relay at a time, with one poll at a time.
 
     A lane is an independently versioned key space, see ``known_lane``.
 
-    It never goes back: a reply of an older epoch, a relay that knows less, a message that came twice or late
-    change nothing. If no relay answers it goes on with what it has, however long.
+    State never goes back: replies of an older epoch, replies of a relay that has fewer changes, and duplicate
+    or late messages change nothing. If no relay answers, the subscriber keeps its copy without a time limit.
 
-    ``tiers``: relays by nearness, the first tier being the own region's. ``wants_tombstones``: removed keys
-    are needed in pages too, as this subscriber serves others. ``rejected``: replies that were not accepted,
-    by reason. ``current_as_of``: up to when the source is known to have had nothing newer, -inf before the
-    first complete reply. ``source_name``: who sent the last reply.
+    ``tiers``: relays by proximity; the first tier is the own region. ``wants_tombstones``: pages are to
+    include tombstones, as this subscriber serves others. ``rejected``: counts of rejected replies, by reason.
+    ``current_as_of``: the latest time at which the copy is known to have been up to date with the source,
+    -inf before the first complete reply. ``source_name``: name of the sender of the last reply.
     """
 
     def __init__(  # noqa: PLR0913 (identity and options of the one state machine)
@@ -81,8 +83,8 @@
         self.polled_at = -math.inf
         self.poll_count = 0
         self.next_poll_at: float | None = None  # None before the first step
-        self.failures = 0  # failovers in a row without an answer
-        self.has_retried = False  # at the present relay
+        self.failures = 0  # consecutive failovers without an answer
+        self.has_retried = False  # at the current relay
         self.current_as_of = -math.inf
         self.source_name = ""
         self.rejected: Counter[str] = Counter()
@@ -92,7 +94,7 @@
     # The step
 
     def step(self, now: float, events: Iterable[PollAnswered] = ()) -> list[SubscriberAction]:
-        """Process what has happened and what is due at ``now``; returns what is to be done, in order."""
+        """Process events and timers that are due at ``now``; return the actions in order."""
         self._actions = []
         if self.next_poll_at is None:
             self.budget.start(now)
@@ -109,24 +111,24 @@
         return self._actions
 
     def due(self) -> float:
-        """Return when the next step is due even if nothing has happened; -inf for at once."""
+        """Return when the next step is due if there is no event before; -inf means at once."""
         if self.pending_poll is not None:
             return self.polled_at + self.timing.answer_timeout
         return -math.inf if self.next_poll_at is None else self.next_poll_at
 
     def age(self, now: float) -> float:
-        """Return the seconds since the source is known to have had nothing newer; infinite if unknown."""
+        """Return the seconds since the copy is known to have been up to date; infinite if unknown."""
         return now - self.current_as_of
 
     @property
     def is_complete(self) -> bool:
-        """Whether all keys of all lanes are known, as opposed to a part of the pages."""
+        """Whether all pages of all lanes have been copied."""
         return all(lane.position.is_complete for lane in self.lanes.values())
 
     # Polls
 
     def send_poll(self, now: float) -> None:
-        """Poll the present relay for as much as the byte budget allows."""
+        """Poll the current relay, requesting as much as the byte budget allows."""
         timing = self.timing
         if self.relays.return_to_own_region(now, timing.own_region_interval):
             self._actions.append(RelayChanged(self.relays.current, "home"))
@@ -150,7 +152,7 @@
         self._actions.append(SendPoll(self.relays.current, self.poll_count, data))
 
     def poll_failed(self, now: float, reason: str) -> None:
-        """Retry once at the same relay, as one lost answer proves nothing; then fail over to another one."""
+        """Retry once at the same relay, as a single answer may be lost; then fail over to another one."""
         self.pending_poll = None
         if self.has_retried:
             self.fail_over(now, reason)
@@ -161,8 +163,8 @@
     def fail_over(self, now: float, reason: str) -> None:
         """Poll another relay from now on, after a random delay that grows with each failure.
 
-        Symptom without the delay: the subscribers of a relay that is gone come to the others all at once, and
-        overload them.
+        Without the delay, the subscribers of a failed relay would all poll the others at once and overload
+        them.
         """
         self.pending_poll = None
         self.has_retried = False
@@ -184,7 +186,7 @@
     # Replies
 
     def receive(self, now: float, event: PollAnswered) -> None:
-        """Apply the answer to the pending poll, or reject it as a whole by a counted reason."""
+        """Apply the answer to the pending poll, or reject it completely and count the reason."""
         if event.data is None:
             self.poll_failed(now, "no answer")
             return
@@ -207,19 +209,19 @@
             self.apply_reply(now, reply)
 
     def leave_relay(self, now: float, rejection: Rejection) -> None:
-        """Fail over at once: the relay works, and has nothing for this subscriber."""
+        """Fail over without a retry: the relay works, but can't serve this subscriber."""
         self.rejected[rejection.value] += 1
         self.fail_over(now, rejection.value)
 
     def reject_reply(self, now: float, reason: str) -> None:
-        """Count a reply that can't be applied, and go on as without an answer."""
+        """Count a reply that can't be applied, and treat it like a missing answer."""
         self.rejected[reason] += 1
         self.poll_failed(now, reason)
 
     def continues_position(self, reply: Reply) -> bool:
-        """Whether the reply begins where this subscriber is, in each lane.
+        """Return whether the reply begins at this subscriber's position in each lane.
 
-        Guards against a faulty or forged reply: one that skips changes would leave keys outdated for good.
+        Guards against faulty and forged replies: one that skips changes would leave keys outdated for good.
         """
         for lane in Lane:
             changes = reply.lanes[lane]
@@ -237,7 +239,7 @@
         return True
 
     def apply_reply(self, now: float, reply: Reply) -> None:
-        """Apply a reply that continues this subscriber's position."""
+        """Apply a reply that begins at this subscriber's position."""
         self.pending_poll = None
         self.failures = 0
         self.has_retried = False
@@ -250,11 +252,11 @@
         self.next_poll_at = now + self._delay_after_reply(has_more=reply.has_more)
 
     def _delay_after_reply(self, *, has_more: bool) -> float:
-        """Seconds until the next poll: if there is more, as soon as bytes for it are saved up."""
+        """Return the seconds until the next poll; if there is more, until the byte budget allows it."""
         timing = self.timing
         if has_more:
-            missing = FULL_FRACTION * timing.burst_bytes - self.budget.level
-            return max(MIN_POLL_GAP, missing / timing.bytes_per_second)
+            missing_bytes = REFILL_FRACTION * timing.burst_bytes - self.budget.level
+            return max(MIN_POLL_INTERVAL, missing_bytes / timing.bytes_per_second)
         return timing.poll_interval * (1 + timing.jitter * (2 * self.rng.random() - 1))
 
     def apply_lane(self, lane: Lane, changes: LaneChanges) -> None:
--- a/cleatyoke/distribution/subscriber_messages.py
+++ b/cleatyoke/distribution/subscriber_messages.py
@@ -1,4 +1,4 @@
-"""The inputs and outputs of a subscriber's step, and its settings."""
+"""Events and actions of a subscriber's step, and its timing settings."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 @dataclass(slots=True, frozen=True)
 class SubscriberTiming:
-    """Times in seconds, and limits in bytes."""
+    """Times (in seconds) and limits (in bytes) of a subscriber."""
 
-    poll_interval: float = 2.0  # between two polls while there is nothing new
-    answer_timeout: float = 1.0  # until a poll without an answer has failed
-    retry_spread: float = 0.5  # over which the retry is drawn: one lost answer proves nothing
-    avoid_duration: float = 10.0  # for which a relay that failed is polled only if there is no other
-    failover_spread: float = 2.0  # over which the first failover is drawn, doubled with each failure ...
+    poll_interval: float = 2.0  # between polls while there is nothing new
+    answer_timeout: float = 1.0  # after which a poll without an answer has failed
+    retry_spread: float = 0.5  # the retry at the same relay is delayed by a random time up to this
+    avoid_duration: float = 10.0  # for which a failed relay is polled only if there is no other
+    failover_spread: float = 2.0  # random delay of the first failover, doubled with each failure ...
     max_failover_spread: float = 8.0  # ... up to this
-    own_region_interval: float = 60.0  # after which a subscriber in another region tries its own again
-    jitter: float = 0.25  # fraction by which the time between two polls is drawn
-    bytes_per_second: float = 2300.0  # that polls and replies may take
-    burst_bytes: float = 4000.0  # that may be saved up: with 13 s of the rate under 39 KB
-    overhead_bytes: int = 400  # of an exchange besides its messages: TCP's own, both ways
+    own_region_interval: float = 60.0  # after which a subscriber that left its own region tries it again
+    jitter: float = 0.25  # random fraction by which ``poll_interval`` varies
+    bytes_per_second: float = 2300.0  # that polls and replies may use
+    burst_bytes: float = 4000.0  # that may accumulate: together with 13 s of the rate less than 39 KB
+    overhead_bytes: int = 400  # TCP overhead of an exchange, in both directions
 
 
 @dataclass(slots=True, frozen=True)
 class PollAnswered:
-    """Event: a poll has ended. ``data``: the answer, or None if none came."""
+    """Event: a poll has ended. ``data``: the answer, or None without one."""
 
     poll_id: int
     data: bytes | None
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPoll:
-    """Action: send a poll to a relay and report its answer, or that there was none."""
+    """Action: send a poll to a relay, and report the answer or its absence by ``PollAnswered``."""
 
     relay: str
     poll_id: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EpochRestarted:
-    """Action: the lane is copied anew; what is known of it stays in force until pages replace it."""
+    """Action: a new copy of the lane begins; known values stay in force until its pages replace them."""
 
     lane: Lane
     epoch: int
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DeliverChanges:
-    """Action: use these entries, which are newer than what was known; tombstones are of removed keys."""
+    """Action: apply these entries, which are newer than the known ones; tombstones remove their keys."""
 
     lane: Lane
     entries: list[Entry]
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RelayChanged:
-    """Action: log that another relay is polled from now on."""
+    """Action: log that the subscriber polls another relay from now on."""
 
     relay: str
     reason: str
--- a/cleatyoke/distribution/subscription.py
+++ b/cleatyoke/distribution/subscription.py
@@ -1,4 +1,4 @@
-"""A front's subscription: put delivered settings in force, and report nodes that drain or are gone."""
+"""Subscription of a front: applies delivered settings, and reports nodes that drain or are gone."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 class Subscription:
-    """A front's part of the distribution. Serving waits for none of it.
+    """A front's part of the distribution. A front serves requests without waiting for it.
 
-    ``apply_settings`` puts settings in force in the way of SIGHUP and returns why they are not valid, or "".
-    ``notify_nodes`` is given nodes that drain or are gone, as changes to the endpoint list.
+    ``apply_settings`` puts settings in force, as SIGHUP does, and returns why they are not valid, or "".
+    ``notify_nodes`` is called with nodes that drain or are gone, as changes to the endpoint list.
     """
 
-    def __init__(  # noqa: PLR0913 (settings, identity and collaborators of the one owner)
+    def __init__(  # noqa: PLR0913 (settings, identity and collaborators)
         self,
         distribution_settings: DistributionSettings,
         name: str,
@@ -67,14 +67,14 @@
         self._age_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         self.poller.step()
         self._age_task = asyncio.create_task(
             run_forever(self.faults, "config_age", self._log_staleness, lambda: AGE_CHECK_INTERVAL)
         )
 
     def stop(self) -> None:
-        """End polling; settings stay in force."""
+        """Stop polling; settings stay in force."""
         self.poller.stop()
         if self._age_task:
             self._age_task.cancel()
@@ -84,11 +84,11 @@
         return self.status.lines(self.poller.loop.time())
 
     def gauges(self) -> dict[str, float]:
-        """Return the numbers for metrics, by name."""
+        """Return the values of metrics by name."""
         return self.status.gauges(self.poller.loop.time())
 
     def handle_action(self, action: SubscriberAction) -> None:
-        """Use what the subscriber delivers."""
+        """Apply the subscriber's action."""
         match action:
             case DeliverChanges(Lane.SETTINGS, entries):
                 self._apply_entries(entries)
@@ -113,14 +113,14 @@
             )
 
     def _apply_entries(self, entries: list[Entry]) -> None:
-        """Put settings in force: all that arrived together; or if those are not valid, one by one.
+        """Put all settings that arrived together in force, or one by one if together they are not valid.
 
-        So a change that is not valid is rejected by name and delays no other.
+        An invalid change is thereby rejected by its key, and does not delay others.
         """
-        about_settings = settings_entries(entries)
-        if not about_settings or not self._try_entries(about_settings):
+        changes = settings_entries(entries)
+        if not changes or not self._try_entries(changes):
             return
-        for entry in about_settings:
+        for entry in changes:
             if reason := self._try_entries([entry]):
                 version = entry.version
                 self.status.settings_rejected(entry.key, version, reason)
@@ -133,7 +133,7 @@
                 )
 
     def _try_entries(self, entries: list[Entry]) -> str:
-        """Put settings in force as these entries change them; returns why they are not valid, or ""."""
+        """Put the settings with these entries in force; return why they are not valid, or ""."""
         changed = self.settings.with_entries(entries)
         if reason := self.apply_settings(changed):
             return reason
@@ -147,17 +147,17 @@
     def _report_nodes(self, entries: list[Entry]) -> None:
         """Report nodes that drain or are gone.
 
-        Others are passed over: which nodes requests may be sent to is for discovery alone to say.
+        Other nodes are ignored: only discovery may add nodes that requests are sent to.
         """
         values, invalid = listed_nodes(entries)
-        found = []
+        parsed = []
         for value in values:
             try:
-                found.append(read_instance(value))
+                parsed.append(read_instance(value))
             except InvalidListError as error:
                 invalid.append(str(error))
         if invalid:
             log.warning("config_nodes_refused", why=invalid[0], count=len(invalid))
-        if not_live := [instance for instance in found if instance.state is not EndpointState.LIVE]:
-            # 0: relays know no version of discovery; only a watch's own version is asked by.
+        if not_live := [instance for instance in parsed if instance.state is not EndpointState.LIVE]:
+            # 0: relays don't have discovery's version, which only a watch uses in its requests.
             self.notify_nodes(EndpointList(0, is_complete=False, instances=not_live))
--- a/tests/test_distribution_polling.py
+++ b/tests/test_distribution_polling.py
@@ -44,12 +44,12 @@
     assert front.subscriber.due() == asked + AMPLE.answer_timeout
     front.now = asked + AMPLE.answer_timeout
     front.step()
-    assert front.subscriber.relays.place == 0
+    assert front.subscriber.relays.index == 0
     assert front.subscriber.due() <= front.now + AMPLE.retry_spread
     front.poll()
     front.now += AMPLE.answer_timeout
     front.step()
-    assert front.subscriber.relays.place == 1
+    assert front.subscriber.relays.index == 1
     assert front.subscriber.due() <= front.now + AMPLE.failover_spread
 
 
@@ -116,5 +116,5 @@
 
 
 def test_a_subscriber_without_relays_is_an_error() -> None:
-    with pytest.raises(NoRelayError, match="want one relay"):
+    with pytest.raises(NoRelayError, match="at least one relay"):
         Subscriber("d", "f", [], random.Random(1))
--- a/tests/test_distribution_relay.py
+++ b/tests/test_distribution_relay.py
@@ -35,7 +35,7 @@
 def test_a_relay_serves_nothing_before_it_has_a_complete_copy() -> None:
     relay, front = Relay("d", "relay", [[SOURCE]], random.Random(1)), Front(["a", "b"])
     assert front.exchange_with(relay).rejection is Rejection.NOT_READY
-    assert front.subscriber.relays.place == 1
+    assert front.subscriber.relays.index == 1
     sync(relay, a_source(), 0.0)
     assert front.exchange_with(relay).rejection is Rejection.NONE
 
--- a/tests/test_distribution_subscriber.py
+++ b/tests/test_distribution_subscriber.py
@@ -236,9 +236,9 @@
             assert front.epoch == 0
             assert sum(front.subscriber.rejected.values()) == 1
             assert front.subscriber.has_retried
-            assert front.subscriber.relays.place == 0, "it is polled once more"
+            assert front.subscriber.relays.index == 0, "it is polled once more"
             front.step(PollAnswered(front.poll().poll_id, bad))
-            assert front.subscriber.relays.place == 1, "then another one is polled"
+            assert front.subscriber.relays.index == 1, "then another one is polled"
 
 
 @pytest.mark.parametrize(
