--- a/tests/distribution.py
+++ b/tests/distribution.py
@@ -1,4 +1,4 @@
-"""A front, a source and relays of the distribution without a network, for the tests of their parts."""
+"""Helpers for tests of the distribution: a front, a source and relays, connected without a network."""
 
 from __future__ import annotations
 
@@ -21,15 +21,18 @@
 )
 from cleatyoke.emulation.distribution import SOURCE
 
-AMPLE = SubscriberTiming(bytes_per_second=1e6, burst_bytes=1e6, jitter=0.0)
-S, N = Lane.SETTINGS, Lane.NODES
+UNLIMITED_TIMING = SubscriberTiming(bytes_per_second=1e6, burst_bytes=1e6, jitter=0.0)
+SETTINGS, NODES = Lane.SETTINGS, Lane.NODES
 
 
 class Front:
-    """A subscriber, and what it has delivered so far."""
+    """A subscriber, and the entries that it has delivered."""
 
     def __init__(
-        self, *tiers: list[str], timing: SubscriberTiming = AMPLE, kind: type[Subscriber] = Subscriber
+        self,
+        *tiers: list[str],
+        timing: SubscriberTiming = UNLIMITED_TIMING,
+        kind: type[Subscriber] = Subscriber,
     ) -> None:
         self.subscriber = kind("d", "front", tiers or [["a"]], random.Random(1), timing)
         self.now = 0.0
@@ -38,9 +41,9 @@
         self.actions: list[SubscriberAction] = []
 
     def step(self, *events: PollAnswered) -> list[SubscriberAction]:
-        found = self.subscriber.step(self.now, events)
-        self.actions += found
-        for action in found:
+        step_actions = self.subscriber.step(self.now, events)
+        self.actions += step_actions
+        for action in step_actions:
             if isinstance(action, DeliverChanges):
                 for entry in action.entries:
                     self.delivered.append(entry)
@@ -48,31 +51,31 @@
                         self.values.pop(entry.key, None)
                     else:
                         self.values[entry.key] = entry.value
-        return found
+        return step_actions
 
     def poll(self) -> SendPoll:
-        """Its next poll, whenever that is due."""
+        """Advance the time to the next poll and return it."""
         for _ in range(50):
             self.now = max(self.now, self.subscriber.due())
             for action in self.step():
                 if isinstance(action, SendPoll):
                     return action
-        msg = "it never polls"
+        msg = "no poll after 50 steps"
         raise AssertionError(msg)
 
     def exchange_with(self, server: ChangeServer) -> Reply:
-        """One exchange that succeeds."""
+        """Poll the server once, successfully, and return its reply."""
         poll = self.poll()
         data = server.answer(self.now, poll.data)
         assert data
         self.step(PollAnswered(poll.poll_id, data))
         return decode_reply("d", data)
 
-    def exchange_until_complete(self, server: ChangeServer, most: int = 1000) -> int:
-        for count in range(1, most):
+    def exchange_until_up_to_date(self, server: ChangeServer, max_exchanges: int = 1000) -> int:
+        for count in range(1, max_exchanges):
             if not self.exchange_with(server).has_more:
                 return count
-        msg = "there is always more"
+        msg = f"still has_more after {max_exchanges} exchanges"
         raise AssertionError(msg)
 
     @property
@@ -80,14 +83,14 @@
         return self.subscriber.epoch
 
 
-def a_source(count: int = 3, epoch: int = 5, lane: Lane = S) -> Source:
+def make_source(count: int = 3, epoch: int = 5, lane: Lane = SETTINGS) -> Source:
     source = Source("d", SOURCE, epoch)
     for number in range(count):
         source.put(0.0, lane, f"k/{number:04d}", b"v%d" % number)
     return source
 
 
-def true_values(source: Source) -> dict[str, bytes]:
+def source_values(source: Source) -> dict[str, bytes]:
     return {
         key: entry.value
         for lane in source.store.lanes.values()
@@ -103,14 +106,17 @@
     return poll, data
 
 
-def relay_of(source: ChangeServer, name: str = "relay", now: float = 0.0) -> Relay:
+def make_synced_relay(source: ChangeServer, name: str = "relay", now: float = 0.0) -> Relay:
     relay = Relay("d", name, [[SOURCE]], random.Random(1))
-    sync(relay, source, now)
+    sync_relay(relay, source, now)
     return relay
 
 
-def sync(relay: Relay, source: ChangeServer | None, now: float) -> float:
-    """Let a relay poll until it has all; returns when."""
+def sync_relay(relay: Relay, source: ChangeServer | None, now: float) -> float:
+    """Let a relay poll until it is up to date; return the time.
+
+    Without a source, return after one poll without an answer.
+    """
     for _ in range(100):
         now = max(now, relay.due())
         for action in relay.step(now):
@@ -121,5 +127,5 @@
                     return now
                 if source is None:
                     return now
-    msg = "it never has all"
+    msg = "relay is not up to date after 100 steps"
     raise AssertionError(msg)
--- a/tests/test_distribution_contents.py
+++ b/tests/test_distribution_contents.py
@@ -1,4 +1,4 @@
-"""What a front makes of delivered entries: settings in force, rejected changes, and nodes."""
+"""Delivered entries at a front: settings in force, rejected changes, and nodes."""
 
 from __future__ import annotations
 
@@ -28,43 +28,43 @@
     return Entry(key, Version(1, number), None if value is None else json.dumps(value).encode())
 
 
-def test_single_entries_override_the_complete_settings_until_removed() -> None:
-    none = DistributedSettings()
-    assert none.merged({"a": 1}) == {"a": 1}
-    part = none.with_entries([entry("settings/b", 2, 5)])
-    assert part.merged({"a": 1}) == {"a": 1, "b": 5}
-    assert none.merged({"a": 1}) == {"a": 1}
-    whole = part.with_entries([entry("settings", 3, {"b": 1, "c": 2})])
-    assert whole.merged({"a": 1}) == {"b": 5, "c": 2}
-    assert whole.version == Version(1, 3)
-    assert whole.with_entries([entry("settings/b", 4, None)]).merged({}) == {"b": 1, "c": 2}
+def test_settings_entry_overrides_the_complete_settings_until_removed() -> None:
+    empty = DistributedSettings()
+    assert empty.merged({"a": 1}) == {"a": 1}
+    overridden = empty.with_entries([entry("settings/b", 2, 5)])
+    assert overridden.merged({"a": 1}) == {"a": 1, "b": 5}
+    assert empty.merged({"a": 1}) == {"a": 1}
+    complete = overridden.with_entries([entry("settings", 3, {"b": 1, "c": 2})])
+    assert complete.merged({"a": 1}) == {"b": 5, "c": 2}
+    assert complete.version == Version(1, 3)
+    assert complete.with_entries([entry("settings/b", 4, None)]).merged({}) == {"b": 1, "c": 2}
     with pytest.raises(InvalidValueError, match="settings"):
-        whole.with_entries([entry("settings", 5, [1])]).merged({})
+        complete.with_entries([entry("settings", 5, [1])]).merged({})
     mixed = [entry("settings/x", 9, 1), entry("nodes/a", 8, {}), entry("settings", 7, {})]
     assert [one.key for one in settings_entries(mixed)] == ["settings", "settings/x"]
 
 
-def test_a_change_that_is_not_valid_delays_no_other() -> None:
-    """Three changes arrive together, and one of them is not valid: the others must come into force."""
-    taken: list[dict[str, Any]] = []
+def test_subscription_with_an_invalid_change_applies_the_others() -> None:
+    """Three changes arrive together and one is not valid: the others must be applied."""
+    applied: list[dict[str, Any]] = []
 
-    def put(settings: DistributedSettings) -> str:
+    def apply(settings: DistributedSettings) -> str:
         merged = settings.merged({})
         if merged.get("bad"):
             return "bad: is never valid"
-        taken.append(merged)
+        applied.append(merged)
         return ""
 
     async def deliver() -> Subscription:
         relays = DistributionSettings("d", [Address("127.0.0.1", 1)], [], False, 2.0, 2300.0)
-        subscription = Subscription(relays, "n", 1, Faults(Metrics()), put, lambda _: None)
+        subscription = Subscription(relays, "n", 1, Faults(Metrics()), apply, lambda _: None)
         entries = [entry("settings/bad", 2, 1), entry("settings/a", 1, 1), entry("settings/c", 3, 3)]
         subscription.handle_action(DeliverChanges(Lane.SETTINGS, entries))
         subscription.handle_action(DeliverChanges(Lane.SETTINGS, [entry("settings/a", 4, 2)]))
         return subscription
 
     status = asyncio.run(deliver()).status
-    assert taken == [{"a": 1}, {"a": 1, "c": 3}, {"a": 2, "c": 3}]
+    assert applied == [{"a": 1}, {"a": 1, "c": 3}, {"a": 2, "c": 3}]
     assert status.in_force == Version(1, 4)
     assert [(key, one.version.number, one.reason) for key, one in status.rejected.items()] == [
         ("settings/bad", 2, "bad: is never valid")
@@ -72,9 +72,9 @@
     assert "config.refused.settings/bad=2 bad: is never valid" in status.lines(0.0)
 
 
-def test_nodes_are_read_one_by_one_and_invalid_ones_are_named() -> None:
-    bad = Entry("nodes/x", Version(1, 1), b"{")
-    found, names = listed_nodes([entry("nodes/a", 1, {"x": 1}), bad, entry("nodes/b", 2, None)])
-    assert (found, names) == ([{"x": 1}], ["nodes/x"])
+def test_listed_nodes_reports_the_keys_of_invalid_nodes() -> None:
+    invalid = Entry("nodes/x", Version(1, 1), b"{")
+    nodes, invalid_keys = listed_nodes([entry("nodes/a", 1, {"x": 1}), invalid, entry("nodes/b", 2, None)])
+    assert (nodes, invalid_keys) == ([{"x": 1}], ["nodes/x"])
     assert lane_of("nodes/a") is Lane.NODES
     assert lane_of("settings/a") is Lane.SETTINGS
--- a/tests/test_distribution_fleet.py
+++ b/tests/test_distribution_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of subscribers, relays and a source in virtual time, with failures of all kinds."""
+"""Tests of trees of a source, relays and subscribers in virtual time, with failures of all kinds."""
 
 from __future__ import annotations
 
@@ -11,122 +11,129 @@
 from cleatyoke.distribution.relay import ChangeServer, Source
 from cleatyoke.emulation.distribution import SOURCE, Links, Measured, Tree
 from tests.distribution import (
-    N,
-    S,
+    NODES,
+    SETTINGS,
 )
 
 
-def make_tree(fronts: int = 45, **words: Any) -> Tree:
-    tree = Tree(fronts=fronts, relays=6, regions=3, seed=4, **words)
+def make_tree(fronts: int = 45, **options: Any) -> Tree:
+    tree = Tree(fronts=fronts, relays=6, regions=3, seed=4, **options)
     for number in range(150):
-        tree.put(S, f"db/{number:04d}", b"x" * 200)
+        tree.put(SETTINGS, f"db/{number:04d}", b"x" * 200)
     for number in range(20):
-        tree.put(N, f"nodes/{number}", b"y" * 150)
+        tree.put(NODES, f"nodes/{number}", b"y" * 150)
     assert tree.settle(300) is not None
     tree.measured = Measured()
     return tree
 
 
-def worst(tree: Tree, lane: Lane) -> float:
+def max_latency(tree: Tree, lane: Lane) -> float:
     return max(tree.measured.latencies[lane])
 
 
-def test_a_burst_is_known_everywhere_within_13_s_and_nodes_go_before_settings() -> None:
+def test_tree_delivers_a_burst_within_13_s_and_nodes_before_settings() -> None:
     tree = make_tree()
     keys = [f"db/{number:04d}" for number in range(150)]
-    tree.put_at([tree.now + 0.12 * number for number in range(500)], S, keys)
-    tree.put_at([tree.now + 20.0], N, ["nodes/1"])
-    before, began = tree.bytes(), tree.now
+    tree.put_at([tree.now + 0.12 * number for number in range(500)], SETTINGS, keys)
+    tree.put_at([tree.now + 20.0], NODES, ["nodes/1"])
+    before, started_at = tree.bytes(), tree.now
     tree.run(tree.now + 60)
     after = tree.bytes()
     assert tree.settle(30) is not None
-    assert worst(tree, S) < 13
-    assert worst(tree, N) < 10
-    assert len(tree.measured.latencies[N]) == 45
-    assert len(tree.measured.latencies[S]) == 45 * 500
-    assert max(after[name] - before[name] for name in after) / (tree.now - began) < 3000
+    assert max_latency(tree, SETTINGS) < 13
+    assert max_latency(tree, NODES) < 10
+    assert len(tree.measured.latencies[NODES]) == 45
+    assert len(tree.measured.latencies[SETTINGS]) == 45 * 500
+    assert max(after[name] - before[name] for name in after) / (tree.now - started_at) < 3000
 
 
-def test_all_relays_of_a_region_killed_amid_a_change() -> None:
-    """Both relays of a region die just after a change: its fronts must get it elsewhere."""
+def test_fronts_fail_over_to_other_regions_while_their_relays_are_down() -> None:
+    """Both relays of a region stop just after a change: its fronts must get it from another region.
+
+    Once a relay of the region is back, they must return to it.
+    """
     tree = make_tree()
-    tree.put(S, "db/0001", b"amid")
+    tree.put(SETTINGS, "db/0001", b"during")
     tree.run(tree.now + 1.0)
     for name in ("relay-00", "relay-03"):  # all of region 0
         tree.kill_relay(name)
-    tree.put(S, "db/0002", b"after")
+    tree.put(SETTINGS, "db/0002", b"after")
     assert tree.settle(40) is not None
-    assert worst(tree, S) < 25
+    assert max_latency(tree, SETTINGS) < 25
     tree.start_relay("relay-00")
     tree.run(tree.now + 120)
-    home = [front for name, front in tree.subscribers.items() if tree.regions[name] == 0]
-    assert sum(front.relays.current == "relay-00" for front in home) >= 5, "they come home"
+    own_region = [front for name, front in tree.subscribers.items() if tree.regions[name] == 0]
+    assert sum(front.relays.current == "relay-00" for front in own_region) >= 5, (
+        "fronts return to their own region"
+    )
 
 
-def test_all_relays_down_for_an_hour_come_back_without_a_storm() -> None:
-    """All relays return at once after an hour, and every front has been trying to poll them."""
+def test_relays_that_all_restart_after_an_hour_are_polled_at_a_bounded_rate() -> None:
+    """All relays restart at once after an hour in which every front has tried to poll them."""
     tree = make_tree()
     for name in tree.relay_names:
         tree.kill_relay(name)
     tree.start_front(0, 0)
-    tree.put(S, "db/0001", b"meanwhile")
+    tree.put(SETTINGS, "db/0001", b"meanwhile")
     tree.run(tree.now + 3600)
-    kept = [front for name, front in tree.subscribers.items() if name != "front-0000"]
-    assert all(len(front.lanes[S].versions) == 150 for front in kept), "they serve on by what they have"
+    running = [front for name, front in tree.subscribers.items() if name != "front-0000"]
+    assert all(len(front.lanes[SETTINGS].versions) == 150 for front in running), "fronts keep their copies"
     assert tree.subscribers["front-0000"].epoch == 0
-    assert all(front.age(tree.now) > 3500 for front in kept)
+    assert all(front.age(tree.now) > 3500 for front in running)
     for name in tree.relay_names:
         tree.start_relay(name)
     counts = Counter[int]()
-    real = ChangeServer.answer
+    original_answer = ChangeServer.answer
 
-    def counted(self: ChangeServer, now: float, data: bytes) -> bytes | None:
+    def count_answer(self: ChangeServer, now: float, data: bytes) -> bytes | None:
         if self.name != SOURCE:
             counts[int(now)] += 1
-        return real(self, now, data)
+        return original_answer(self, now, data)
 
-    with mock.patch.object(ChangeServer, "answer", counted):
+    with mock.patch.object(ChangeServer, "answer", count_answer):
         assert tree.settle(120) is not None
-    assert max(counts.values()) < 45 * 2, "spread over seconds"
+    assert max(counts.values()) < 45 * 2, "polls are spread over seconds"
 
 
-def test_a_region_cut_off_for_an_hour_gets_only_what_it_lacks() -> None:
+def test_region_reconnected_after_an_hour_gets_only_missing_changes() -> None:
     tree = make_tree(fronts=12)
     tree.cut = {2}
     keys = [f"db/{number:04d}" for number in range(150)]
-    tree.put_at([tree.now + 2.0 * number for number in range(1800)], S, keys)
+    tree.put_at([tree.now + 2.0 * number for number in range(1800)], SETTINGS, keys)
     tree.run(tree.now + 3601)
-    behind = [front for name, front in tree.subscribers.items() if tree.regions[name] == 2]
-    assert behind[0].age(tree.now) > 3590
+    disconnected = [front for name, front in tree.subscribers.items() if tree.regions[name] == 2]
+    assert disconnected[0].age(tree.now) > 3590
     before = {name: front.bytes_exchanged for name, front in tree.subscribers.items()}
     tree.cut = set()
     assert tree.settle(120) is not None
-    grew = [
-        front.bytes_exchanged - before[name] for name, front in tree.subscribers.items() if front in behind
+    used = [
+        front.bytes_exchanged - before[name]
+        for name, front in tree.subscribers.items()
+        if front in disconnected
     ]
-    assert max(grew) < 150 * 260 * 1.6 + 40 * 700, "each key once"
+    assert max(used) < 150 * 260 * 1.6 + 40 * 700, "each key is sent once"
 
 
-def test_a_new_epoch_of_the_source_reaches_all_and_the_old_one_never_comes_back() -> None:
-    """The source is replaced by one of a new epoch, and then by the old one."""
+def test_fronts_with_a_new_epoch_reject_the_old_source() -> None:
+    """The source is replaced by one with a new epoch, and then the old one returns."""
     tree = make_tree(most_subscribers=200)
     old = tree.source
     new = tree.source = Source("emulated", SOURCE, 2)
     for number in range(100):
-        new.put(tree.now, S, f"db/{number:04d}", b"z" * 100)
+        new.put(tree.now, SETTINGS, f"db/{number:04d}", b"z" * 100)
     assert tree.settle(200) is not None
     tree.source = old
     tree.run(tree.now + 30)
     assert all(front.epoch == 2 for front in tree.subscribers.values())
-    assert all(len(front.lanes[S].versions) == 100 for front in tree.subscribers.values())
+    assert all(len(front.lanes[SETTINGS].versions) == 100 for front in tree.subscribers.values())
 
 
-def test_runs_in_virtual_time_are_repeatable() -> None:
+def test_tree_runs_with_the_same_seed_are_identical() -> None:
     def run_tree() -> tuple[dict[str, int], float]:
         tree = make_tree(links=Links(loss=0.05))
-        tree.put(S, "db/0003", b"again")
+        tree.put(SETTINGS, "db/0003", b"again")
         tree.run(tree.now + 20)
-        return tree.bytes(), worst(tree, S)
+        return tree.bytes(), max_latency(tree, SETTINGS)
 
     assert run_tree() == run_tree()
     assert math.isfinite(run_tree()[1])
--- a/tests/test_distribution_model.py
+++ b/tests/test_distribution_model.py
@@ -1,4 +1,4 @@
-"""All hard cases of the distribution together against a plain model, and wrong programs that it catches."""
+"""Stateful test of the distribution against a model, and faulty implementations that it must detect."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 from cleatyoke.emulation.distribution import SOURCE
 from cleatyoke.transport.encoding import WireError
 from tests.distribution import (
+    SETTINGS,
     Front,
-    S,
-    a_source,
-    sync,
-    true_values,
+    make_source,
+    source_values,
+    sync_relay,
 )
 
 
 class Model(RuleBasedStateMachine):
-    """Sources, two relays and two fronts, whose exchanges fail in every way.
+    """Sources, two relays and two fronts whose exchanges are lost, corrupted, duplicated or delayed.
 
-    The model is what the sources had. Of no key a front ever goes back, and in the end it has what the last
-    source has.
+    The model is the content of the sources. A front must never get an older version of a key, and in the end
+    it must have the content of the last source.
     """
 
     kind: type[Subscriber] = Subscriber
@@ -60,17 +60,17 @@
         super().__init__()
         self.patch = mock.patch.object(store, "LaneStore", self.log)
         self.patch.start()
-        self.now, self.epoch, self.dead = 0.0, 1, list[Source]()
+        self.now, self.epoch, self.stopped_sources = 0.0, 1, list[Source]()
         self.source = Source("d", SOURCE, 1)
         self.relays = [self.new_relay(0), self.new_relay(1)]
         self.fronts = [Front(["a", "b"], kind=self.kind) for _ in range(2)]
-        self.seen: list[dict[str, Version]] = [{}, {}]
+        self.delivered_versions: list[dict[str, Version]] = [{}, {}]
         self.epochs = [0, 0]
-        self.old: list[tuple[int, SendPoll, bytes]] = []
+        self.held_replies: list[tuple[int, SendPoll, bytes]] = []
 
     def teardown(self) -> None:
         try:
-            self.end()
+            self.check_convergence()
         finally:
             self.patch.stop()
 
@@ -95,16 +95,18 @@
         self.now += seconds
 
     @rule(number=st.integers(0, 1))
-    def sync(self, number: int) -> None:
-        self.now = max(self.now, sync(self.relays[number], self.source, self.now))
+    def sync_relay(self, number: int) -> None:
+        self.now = max(self.now, sync_relay(self.relays[number], self.source, self.now))
 
     @rule(number=st.integers(0, 1))
-    def sync_from_an_old_source(self, number: int) -> None:
-        if self.dead:
+    def sync_relay_from_old_source(self, number: int) -> None:
+        if self.stopped_sources:
             relay, now = self.relays[number], max(self.now, self.relays[number].due())
             for action in relay.step(now):
                 if isinstance(action, SendPoll):
-                    relay.step(now, [PollAnswered(action.poll_id, self.dead[-1].answer(now, action.data))])
+                    relay.step(
+                        now, [PollAnswered(action.poll_id, self.stopped_sources[-1].answer(now, action.data))]
+                    )
             self.now = now
 
     @rule(number=st.integers(0, 1))
@@ -114,74 +116,76 @@
     @rule()
     def new_epoch(self) -> None:
         self.epoch += 1
-        self.dead.append(self.source)
+        self.stopped_sources.append(self.source)
         self.source = Source("d", SOURCE, self.epoch)
 
     @rule(
         front=st.integers(0, 1),
         relay=st.integers(0, 2),
-        fate=st.sampled_from(["comes", "comes", "lost", "malformed", "twice", "kept"]),
+        delivery=st.sampled_from(["delivered", "delivered", "lost", "malformed", "duplicated", "held"]),
     )
-    def ask(self, front: int, relay: int, fate: str) -> None:
-        one = self.fronts[front]
-        one.now = max(one.now, self.now)
-        poll = one.poll()
-        self.now = one.now
+    def attempt_exchange(self, front: int, relay: int, delivery: str) -> None:
+        client = self.fronts[front]
+        client.now = max(client.now, self.now)
+        poll = client.poll()
+        self.now = client.now
         server: ChangeServer = self.source if relay == 2 else self.relays[relay]
         data = server.answer(self.now, poll.data)
         assert data
-        if fate == "kept":
-            self.old.append((front, poll, data))
-        if fate in ("lost", "kept"):
-            one.step(PollAnswered(poll.poll_id, None))
+        if delivery == "held":
+            self.held_replies.append((front, poll, data))
+        if delivery in ("lost", "held"):
+            client.step(PollAnswered(poll.poll_id, None))
             return
-        if fate == "malformed":
+        if delivery == "malformed":
             data = data[:-1] + bytes([data[-1] ^ 1])
         self.check_each_key_once(data)
-        for _ in range(2 if fate == "twice" else 1):
-            one.step(PollAnswered(poll.poll_id, data))
+        for _ in range(2 if delivery == "duplicated" else 1):
+            client.step(PollAnswered(poll.poll_id, data))
 
     def check_each_key_once(self, data: bytes) -> None:
         try:
             reply = decode_reply("d", data)
         except WireError:
             return
-        for part in reply.lanes:
-            names = [entry.key for entry in part.changes]
-            assert len(names) == len(set(names)), "a key is sent once"
+        for lane_changes in reply.lanes:
+            names = [entry.key for entry in lane_changes.changes]
+            assert len(names) == len(set(names)), "a key is sent twice in a reply"
 
-    @precondition(lambda self: self.old)
+    @precondition(lambda self: self.held_replies)
     @rule()
-    def an_old_reply_comes(self) -> None:
-        front, poll, data = self.old.pop()
+    def answer_late(self) -> None:
+        front, poll, data = self.held_replies.pop()
         self.fronts[front].step(PollAnswered(poll.poll_id, data))
 
     @invariant()
-    def nothing_goes_back(self) -> None:
-        for front, seen in zip(self.fronts, self.seen):
+    def versions_never_decrease(self) -> None:
+        for front, delivered_versions in zip(self.fronts, self.delivered_versions):
             for entry in front.delivered:
                 if entry.value is not None:
-                    assert entry.version > seen.get(entry.key, Version(0, 0)), "back"
-                    seen[entry.key] = entry.version
+                    assert entry.version > delivered_versions.get(entry.key, Version(0, 0)), (
+                        "older version delivered"
+                    )
+                    delivered_versions[entry.key] = entry.version
             front.delivered.clear()
         epochs = [front.epoch for front in self.fronts]
-        assert all(now >= before for before, now in zip(self.epochs, epochs)), "back to an older epoch"
+        assert all(now >= before for before, now in zip(self.epochs, epochs)), "epoch has decreased"
         self.epochs = epochs
 
-    def end(self) -> None:
-        """Once everything works again all have what the source has."""
+    def check_convergence(self) -> None:
+        """Check that all have the content of the source once all exchanges succeed."""
         for relay in self.relays:
-            self.now = sync(relay, self.source, self.now + 20.0)
+            self.now = sync_relay(relay, self.source, self.now + 20.0)
         for front in self.fronts:
             front.now = self.now + 20.0
             for _ in range(200):
                 if front.exchange_with(self.source).has_more is False and front.subscriber.failures == 0:
                     break
-            assert front.values == true_values(self.source)
+            assert front.values == source_values(self.source)
             assert front.epoch == self.epoch
 
 
-def run(model: type[Model], phases: Collection[Phase] = tuple(Phase)) -> None:
+def run_model(model: type[Model], phases: Collection[Phase] = tuple(Phase)) -> None:
     steps = settings(
         max_examples=120,
         stateful_step_count=40,
@@ -194,12 +198,12 @@
     run_state_machine_as_test(model, settings=steps)
 
 
-def test_fronts_and_relays_agree_with_a_plain_model() -> None:
-    run(Model)
+def test_fronts_and_relays_agree_with_the_model() -> None:
+    run_model(Model)
 
 
-class Unfenced(Subscriber):
-    """Accepts every epoch as the newest."""
+class AcceptsEveryEpoch(Subscriber):
+    """Faulty subscriber that accepts every epoch as the newest."""
 
     def send_poll(self, now: float) -> None:
         self.epoch = 0
@@ -210,16 +214,16 @@
         super().receive(now, event)
 
 
-class Unchecked(Subscriber):
-    """Applies whatever comes, however late or old."""
+class AppliesEveryReply(Subscriber):
+    """Faulty subscriber that applies every reply, however late or old."""
 
     def step(self, now: float, events: Iterable[PollAnswered] = ()) -> list[SubscriberAction]:
-        found = list(events)
-        for event in found:
+        received = list(events)
+        for event in received:
             self.pending_poll = event.poll_id
-        return super().step(now, found)
+        return super().step(now, received)
 
-    def continues_position(self, reply: Reply) -> bool:  # noqa: ARG002 (it believes any)
+    def continues_position(self, reply: Reply) -> bool:  # noqa: ARG002 (accepts every reply)
         return True
 
     def apply_reply(self, now: float, reply: Reply) -> None:
@@ -228,50 +232,59 @@
         super().apply_reply(now, reply)
 
 
-class EveryChange(LaneStore):
-    """A log without coalescing."""
+class UncoalescedLog(LaneStore):
+    """Faulty store whose log is not coalesced."""
 
-    def changes_since(self, since: int, max_bytes: int) -> ChangeBatch:  # noqa: ARG002 (it has no bound)
-        places = range(len(self.log_numbers))
-        found = [
-            replace_version(self.entries[self.log_keys[place]], self.log_numbers[place])
-            for place in places
-            if self.log_numbers[place] > since and self.log_keys[place] in self.entries
+    def changes_since(self, since: int, max_bytes: int) -> ChangeBatch:  # noqa: ARG002 (has no limit)
+        slots = range(len(self.log_numbers))
+        versions_since = [
+            replace_version(self.entries[self.log_keys[slot]], self.log_numbers[slot])
+            for slot in slots
+            if self.log_numbers[slot] > since and self.log_keys[slot] in self.entries
         ]
-        return ChangeBatch(found, self.last_number)
+        return ChangeBatch(versions_since, self.last_number)
 
 
 def replace_version(entry: Entry, number: int) -> Entry:
     return Entry(entry.key, Version(entry.version.epoch, number), entry.value)
 
 
-class NoRemovals(Subscriber):
-    """Keeps the keys that a page no longer names."""
+class IgnoresRemovals(Subscriber):
+    """Faulty subscriber that keeps keys that a page no longer lists."""
 
-    def apply_lane(self, lane: Lane, part: records.LaneChanges) -> None:
+    def apply_lane(self, lane: Lane, changes: records.LaneChanges) -> None:
         with mock.patch.object(type(self.lanes[lane]), "missing_in_page", return_value=[]):
-            super().apply_lane(lane, part)
+            super().apply_lane(lane, changes)
 
 
 @pytest.mark.parametrize(
-    "words", [{"kind": Unfenced}, {"kind": Unchecked}, {"log": EveryChange}, {"kind": NoRemovals}]
+    "words",
+    [
+        {"kind": AcceptsEveryEpoch},
+        {"kind": AppliesEveryReply},
+        {"log": UncoalescedLog},
+        {"kind": IgnoresRemovals},
+    ],
 )
-def test_wrong_programs_are_caught(words: dict[str, Any]) -> None:
-    wrong = type("Wrong", (Model,), words)
+def test_model_detects_faulty_implementations(words: dict[str, Any]) -> None:
+    faulty = type("Wrong", (Model,), words)
     with pytest.raises(AssertionError):
-        run(wrong, [Phase.generate])
+        run_model(faulty, [Phase.generate])
 
 
-def test_complete_copies_on_each_return_are_caught_by_their_bytes() -> None:
-    """A fifth wrong program: what a return costs goes with the keys, and not with what is missing."""
-    grew = []
-    for whole in (False, True):
-        source, front = a_source(1000), Front()
-        front.exchange_until_complete(source)
+def test_subscriber_that_copies_again_uses_more_bytes_than_the_missing_changes() -> None:
+    """A subscriber that copies all keys again has the right content, so only its bytes show the fault.
+
+    After a disconnection, the bytes must depend on the missing changes and not on the number of keys.
+    """
+    used = []
+    for copies_again in (False, True):
+        source, front = make_source(1000), Front()
+        front.exchange_until_up_to_date(source)
         before = front.subscriber.bytes_exchanged
-        source.put(1.0, S, "k/0001", b"one change")
-        if whole:
-            front.subscriber.epoch, front.subscriber.lanes[S].position = 0, Position()
-        front.exchange_until_complete(source)
-        grew.append(front.subscriber.bytes_exchanged - before)
-    assert grew[0] < 1000 < 20 * grew[0] < grew[1]
+        source.put(1.0, SETTINGS, "k/0001", b"one change")
+        if copies_again:
+            front.subscriber.epoch, front.subscriber.lanes[SETTINGS].position = 0, Position()
+        front.exchange_until_up_to_date(source)
+        used.append(front.subscriber.bytes_exchanged - before)
+    assert used[0] < 1000 < 20 * used[0] < used[1]
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -1,4 +1,4 @@
-"""The distribution as processes: a source, two relays behind faulty links, and eight fronts."""
+"""Tests of the distribution with processes: a source, two relays behind faulty links, and eight fronts."""
 
 from __future__ import annotations
 
@@ -26,49 +26,51 @@
 FRONTS = 8
 
 
-def facts(worth: float = 3.0) -> dict[str, Any]:
+def make_settings(worth: float = 3.0) -> dict[str, Any]:
     values = {"fleet": {"fronts": 1, "boxes": 2, "seconds": 5}, "load": {"rate": 10}}
     found = settings_of(make_scenario("d", values))
     found["Lanes"][0]["Worth"] = worth
     return found
 
 
-class FaultLink(Peer):
-    """Between fronts and one relay: some exchanges are lost, cut off or garbled, by seeded draws."""
+class FaultyLink(Peer):
+    """Proxy between fronts and a relay that drops, truncates or corrupts exchanges at random, by a seed."""
 
     def __init__(self, target: int, network: Network) -> None:
         super().__init__()
-        self.target, self.network, self.met = target, network, 0
+        self.target, self.network, self.exchange_count = target, network, 0
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         size = await reader.readexactly(4)
         poll = size + await reader.readexactly(int.from_bytes(size, "big"))
-        self.met += 1
-        passages = self.network.datagram("front", f"relay:{self.target}:{self.met}", poll)
-        if not passages:
+        self.exchange_count += 1
+        deliveries = self.network.datagram("front", f"relay:{self.target}:{self.exchange_count}", poll)
+        if not deliveries:
             return
-        await asyncio.sleep(passages[0][0])
-        there, back = await asyncio.open_connection("127.0.0.1", self.target)
-        back.write(passages[0][1])
-        reply = await there.read()
-        back.transport.abort()
-        for _, came in self.network.datagram(f"relay:{self.target}:{self.met}", "front", reply)[:1]:
-            writer.write(came if self.met % 23 else came[: len(came) // 2])
+        await asyncio.sleep(deliveries[0][0])
+        relay_reader, relay_writer = await asyncio.open_connection("127.0.0.1", self.target)
+        relay_writer.write(deliveries[0][1])
+        reply = await relay_reader.read()
+        relay_writer.transport.abort()
+        for _, received in self.network.datagram(
+            f"relay:{self.target}:{self.exchange_count}", "front", reply
+        )[:1]:
+            writer.write(received if self.exchange_count % 23 else received[: len(received) // 2])
             await writer.drain()
             writer.write_eof()
             await reader.read()
 
 
 class Process:
-    """One of the processes; its log is retained."""
+    """A process of the test, with its output in a file."""
 
-    def __init__(self, words: Iterable[str], env: dict[str, str] | None = None) -> None:
-        kept = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+    def __init__(self, arguments: Iterable[str], env: dict[str, str] | None = None) -> None:
+        inherited = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
         self.log = tempfile.TemporaryFile("a+b")  # noqa: SIM115 (closed by the test)
         self.process = subprocess.Popen(
-            [sys.executable, "-m", *words],
+            [sys.executable, "-m", *arguments],
             cwd=ROOT,
-            env={**kept, **(env or {})},
+            env={**inherited, **(env or {})},
             stdout=self.log,
             stderr=subprocess.STDOUT,
         )
@@ -83,13 +85,13 @@
         return self.process.wait(20)
 
 
-def port() -> int:
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", 0))
-        return int(held.getsockname()[1])
+def free_port() -> int:
+    with socket.socket() as reserved:
+        reserved.bind(("127.0.0.1", 0))
+        return int(reserved.getsockname()[1])
 
 
-def call(address: int, line: str) -> list[str]:
+def send_command(address: int, line: str) -> list[str]:
     with socket.create_connection(("127.0.0.1", address), 3) as connection:
         connection.sendall(line.encode() + b"\n")
         data = b""
@@ -100,11 +102,11 @@
 
 class FrontProcess(Process):
     def __init__(self, number: int, folder: Path, relays: list[int], nodes: bool = False) -> None:
-        self.number, self.folder, self.ops = number, folder, port()
+        self.number, self.folder, self.ops = number, folder, free_port()
         folder.mkdir(exist_ok=True)
-        texts = json.dumps([f"127.0.0.1:{relay}" for relay in relays])
+        relay_addresses = json.dumps([f"127.0.0.1:{relay}" for relay in relays])
         (folder / "fronts.toml").write_text(
-            f'[distribution]\nenabled = true\ndeployment = "d"\nrelays = {texts}\npoll_s = 0.3\n'
+            f'[distribution]\nenabled = true\ndeployment = "d"\nrelays = {relay_addresses}\npoll_s = 0.3\n'
             f"bytes_s = 1e6\nnodes = {str(nodes).lower()}\n"
         )
         config = {
@@ -114,7 +116,7 @@
             "ops": f"127.0.0.1:{self.ops}",
             "seed": f"{number:x}",
             "known": {"generation": 1, "reset": True, "instances": [node("s-a", "SERVING")]},
-            "settings": facts(),
+            "settings": make_settings(),
         }
         (folder / "config.json").write_text(json.dumps(config))
         super().__init__(
@@ -124,7 +126,7 @@
 
     def config(self) -> dict[str, str]:
         with contextlib.suppress(OSError):
-            lines = call(self.ops, "show-config")
+            lines = send_command(self.ops, "show-config")
             return dict(line.removeprefix("config.").split("=", 1) for line in lines if "=" in line)
         return {}
 
@@ -140,14 +142,14 @@
     }
 
 
-def wait_for(what: Callable[[], Any], seconds: float = 20.0) -> Any:
-    """What it returns once that is true."""
-    end = time.monotonic() + seconds
+def wait_for(condition: Callable[[], Any], timeout: float = 20.0) -> Any:
+    """Poll the condition until its result is true, and return that."""
+    end = time.monotonic() + timeout
     while time.monotonic() < end:
-        if found := what():
+        if found := condition():
             return found
         time.sleep(0.05)
-    msg = "it never came"
+    msg = f"condition is not true after {timeout} s"
     raise AssertionError(msg)
 
 
@@ -167,28 +169,28 @@
     def write(self, key: str, value: Any) -> None:
         path = self.folder / "keys" / f"{key}.json"
         path.parent.mkdir(exist_ok=True)
-        spare = path.with_suffix(".new")
-        spare.write_text(value if isinstance(value, str) else json.dumps(value))
-        spare.replace(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_text(value if isinstance(value, str) else json.dumps(value))
+        temporary.replace(path)
 
     def start_source(self, listen: int) -> Process:
-        words = [
+        arguments = [
             *("cleatyoke.distribution", "source", "--listen", f"127.0.0.1:{listen}", "--deployment", "d"),
             *("--folder", str(self.folder / "keys"), "--epoch", str(self.folder / "epoch")),
         ]
-        return self.run_process(Process(words))
+        return self.run_process(Process(arguments))
 
     def start_relay(self, number: int, listen: int, source: int) -> Process:
-        words = [
+        arguments = [
             *("cleatyoke.distribution", "relay", "--listen", f"127.0.0.1:{listen}", "--deployment", "d"),
             *("--name", f"relay-{number}", "--upstream", f"127.0.0.1:{source}"),
         ]
-        return self.run_process(Process(words))
+        return self.run_process(Process(arguments))
 
     def links(self, relays: list[int]) -> list[int]:
-        """Ports of fault links before the relays, in a loop of their own."""
+        """Start a faulty link to each relay, in an event loop of their own; return the ports of the links."""
         network = Network(7, loss=0.02, corruption=0.02)
-        links = [FaultLink(relay, network) for relay in relays]
+        links = [FaultyLink(relay, network) for relay in relays]
         loop = asyncio.new_event_loop()
         import threading
 
@@ -207,18 +209,18 @@
         self.stack.callback(stop)
         return [link.port for link in links]
 
-    def test_eight_fronts_two_relays_faults_kills_and_a_change_that_is_not_valid(self) -> None:
-        """Everything at once: faulty links, relays killed amid changes, and a change that is not valid.
+    def test_eight_fronts_converge_despite_faults_kills_and_an_invalid_change(self) -> None:
+        """Combines faulty links, relays that are killed during changes, and a change that is not valid.
 
-        Links lose, cut and garble exchanges. All fronts must put the same valid settings in force, reject the
-        invalid change by name, and go on by what they have while no relay runs. A front that restarts
-        meanwhile serves by its file.
+        Links drop, truncate and corrupt exchanges. All fronts must put the same valid settings in force,
+        reject the invalid change by its key, and keep their settings while no relay runs. A front that
+        restarts in that time must serve with the settings of its file.
         """
-        held = [hold_port() for _ in range(3)]
-        for one in held:
+        reserved = [hold_port() for _ in range(3)]
+        for one in reserved:
             self.stack.callback(one.close)
-        source_port, *relay_ports = (int(one.getsockname()[1]) for one in held)
-        self.write("settings", facts())
+        source_port, *relay_ports = (int(one.getsockname()[1]) for one in reserved)
+        self.write("settings", make_settings())
         source = self.start_source(source_port)
         relays = [self.start_relay(number, port, source_port) for number, port in enumerate(relay_ports)]
         links = self.links(relay_ports)
@@ -231,20 +233,22 @@
             return all(one.config().get("in_force", "").endswith(f".{number}") for one in fronts)
 
         wait_for(lambda: all_in_force(1))
-        self.write("settings/Lanes", facts(worth=7.0)["Lanes"])
+        self.write("settings/Lanes", make_settings(worth=7.0)["Lanes"])
         self.write("nodes/s-a", node("s-a", "DRAINING"))
         source.process.send_signal(signal.SIGHUP)
-        relays[0].stop()  # amid it
+        relays[0].stop()  # during the change
         wait_for(lambda: all(one.config().get("known", "").endswith(".3") for one in fronts))
-        wait_for(lambda: all("front.hosts_down=1" in call(one.ops, "show-stat") for one in fronts))
+        wait_for(lambda: all("front.hosts_down=1" in send_command(one.ops, "show-stat") for one in fronts))
 
-        self.write("settings/PolicyLimits", {**facts()["PolicyLimits"], "SendCap": "many"})
+        self.write("settings/PolicyLimits", {**make_settings()["PolicyLimits"], "SendCap": "many"})
         source.process.send_signal(signal.SIGHUP)
         wait_for(
             lambda: all("SendCap" in one.config().get("refused.settings/PolicyLimits", "") for one in fronts)
         )
-        assert all(one.config()["in_force"].endswith(".3") for one in fronts), "it stays"
-        self.write("settings/Lanes", facts(worth=8.0)["Lanes"])
+        assert all(one.config()["in_force"].endswith(".3") for one in fronts), (
+            "the previous settings stay in force"
+        )
+        self.write("settings/Lanes", make_settings(worth=8.0)["Lanes"])
         source.process.send_signal(signal.SIGHUP)
         wait_for(lambda: all_in_force(5))
 
@@ -256,7 +260,7 @@
         assert fronts[1].config()["in_force"].endswith(".5")
         relays += [self.start_relay(number, port, source_port) for number, port in enumerate(relay_ports)]
         wait_for(lambda: all_in_force(5))
-        lines = call(fronts[1].ops, "show-stat")
+        lines = send_command(fronts[1].ops, "show-stat")
         assert any(line.startswith("config.age_s=") for line in lines)
         for one in fronts:
             text = one.text()
@@ -264,20 +268,20 @@
             assert "config_in_force" in text
         assert source.stop(signal.SIGTERM) == 0
 
-    def test_a_front_with_no_relay_at_all_starts_and_says_so(self) -> None:
-        """A control plane that is down must not keep a front from starting."""
-        front = self.run_process(FrontProcess(0, self.folder / "n0", [port()]))
+    def test_front_without_a_reachable_relay_starts_and_reports_it(self) -> None:
+        """A control plane that is down must not prevent a front from starting."""
+        front = self.run_process(FrontProcess(0, self.folder / "n0", [free_port()]))
         wait_for(lambda: "event='ready'" in front.text())
         found = front.config()
         assert (found["in_force"], found["age_s"], found["source"]) == ("0.0", "unknown", "none")
         wait_for(lambda: "event='config_old'" in front.text())
         assert front.stop(signal.SIGTERM) == 0
 
-    def test_a_source_starts_with_a_higher_epoch_and_rejects_files_by_name(self) -> None:
-        """A source whose epoch came twice would be taken for the old one by all fronts."""
-        self.write("settings", facts())
+    def test_source_restart_raises_the_epoch_and_reports_invalid_files(self) -> None:
+        """If a restarted source used the same epoch again, fronts would take its changes for old ones."""
+        self.write("settings", make_settings())
         self.write("settings/broken", "{")
-        listen = port()
+        listen = free_port()
         first = self.start_source(listen)
         text = wait_for(lambda: "event='ready'" in first.text() and first.text())
         assert "settings/broken: no JSON" in text
--- a/tests/test_distribution_settings.py
+++ b/tests/test_distribution_settings.py
@@ -1,4 +1,4 @@
-"""Errors in the distribution's settings, options and commands, by the name of what is wrong."""
+"""Errors in settings, options and commands of the distribution: each names the faulty key or option."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from cleatyoke.config.errors import ConfigError
 from cleatyoke.config.fronts_file import read_fronts_file
 from cleatyoke.distribution.__main__ import main
-from tests.test_distribution_processes import facts
+from tests.test_distribution_processes import make_settings
 
 
-def test_show_config_without_a_distribution_is_a_failure() -> None:
+def test_show_config_without_distribution_fails() -> None:
     commands = ControlCommands(
         is_ready=bool, show_stat=list, disable=bool, enable=bool, drain=lambda: None, resume=lambda: None
     )
@@ -37,25 +37,27 @@
         ('relays = ["127.0.0.1:1"]\ndeployment = "d"\nodd = 10', "odd"),
     ],
 )
-def test_an_error_in_the_fronts_file_names_its_key(tmp_path: Path, line: str, key: str) -> None:
+def test_fronts_file_with_an_invalid_key_raises_an_error_with_the_key(
+    tmp_path: Path, line: str, key: str
+) -> None:
     path = tmp_path / "fronts.toml"
     path.write_text(f"[distribution]\nenabled = true\n{line}\n")
     with pytest.raises(ConfigError, match=key):
         read_fronts_file(path, {}, {})
 
 
-def test_settings_that_lack_what_the_file_had_change_nothing(tmp_path: Path) -> None:
+def test_reload_without_a_required_key_raises_an_error(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    values = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": facts()}
+    values = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": make_settings()}
     path.write_text(json.dumps(values))
     config = read_config({"RELAY_CONFIG": str(path)}, tmp_path / "none.toml")
-    less = {key: value for key, value in facts().items() if key != "Safety"}
+    incomplete = {key: value for key, value in make_settings().items() if key != "Safety"}
     with pytest.raises(ConfigError, match="Safety"):
-        config.reload(read_config({"RELAY_CONFIG": str(path)}, tmp_path / "none.toml", lambda _: less))
+        config.reload(read_config({"RELAY_CONFIG": str(path)}, tmp_path / "none.toml", lambda _: incomplete))
 
 
 @pytest.mark.parametrize(
-    ("words", "begins"),
+    ("arguments", "option"),
     [
         ("source", "--listen"),
         ("relay --listen here --deployment d --name r --upstream 127.0.0.1:1", "--listen"),
@@ -65,14 +67,14 @@
         ("source --listen 127.0.0.1:0 --deployment d --folder . --epoch /nowhere/e", "--epoch"),
     ],
 )
-def test_a_bad_option_ends_with_one_line_that_begins_with_its_name(
-    words: str, begins: str, capsys: pytest.CaptureFixture[str]
+def test_command_with_an_invalid_option_prints_one_line_with_its_name(
+    arguments: str, option: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     before = signal.getsignal(signal.SIGHUP)
     try:
-        assert main(words.split()) == 2
+        assert main(arguments.split()) == 2
     finally:
         signal.signal(signal.SIGHUP, before)
-    told = capsys.readouterr().err.splitlines()
-    assert len(told) == 1, told
-    assert told[0].startswith(begins), told
+    error_lines = capsys.readouterr().err.splitlines()
+    assert len(error_lines) == 1, error_lines
+    assert error_lines[0].startswith(option), error_lines
--- a/tests/test_distribution_source_files.py
+++ b/tests/test_distribution_source_files.py
@@ -14,8 +14,8 @@
 from cleatyoke.distribution.records import MAX_VALUE_BYTES
 
 
-def test_a_scan_finds_changes_and_leaves_invalid_files_as_they_were(tmp_path: Path) -> None:
-    """An operator's half-written or oversized file must neither be distributed nor remove its key."""
+def test_scan_returns_changes_and_rejects_invalid_files(tmp_path: Path) -> None:
+    """A partly written or oversized file must neither be distributed nor remove its key."""
     folder = ConfigFolder(tmp_path)
     (tmp_path / "settings").mkdir()
     (tmp_path / "settings.json").write_text("{}")
@@ -26,9 +26,9 @@
     (tmp_path / "settings" / "a.json").write_text("{")
     (tmp_path / "large.json").write_text("1" * (MAX_VALUE_BYTES + 1))
     (tmp_path / ("k" * 130 + ".json")).write_text("1")
-    found = folder.scan()
-    assert not found.changes
-    assert [line.partition(":")[0] for line in found.rejected] == [
+    result = folder.scan()
+    assert not result.changes
+    assert [line.partition(":")[0] for line in result.rejected] == [
         "k" * 40,
         "large",
         "settings/a",
@@ -37,10 +37,10 @@
     assert folder.scan().changes == {"settings/a": None}
 
 
-def test_an_epoch_only_rises_and_is_on_the_disk_before_it_is_used(tmp_path: Path) -> None:
+def test_next_epoch_increases_and_is_stored(tmp_path: Path) -> None:
     path = tmp_path / "epoch"
     assert next_epoch(path, 5.0) == 5000
-    assert next_epoch(path, 1.0) == 5001, "whatever the clock did"
+    assert next_epoch(path, 1.0) == 5001, "the epoch increases even if the clock goes back"
     assert path.read_text() == "5001\n"
     path.write_text("soon")
     with pytest.raises(EpochError, match="epoch"):
