--- a/cleatyoke/admin/control.py
+++ b/cleatyoke/admin/control.py
@@ -1,9 +1,9 @@
-"""The operators' control listener: one command a connection, all in one thread beside the event loop.
+"""The operators' control listener: one command per connection, served by a thread beside the event loop.
 
 Client load on the event loop never delays an answer, as the thread needs the interpreter for microseconds.
-A hold or a release in a fleet waits for the other fronts (``HOLD_REPORT_TIMEOUT``, 0.5 s at most), and all
-other callers wait with it.
-The module parses commands and words the answers; what a command does is done by the functions it is given.
+In a fleet, a hold or a release waits for the other fronts (``HOLD_REPORT_TIMEOUT``, 0.5 s at most), and
+blocks all other callers meanwhile.
+This module parses commands and formats the answers; the functions in ``ControlCommands`` carry them out.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 from cleatyoke.config.addresses import Address
 
-MAX_LINE_BYTES = 512  # of a command
-SESSION_TIMEOUT = 4.0  # seconds for a whole call, its answer included
-POLL_INTERVAL = 0.1  # seconds between checks for callers that exceeded it
-MAX_ACCEPTED_AT_ONCE = 16  # connections, before other callers are served
-MAX_UNREAD_CHUNKS = 64  # of 4096 bytes, that are read and dropped before a rejected caller is closed
+MAX_LINE_BYTES = 512  # of a command, without its newline
+SESSION_TIMEOUT = 4.0  # seconds for a whole connection, the answer included
+POLL_INTERVAL = 0.1  # seconds between checks for connections that exceeded SESSION_TIMEOUT
+MAX_ACCEPTED_AT_ONCE = 16  # connections accepted before existing ones are served again
+MAX_DISCARDED_CHUNKS = 64  # chunks of 4096 bytes that are discarded before a rejected connection is closed
 SUCCESS = "SUCCESS"
-LAST_LINE = "EOT"  # of an answer of several lines
+END_OF_ANSWER = "EOT"  # ends an answer of several lines
 log = structlog.get_logger()
 
 
 class FrontsHolding(NamedTuple):
-    """How many of the fleet's fronts have applied a hold or a release."""
+    """How many of the fleet's fronts have confirmed a hold or a release."""
 
     confirmed: int
     front_count: int
@@ -40,10 +40,10 @@
 
 @dataclass(slots=True)
 class ControlCommands:
-    """What each command does. Called in the listener's thread.
+    """The functions that carry out the commands; called in the listener's thread.
 
-    ``disable`` and ``enable`` return whether the server id is known. ``show_`` functions return the lines of
-    the answer; ``None``: the part that the command shows is off.
+    ``disable`` and ``enable`` return whether the server id is known. ``show_*`` functions return the lines of
+    the answer, and are ``None`` where the component that they report on is disabled.
     """
 
     is_ready: Callable[[], bool]
@@ -55,50 +55,50 @@
     show_fleet: Callable[[], list[str]] | None = None  # the fleet view
     fronts_holding: Callable[[str, bool], FrontsHolding] | None = None  # waits for the other fronts
     show_replica: Callable[[], list[str]] | None = None  # the replicated holds
-    show_recovery: Callable[[], list[str]] | None = None  # what the start waits for, or waited for
+    show_recovery: Callable[[], list[str]] | None = None  # the start-up stages, waited for and passed
     show_config: Callable[[], list[str]] | None = None  # the distributed configuration in force
 
 
 def answer_command(commands: ControlCommands, line: str) -> list[str]:
-    """Carry out one command and return the lines of its answer, in the operations page's words."""
-    word, _, rest = line.strip().partition(" ")
+    """Carry out one command and return the lines of its answer."""
+    name, _, rest = line.strip().partition(" ")
     argument = rest.strip()
-    if word in ("disable-server", "enable-server"):
-        return _answer_hold(commands, word, argument)
-    if word in ("show-stat", "show-config", "show-fleet", "show-replica", "show-recovery") and not argument:
-        return _answer_show(commands, word)
+    if name in ("disable-server", "enable-server"):
+        return _answer_hold(commands, name, argument)
+    if name in ("show-stat", "show-config", "show-fleet", "show-replica", "show-recovery") and not argument:
+        return _answer_show(commands, name)
     if argument:
-        return [f"FAILURE {word} takes nothing more"]
-    if word == "ready":
+        return [f"FAILURE {name} takes nothing more"]
+    if name == "ready":
         return [SUCCESS if commands.is_ready() else "FAILURE not taking clients"]
-    if word in ("drain", "resume"):
-        act = commands.drain if word == "drain" else commands.resume
-        act()
+    if name in ("drain", "resume"):
+        action = commands.drain if name == "drain" else commands.resume
+        action()
         return [SUCCESS]
     return ["FAILURE unknown command"]
 
 
-def _answer_show(commands: ControlCommands, word: str) -> list[str]:
-    show = {
+def _answer_show(commands: ControlCommands, name: str) -> list[str]:
+    status_lines = {
         "show-stat": commands.show_stat,
         "show-config": commands.show_config,
         "show-fleet": commands.show_fleet,
         "show-replica": commands.show_replica,
         "show-recovery": commands.show_recovery,
-    }[word]
-    if show:
-        return [*show(), LAST_LINE]
-    if word == "show-config":
+    }[name]
+    if status_lines:
+        return [*status_lines(), END_OF_ANSWER]
+    if name == "show-config":
         return ["FAILURE no distributed configuration is asked for"]
     return ["FAILURE no view of the fleet is kept"]
 
 
-def _answer_hold(commands: ControlCommands, word: str, server_id: str) -> list[str]:
+def _answer_hold(commands: ControlCommands, name: str, server_id: str) -> list[str]:
     if not server_id or " " in server_id:
-        return [f"FAILURE {word} wants one server id"]
-    is_hold = word == "disable-server"
-    act = commands.disable if is_hold else commands.enable
-    if not act(server_id):
+        return [f"FAILURE {name} wants one server id"]
+    is_hold = name == "disable-server"
+    action = commands.disable if is_hold else commands.enable
+    if not action(server_id):
         return [f"FAILURE no server {server_id}"]
     if commands.fronts_holding:
         confirmed, front_count = commands.fronts_holding(server_id, is_hold)
@@ -107,7 +107,7 @@
 
 
 class ControlSession:
-    """One caller's connection."""
+    """One operator's connection."""
 
     __slots__ = ("opened_at", "received", "socket", "unsent")
 
@@ -119,10 +119,10 @@
 
 
 class ControlListener:
-    """Serves callers with non-blocking sockets and a selector, in a daemon thread.
+    """Serves operators' connections with non-blocking sockets and a selector, in a daemon thread.
 
-    Callers that stall or send garbage get ``FAILURE`` and never delay another one. A command that waits
-    for the other fronts (``fronts_holding``) does: one thread serves all callers.
+    Connections that stall or send garbage get ``FAILURE`` and never delay another one. A command that waits
+    for the other fronts (``fronts_holding``) does delay them, since one thread serves all connections.
     """
 
     def __init__(self, address: Address, commands: ControlCommands) -> None:
@@ -137,11 +137,11 @@
         self._thread = threading.Thread(target=self._serve, name="ops", daemon=True)
 
     def start(self) -> None:
-        """Serve from now on."""
+        """Start the thread that serves connections."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Close every connection; returns when the thread has ended, or after 1 s."""
+        """Close every connection; return once the thread has ended, or after 1 s."""
         self._stopped = True
         self._thread.join(1.0)
 
@@ -154,13 +154,13 @@
                     if key.fileobj is self.socket:
                         self._accept()
                     elif session := self._sessions.get(key.fd):
-                        self._handle(session, events)
-                self._reject_overdue_sessions()
+                        self._on_ready(session, events)
+                self._reject_expired_sessions()
             for session in list(self._sessions.values()):
                 self._close(session)
         self.socket.close()
 
-    def _reject_overdue_sessions(self) -> None:
+    def _reject_expired_sessions(self) -> None:
         now = time.monotonic()
         for session in list(self._sessions.values()):
             if now - session.opened_at > SESSION_TIMEOUT:
@@ -177,7 +177,7 @@
             self._sessions[connection.fileno()] = session
             self.selector.register(connection, selectors.EVENT_READ)
 
-    def _handle(self, session: ControlSession, events: int) -> None:
+    def _on_ready(self, session: ControlSession, events: int) -> None:
         if events & selectors.EVENT_WRITE:
             self._send(session)
         else:
@@ -190,7 +190,7 @@
             self._close(session)
             return
         if not data:
-            self._reject(session, "half", None)
+            self._reject(session, "closed_early", None)
             return
         session.received += data
         line, newline, _ = session.received.partition(b"\n")
@@ -206,18 +206,18 @@
             self._reject(session, "unreadable", "FAILURE unreadable line")
             return
         lines = self._answer(text)
-        session.unsent = "".join(f"{one}\n" for one in lines).encode()
+        session.unsent = "".join(f"{text_line}\n" for text_line in lines).encode()
         self.selector.modify(session.socket, selectors.EVENT_WRITE)
         self._send(session)
 
     def _answer(self, text: str) -> list[str]:
         try:
             lines = answer_command(self.commands, text)
-        except Exception:  # an exception in one command must not end the thread that serves the others
-            log.exception("ops_fault", call=text[:64])
+        except Exception:  # a faulty command must not end the thread that serves all connections
+            log.exception("ops_fault", command=text[:64])
             lines = ["FAILURE internal fault"]
         if lines[0].startswith("FAILURE"):
-            log.info("ops_refused", call=text[:64], answer=lines[0])
+            log.info("ops_command_failed", command=text[:64], answer=lines[0])
         return lines
 
     def _send(self, session: ControlSession) -> None:
@@ -233,14 +233,13 @@
             self._close(session)
 
     def _reject(self, session: ControlSession, reason: str, answer: str | None) -> None:
-        log.info("ops_bad_call", why=reason)
+        log.info("ops_connection_rejected", reason=reason)
         with contextlib.suppress(OSError):
             if answer:
                 session.socket.send(f"{answer}\n".encode())
             session.socket.shutdown(socket.SHUT_WR)
-            for _ in range(
-                MAX_UNREAD_CHUNKS
-            ):  # unread bytes would make the close a reset and lose the answer
+            # Closing a socket with unread bytes sends a reset, and the peer may then lose the answer.
+            for _ in range(MAX_DISCARDED_CHUNKS):
                 if not session.socket.recv(4096):
                     break
         self._close(session)
--- a/cleatyoke/admin/prometheus.py
+++ b/cleatyoke/admin/prometheus.py
@@ -1,6 +1,7 @@
-"""The Prometheus exporter: the counters of ``show-stat``, where the fronts file enables them.
+"""The Prometheus exporter: the counters of ``show-stat``, where the fronts file enables it.
 
-``prometheus-client`` is an optional extra (``metrics``) and is imported here only; nothing else imports this.
+``prometheus-client`` is an optional extra (``metrics``). Only this module imports it, and this module is
+imported only where the exporter is enabled.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 from cleatyoke.process.metrics import OUTCOMES, Metrics, NodeCounts
 from cleatyoke.transport.listener import Listener
 
-MAX_CONNECTIONS = 8  # at a time: a scraper or two
-IDLE_TIMEOUT = 5.0  # seconds that a connection may stand without a request
+MAX_CONNECTIONS = 8  # open at a time; enough for one or two scrapers
+IDLE_TIMEOUT = 5.0  # seconds for which a connection may stay open without a request
 PREFIX = "cleatyoke_"
 log = structlog.get_logger()
 
 
 class MetricsCollector:
-    """Reads the counters at each scrape and keeps none of its own. Here stand the names of all metrics."""
+    """Reads the counters at each scrape and keeps none of its own; defines the names of all metrics."""
 
     def __init__(
         self,
@@ -39,11 +40,12 @@
         self.gauges = gauges
 
     def collect(self) -> Iterator[Metric]:
-        """Yield each metric; ``prometheus-client`` calls this at a scrape."""
+        """Yield each metric; called by ``prometheus-client`` at each scrape."""
         metrics = self.metrics
         yield self._requests()
         listed, down = self.node_counts()
-        # Interface words: boxes and hosts are nodes, "taken" is accepted, "turned down" rejected.
+        # Metric names and help texts are a stable interface with older terms: "boxes" and "hosts" are nodes,
+        # "taken" is accepted, "turned down" is rejected.
         for name, text, count in (
             ("backend_calls", "Attempts written whole to boxes", metrics.backend_calls),
             ("reconfig_ok", "Files taken at SIGHUP", metrics.reloads_applied),
@@ -71,7 +73,7 @@
 
 
 class MetricsListener:
-    """``GET /metrics`` in the text format of Prometheus, on an address of its own; any other path is 404."""
+    """Serves ``GET /metrics`` in Prometheus text format on its own address; any other path gets 404."""
 
     def __init__(
         self,
@@ -89,7 +91,7 @@
         log.info("metrics_open", listen=self.address)
 
     def stop(self) -> None:
-        """Accept no more, and close the idle connections."""
+        """Stop accepting connections and close the idle ones."""
         self.listener.close()
         self.server.pre_shutdown()
 
--- a/cleatyoke/sftp/__init__.py
+++ b/cleatyoke/sftp/__init__.py
@@ -1,1 +1,1 @@
-"""The front for SFTP-style file commands, without the cryptography."""
+"""The file front: serves SFTP packets over plain TCP, without SSH."""
--- a/cleatyoke/sftp/backend_commands.py
+++ b/cleatyoke/sftp/backend_commands.py
@@ -1,4 +1,4 @@
-"""File commands at a backend: the packets that each of them takes, and the reply that decides."""
+"""File commands at a backend: the packets that each sends, and the reply that is its result."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 )
 
 MAX_LISTED_NAMES = 20_000  # entries of a listing
-MAX_WRITE_BYTES = 32 * 1024  # of a WRITE: what every server must take (draft, section 3)
+MAX_WRITE_BYTES = 32 * 1024  # data of a WRITE: what every server must accept (draft, section 3)
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Upload:
-    """Write all that a client wrote to a handle, which is sent at its CLOSE."""
+    """Write everything that a client wrote to a handle; sent when the client closes it."""
 
     path: str
     flags: int
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class SinglePacket:
-    """A command of one packet and one reply."""
+    """A command that is one packet with one reply."""
 
     packet: Packet
     is_write: bool
@@ -69,12 +69,12 @@
 
 
 def is_write(command: Command) -> bool:
-    """Whether the command changes anything at the backend."""
+    """Whether the command may change data at the backend."""
     return isinstance(command, Upload) or (isinstance(command, SinglePacket) and command.is_write)
 
 
 class SftpConnection:
-    """A connection to a backend; it carries one command at a time."""
+    """A connection to a backend; runs one command at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.idle_since = 0.0  # by the loop's clock
@@ -96,24 +96,24 @@
         await self._writer.drain()
 
     async def receive(self, request_id: int) -> Packet:
-        """Return the next reply, which has to be the one to this request."""
+        """Return the next reply; raises ``PacketError`` if it belongs to another request."""
         reply = decode(await read_packet(self._reader))
         if reply.id != request_id and not isinstance(reply, Version):
-            msg = f"an answer to {reply.id}, want one to {request_id}"
+            msg = f"reply to request {reply.id}, expected {request_id}"
             raise PacketError(msg)
         return reply
 
     def is_usable(self) -> bool:
-        """Whether neither side has closed it."""
+        """Whether neither side has closed the connection."""
         return not self._reader.at_eof() and not self._writer.is_closing()
 
     def abort(self) -> None:
-        """End it at once."""
+        """Close the connection at once, discarding buffered data."""
         self._writer.transport.abort()
 
 
 async def run_command(connection: SftpConnection, command: Command) -> Packet:
-    """Run a command and return the reply that decides: an error, or what the client is owed."""
+    """Run a command and return its result: the first error, or the reply for the client."""
     match command:
         case SinglePacket(packet, _):
             return await connection.request(packet)
@@ -126,43 +126,45 @@
 
 
 async def _read_range(connection: SftpConnection, command: ReadRange) -> Packet:
-    opened = await connection.request(Open(0, command.path, OpenFlags.READ, Attrs()))
-    if not isinstance(opened, Handle):
-        return opened
-    reply = await connection.request(Read(0, opened.handle, command.offset, command.length))
-    await connection.request(Close(0, opened.handle))
+    open_reply = await connection.request(Open(0, command.path, OpenFlags.READ, Attrs()))
+    if not isinstance(open_reply, Handle):
+        return open_reply
+    reply = await connection.request(Read(0, open_reply.handle, command.offset, command.length))
+    await connection.request(Close(0, open_reply.handle))
     if not isinstance(reply, Data | Status):
-        msg = f"an answer of type {reply.type}"
+        msg = f"unexpected reply of type {reply.type} to READ"
         raise PacketError(msg)
     return reply
 
 
 async def _list_directory(connection: SftpConnection, command: ListDirectory) -> Packet:
-    opened = await connection.request(Opendir(0, command.path))
-    if not isinstance(opened, Handle):
-        return opened
+    open_reply = await connection.request(Opendir(0, command.path))
+    if not isinstance(open_reply, Handle):
+        return open_reply
     names: list[Name] = []
-    while isinstance(reply := await connection.request(Readdir(0, opened.handle)), Names) and reply.names:
+    while isinstance(reply := await connection.request(Readdir(0, open_reply.handle)), Names) and reply.names:
         names += reply.names
         if len(names) > MAX_LISTED_NAMES:
-            msg = "too long a listing"
+            msg = "directory listing has too many entries"
             raise PacketError(msg)
-    await connection.request(Close(0, opened.handle))
-    is_end = isinstance(reply, Names) or (isinstance(reply, Status) and reply.code == StatusCode.SSH_FX_EOF)
-    return Names(0, names) if is_end else reply
+    await connection.request(Close(0, open_reply.handle))
+    is_complete = isinstance(reply, Names) or (
+        isinstance(reply, Status) and reply.code == StatusCode.SSH_FX_EOF
+    )
+    return Names(0, names) if is_complete else reply
 
 
 async def _upload(connection: SftpConnection, command: Upload) -> Packet:
-    """Send all packets before the first reply is awaited; the first error decides, or CLOSE's status."""
-    opened = await connection.request(Open(0, command.path, command.flags, command.attrs))
-    if not isinstance(opened, Handle):
-        return opened
+    """Send all WRITEs and CLOSE before awaiting their replies; return the first error, or CLOSE's status."""
+    open_reply = await connection.request(Open(0, command.path, command.flags, command.attrs))
+    if not isinstance(open_reply, Handle):
+        return open_reply
     first_request_id = connection.last_request_id + 1
     for offset, data in command.pieces:
         for start in range(0, len(data), MAX_WRITE_BYTES):
-            part = data[start : start + MAX_WRITE_BYTES]
-            await connection.send(Write(0, opened.handle, offset + start, part))
-    await connection.send(Close(0, opened.handle))
+            chunk = data[start : start + MAX_WRITE_BYTES]
+            await connection.send(Write(0, open_reply.handle, offset + start, chunk))
+    await connection.send(Close(0, open_reply.handle))
     request_ids = range(first_request_id, connection.last_request_id + 1)
     replies = [await connection.receive(request_id) for request_id in request_ids]
     for reply in replies:
--- a/cleatyoke/sftp/backends.py
+++ b/cleatyoke/sftp/backends.py
@@ -1,4 +1,4 @@
-"""Connections to the backends of the file front: one attempt is one command, and what its ending proves."""
+"""Connections to the backends of the file front; each attempt is one command, with its outcome."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from cleatyoke.sftp.backend_commands import Command, SftpConnection, is_write, run_command
 from cleatyoke.sftp.packets import VERSION, Init, Packet, PacketError, Status, StatusCode, Version
 
-MAX_IDLE_PER_BACKEND = 4  # connections kept to a backend
-IDLE_FRACTION = 0.5  # of the backends' idle timeout, after which a connection is not used again
+MAX_IDLE_PER_BACKEND = 4  # idle connections kept open to one backend
+IDLE_FRACTION = 0.5  # of the backends' idle timeout, after which an idle connection is not reused
 
 
 class NotStartedError(Exception):
-    """The connection failed before any byte of the command was written."""
+    """The connection could not be opened, so no byte of the command was written."""
 
 
 class NotServingError(Exception):
-    """The backend began to drain, or went, before the command was written."""
+    """The backend started to drain, or left the directory, before the command was written."""
 
 
 class SftpBackends:
-    """Connections to the backends of the directory.
+    """Connections to the backends in the directory.
 
-    ``port``: of the backends' SFTP listener, or 0 for the one in the directory; ``connect_timeout`` and
-    ``idle_close``: seconds for a new connection, and after which a backend closes an idle one; ``max_idle``:
-    connections kept to all backends.
+    ``port``: of the backends' SFTP listener, or 0 for the port in the directory; ``connect_timeout``: seconds
+    to open a connection; ``idle_close``: seconds after which a backend closes an idle connection;
+    ``max_idle``: idle connections kept open to all backends together.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         directory.listeners.append(self.drop_idle)
 
     def drop_idle(self, node: int) -> None:
-        """Close the idle connections to a backend that drains, went or restarted."""
+        """Close the idle connections to a backend that is draining, was removed or has restarted."""
         for connection in self._idle.pop(node, []):
             connection.abort()
 
@@ -53,32 +53,32 @@
             self.drop_idle(node)
 
     async def attempt(self, node: int, command: Command, may_begin: MayBegin) -> AttemptResult[Packet]:
-        """Run a command at a backend, once.
+        """Run a command at a backend, without retries.
 
-        ``may_begin`` is asked directly before the first byte. Once a byte may have been written, a broken
-        connection may mean that the command ran. A status other than SSH_FX_FAILURE is the backend's answer
-        to the client, as a missing file, and counts as served.
+        ``may_begin`` is called directly before the first byte is written. Once a byte may have been written,
+        a broken connection may mean that the command ran. A status other than SSH_FX_FAILURE, such as a
+        missing file, is the backend's answer to the client and counts as served.
         """
         connection = None
         has_begun = False
-        is_done = False
+        is_complete = False
         try:
             connection = await self._connect(node, must_be_new=is_write(command))
-            if not (self.directory.is_serving(node) and may_begin()):  # it may have taken long to come up
+            if not (self.directory.is_serving(node) and may_begin()):  # may have changed during the connect
                 return AttemptResult(AttemptOutcome.NOT_SENT)
             has_begun = True
             reply = await run_command(connection, command)
-            is_done = True
+            is_complete = True
         except NotServingError:
             return AttemptResult(AttemptOutcome.NOT_SENT)
         except NotStartedError:
             return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
         except (OSError, EOFError, ValueError):
-            broken = AttemptOutcome.CONNECTION_RESET if has_begun else AttemptOutcome.CONNECTION_FAILED
-            return AttemptResult(broken)
+            outcome = AttemptOutcome.CONNECTION_RESET if has_begun else AttemptOutcome.CONNECTION_FAILED
+            return AttemptResult(outcome)
         finally:
-            if connection and not (is_done and self._put_back(node, connection)):
-                connection.abort()  # nothing of a given-up attempt stays open while the next goes out
+            if connection and not (is_complete and self._keep_idle(node, connection)):
+                connection.abort()  # an abandoned attempt must not stay open while the next one runs
         if isinstance(reply, Status) and reply.code == StatusCode.SSH_FX_FAILURE:
             return AttemptResult(AttemptOutcome.ERROR)
         return AttemptResult(AttemptOutcome.SERVED, reply)
@@ -86,8 +86,8 @@
     async def _connect(self, node: int, *, must_be_new: bool) -> SftpConnection:
         """Return a connection on which the versions have been exchanged.
 
-        Prevents lost or doubled writes: a write takes a new connection, because on one that was idle a break
-        can't be told from a break after the backend had stored the change.
+        Prevents lost or duplicate writes: a write takes a new connection. If an idle connection breaks, it
+        is unknown whether the backend closed it unused or had already stored the change.
         """
         backend = self.directory.instances.get(node)
         if backend is None or not self.directory.is_serving(node):
@@ -124,13 +124,13 @@
                 writer.transport.abort()
             raise
 
-    def _put_back(self, node: int, connection: SftpConnection) -> bool:
-        """Keep a connection for the next command, if it may be."""
+    def _keep_idle(self, node: int, connection: SftpConnection) -> bool:
+        """Keep a connection for reuse where the limits allow it; return whether it was kept."""
         if not connection.is_usable() or not self.directory.is_serving(node):
             return False
         if len(self._idle[node]) >= MAX_IDLE_PER_BACKEND:
             return False
-        if sum(map(len, self._idle.values())) >= self.max_idle:  # file descriptors are dealt out for no more
+        if sum(map(len, self._idle.values())) >= self.max_idle:  # the file descriptor budget covers no more
             return False
         connection.idle_since = asyncio.get_running_loop().time()
         self._idle[node].append(connection)
@@ -140,5 +140,5 @@
 async def _exchange_versions(connection: SftpConnection) -> None:
     reply = await connection.request(Init(VERSION))
     if not isinstance(reply, Version) or reply.id != VERSION:
-        msg = "no version 3"
+        msg = "backend does not speak SFTP version 3"
         raise PacketError(msg)
--- a/cleatyoke/sftp/client_commands.py
+++ b/cleatyoke/sftp/client_commands.py
@@ -41,13 +41,13 @@
     absolute_path,
 )
 
-MAX_LISTED_NAMES = 40_000  # names held for all sessions together
+MAX_LISTED_NAMES = 40_000  # unread entries of all sessions together, beyond which no directory is opened
 NAMES_PER_REPLY = 64
-PathWrite = Remove | Rmdir | Mkdir | Setstat
+PathModification = Remove | Rmdir | Mkdir | Setstat
 
 
 class CommandScheduler(Protocol):
-    """What the handlers need of the file front."""
+    """The part of the file front that the handlers use."""
 
     config: SftpSettings
     volumes: VolumePaths
@@ -56,13 +56,13 @@
         """Run a command at a backend, or raise ``CommandRejectedError``."""
 
     def count_listed_names(self) -> int:
-        """Return the names that all sessions' open directories hold."""
+        """Count the unread entries in the open directories of all sessions."""
 
 
 class ClientCommands:
-    """Answers one session's commands. A reply's id is set by the caller.
+    """Answers one session's commands. The caller sets the reply's id.
 
-    All handlers raise ``CommandRejectedError`` for a command that is answered with an error.
+    Handlers raise ``CommandRejectedError`` for a command that the front itself answers with an error.
     """
 
     def __init__(self, front: CommandScheduler, handles: HandleTable) -> None:
@@ -79,10 +79,10 @@
             Fstat: self._fstat,
             Stat: self._stat,
             Lstat: self._stat,
-            Remove: self._write_path,
-            Rmdir: self._write_path,
-            Mkdir: self._write_path,
-            Setstat: self._write_path,
+            Remove: self._modify_path,
+            Rmdir: self._modify_path,
+            Mkdir: self._modify_path,
+            Setstat: self._modify_path,
             Rename: self._rename,
         }
 
@@ -98,14 +98,14 @@
         return Names(0, [Name(path, path, Attrs())])
 
     async def _open(self, packet: Open) -> Packet:
-        """Open for writing without a backend; for reading, the file has to be there."""
+        """Open a file: for reading, a backend must have it; for writing, no backend is involved yet."""
         path = absolute_path(packet.path)
         self._front.volumes.find(path)
         self._handles.check_capacity()
-        direction = packet.flags & (OpenFlags.READ | OpenFlags.WRITE)
-        if direction == OpenFlags.WRITE:
+        access_mode = packet.flags & (OpenFlags.READ | OpenFlags.WRITE)
+        if access_mode == OpenFlags.WRITE:
             return self._handles.open(WriteHandle(path, packet.flags, packet.attrs))
-        if direction != OpenFlags.READ:
+        if access_mode != OpenFlags.READ:
             raise CommandRejectedError(
                 StatusCode.SSH_FX_OP_UNSUPPORTED, "open for reading or for writing, not both"
             )
@@ -119,7 +119,7 @@
         return await self._front.schedule(path, f"{path}@{packet.offset}", length, command)
 
     async def _write(self, packet: Write) -> Packet:
-        """Gather the data; the backend gets it at CLOSE."""
+        """Buffer the data; it is sent to the backend at CLOSE."""
         upload = self._handles.get(packet.handle, WriteHandle)
         max_size = self._front.config.max_upload_bytes
         if upload.size + len(packet.data) > max_size:
@@ -129,7 +129,7 @@
         return _ok()
 
     async def _close(self, packet: Close) -> Packet:
-        """Close a handle; of an upload, the status is that of its one write at the backend."""
+        """Close a handle; for an upload, send it to the backend and return that write's status."""
         closed = self._handles.close(packet.handle)
         if closed is None:
             return Status(0, StatusCode.SSH_FX_FAILURE, "unknown handle")
@@ -143,11 +143,11 @@
         return await self._front.schedule(closed.path, closed.path, closed.size, command)
 
     async def _opendir(self, packet: Opendir) -> Packet:
-        """Read the whole listing at once, so that it is one request at one backend."""
+        """Read the whole listing at once, as one request to one backend."""
         path = absolute_path(packet.path)
         self._handles.check_capacity()
-        if above := self._front.volumes.list_above(path):
-            return self._handles.open(DirectoryHandle(path, above))
+        if entries := self._front.volumes.list_virtual_directory(path):
+            return self._handles.open(DirectoryHandle(path, entries))
         if self._front.count_listed_names() > MAX_LISTED_NAMES:
             raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, "too many listings are open")
         reply = await self._front.schedule(path, path, 0, ListDirectory(path))
@@ -172,12 +172,12 @@
 
     async def _stat(self, packet: Stat | Lstat) -> Packet:
         path = absolute_path(packet.path)
-        if self._front.volumes.list_above(path):
+        if self._front.volumes.list_virtual_directory(path):
             return AttrsReply(0, Attrs(permissions=DIRECTORY_PERMISSIONS))
         command = SinglePacket(replace(packet, path=path), is_write=False)
         return await self._front.schedule(path, path, 0, command)
 
-    async def _write_path(self, packet: PathWrite) -> Packet:
+    async def _modify_path(self, packet: PathModification) -> Packet:
         path = absolute_path(packet.path)
         command = SinglePacket(replace(packet, path=path), is_write=True)
         return await self._front.schedule(path, path, 0, command)
--- a/cleatyoke/sftp/codec.py
+++ b/cleatyoke/sftp/codec.py
@@ -1,4 +1,4 @@
-"""The bytes of SFTP version 3 packets (draft-ietf-secsh-filexfer-02, sections 3 to 7)."""
+"""Encoding of SFTP version 3 packets (draft-ietf-secsh-filexfer-02, sections 3 to 7)."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     Unsupported,
 )
 
-MIN_PACKET_BYTES = 5  # after the length: the type and the id
-MAX_PACKET_BYTES = 66 * 1024  # after the length; the draft asks for 34,000 at least
-MIN_EXTENSION_BYTES = 8  # an extended attribute: the lengths of its two strings
-MIN_NAME_BYTES = 12  # an entry of SSH_FXP_NAME: the lengths of its two strings, and its attributes' flags
+MIN_PACKET_BYTES = 5  # the type and the id; the length field does not count
+MAX_PACKET_BYTES = 66 * 1024  # without the length field; the draft requires at least 34,000
+MIN_EXTENSION_BYTES = 8  # an extended attribute: the length fields of its two strings
+MIN_NAME_BYTES = 12  # an entry of SSH_FXP_NAME: the length fields of its two strings, and its attribute flags
 
 
 class AttrFlags(IntFlag):
-    """Which attributes follow (draft, section 5)."""
+    """Which attributes are present (draft, section 5)."""
 
     SIZE = 0x00000001
     UIDGID = 0x00000002
@@ -35,10 +35,10 @@
 
 
 class PacketReader:
-    """Reads a packet's fields one after the other, and checks every bound.
+    """Reads a packet's fields in order, and checks every length.
 
-    Prevents reads beyond the packet, and memory taken for a count that the packet can't hold. All methods
-    raise ``PacketError``.
+    Prevents reads beyond the packet's end, and allocations for an entry count that the packet can't hold.
+    All methods raise ``PacketError``.
     """
 
     def __init__(self, raw: bytes) -> None:
@@ -61,27 +61,27 @@
         return self._raw[start:end]
 
     def read_u32(self) -> int:
-        """Return a number of four bytes."""
+        """Read an unsigned 32-bit integer."""
         return int.from_bytes(self.read_bytes(4), "big")
 
     def read_u64(self) -> int:
-        """Return a number of eight bytes."""
+        """Read an unsigned 64-bit integer."""
         return int.from_bytes(self.read_bytes(8), "big")
 
     def read_string(self) -> bytes:
-        """Return bytes that stand after their length."""
+        """Read a string: its length, then its bytes."""
         return self.read_bytes(self.read_u32())
 
     def read_text(self) -> str:
-        """Return a string as UTF-8; bytes that are none are kept as surrogates."""
+        """Read a string as UTF-8; invalid bytes become surrogates, so that encoding restores them."""
         return self.read_string().decode("utf-8", "surrogateescape")
 
     def read_rest(self) -> bytes:
-        """Return all bytes up to the end."""
+        """Return all bytes up to the packet's end."""
         return self.read_bytes(len(self._raw) - self._position)
 
     def read_attrs(self) -> Attrs:
-        """Return file attributes."""
+        """Read file attributes."""
         flags = self.read_u32()
         attrs = Attrs()
         if flags & AttrFlags.SIZE:
@@ -98,12 +98,12 @@
         return attrs
 
     def read_names(self) -> list[Name]:
-        """Return the entries of a listing."""
+        """Read the entries of a listing."""
         count = self._read_count(MIN_NAME_BYTES)
         return [Name(self.read_text(), self.read_text(), self.read_attrs()) for _ in range(count)]
 
     def _read_count(self, min_entry_bytes: int) -> int:
-        """Return a count of entries; raise, before any is made, where the rest can't hold them."""
+        """Read a count of entries; raise, before any is allocated, if the remaining bytes can't hold them."""
         count = self.read_u32()
         if count * min_entry_bytes > len(self._raw) - self._position:
             msg = "a count beyond the packet's end"
@@ -112,7 +112,7 @@
 
 
 def encode_u32(value: int) -> bytes:
-    """Return a number as four bytes."""
+    """Encode an unsigned 32-bit integer."""
     return struct.pack(">I", value)
 
 
@@ -158,7 +158,7 @@
     return encode_u32(len(names)) + b"".join(parts)
 
 
-READERS: dict[FieldType, Callable[[PacketReader], Any]] = {
+FIELD_DECODERS: dict[FieldType, Callable[[PacketReader], Any]] = {
     FieldType.U32: PacketReader.read_u32,
     FieldType.U64: PacketReader.read_u64,
     FieldType.STRING: PacketReader.read_string,
@@ -167,7 +167,7 @@
     FieldType.ATTRS: PacketReader.read_attrs,
     FieldType.NAMES: PacketReader.read_names,
 }
-WRITERS: dict[FieldType, Callable[[Any], bytes]] = {
+FIELD_ENCODERS: dict[FieldType, Callable[[Any], bytes]] = {
     FieldType.U32: encode_u32,
     FieldType.U64: _encode_u64,
     FieldType.STRING: _encode_string,
@@ -179,7 +179,7 @@
 
 
 def decode(raw: bytes) -> Packet:
-    """Return the packet of these bytes, which have no length in front; raises ``PacketError``."""
+    """Decode a packet without its length field; raises ``PacketError``."""
     reader = PacketReader(raw)
     packet_type = reader.read_bytes(1)[0]
     request_id = None
@@ -188,7 +188,7 @@
         packet_class = PACKET_CLASSES.get(packet_type)
         if packet_class is None:
             return Unsupported(request_id)
-        values = [READERS[field_type](reader) for field_type in packet_class.layout.values()]
+        values = [FIELD_DECODERS[field_type](reader) for field_type in packet_class.layout.values()]
         packet = packet_class(request_id, *values)
     except PacketError as error:
         raise PacketError(str(error), request_id) from error
@@ -199,24 +199,26 @@
 
 
 def encode(packet: Packet) -> bytes:
-    """Return a packet's bytes, with the length in front."""
-    body = b"".join(WRITERS[field_type](getattr(packet, name)) for name, field_type in packet.layout.items())
+    """Encode a packet, preceded by its length field."""
+    body = b"".join(
+        FIELD_ENCODERS[field_type](getattr(packet, name)) for name, field_type in packet.layout.items()
+    )
     return encode_u32(MIN_PACKET_BYTES + len(body)) + bytes([packet.type]) + encode_u32(packet.id) + body
 
 
 async def read_size(reader: asyncio.StreamReader) -> int:
-    """Return the next packet's length, in bytes.
+    """Read the next packet's length, in bytes.
 
-    Raises ``PacketError`` for a length that no packet has, and ``asyncio.IncompleteReadError`` where the
-    peer has closed.
+    Raises ``PacketError`` for an invalid length, and ``asyncio.IncompleteReadError`` if the peer has closed
+    the connection.
     """
     size = int.from_bytes(await reader.readexactly(4), "big")
     if not MIN_PACKET_BYTES <= size <= MAX_PACKET_BYTES:
-        msg = f"a packet of {size} bytes"
+        msg = f"invalid packet length of {size} bytes"
         raise PacketError(msg)
     return size
 
 
 async def read_packet(reader: asyncio.StreamReader) -> bytes:
-    """Return the next packet's bytes without its length; errors as of ``read_size``."""
+    """Read the next packet's bytes, without its length field; raises the same errors as ``read_size``."""
     return await reader.readexactly(await read_size(reader))
--- a/cleatyoke/sftp/handles.py
+++ b/cleatyoke/sftp/handles.py
@@ -18,17 +18,17 @@
 
 @dataclass(slots=True)
 class WriteHandle:
-    """An upload as it is gathered; the backend gets it at CLOSE."""
+    """A file open for writing; its data is buffered and sent to the backend at CLOSE."""
 
     path: str
     flags: int
     attrs: Attrs
     size: int = 0  # bytes in ``pieces``
     pieces: list[tuple[int, bytes]] = field(default_factory=list)  # offset, data
-    is_incomplete: bool = False  # a WRITE was rejected, so the pieces are not what the client means
+    is_incomplete: bool = False  # a WRITE was rejected, so the pieces must not be stored
 
     def append(self, offset: int, data: bytes) -> None:
-        """Add the data of a WRITE, joined to the last piece where it follows that."""
+        """Add the data of a WRITE, merged into the last piece if it directly follows it."""
         self.size += len(data)
         if self.pieces:
             last_offset, last_data = self.pieces[-1]
@@ -40,51 +40,53 @@
 
 @dataclass(slots=True)
 class DirectoryHandle:
-    """An open directory with the names that have not been read yet."""
+    """An open directory, with the entries that the client has not read yet."""
 
     path: str
     names: list[Name]
 
 
 AnyHandle = ReadHandle | WriteHandle | DirectoryHandle
-H = TypeVar("H")
+HandleT = TypeVar("HandleT")
 
 
 class HandleTable:
-    """Handles by the name that the client has for them; at most ``max_handles`` are open."""
+    """Open handles, by the opaque handle string given to the client; at most ``max_handles``."""
 
     def __init__(self, max_handles: int) -> None:
         self._max_handles = max_handles
         self._handles: dict[bytes, AnyHandle] = {}
-        self._opened_count = 0
+        self._last_handle_number = 0
 
     def check_capacity(self) -> None:
-        """Raise ``CommandRejectedError`` where no more handles may be opened."""
+        """Raise ``CommandRejectedError`` if the limit of open handles is reached."""
         if len(self._handles) >= self._max_handles:
             raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, "too many open handles")
 
-    def open(self, opened: AnyHandle) -> Handle:
-        """Keep a handle, and return the reply with its name."""
-        self._opened_count += 1
-        name = str(self._opened_count).encode()
-        self._handles[name] = opened
+    def open(self, handle: AnyHandle) -> Handle:
+        """Register a handle, and return the reply with its handle string."""
+        self._last_handle_number += 1
+        name = str(self._last_handle_number).encode()
+        self._handles[name] = handle
         return Handle(0, name)
 
     def close(self, name: bytes) -> AnyHandle | None:
-        """Forget a handle and return it, or None where it is unknown."""
+        """Remove a handle and return it, or None if it is unknown."""
         return self._handles.pop(name, None)
 
     def find(self, name: bytes) -> AnyHandle | None:
-        """Return a handle, or None where it is unknown."""
+        """Return a handle, or None if it is unknown."""
         return self._handles.get(name)
 
-    def get(self, name: bytes, handle_type: type[H]) -> H:
-        """Return a handle of this type, or raise ``CommandRejectedError``."""
-        found = self._handles.get(name)
-        if not isinstance(found, handle_type):
+    def get(self, name: bytes, handle_type: type[HandleT]) -> HandleT:
+        """Return a handle; raise ``CommandRejectedError`` if it is unknown or of another type."""
+        handle = self._handles.get(name)
+        if not isinstance(handle, handle_type):
             raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, "unknown handle, or of another kind")
-        return found
+        return handle
 
     def count_listed_names(self) -> int:
-        """Return the names that open directories hold."""
-        return sum(len(one.names) for one in self._handles.values() if isinstance(one, DirectoryHandle))
+        """Count the unread entries in open directories."""
+        return sum(
+            len(handle.names) for handle in self._handles.values() if isinstance(handle, DirectoryHandle)
+        )
--- a/cleatyoke/sftp/packets.py
+++ b/cleatyoke/sftp/packets.py
@@ -1,6 +1,6 @@
-"""SFTP version 3 packets (draft-ietf-secsh-filexfer-02) as typed values; ``codec`` has their bytes.
+"""SFTP version 3 packets (draft-ietf-secsh-filexfer-02) as typed values; ``codec`` encodes them.
 
-Packets and their fields have the draft's names.
+Packets and fields are named as in the draft.
 """
 
 from __future__ import annotations
@@ -38,33 +38,33 @@
 
 
 class FieldType(Enum):
-    """How a packet's field stands in its bytes (draft, section 3)."""
+    """How a packet's field is encoded (draft, section 3)."""
 
     U32 = auto()
     U64 = auto()
-    STRING = auto()  # bytes after their length
-    TEXT = auto()  # a string that is taken for UTF-8, other bytes kept
+    STRING = auto()  # a length, then the bytes
+    TEXT = auto()  # a string, read as UTF-8; invalid bytes are preserved
     REST = auto()  # all bytes up to the packet's end
     ATTRS = auto()  # see ``Attrs``
-    NAMES = auto()  # a count, and so many ``Name``
+    NAMES = auto()  # a count, then as many ``Name`` entries
 
 
 class PacketError(ValueError):
-    """Bytes that are no packet; ``request_id`` is its id where that could be read."""
+    """Bytes that are not a valid packet; ``request_id`` is set if the id could be read."""
 
-    def __init__(self, why: str, request_id: int | None = None) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, request_id: int | None = None) -> None:
+        super().__init__(reason)
         self.request_id = request_id
 
 
 @dataclass(slots=True)
 class Attrs:
-    """File attributes (draft, section 5); None where they are not stated."""
+    """File attributes (draft, section 5); None if not present."""
 
     size: int | None = None
     owner: tuple[int, int] | None = None  # uid, gid
     permissions: int | None = None
-    times: tuple[int, int] | None = None  # atime, mtime: seconds since 1970
+    times: tuple[int, int] | None = None  # atime, mtime, in seconds since the Unix epoch (1970)
     extended: list[tuple[bytes, bytes]] = field(default_factory=list)
 
 
@@ -79,7 +79,7 @@
 
 @dataclass
 class Packet:
-    """``type`` is the SSH_FXP number; ``layout`` the fields after the id, in the order of their bytes."""
+    """``type`` is the SSH_FXP number; ``layout`` the fields after the id, in wire order."""
 
     type: ClassVar[int]
     layout: ClassVar[dict[str, FieldType]]
@@ -130,7 +130,7 @@
 
 @dataclass
 class Read(Packet):
-    """SSH_FXP_READ; offset and length are bytes."""
+    """SSH_FXP_READ; offset and length are in bytes."""
 
     type: ClassVar[int] = 5
     layout: ClassVar[dict[str, FieldType]] = {
@@ -313,7 +313,7 @@
 
 @dataclass
 class Unsupported(Packet):
-    """A packet of another type; only its id is known."""
+    """A packet of an unsupported type; only its id is decoded."""
 
     type: ClassVar[int] = 0
     layout: ClassVar[dict[str, FieldType]] = {}
--- a/cleatyoke/sftp/server.py
+++ b/cleatyoke/sftp/server.py
@@ -1,4 +1,4 @@
-"""The file front: its listener and sessions, and each command that reaches a backend as one request."""
+"""The file front: its listener and sessions, and the scheduling of each backend command as one request."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class SftpServer:
-    """The listener; ``open`` and ``close`` it as often as mastership (VRRP) comes and goes.
+    """The listener; it may be opened and closed repeatedly, as VRRP mastership is gained and lost.
 
-    Prevents running out of file descriptors: at most ``max_sessions`` clients are connected.
+    At most ``max_sessions`` clients are connected, so that the process can't run out of file descriptors.
     """
 
     def __init__(self, config: SftpSettings, core: Core, backends: SftpBackends, max_sessions: int) -> None:
@@ -35,14 +35,14 @@
         self.listener: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Accept clients; nothing where they are accepted already."""
+        """Start accepting clients; does nothing if already open."""
         if self.listener is None:
             listen = self.config.listen
             self.listener = await asyncio.start_server(self._accept, listen.host, listen.port)
             log.info("sftp_open", listen=listen)
 
     async def close(self, grace: float = 0.0) -> None:
-        """Accept no more clients; end each session after its command, or after ``grace`` seconds."""
+        """Stop accepting clients; end each session after its current command, or after ``grace`` seconds."""
         if self.listener is None:
             return
         self.listener.close()
@@ -59,7 +59,7 @@
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if len(self.sessions) >= self.max_sessions:
-            log.warning("sftp_too_many_sessions", most=self.max_sessions)
+            log.warning("sftp_session_limit_reached", limit=self.max_sessions)
             writer.transport.abort()
             return
         session = Session(self, reader, writer)
@@ -70,14 +70,15 @@
             self.sessions.discard(session)
 
     def count_listed_names(self) -> int:
-        """Return the names that all sessions' open directories hold."""
+        """Count the unread entries in the open directories of all sessions."""
         return sum(session.handles.count_listed_names() for session in self.sessions)
 
     async def schedule(self, path: str, item: str, size: int, command: Command) -> Packet:
-        """Serve a command as one request, a read or a write of its volume, and return the reply.
+        """Serve a command as one read or write request of its volume, and return the reply.
 
-        ``item`` names the data that it is about, ``size`` is its bytes. Raises ``CommandRejectedError``
-        where it was rejected or failed, which says whether a change may have been made.
+        ``item`` identifies the data that is accessed, and ``size`` is its length in bytes. Raises
+        ``CommandRejectedError`` if the request was rejected or failed; its message says whether a change may
+        have been made.
         """
         volume = self.volumes.find(path)
         max_units = self.core.scheduler.settings.max_request_units
@@ -88,7 +89,7 @@
             class_index=self.config.write_class if is_write(command) else self.config.read_class,
             plan_index=volume.plan,
             volume_id=volume.volume,
-            item=_item_number(item),
+            item=_item_id(item),
             shard=volume.shard,
             units=min(units, max_units or units),
             deadline=deadline,
@@ -101,13 +102,15 @@
             case Served(reply) if reply is not None:
                 return reply
             case Rejected(wait):
-                retry = f"try again after {max(0.0, wait):.3f} s"
-                raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, f"refused, nothing was done: {retry}")
+                retry_hint = f"try again after {max(0.0, wait):.3f} s"
+                raise CommandRejectedError(
+                    StatusCode.SSH_FX_FAILURE, f"refused, nothing was done: {retry_hint}"
+                )
             case _:
-                doubt = "the change may have been made" if is_write(command) else "no answer"
-                raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, f"failed: {doubt}")
+                effect = "the change may have been made" if is_write(command) else "no answer"
+                raise CommandRejectedError(StatusCode.SSH_FX_FAILURE, f"failed: {effect}")
 
 
-def _item_number(item: str) -> int:
-    """Return the number by which the scheduler knows the data; a retry's is the same in any process."""
+def _item_id(item: str) -> int:
+    """Return the scheduler's id for the data; it is the same in every process, so that retries match."""
     return int.from_bytes(hashlib.blake2b(item.encode("utf-8", "surrogateescape"), digest_size=6).digest())
--- a/cleatyoke/sftp/session.py
+++ b/cleatyoke/sftp/session.py
@@ -1,4 +1,4 @@
-"""One SFTP client's connection: reads its packets, and answers them in turn."""
+"""One SFTP client's connection: reads its packets, and answers them in order."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from cleatyoke.sftp.packets import VERSION, Init, Packet, PacketError, Status, StatusCode, Version
 from cleatyoke.sftp.volume_paths import CommandRejectedError
 
-MAX_QUEUED_PACKETS = 8  # of a session that wait for their turn; then it is not read further
-STALL_TIMEOUT = 30.0  # seconds for a client to take an answer, or to send the rest of a packet
+MAX_QUEUED_PACKETS = 8  # unanswered packets of a session, beyond which reading pauses
+STALL_TIMEOUT = 30.0  # seconds for a client to accept an answer, or to send the rest of a packet
 log = structlog.get_logger()
 
 
@@ -22,7 +22,7 @@
     """One client's connection.
 
     Commands are answered one after the other. Packets are read meanwhile, so that a client that closes its
-    connection withdraws the command that is being run. ``has_ended`` is set once the connection is closed.
+    connection cancels the running command. ``has_ended`` is set once the connection is closed.
     """
 
     def __init__(
@@ -35,38 +35,38 @@
         self._reader = reader
         self._writer = writer
         self._queue: asyncio.Queue[bytes | None] = asyncio.Queue(MAX_QUEUED_PACKETS)
-        self._is_leaving = False
+        self._is_shutting_down = False
         self._is_busy = False
-        self._answering: asyncio.Task[None] | None = None
+        self._answer_task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Serve the client until it closes, sends garbage, or the front shuts the session down."""
-        self._answering = asyncio.create_task(self._answer_queued())
-        reading = asyncio.create_task(self._read_packets())
+        """Serve the client until it disconnects, sends malformed data, or the front ends the session."""
+        self._answer_task = asyncio.create_task(self._answer_packets())
+        read_task = asyncio.create_task(self._read_packets())
         try:
-            done, _ = await asyncio.wait({reading, self._answering}, return_when=asyncio.FIRST_COMPLETED)
-            if reading in done and reading.result():
-                await self._queue.put(None)  # the client is still there: answer what came before
-                await self._answering
+            done, _ = await asyncio.wait({read_task, self._answer_task}, return_when=asyncio.FIRST_COMPLETED)
+            if read_task in done and read_task.result():
+                await self._queue.put(None)  # the client is still connected: answer the earlier packets
+                await self._answer_task
         finally:
-            for task in (reading, self._answering):
-                task.cancel()  # this withdraws the command of a client that closed
-            await asyncio.gather(reading, self._answering, return_exceptions=True)
+            for task in (read_task, self._answer_task):
+                task.cancel()  # cancels the running command of a client that disconnected
+            await asyncio.gather(read_task, self._answer_task, return_exceptions=True)
             self._writer.close()
             self.has_ended.set()
 
     def begin_shutdown(self) -> None:
-        """End after the command in hand, or now where there is none."""
-        self._is_leaving = True
-        if not self._is_busy and self._answering:
-            self._answering.cancel()
+        """End the session after the running command, or now if there is none."""
+        self._is_shutting_down = True
+        if not self._is_busy and self._answer_task:
+            self._answer_task.cancel()
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once, discarding buffered data."""
         self._writer.transport.abort()
 
     async def _read_packets(self) -> bool:
-        """Queue packets until the client closes or is idle (False), or sends what is no packet (True)."""
+        """Queue packets; return True if the client sent an invalid length, False if it left or was idle."""
         while True:
             try:
                 async with asyncio.timeout(self._idle_timeout):
@@ -80,12 +80,12 @@
             except (EOFError, OSError):
                 return False
             except PacketError as error:
-                log.warning("sftp_bad_stream", why=str(error))
+                log.warning("sftp_malformed_stream", reason=str(error))
                 return True
 
-    async def _answer_queued(self) -> None:
+    async def _answer_packets(self) -> None:
         is_first = True
-        while (raw := await self._queue.get()) is not None and not self._is_leaving:
+        while (raw := await self._queue.get()) is not None and not self._is_shutting_down:
             self._is_busy = True
             reply = await self._answer(raw, is_first=is_first)
             is_first = False
@@ -119,5 +119,5 @@
 
 
 def _ends_session(reply: Packet) -> bool:
-    """Whether the reply says that the client's stream can't be understood: no request has the id 0."""
+    """Whether the reply reports a malformed stream; it then has the id 0, which no request has."""
     return isinstance(reply, Status) and reply.id == 0 and reply.code == StatusCode.SSH_FX_BAD_MESSAGE
--- a/cleatyoke/sftp/volume_paths.py
+++ b/cleatyoke/sftp/volume_paths.py
@@ -1,4 +1,4 @@
-"""Which volume a path of the file service belongs to, and the directories above the volumes."""
+"""Maps paths of the file front to volumes, and lists the virtual directories above the volumes."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from cleatyoke.config.fronts_file import VolumePath
 from cleatyoke.sftp.packets import Attrs, Name, StatusCode
 
-DIRECTORY_PERMISSIONS = 0o040755  # with the file type of a directory
+DIRECTORY_PERMISSIONS = 0o040755  # permission bits with the directory file type
 
 
 class CommandRejectedError(Exception):
-    """A client's command is answered with an error, without a backend."""
+    """A client's command that the front itself answers with an error status."""
 
     def __init__(self, code: StatusCode, message: str) -> None:
         super().__init__(message)
@@ -21,34 +21,34 @@
 
 
 class VolumePaths:
-    """The volumes of the settings, by the prefix of their files' paths."""
+    """The configured volumes, by the path prefix of their files."""
 
     def __init__(self, volumes: Sequence[VolumePath]) -> None:
         self._volumes = volumes
 
     def find(self, path: str) -> VolumePath:
-        """Return the volume of an absolute path; raises ``CommandRejectedError`` where it has none."""
+        """Return the volume of an absolute path; raises ``CommandRejectedError`` if there is none."""
         for volume in self._volumes:
             if path == volume.prefix or path.startswith(volume.prefix.rstrip("/") + "/"):
                 return volume
         raise CommandRejectedError(StatusCode.SSH_FX_NO_SUCH_FILE, f"{path}: below no volume")
 
-    def list_above(self, path: str) -> list[Name]:
-        """Return the entries of a directory that holds volumes and belongs to none, else an empty list.
+    def list_virtual_directory(self, path: str) -> list[Name]:
+        """Return the entries of a directory above the volumes, or an empty list for any other path.
 
-        Such a directory is listed without a backend.
+        Such a directory belongs to no volume and is listed without a backend.
         """
-        start = path.rstrip("/") + "/"
-        if any(start.startswith(volume.prefix + "/") for volume in self._volumes):
+        parent = path.rstrip("/") + "/"
+        if any(parent.startswith(volume.prefix + "/") for volume in self._volumes):
             return []
         names = {
-            volume.prefix[len(start) :].partition("/")[0]
+            volume.prefix[len(parent) :].partition("/")[0]
             for volume in self._volumes
-            if volume.prefix.startswith(start)
+            if volume.prefix.startswith(parent)
         }
         return [Name(name, name, Attrs(permissions=DIRECTORY_PERMISSIONS)) for name in sorted(names)]
 
 
 def absolute_path(path: str) -> str:
-    """Return a client's path as an absolute one, without ``.``, ``..`` and doubled slashes."""
+    """Return a client's path as an absolute path, without ``.``, ``..`` and repeated slashes."""
     return "/" + posixpath.normpath("/" + path).lstrip("/")
--- a/cleatyoke/vrrp/__init__.py
+++ b/cleatyoke/vrrp/__init__.py
@@ -1,1 +1,1 @@
-"""VRRP version 3: state machine and carrier over UDP."""
+"""VRRP version 3: state machine and its transport over UDP."""
--- a/cleatyoke/vrrp/carrier.py
+++ b/cleatyoke/vrrp/carrier.py
@@ -1,7 +1,8 @@
-"""Carries a virtual router's advertisements over UDP, and reports who is master.
+"""Sends and receives a virtual router's advertisements over UDP, and reports changes of mastership.
 
-It stands in for IP protocol 112: peers are named in place of a multicast group. So the TTL is not checked
-(RFC 5798, section 5.1.1.3), and the checksum covers the VRRP message alone; UDP's own covers the addresses.
+UDP unicast to configured peers replaces IP protocol 112 and its multicast group. The TTL is therefore not
+checked (RFC 5798, section 5.1.1.3), and the checksum covers only the VRRP message, as UDP's own checksum
+covers the addresses.
 """
 
 from __future__ import annotations
@@ -25,10 +26,10 @@
 
 
 class VrrpCarrier(asyncio.DatagramProtocol):
-    """A virtual router on UDP.
+    """Runs a virtual router over UDP.
 
-    ``on_mastership_change`` is awaited for each gain (True) and loss (False) of mastership, one after the
-    other and in their order.
+    ``on_mastership_change`` is awaited for each gain (True) and loss (False) of mastership, one at a time and
+    in order.
     """
 
     def __init__(self, config: VrrpSettings, on_mastership_change: Callable[[bool], Awaitable[None]]) -> None:
@@ -41,53 +42,53 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._is_master = False
-        self._changes: asyncio.Queue[bool] = asyncio.Queue()
-        self._reporting = asyncio.create_task(self._report_changes())
+        self._mastership_changes: asyncio.Queue[bool] = asyncio.Queue()
+        self._report_task = asyncio.create_task(self._report_changes())
 
     async def start(self) -> Address:
-        """Bind the address and start the router; return the address, with the port where it was 0."""
+        """Bind the address and start the router; return the address with the port that was bound."""
         listen = self.config.listen
         self._transport, _ = await self._loop.create_datagram_endpoint(
             lambda: self, local_addr=(listen.host, listen.port)
         )
-        self._apply(self.router.startup(self._loop.time()))
+        self._apply_event(self.router.startup(self._loop.time()))
         return Address(*self._transport.get_extra_info("sockname")[:2])
 
     async def stop(self) -> None:
-        """Stop the router; a master tells its backups, so that they don't wait for the down interval."""
-        self._apply(self.router.shutdown())
+        """Stop the router; a master advertises it, to spare its backups the master down interval."""
+        self._apply_event(self.router.shutdown())
         if self._transport:
             self._transport.close()
-        self._reporting.cancel()
+        self._report_task.cancel()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in a peer's advertisement; any other datagram is logged and dropped."""
+        """Pass a peer's advertisement to the router; log and drop any other datagram."""
         try:
             advertisement = self._decode(data, addr[0])
         except AdvertisementError as error:
-            log.warning("vrrp_skipped", why=str(error), source=addr[0])
+            log.warning("vrrp_datagram_dropped", reason=str(error), source=addr[0])
             return
-        self._apply(self.router.receive(advertisement, addr[0], self._loop.time()))
+        self._apply_event(self.router.receive(advertisement, addr[0], self._loop.time()))
 
     def _decode(self, data: bytes, source: str) -> Advertisement:
         if not any(peer.host == source for peer in self.config.peers):
-            msg = "not of a peer"
+            msg = "sender is not a configured peer"
             raise AdvertisementError(msg)
         advertisement = decode_advertisement(data)
         if advertisement.router != self.config.router_id:
-            msg = f"router {advertisement.router}"
+            msg = f"for virtual router {advertisement.router}, not {self.config.router_id}"
             raise AdvertisementError(msg)
         return advertisement
 
     def error_received(self, exc: Exception) -> None:
-        """Log that a peer can't be reached; the router goes by the peer's silence alone."""
-        log.warning("vrrp_unreachable", why=str(exc))
+        """Log that a peer is unreachable; the router itself reacts only to missing advertisements."""
+        log.warning("vrrp_unreachable", reason=str(exc))
 
     def _on_timer(self) -> None:
-        self._apply(self.router.on_timer(self._loop.time()))
+        self._apply_event(self.router.on_timer(self._loop.time()))
 
-    def _apply(self, priorities: list[int]) -> None:
-        """Advertise what an event asks for, set the next timer, and report a change of mastership."""
+    def _apply_event(self, priorities: list[int]) -> None:
+        """Send an event's advertisements, set the next timer, and report a change of mastership."""
         for priority in priorities:
             self._advertise(priority)
         if self._timer:
@@ -99,7 +100,7 @@
         if is_master != self._is_master:
             self._is_master = is_master
             log.info("vrrp_master" if is_master else "vrrp_backup", router=self.config.router_id)
-            self._changes.put_nowait(is_master)
+            self._mastership_changes.put_nowait(is_master)
 
     def _advertise(self, priority: int) -> None:
         if not self._transport:
@@ -113,8 +114,8 @@
 
     async def _report_changes(self) -> None:
         while True:
-            is_master = await self._changes.get()
+            is_master = await self._mastership_changes.get()
             try:
                 await self._on_mastership_change(is_master)
-            except Exception as error:  # noqa: BLE001  the next change must still be reported
-                log.error("vrrp_change_failed", master=is_master, why=f"{type(error).__name__}: {error}")
+            except Exception as error:  # noqa: BLE001  later changes must still be reported
+                log.error("vrrp_change_failed", master=is_master, reason=f"{type(error).__name__}: {error}")
--- a/cleatyoke/vrrp/messages.py
+++ b/cleatyoke/vrrp/messages.py
@@ -1,4 +1,4 @@
-"""VRRP version 3 advertisements (RFC 5798, section 5.2) as typed values, encoded and decoded once."""
+"""VRRP version 3 advertisements (RFC 5798, section 5.2) as typed values, with their encoding."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 HEADER_BYTES = 8
 MIN_MESSAGE_BYTES = 12  # the header and one IPv4 address
 ADDRESS_SIZES = (4, 16)  # bytes of an IPv4 and of an IPv6 address
-MAX_INTERVAL_BITS = 0xFFF  # the interval has 12 bits; the four before it are reserved
+MAX_INTERVAL_BITS = 0xFFF  # the interval has 12 bits; the upper four of the field are reserved
 
 
 class AdvertisementError(ValueError):
-    """A datagram is no advertisement for this router; the text names the fault."""
+    """A datagram that is not a valid advertisement for this router."""
 
 
 @dataclass(slots=True, frozen=True)
 class Advertisement:
-    """What a master tells its backups."""
+    """A master's advertisement to its backups."""
 
     router: int  # the VRID, 1 to 255
-    priority: int  # 1 to 255; 0: the master stops
+    priority: int  # 1 to 255; 0: the master is stopping
     interval: float  # seconds between the master's advertisements
-    addresses: tuple[str, ...]  # of the virtual router
+    addresses: tuple[str, ...]  # the virtual router's IP addresses
 
 
 def encode_advertisement(advertisement: Advertisement) -> bytes:
-    """Return an advertisement's bytes, with its checksum."""
+    """Encode an advertisement, with its checksum."""
     addresses = b"".join(ipaddress.ip_address(one).packed for one in advertisement.addresses)
     centiseconds = round(advertisement.interval * 100) & MAX_INTERVAL_BITS
     header = struct.pack(
@@ -38,14 +38,14 @@
         advertisement.priority,
         len(advertisement.addresses),
         centiseconds,
-        0,  # in place of the checksum
+        0,  # checksum, filled in below
     )
-    unchecked = header + addresses
-    return unchecked[:6] + struct.pack(">H", _checksum(unchecked)) + unchecked[8:]
+    without_checksum = header + addresses
+    return without_checksum[:6] + struct.pack(">H", _checksum(without_checksum)) + without_checksum[8:]
 
 
 def decode_advertisement(message: bytes) -> Advertisement:
-    """Return the advertisement that a datagram holds, or raise ``AdvertisementError``."""
+    """Decode a datagram; raises ``AdvertisementError``."""
     if len(message) < MIN_MESSAGE_BYTES or len(message) % 4:
         msg = f"{len(message)} bytes"
         raise AdvertisementError(msg)
@@ -66,7 +66,7 @@
 
 
 def _checksum(message: bytes) -> int:
-    """Return the Internet checksum (RFC 1071); 0 over a message that holds its right checksum."""
+    """Return the Internet checksum (RFC 1071); 0 over a message that contains its correct checksum."""
     total: int = sum(struct.unpack(f">{len(message) // 2}H", message))
     while total >> 16:
         total = (total & 0xFFFF) + (total >> 16)
--- a/cleatyoke/vrrp/virtual_router.py
+++ b/cleatyoke/vrrp/virtual_router.py
@@ -1,4 +1,4 @@
-"""The state machine of a VRRP version 3 virtual router (RFC 5798, section 6). No I/O, no clock."""
+"""The state machine of a VRRP version 3 virtual router (RFC 5798, section 6), without I/O or clock."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from cleatyoke.vrrp.messages import Advertisement
 
-OWNER_PRIORITY = 255  # of the router that owns the virtual addresses: it is master as soon as it starts
-STOPPING_PRIORITY = 0  # advertised by a master that stops
+OWNER_PRIORITY = 255  # of the router that owns the virtual addresses; it becomes master at startup
+STOPPING_PRIORITY = 0  # advertised by a master that is shutting down
 
 
 class RouterState(Enum):
@@ -20,18 +20,18 @@
 
 
 class VirtualRouter:
-    """One router's part in a virtual router. Times are the caller's, in seconds.
+    """The state of one router of a virtual router. The caller passes the time, in seconds.
 
-    Each event returns the priorities to advertise now. ``timer_at`` is when ``on_timer`` is to be called, or
-    None: in BACKUP it is the master down timer, in MASTER the advertisement timer.
+    Each event method returns the priorities to advertise now. ``timer_at`` is the time at which to call
+    ``on_timer``, or None: in BACKUP it is the master down timer, in MASTER the advertisement timer.
 
     ==========  ==========================================  =============================================
-    State       Event                                       What follows
+    State       Event                                       Action
     ==========  ==========================================  =============================================
     INITIALIZE  startup, priority 255                       MASTER, advertise
     INITIALIZE  startup                                     BACKUP, wait for the master down interval
     BACKUP      timer                                       MASTER, advertise
-    BACKUP      advertisement of priority 0                 wait for the skew time alone
+    BACKUP      advertisement of priority 0                 wait for the skew time only
     BACKUP      advertisement, at least own priority        wait for the master down interval
     BACKUP      advertisement, lower, no preemption         wait for the master down interval
     BACKUP      advertisement, lower, preemption            ignored, so that the timer expires
@@ -55,45 +55,45 @@
         self.address = ipaddress.ip_address(address)
         self.state = RouterState.INITIALIZE
         self.timer_at: float | None = None
-        self.master_interval = interval  # seconds between the advertisements of the master
+        self.master_interval = interval  # seconds between the current master's advertisements
 
     @property
     def skew_time(self) -> float:
-        """Seconds by which the master down interval is longer, the more the lower the priority.
+        """Seconds that are added to the master down interval, more for a lower priority.
 
-        Prevents several backups from taking over at once: the one of the highest priority is first.
+        Prevents several backups from taking over at once: the one with the highest priority is first.
         """
         return (256 - self.priority) * self.master_interval / 256
 
     @property
     def master_down_interval(self) -> float:
-        """Seconds without an advertisement after which a backup takes the master for failed."""
+        """Seconds without an advertisement after which a backup considers the master failed."""
         return 3 * self.master_interval + self.skew_time
 
     def startup(self, now: float) -> list[int]:
-        """Begin, as master or backup."""
+        """Start, as master or as backup."""
         if self.priority == OWNER_PRIORITY:
-            return self._become_master(now)
+            return self._act_as_master(now)
         self.state = RouterState.BACKUP
         self.master_interval = self.interval
         self.timer_at = now + self.master_down_interval
         return []
 
     def shutdown(self) -> list[int]:
-        """Stop; a master says so, so that a backup does not wait for the master down interval."""
+        """Stop; a master advertises this, so that a backup does not wait for the master down interval."""
         was_master = self.state is RouterState.MASTER
         self.state = RouterState.INITIALIZE
         self.timer_at = None
         return [STOPPING_PRIORITY] if was_master else []
 
     def on_timer(self, now: float) -> list[int]:
-        """Take over as master, or advertise as one; a call before ``timer_at`` changes nothing."""
+        """Take over as master, or advertise as one; a call before ``timer_at`` has no effect."""
         if self.timer_at is None or now < self.timer_at:
             return []
-        return self._become_master(now)
+        return self._act_as_master(now)
 
     def receive(self, advertisement: Advertisement, source: str, now: float) -> list[int]:
-        """Take in an advertisement of another router, from its primary address."""
+        """Process an advertisement that another router sent from its primary address ``source``."""
         if self.state is RouterState.BACKUP:
             self._receive_as_backup(advertisement, now)
             return []
@@ -105,25 +105,25 @@
         if advertisement.priority == STOPPING_PRIORITY:
             self.timer_at = now + self.skew_time
         elif not self.preempt or advertisement.priority >= self.priority:
-            self._follow(advertisement, now)
+            self._become_backup(advertisement, now)
 
     def _receive_as_master(self, advertisement: Advertisement, source: str, now: float) -> list[int]:
         if advertisement.priority == STOPPING_PRIORITY:
-            return self._become_master(now)
+            return self._act_as_master(now)
         has_higher_address = ipaddress.ip_address(source).packed > self.address.packed
         is_tie = advertisement.priority == self.priority
         if advertisement.priority > self.priority or (is_tie and has_higher_address):
-            self._follow(advertisement, now)
+            self._become_backup(advertisement, now)
         return []
 
-    def _become_master(self, now: float) -> list[int]:
-        """Be master from here on, or go on as one, and advertise."""
+    def _act_as_master(self, now: float) -> list[int]:
+        """Become or remain master, and advertise."""
         self.state = RouterState.MASTER
         self.timer_at = now + self.interval
         return [self.priority]
 
-    def _follow(self, advertisement: Advertisement, now: float) -> None:
-        """Be a backup of the router that sent the advertisement."""
+    def _become_backup(self, advertisement: Advertisement, now: float) -> None:
+        """Become or remain a backup of the router that sent the advertisement."""
         self.state = RouterState.BACKUP
         self.master_interval = advertisement.interval or self.interval
         self.timer_at = now + self.master_down_interval
--- a/tests/test_operated_front.py
+++ b/tests/test_operated_front.py
@@ -1,4 +1,4 @@
-"""What operators do to a front that serves: drain it, scrape its metrics, hold a node."""
+"""Operator actions on a serving front: drain, metrics scrapes, and holds of a node."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from cleatyoke.process.hold_file import HoldFile
 from cleatyoke.process.metrics import NodeCounts
 from tests.scripted_peers import ScriptedHttpBackend, config, instance, listed
-from tests.scripted_peers import answer as box_answer
+from tests.scripted_peers import answer as backend_answer
 
 ROOT = Path(__file__).resolve().parent.parent
 HEADERS = {
@@ -34,12 +34,12 @@
 TARGET = "/api?block=7f3a9c21e0b4d655"
 
 
-class OperatedFront(unittest.IsolatedAsyncioTestCase):
+class OperatorActionTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        async def script(_trace: str) -> bytes:
-            return box_answer()
+        async def respond(_trace: str) -> bytes:
+            return backend_answer()
 
-        self.backend: ScriptedHttpBackend = await ScriptedHttpBackend(script).start()
+        self.backend: ScriptedHttpBackend = await ScriptedHttpBackend(respond).start()
         self.core, self.directory = Core(config().settings), Directory({})
         self.pools = BackendPools(self.directory, 0.25, 30.0, 32)
         self.front = HttpServer(config(), self.core, self.pools, lambda: True)
@@ -59,7 +59,7 @@
         self.backend.stop()
         self.folder.cleanup()
 
-    async def test_a_drain_says_no_at_once_closes_idle_connections_and_resume_says_yes(self) -> None:
+    async def test_drain_fails_health_check_and_closes_idle_connections_until_resume(self) -> None:
         async with aiohttp.ClientSession() as client:
             async with client.get(self.url + "/up") as response:
                 assert response.status == 200
@@ -70,17 +70,18 @@
                 assert response.headers.get("Connection") == "close"
             idle = socket.create_connection(("127.0.0.1", self.front.address.port))
             await asyncio.sleep(0.45)
-            assert not self.front.connections.clients  # neither the idle one nor the one that never spoke
+            # Closed are both the idle connection and the one that has sent no request.
+            assert not self.front.connections.clients
             idle.close()
             self.front.drain.resume()
             async with client.get(self.url + "/up") as response:
                 assert response.status == 200
 
-    async def test_a_scrape_has_the_counters_of_the_control_listener(self) -> None:
+    async def test_scrape_has_counters_of_control_listener(self) -> None:
         listener = MetricsListener(Address("127.0.0.1", 0), self.pools.metrics, lambda: NodeCounts(3, 1))
         url = f"http://127.0.0.1:{listener.address.port}"
         async with aiohttp.ClientSession() as client:
-            for trace, plan in (("a", "public"), ("b", "gold")):  # served, and rejected for its plan
+            for trace, plan in (("a", "public"), ("b", "gold")):  # served, and rejected for its unknown plan
                 headers = {**HEADERS, "X-Trace-Id": trace, "X-Plan": plan}
                 async with client.get(self.url + TARGET, headers=headers):
                     pass
@@ -98,11 +99,11 @@
         ):
             assert line + "\n" in text
 
-    def test_the_exporter_is_not_imported_where_it_is_off(self) -> None:
+    def test_prometheus_client_is_not_imported_when_exporter_is_disabled(self) -> None:
         program = "import sys, cleatyoke.__main__; sys.exit('prometheus_client' in sys.modules)"
         assert subprocess.run([sys.executable, "-c", program], cwd=ROOT).returncode == 0
 
-    async def test_a_held_node_receives_nothing_at_once_and_a_second_process_holds_it_too(self) -> None:
+    async def test_held_node_receives_no_requests_and_hold_applies_to_second_process(self) -> None:
         async with aiohttp.ClientSession() as client:
             headers = {**HEADERS, "X-Trace-Id": "a"}
             async with client.get(self.url + TARGET, headers=headers) as response:
@@ -113,10 +114,12 @@
             async with client.get(self.url + TARGET, headers={**headers, "X-Trace-Id": "b"}) as response:
                 assert response.status == 503  # the only node is held
             assert len(self.backend.heads) == 1
-            other = Directory({})
-            listed(other, instance("s-a", self.backend.port), whole=True)
-            HoldFile(Path(self.folder.name), other, self.core, self.hold_file.poll_timer.faults).poll()
-            assert other.holds.is_held("s-a")
+            second_directory = Directory({})
+            listed(second_directory, instance("s-a", self.backend.port), whole=True)
+            HoldFile(
+                Path(self.folder.name), second_directory, self.core, self.hold_file.poll_timer.faults
+            ).poll()
+            assert second_directory.holds.is_held("s-a")
             assert await asyncio.to_thread(self.hold_file.enable, "s-a")
             await asyncio.sleep(0.01)
             assert self.directory.is_serving(1)
--- a/tests/test_sftp_front.py
+++ b/tests/test_sftp_front.py
@@ -1,4 +1,4 @@
-"""The file front against scripted backends that count the executions of each write."""
+"""The file front with scripted backends that count how often each write is executed."""
 
 from __future__ import annotations
 
@@ -20,120 +20,124 @@
 from tests.driven_front import plan_spec
 from tests.scripted_peers import ScriptedFileBackend, instance, listed, two_classes
 
-NONE = p.Attrs()
-STORE = p.OpenFlags.WRITE | p.OpenFlags.CREAT | p.OpenFlags.TRUNC
-PUBLIC = plan_spec(base_rate=80.0, reserved_rate=80.0)
+NO_ATTRS = p.Attrs()
+CREATE_FLAGS = p.OpenFlags.WRITE | p.OpenFlags.CREAT | p.OpenFlags.TRUNC
+PUBLIC_PLAN = plan_spec(base_rate=80.0, reserved_rate=80.0)
 
 
 class Client:
-    """A client of the draft: one command at a time."""
+    """An SFTP client that sends one command at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.last = reader, writer, 0
+        self.reader, self.writer, self.last_request_id = reader, writer, 0
 
-    async def ask(self, packet: p.Packet) -> Any:
-        self.last += 1
-        self.writer.write(codec.encode(replace(packet, id=self.last)))
+    async def request(self, packet: p.Packet) -> Any:
+        self.last_request_id += 1
+        self.writer.write(codec.encode(replace(packet, id=self.last_request_id)))
         reply = codec.decode(await codec.read_packet(self.reader))
-        assert reply.id == self.last, reply
+        assert reply.id == self.last_request_id, reply
         return reply
 
-    async def put(self, path: str, content: bytes) -> p.Status:
-        """An upload; the status that decides: of CLOSE, or of the WRITE that was rejected."""
-        handle = (await self.ask(p.Open(0, path, STORE, NONE))).handle
+    async def upload(self, path: str, content: bytes) -> p.Status:
+        """Upload a file and return the status of CLOSE."""
+        handle = (await self.request(p.Open(0, path, CREATE_FLAGS, NO_ATTRS))).handle
         for start in range(0, len(content), 32768):
-            await self.ask(p.Write(0, handle, start, content[start : start + 32768]))
-        return await self.ask(p.Close(0, handle))
+            await self.request(p.Write(0, handle, start, content[start : start + 32768]))
+        return await self.request(p.Close(0, handle))
 
-    async def list(self, path: str) -> list[str] | p.Status:
-        opened = await self.ask(p.Opendir(0, path))
+    async def list_directory(self, path: str) -> list[str] | p.Status:
+        opened = await self.request(p.Opendir(0, path))
         if isinstance(opened, p.Status):
             return opened
         names = []
-        while isinstance(found := await self.ask(p.Readdir(0, opened.handle)), p.Names):
-            names += [name.filename for name in found.names]
-        await self.ask(p.Close(0, opened.handle))
+        while isinstance(reply := await self.request(p.Readdir(0, opened.handle)), p.Names):
+            names += [name.filename for name in reply.names]
+        await self.request(p.Close(0, opened.handle))
         return names
 
 
 class SftpFrontTests(unittest.IsolatedAsyncioTestCase):
-    async def begin(self, *boxes: ScriptedFileBackend, plan: VolumePlan = PUBLIC, **changes: Any) -> Client:
+    async def start_front(
+        self, *backends: ScriptedFileBackend, plan: VolumePlan = PUBLIC_PLAN, **changes: Any
+    ) -> Client:
         self.core, self.directory = Core(two_classes(plans=[plan])), Directory({})
-        front = SftpSettings(
+        settings = SftpSettings(
             Address("127.0.0.1", 0), [VolumePath("/plats", 7, 0, 0, 1)], 0, 1, 0, 65536, 8192, 4, 5.0, 1.0
         )
-        self.files = SftpBackends(self.directory, 0, 0.25, 30.0, 32)
-        self.front = SftpServer(replace(front, **changes), self.core, self.files, 32)
-        await self.front.open()
-        self.boxes = [await box.start() for box in boxes]
-        if boxes:
-            self.core.notify(listed(self.directory, instance("s-0", boxes[0].port), whole=True))
+        self.pool = SftpBackends(self.directory, 0, 0.25, 30.0, 32)
+        self.server = SftpServer(replace(settings, **changes), self.core, self.pool, 32)
+        await self.server.open()
+        self.backends = [await backend.start() for backend in backends]
+        if backends:
+            self.core.notify(listed(self.directory, instance("s-0", backends[0].port), whole=True))
         self.clients: list[Client] = []
-        self.addAsyncCleanup(self.end)
+        self.addAsyncCleanup(self.stop_front)
         client = await self.connect()
         client.writer.write(codec.encode(p.Init(p.VERSION)))
         assert codec.decode(await codec.read_packet(client.reader)) == p.Version(p.VERSION)
         return client
 
     async def connect(self) -> Client:
-        assert self.front.listener
-        port = self.front.listener.sockets[0].getsockname()[1]
+        assert self.server.listener
+        port = self.server.listener.sockets[0].getsockname()[1]
         self.clients.append(Client(*await asyncio.open_connection("127.0.0.1", port)))
         return self.clients[-1]
 
-    async def end(self) -> None:
+    async def stop_front(self) -> None:
         for client in self.clients:
             client.writer.close()
-        await self.front.close(1.0)
-        self.files.close()
-        for box in self.boxes:
-            box.stop()
+        await self.server.close(1.0)
+        self.pool.close()
+        for backend in self.backends:
+            backend.stop()
 
-    def failed(self, status: Any, code: p.StatusCode, said: str) -> None:
+    def assert_failed(self, status: Any, code: p.StatusCode, message_part: str) -> None:
         assert isinstance(status, p.Status)
         assert status.code == code, status
-        assert said in status.message
-
-    async def test_an_upload_is_stored_once_and_read_and_listed_and_renamed(self) -> None:
-        client = await self.begin(box := ScriptedFileBackend())
-        scan = bytes(range(256)) * 200
-        assert (await client.put("/plats/t1", scan)).code == p.StatusCode.SSH_FX_OK
-        assert (box.files["/plats/t1"], box.stored["/plats/t1"]) == (scan, 1)
-        assert box.commands == ["Open", "Write", "Write", "Close"]
-        handle = (await client.ask(p.Open(0, "/plats/../plats/t1", p.OpenFlags.READ, NONE))).handle
-        assert (await client.ask(p.Read(0, handle, 250, 10))).data == scan[250:260]
-        assert (await client.ask(p.Fstat(0, handle))).attrs.size == len(scan)
-        assert await client.list("/plats") == ["/plats/t1"]
-        renamed = await client.ask(p.Rename(0, "/plats/t1", "/plats/t2"))
+        assert message_part in status.message
+
+    async def test_uploaded_file_is_stored_once_and_can_be_read_listed_and_renamed(self) -> None:
+        client = await self.start_front(backend := ScriptedFileBackend())
+        content = bytes(range(256)) * 200
+        assert (await client.upload("/plats/t1", content)).code == p.StatusCode.SSH_FX_OK
+        assert (backend.files["/plats/t1"], backend.stored["/plats/t1"]) == (content, 1)
+        assert backend.commands == ["Open", "Write", "Write", "Close"]
+        handle = (await client.request(p.Open(0, "/plats/../plats/t1", p.OpenFlags.READ, NO_ATTRS))).handle
+        assert (await client.request(p.Read(0, handle, 250, 10))).data == content[250:260]
+        assert (await client.request(p.Fstat(0, handle))).attrs.size == len(content)
+        assert await client.list_directory("/plats") == ["/plats/t1"]
+        renamed = await client.request(p.Rename(0, "/plats/t1", "/plats/t2"))
         assert renamed.code == p.StatusCode.SSH_FX_OK
-        assert await client.list("/") == ["plats"]
-        assert (await client.ask(p.Stat(0, "/"))).attrs.permissions == 16877
-        self.failed(
-            await client.ask(p.Rename(0, "/plats/t1", "/else")), p.StatusCode.SSH_FX_NO_SUCH_FILE, "volume"
+        assert await client.list_directory("/") == ["plats"]
+        assert (await client.request(p.Stat(0, "/"))).attrs.permissions == 16877
+        self.assert_failed(
+            await client.request(p.Rename(0, "/plats/t1", "/else")),
+            p.StatusCode.SSH_FX_NO_SUCH_FILE,
+            "volume",
         )
-        missing = await client.ask(p.Open(0, "/plats/none", p.OpenFlags.READ, NONE))
-        self.failed(missing, p.StatusCode.SSH_FX_NO_SUCH_FILE, "no such file")
+        missing = await client.request(p.Open(0, "/plats/none", p.OpenFlags.READ, NO_ATTRS))
+        self.assert_failed(missing, p.StatusCode.SSH_FX_NO_SUCH_FILE, "no such file")
 
-    async def test_an_upload_that_may_have_been_stored_is_never_retried(self) -> None:
-        """A backend stores an upload, and the connection breaks before its answer.
+    async def test_upload_that_may_have_been_stored_is_not_retried(self) -> None:
+        """A backend stores an upload, and the connection breaks before its reply.
 
-        A retry could store it twice, so the client is told that the change may have been made.
+        A retry could store it twice, so the client gets an error saying that the change may have been made.
         """
-        client = await self.begin(box := ScriptedFileBackend(breaks=True))
-        status = await client.put("/plats/t1", b"scan")
-        self.failed(status, p.StatusCode.SSH_FX_FAILURE, "the change may have been made")
-        assert (box.stored["/plats/t1"], box.commands.count("Open"), box.accepted) == (1, 1, 1)
+        client = await self.start_front(backend := ScriptedFileBackend(breaks=True))
+        status = await client.upload("/plats/t1", b"scan")
+        self.assert_failed(status, p.StatusCode.SSH_FX_FAILURE, "the change may have been made")
+        assert (backend.stored["/plats/t1"], backend.commands.count("Open"), backend.accepted) == (1, 1, 1)
 
-    async def test_a_listing_after_a_drain_does_not_reach_the_draining_backend(self) -> None:
-        """A backend drains while a connection to it is kept idle.
+    async def test_idle_connection_to_draining_backend_is_not_reused(self) -> None:
+        """A backend starts to drain while an idle connection to it is kept.
 
-        The connection must not be used again.
+        The next command must go to another backend.
         """
         old, new = ScriptedFileBackend(), ScriptedFileBackend()
-        client = await self.begin(old, new)
+        client = await self.start_front(old, new)
         old.files["/plats/t1"] = new.files["/plats/t1"] = b"scan"
-        assert await client.list("/plats") == ["/plats/t1"]
-        before = list(old.commands)
+        assert await client.list_directory("/plats") == ["/plats/t1"]
+        commands_before_drain = list(old.commands)
         self.core.notify(
             listed(
                 self.directory,
@@ -141,106 +145,112 @@
                 instance("s-1", new.port),
             )
         )
-        assert await client.list("/plats") == ["/plats/t1"]
-        assert (old.commands, new.commands) == (before, before)
+        assert await client.list_directory("/plats") == ["/plats/t1"]
+        assert (old.commands, new.commands) == (commands_before_drain, commands_before_drain)
 
-    async def test_a_backend_that_drains_while_the_connection_comes_up_is_sent_no_command(self) -> None:
-        """A backend begins to drain while versions are exchanged on a new connection.
+    async def test_backend_that_starts_draining_during_connect_receives_no_command(self) -> None:
+        """A backend starts to drain while versions are exchanged on a new connection.
 
-        Whether it serves is asked again directly before the command's first byte.
+        Its state must be checked again directly before the command's first byte.
         """
-        client = await self.begin(box := ScriptedFileBackend())
-        real = box.reply
+        client = await self.start_front(backend := ScriptedFileBackend())
+        original_reply = backend.reply
 
         def reply(packet: p.Packet, handles: Any) -> p.Packet | None:
             if isinstance(packet, p.Init):
-                event = listed(self.directory, instance("s-0", box.port, EndpointState.DRAINING))
+                event = listed(self.directory, instance("s-0", backend.port, EndpointState.DRAINING))
                 self.core.notify(event)
-            return real(packet, handles)
+            return original_reply(packet, handles)
 
-        box.reply = reply  # type: ignore[method-assign]
-        self.failed(await client.put("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "refused")
-        assert box.commands == []
+        backend.reply = reply  # type: ignore[method-assign]
+        self.assert_failed(await client.upload("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "refused")
+        assert backend.commands == []
 
-    async def test_without_a_backend_a_command_is_rejected_and_nothing_was_done(self) -> None:
-        client = await self.begin()
-        self.failed(await client.put("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "nothing was done")
+    async def test_command_without_backend_is_rejected_as_not_executed(self) -> None:
+        client = await self.start_front()
+        self.assert_failed(
+            await client.upload("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "nothing was done"
+        )
 
-    async def test_a_silent_backend_is_given_up_by_the_deadline(self) -> None:
-        """A backend takes an upload and never answers.
+    async def test_silent_backend_is_abandoned_at_deadline(self) -> None:
+        """A backend accepts an upload and never replies.
 
-        The client is answered by the deadline, and told that the change may have been made.
+        By the deadline, the client gets an error saying that the change may have been made.
         """
-        client = await self.begin(box := ScriptedFileBackend(silent=True), command_timeout=0.3)
-        began = self.core.now()
-        status = await client.put("/plats/t1", b"scan")
-        self.failed(status, p.StatusCode.SSH_FX_FAILURE, "the change may have been made")
-        assert self.core.now() - began < 2.0
-        assert box.commands == ["Open"]
-
-    async def test_uploads_beyond_the_plans_rate_limit_are_rejected(self) -> None:
-        plan = replace(
-            PUBLIC, rate_limit=0.01, rate_limit_burst=8.0
-        )  # a host that starts has none of it to spare
-        client = await self.begin(box := ScriptedFileBackend(), plan=plan, command_timeout=0.4)
-        self.failed(await client.put("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "refused")
+        client = await self.start_front(backend := ScriptedFileBackend(silent=True), command_timeout=0.3)
+        started_at = self.core.now()
+        status = await client.upload("/plats/t1", b"scan")
+        self.assert_failed(status, p.StatusCode.SSH_FX_FAILURE, "the change may have been made")
+        assert self.core.now() - started_at < 2.0
+        assert backend.commands == ["Open"]
+
+    async def test_uploads_beyond_rate_limit_of_plan_are_rejected(self) -> None:
+        # The token bucket is empty at startup, so that the first upload is rejected.
+        plan = replace(PUBLIC_PLAN, rate_limit=0.01, rate_limit_burst=8.0)
+        client = await self.start_front(backend := ScriptedFileBackend(), plan=plan, command_timeout=0.4)
+        self.assert_failed(await client.upload("/plats/t1", b"scan"), p.StatusCode.SSH_FX_FAILURE, "refused")
         self.core.scheduler.volumes[7].rate_limit.level = 2.0
-        codes = [(await client.put(f"/plats/u{n}", b"scan")).code for n in range(4)]
-        assert (codes.count(p.StatusCode.SSH_FX_OK), sum(box.stored.values())) == (2, 2)
+        codes = [(await client.upload(f"/plats/u{n}", b"scan")).code for n in range(4)]
+        assert (codes.count(p.StatusCode.SSH_FX_OK), sum(backend.stored.values())) == (2, 2)
 
-    async def test_an_upload_beyond_the_bound_is_not_stored_in_part(self) -> None:
-        """A client writes more than an upload may hold.
+    async def test_upload_beyond_size_limit_is_not_stored_partially(self) -> None:
+        """A client writes more than the maximum upload size.
 
-        The write is rejected, and CLOSE must not store the part that came before it.
+        The write is rejected, and CLOSE must not store the data that was written before it.
         """
-        client = await self.begin(box := ScriptedFileBackend())
-        status = await client.put("/plats/t1", bytes(65537))
-        self.failed(status, p.StatusCode.SSH_FX_FAILURE, "not stored")
-        assert box.accepted == 0
+        client = await self.start_front(backend := ScriptedFileBackend())
+        status = await client.upload("/plats/t1", bytes(65537))
+        self.assert_failed(status, p.StatusCode.SSH_FX_FAILURE, "not stored")
+        assert backend.accepted == 0
 
-    async def test_malformed_packets_unknown_handles_and_commands_are_told_apart(self) -> None:
-        """Clients send unknown handles, unsupported commands, cut-off packets and garbage.
+    async def test_malformed_packets_and_unknown_handles_and_commands_get_distinct_errors(self) -> None:
+        """Clients send unknown handles, unsupported commands, truncated packets and garbage.
 
-        Each gets its own error; only a stream that can't be understood ends the session.
+        Each gets its own error; only a malformed stream ends the session.
         """
-        client = await self.begin(ScriptedFileBackend())
-        self.failed(await client.ask(p.Close(0, b"99")), p.StatusCode.SSH_FX_FAILURE, "unknown handle")
-        self.failed(await client.ask(p.Read(0, b"99", 0, 1)), p.StatusCode.SSH_FX_FAILURE, "unknown handle")
-        both = p.Open(0, "/plats/a", p.OpenFlags.READ | p.OpenFlags.WRITE, NONE)
-        self.failed(await client.ask(both), p.StatusCode.SSH_FX_OP_UNSUPPORTED, "not both")
+        client = await self.start_front(ScriptedFileBackend())
+        self.assert_failed(
+            await client.request(p.Close(0, b"99")), p.StatusCode.SSH_FX_FAILURE, "unknown handle"
+        )
+        self.assert_failed(
+            await client.request(p.Read(0, b"99", 0, 1)), p.StatusCode.SSH_FX_FAILURE, "unknown handle"
+        )
+        both = p.Open(0, "/plats/a", p.OpenFlags.READ | p.OpenFlags.WRITE, NO_ATTRS)
+        self.assert_failed(await client.request(both), p.StatusCode.SSH_FX_OP_UNSUPPORTED, "not both")
         for number in range(4):
-            await client.ask(p.Open(0, f"/plats/{number}", STORE, NONE))
-        self.failed(
-            await client.ask(p.Open(0, "/plats/a", STORE, NONE)), p.StatusCode.SSH_FX_FAILURE, "too many"
+            await client.request(p.Open(0, f"/plats/{number}", CREATE_FLAGS, NO_ATTRS))
+        self.assert_failed(
+            await client.request(p.Open(0, "/plats/a", CREATE_FLAGS, NO_ATTRS)),
+            p.StatusCode.SSH_FX_FAILURE,
+            "too many",
         )
-        client.writer.write(
-            codec.encode_u32(9) + bytes([200]) + codec.encode_u32(77) + codec.encode_u32(0)
-        )  # SSH_FXP_EXTENDED
+        # SSH_FXP_EXTENDED, which is unsupported.
+        client.writer.write(codec.encode_u32(9) + bytes([200]) + codec.encode_u32(77) + codec.encode_u32(0))
         reply = codec.decode(await codec.read_packet(client.reader))
         assert (reply.id, reply.code) == (77, p.StatusCode.SSH_FX_OP_UNSUPPORTED)  # type: ignore
-        client.writer.write(
-            codec.encode_u32(9) + bytes([17]) + codec.encode_u32(78) + codec.encode_u32(500)
-        )  # a path beyond the packet
+        # SSH_FXP_STAT with a path that extends beyond the packet.
+        client.writer.write(codec.encode_u32(9) + bytes([17]) + codec.encode_u32(78) + codec.encode_u32(500))
         reply = codec.decode(await codec.read_packet(client.reader))
         assert (reply.id, reply.code) == (78, p.StatusCode.SSH_FX_BAD_MESSAGE)  # type: ignore
-        client.writer.write(codec.encode_u32(1 << 30))  # a length that no packet has: the stream is lost
+        # An invalid length, after which the packet boundaries are lost.
+        client.writer.write(codec.encode_u32(1 << 30))
         assert await client.reader.read() == b""
         other = await self.connect()
         other.writer.write(codec.encode(p.Stat(5, "/plats")))
         reply = codec.decode(await codec.read_packet(other.reader))
-        self.failed(reply, p.StatusCode.SSH_FX_BAD_MESSAGE, "INIT comes first")
+        self.assert_failed(reply, p.StatusCode.SSH_FX_BAD_MESSAGE, "INIT comes first")
         assert await other.reader.read() == b""
 
-    async def test_a_client_that_disconnects_cancels_its_command(self) -> None:
-        """A client closes while a backend works on its command.
+    async def test_client_disconnect_cancels_its_command(self) -> None:
+        """A client disconnects while a backend runs its command.
 
-        The command is cancelled, and nothing of it stays open.
+        The command must be cancelled, and its connection, request and session closed.
         """
-        client = await self.begin(box := ScriptedFileBackend(silent=True))
+        client = await self.start_front(backend := ScriptedFileBackend(silent=True))
         client.writer.write(codec.encode(p.Stat(1, "/plats/t1")))
         async with asyncio.timeout(5):
-            while not box.commands:
+            while not backend.commands:
                 await asyncio.sleep(0.005)
             client.writer.close()
-            while box.open or self.core.pending or self.front.sessions:
+            while backend.open or self.core.pending or self.server.sessions:
                 await asyncio.sleep(0.005)
