--- a/cleatyoke/vrrp/carrier.py
+++ b/cleatyoke/vrrp/carrier.py
@@ -46,7 +46,7 @@
         self._report_task = asyncio.create_task(self._report_changes())
 
     async def start(self) -> Address:
-        """Bind the address and start the router; return the address with the port that was bound."""
+        """Bind the address and start the router; return its address, with the bound port if 0 was set."""
         listen = self.config.listen
         self._transport, _ = await self._loop.create_datagram_endpoint(
             lambda: self, local_addr=(listen.host, listen.port)
@@ -76,7 +76,7 @@
             raise AdvertisementError(msg)
         advertisement = decode_advertisement(data)
         if advertisement.router != self.config.router_id:
-            msg = f"for virtual router {advertisement.router}, not {self.config.router_id}"
+            msg = f"for another virtual router: {advertisement.router}"
             raise AdvertisementError(msg)
         return advertisement
 
