--- a/cleatyoke/admin/control.py
+++ b/cleatyoke/admin/control.py
@@ -31,7 +31,7 @@
 log = structlog.get_logger()
 
 
-class FrontsHolding(NamedTuple):
+class FrontConfirmations(NamedTuple):
     """How many of the fleet's fronts have confirmed a hold or a release."""
 
     confirmed: int
@@ -53,7 +53,7 @@
     drain: Callable[[], None]
     resume: Callable[[], None]
     show_fleet: Callable[[], list[str]] | None = None  # the fleet view
-    fronts_holding: Callable[[str, bool], FrontsHolding] | None = None  # waits for the other fronts
+    wait_for_fronts: Callable[[str, bool], FrontConfirmations] | None = None  # waits for the other fronts
     show_replica: Callable[[], list[str]] | None = None  # the replicated holds
     show_recovery: Callable[[], list[str]] | None = None  # the start-up stages, waited for and passed
     show_config: Callable[[], list[str]] | None = None  # the distributed configuration in force
@@ -100,8 +100,8 @@
     action = commands.disable if is_hold else commands.enable
     if not action(server_id):
         return [f"FAILURE no server {server_id}"]
-    if commands.fronts_holding:
-        confirmed, front_count = commands.fronts_holding(server_id, is_hold)
+    if commands.wait_for_fronts:
+        confirmed, front_count = commands.wait_for_fronts(server_id, is_hold)
         return [f"{SUCCESS} at {confirmed} of {front_count} fronts"]
     return [SUCCESS]
 
--- a/cleatyoke/config/deployment.py
+++ b/cleatyoke/config/deployment.py
@@ -64,7 +64,7 @@
 class ReloadResult:
     """The outcome of a reload."""
 
-    discovery_moved: bool  # the address of discovery was changed
+    discovery_address_changed: bool  # the address of discovery was changed
     needs_restart: list[str]  # names, as logged, of changed settings that need a restart
     retired_classes: frozenset[int] | None  # indexes of removed classes; None: no reloadable setting changed
 
@@ -139,12 +139,12 @@
         ]
         self.keys = new.keys
         retired_classes = self._apply_settings(new)
-        discovery_moved = new.discovery_in_file != self.discovery_in_file
+        discovery_address_changed = new.discovery_in_file != self.discovery_in_file
         self.discovery_in_file = new.discovery_in_file
         self.drain_grace = new.drain_grace
-        if discovery_moved:
+        if discovery_address_changed:
             self.discovery = new.discovery_in_file
-        return ReloadResult(discovery_moved, needs_restart, retired_classes)
+        return ReloadResult(discovery_address_changed, needs_restart, retired_classes)
 
     def _apply_settings(self, new: Config) -> frozenset[int] | None:
         """Apply the reloadable settings; return the indexes of removed classes, or None if nothing changed.
--- a/cleatyoke/coordination/demand.py
+++ b/cleatyoke/coordination/demand.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from cleatyoke.membership.wire import HOME_PARTS
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS
 
 WINDOW_SECONDS = 0.25  # length of a sampling window
 MAX_IDLE_SECONDS = 30.0  # a meter without requests for this long is dropped
@@ -43,7 +43,7 @@
         ``NOISE_DEVIATIONS`` of the average, assuming Poisson arrivals, therefore gets a small weight; a
         larger change gets a large one, so that it takes effect at once.
         """
-        window_demand = self.units / (self.home_rate * WINDOW_SECONDS * windows) * HOME_PARTS
+        window_demand = self.units / (self.home_rate * WINDOW_SECONDS * windows) * HOME_QUOTA_PARTS
         requests = self.requests / windows
         noise = NOISE_DEVIATIONS * math.sqrt(self.average_requests + 1)
         has_changed = abs(requests - self.average_requests) > noise
--- a/cleatyoke/coordination/lease_accounts.py
+++ b/cleatyoke/coordination/lease_accounts.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from cleatyoke.coordination.lease_terms import NEVER_LEASED_PARTS
-from cleatyoke.membership.wire import HOME_PARTS, MemberId
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS, MemberId
 
 
 class GrantedLease(NamedTuple):
@@ -107,4 +107,4 @@
 
 def home_parts(now: float, home_available_at: float) -> int:
     """Return the parts of the home quota that are available to this process now."""
-    return HOME_PARTS if now >= home_available_at else NEVER_LEASED_PARTS
+    return HOME_QUOTA_PARTS if now >= home_available_at else NEVER_LEASED_PARTS
--- a/cleatyoke/coordination/lease_borrower.py
+++ b/cleatyoke/coordination/lease_borrower.py
@@ -9,9 +9,9 @@
 from cleatyoke.coordination.lease_accounts import BorrowedLease, PendingLeaseRequest, ResourceAccount
 from cleatyoke.coordination.lease_events import SendLeaseMessage
 from cleatyoke.coordination.lease_terms import NEVER_LEASED_PARTS, LeaseTerms
-from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS, LeaseGrant, LeaseRequest, MemberId
 
-MAX_LEASE_PARTS = HOME_PARTS - NEVER_LEASED_PARTS  # that one lender can grant
+MAX_LEASE_PARTS = HOME_QUOTA_PARTS - NEVER_LEASED_PARTS  # that one lender can grant
 
 
 class Borrower:
--- a/cleatyoke/coordination/lease_lender.py
+++ b/cleatyoke/coordination/lease_lender.py
@@ -7,7 +7,7 @@
 
 from cleatyoke.coordination.lease_accounts import GrantedLease, GrantedLeases, ResourceAccount
 from cleatyoke.coordination.lease_terms import NEVER_LEASED_PARTS, LeaseTerms
-from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS, LeaseGrant, LeaseRequest, MemberId
 
 
 class Lender:
@@ -56,7 +56,7 @@
         if not request.parts:
             granted.leases.clear()
             return None
-        parts = min(request.parts, surplus, HOME_PARTS)
+        parts = min(request.parts, surplus, HOME_QUOTA_PARTS)
         if parts < self.terms.min_lease_parts:
             parts = 0
         if parts:
@@ -81,4 +81,4 @@
             leases.outstanding(now) for other, leases in account.granted.items() if other != borrower
         )
         reserved = max(NEVER_LEASED_PARTS, math.ceil(account.demand * self.terms.demand_headroom))
-        return max(0, HOME_PARTS - granted - reserved)
+        return max(0, HOME_QUOTA_PARTS - granted - reserved)
--- a/cleatyoke/coordination/rate_limit_leases.py
+++ b/cleatyoke/coordination/rate_limit_leases.py
@@ -10,7 +10,7 @@
 
 from cleatyoke.coordination.demand import DemandMeters
 from cleatyoke.coordination.quota_leases import QuotaLeases
-from cleatyoke.membership.wire import HOME_PARTS
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS
 from cleatyoke.scheduling.events import QuotaLeaseChanged, RequestArrived, SchedulerEvent
 from cleatyoke.scheduling.settings import VolumePlan
 
@@ -48,10 +48,10 @@
         changes: list[SchedulerEvent] = []
         for volume in self.meters.by_key.keys() | self.reported_parts.keys():
             parts = self.leases.usable_parts(rate_limit_resource(volume), now)
-            if parts == self.reported_parts.get(volume, HOME_PARTS):
+            if parts == self.reported_parts.get(volume, HOME_QUOTA_PARTS):
                 continue
             self.reported_parts[volume] = parts
-            if parts == HOME_PARTS:
+            if parts == HOME_QUOTA_PARTS:
                 del self.reported_parts[volume]
-            changes.append(QuotaLeaseChanged(volume, parts / HOME_PARTS))
+            changes.append(QuotaLeaseChanged(volume, parts / HOME_QUOTA_PARTS))
         return changes
--- a/cleatyoke/coordination/slow_start_leases.py
+++ b/cleatyoke/coordination/slow_start_leases.py
@@ -14,7 +14,7 @@
 
 from cleatyoke.coordination.demand import DemandMeters
 from cleatyoke.coordination.quota_leases import QuotaLeases
-from cleatyoke.membership.wire import HOME_PARTS
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS
 from cleatyoke.scheduling.events import (
     EndpointState,
     EndpointUpdate,
@@ -90,13 +90,13 @@
         changes: list[SchedulerEvent] = []
         for node_id in self.warming_nodes.keys() | self.reported_parts.keys():
             node = self.warming_nodes.get(node_id)
-            parts = self.leases.usable_parts(node.resource, now) if node else HOME_PARTS
-            if parts == self.reported_parts.get(node_id, HOME_PARTS):
+            parts = self.leases.usable_parts(node.resource, now) if node else HOME_QUOTA_PARTS
+            if parts == self.reported_parts.get(node_id, HOME_QUOTA_PARTS):
                 continue
             self.reported_parts[node_id] = parts
-            if parts == HOME_PARTS:
+            if parts == HOME_QUOTA_PARTS:
                 del self.reported_parts[node_id]
-            changes.append(SlowStartLeaseChanged(node_id, parts / HOME_PARTS))
+            changes.append(SlowStartLeaseChanged(node_id, parts / HOME_QUOTA_PARTS))
         return changes
 
     def _home_rate(self) -> float:
--- a/cleatyoke/discovery/discovery.py
+++ b/cleatyoke/discovery/discovery.py
@@ -41,7 +41,7 @@
         seed: int = 0,
         faults: Faults | None = None,
         *,
-        own_agent: bool = False,
+        dedicated_agent: bool = False,
         drain_grace: float = 1.0,
     ) -> None:
         self.address = address
@@ -50,7 +50,7 @@
         self.fronts = fronts if fronts > 0 else math.inf
         self.rng = random.Random(seed)
         self.faults = faults or Faults(Metrics())
-        self.own_agent = own_agent
+        self.dedicated_agent = dedicated_agent
         self.poll_interval = poll_interval(drain_grace)
         self.first_answer = asyncio.Event()
         self.watches: list[Watch] = []  # the last one is for ``address``
--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -45,7 +45,7 @@
     rng: random.Random
     fronts: float
     faults: Faults
-    own_agent: bool
+    dedicated_agent: bool
     poll_interval: float
     first_answer: asyncio.Event
 
@@ -96,7 +96,7 @@
             timeout=timeout,
             cookie_jar=aiohttp.DummyCookieJar(),
             read_bufsize=READ_BUFFER_BYTES,
-            connector=aiohttp.TCPConnector(limit=0, force_close=self.owner.own_agent),
+            connector=aiohttp.TCPConnector(limit=0, force_close=self.owner.dedicated_agent),
         ) as session:
             while not self.owner.is_retired(self):
                 timed_out = await self._call_once(session)
@@ -106,7 +106,7 @@
         """Call the agent and watch until the call ends. Return whether it ended by a timeout."""
         self.has_answered = False
         try:
-            if self.owner.own_agent:
+            if self.owner.dedicated_agent:
                 await self._call_dedicated_agent(session)
             else:
                 await self._call(session, ANSWER_TIMEOUT)
@@ -125,7 +125,9 @@
         """Return the seconds until the next call."""
         elapsed = asyncio.get_running_loop().time() - self.call_started_at
         outcome = CallOutcome(self.has_answered, timed_out, elapsed, self.list_rejected)
-        return self.schedule.delay_after(outcome, self.owner.poll_interval if self.owner.own_agent else None)
+        return self.schedule.delay_after(
+            outcome, self.owner.poll_interval if self.owner.dedicated_agent else None
+        )
 
     def _record_failure(self, error: Exception) -> None:
         if self.failures % FAILURES_PER_LOG_LINE == 0:
@@ -199,7 +201,7 @@
         self.call_started_at = asyncio.get_running_loop().time()
         if self.version is None:
             await self.fetch_complete_list(session, timeout)
-            if self.owner.own_agent:
+            if self.owner.dedicated_agent:
                 # The agent answers, and no other call runs any more.
                 timeout = self.owner.poll_interval
         self.call_started_at = asyncio.get_running_loop().time()
@@ -239,7 +241,7 @@
 
         Of concurrent calls only the one that was answered first counts: data from others may be older.
         """
-        if not self.owner.own_agent:
+        if not self.owner.dedicated_agent:
             return True
         if self.answered_call is None:
             self.answered_call = asyncio.current_task()
--- a/cleatyoke/distribution/relay.py
+++ b/cleatyoke/distribution/relay.py
@@ -23,8 +23,8 @@
 from cleatyoke.distribution.subscriber import Subscriber
 from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
-    EpochRestarted,
     LaneComplete,
+    LaneRestarted,
     PollAnswered,
     RelayChanged,
     SendPoll,
@@ -166,7 +166,7 @@
 
     def _handle(self, now: float, action: SubscriberAction) -> None:
         match action:
-            case EpochRestarted(lane, epoch):
+            case LaneRestarted(lane, epoch):
                 self._begin_lane(lane, epoch)
             case DeliverChanges(lane, entries):
                 self._deliver(now, lane, entries)
--- a/cleatyoke/distribution/subscriber.py
+++ b/cleatyoke/distribution/subscriber.py
@@ -28,8 +28,8 @@
 from cleatyoke.distribution.relay_selection import RelaySelector
 from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
-    EpochRestarted,
     LaneComplete,
+    LaneRestarted,
     PollAnswered,
     RelayChanged,
     SendPoll,
@@ -265,7 +265,7 @@
         if changes.restarts:
             known.position = Position(changes.up_to, "")
             known.compacted_up_to = changes.compacted_up_to
-            self._actions.append(EpochRestarted(lane, self.epoch))
+            self._actions.append(LaneRestarted(lane, self.epoch))
         cursor_before = known.position.cursor
         delivered = [entry for entry in changes.changes if known.apply(entry)]
         if changes.page_after is not None:
--- a/cleatyoke/distribution/subscriber_messages.py
+++ b/cleatyoke/distribution/subscriber_messages.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class EpochRestarted:
+class LaneRestarted:
     """Action: a new copy of the lane begins; known values stay in force until its pages replace them."""
 
     lane: Lane
@@ -77,4 +77,4 @@
     reason: str
 
 
-SubscriberAction = SendPoll | EpochRestarted | DeliverChanges | LaneComplete | RelayChanged
+SubscriberAction = SendPoll | LaneRestarted | DeliverChanges | LaneComplete | RelayChanged
--- a/cleatyoke/distribution/subscription.py
+++ b/cleatyoke/distribution/subscription.py
@@ -19,7 +19,7 @@
 from cleatyoke.distribution.subscriber import Subscriber
 from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
-    EpochRestarted,
+    LaneRestarted,
     SubscriberAction,
     SubscriberTiming,
 )
@@ -94,7 +94,7 @@
                 self._apply_entries(entries)
             case DeliverChanges(Lane.NODES, entries) if self.uses_nodes:
                 self._report_nodes(entries)
-            case EpochRestarted(lane, epoch):
+            case LaneRestarted(lane, epoch):
                 log.info("config_restarted", lane=lane.name.lower(), epoch=epoch)
 
     async def _log_staleness(self) -> None:
--- a/cleatyoke/membership/wire.py
+++ b/cleatyoke/membership/wire.py
@@ -28,7 +28,7 @@
 MAX_MEMBERS = 10_000  # in a full state
 MAX_UPDATES = 64  # in one datagram
 LIST_HEADER_BYTES = 3  # maximum by which a list's header exceeds an empty list's
-HOME_PARTS = 1000  # parts into which each front's own share of a shared resource is divided
+HOME_QUOTA_PARTS = 1000  # parts into which each front's own share of a shared resource is divided
 
 
 class MemberState(enum.IntEnum):
@@ -116,8 +116,8 @@
 
     resource: Text
     number: Count
-    parts: Annotated[int, msgspec.Meta(ge=0, le=HOME_PARTS)]
-    surplus: Annotated[int, msgspec.Meta(ge=0, le=HOME_PARTS)]
+    parts: Annotated[int, msgspec.Meta(ge=0, le=HOME_QUOTA_PARTS)]
+    surplus: Annotated[int, msgspec.Meta(ge=0, le=HOME_QUOTA_PARTS)]
 
 
 Body = Ping | Ack | PingRequest | Nack | Gossip | LeaseRequest | LeaseGrant
--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -79,7 +79,7 @@
             config.seed,
             self.faults,
             # Without watches, the discovery agent serves only this front and is polled.
-            own_agent=not config.settings.watches_endpoints,
+            dedicated_agent=not config.settings.watches_endpoints,
             drain_grace=config.drain_grace,
         )
         self.reloader = Reloader(config, fronts_file, self.metrics, self._on_reloaded)
@@ -192,7 +192,7 @@
             if self.fleet:
                 self.fleet.announce_settings(settings)
         self.discovery.set_drain_grace(self.config.drain_grace)
-        if result.discovery_moved:
+        if result.discovery_address_changed:
             self.discovery.migrate(self.config.discovery)
 
     # Service and shutdown
--- a/cleatyoke/process/operator_commands.py
+++ b/cleatyoke/process/operator_commands.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from cleatyoke.admin.control import ControlCommands, FrontsHolding
+from cleatyoke.admin.control import ControlCommands, FrontConfirmations
 
 if TYPE_CHECKING:
     from cleatyoke.process.daemon import Daemon
@@ -26,7 +26,7 @@
         resume=server.drain.resume,
     )
     if daemon.config.fleet:
-        commands.fronts_holding = lambda node, hold: _fronts_holding(daemon, node, hold)
+        commands.wait_for_fronts = lambda node, hold: _wait_for_fronts(daemon, node, hold)
         commands.show_fleet = lambda: daemon.fleet.status_lines() if daemon.fleet else []
         commands.show_replica = lambda: daemon.fleet.replica_lines() if daemon.fleet else []
         commands.show_recovery = lambda: daemon.staged_start.status_lines() if daemon.staged_start else []
@@ -46,7 +46,7 @@
     return daemon.subscription.lines() if daemon.subscription else []
 
 
-def _fronts_holding(daemon: Daemon, node: str, hold: bool) -> FrontsHolding:
+def _wait_for_fronts(daemon: Daemon, node: str, hold: bool) -> FrontConfirmations:
     if daemon.fleet:
-        return FrontsHolding(*daemon.fleet.wait_until_replicated(node, hold, HOLD_REPORT_TIMEOUT))
-    return FrontsHolding(1, daemon.config.settings.front_count)  # the fleet view is still starting
+        return FrontConfirmations(*daemon.fleet.wait_until_replicated(node, hold, HOLD_REPORT_TIMEOUT))
+    return FrontConfirmations(1, daemon.config.settings.front_count)  # the fleet view is still starting
--- a/cleatyoke/process/reloading.py
+++ b/cleatyoke/process/reloading.py
@@ -56,7 +56,7 @@
         log.info(
             "reloaded",
             discovery=self.config.discovery,
-            moved=result.discovery_moved,
+            moved=result.discovery_address_changed,
             next_start=result.needs_restart,
             retuned=result.retired_classes is not None,
             classes=list(self.config.classes),
--- a/cleatyoke/scheduling/fault_containment.py
+++ b/cleatyoke/scheduling/fault_containment.py
@@ -15,7 +15,7 @@
 from cleatyoke.scheduling.events import AttemptFinished, RequestArrived, SchedulerEvent
 from cleatyoke.scheduling.records import Request
 from cleatyoke.scheduling.request_lifecycle import RequestLifecycle
-from cleatyoke.scheduling.retries import NEVER_EXECUTED, is_repeat_by_client_harmless
+from cleatyoke.scheduling.retries import NEVER_EXECUTED, is_client_retry_safe
 from cleatyoke.scheduling.settings import Idempotency
 from cleatyoke.scheduling.state import SchedulerState
 from cleatyoke.scheduling.verdict import Rule
@@ -76,13 +76,13 @@
             self.abandon(
                 request,
                 is_answered=event.settled,
-                is_retry_safe=is_repeat_by_client_harmless(request) and (was_never_executed or is_idempotent),
+                is_retry_safe=is_client_retry_safe(request) and (was_never_executed or is_idempotent),
             )
 
     def on_request_failed(self, request: Request, error: Exception) -> None:
         """Record that a rule failed for a queued request, and answer it."""
         self.record(error, "request")
-        self.abandon(request, is_retry_safe=is_repeat_by_client_harmless(request))
+        self.abandon(request, is_retry_safe=is_client_retry_safe(request))
 
     def abandon(self, request: Request, *, is_retry_safe: bool, is_answered: bool = False) -> None:
         """Close a request that has nothing in flight without calling the rules, which may have failed for it.
--- a/cleatyoke/scheduling/retries.py
+++ b/cleatyoke/scheduling/retries.py
@@ -119,7 +119,7 @@
         )
 
 
-def is_repeat_by_client_harmless(request: Request) -> bool:
+def is_client_retry_safe(request: Request) -> bool:
     """Return whether a client may safely retry the request through any front after a rejection."""
     if not request.may_have_executed:
         return True
--- a/cleatyoke/scheduling/shedding.py
+++ b/cleatyoke/scheduling/shedding.py
@@ -5,7 +5,7 @@
 from cleatyoke.scheduling.actions import FailRequest, Reject
 from cleatyoke.scheduling.records import Request
 from cleatyoke.scheduling.request_lifecycle import RequestLifecycle
-from cleatyoke.scheduling.retries import is_repeat_by_client_harmless
+from cleatyoke.scheduling.retries import is_client_retry_safe
 from cleatyoke.scheduling.rules import Rules
 from cleatyoke.scheduling.state import SEND_MARGIN
 from cleatyoke.scheduling.verdict import NEVER, Rule
@@ -54,7 +54,7 @@
 
         ``wait``: seconds until a retry could be sent to a node. ``rule``: rule that caused the rejection.
         """
-        if is_repeat_by_client_harmless(request):
+        if is_client_retry_safe(request):
             retry_after = min(self._state.settings.max_retry_after, wait)
             self._lifecycle.close(request, Reject(request.id, retry_after, rule))
         else:
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -1162,7 +1162,7 @@
     async with listening(converse) as port:
         directory = Directory({"basement": 0})
         directory.version = value.get("known version")
-        watch = Discovery(Address(LOCAL, port), directory, heard, own_agent=value["own agent"])
+        watch = Discovery(Address(LOCAL, port), directory, heard, dedicated_agent=value["own agent"])
         watch.start()
         try:
             async with asyncio.timeout(PATIENCE):
@@ -1238,7 +1238,7 @@
         drain=lambda: None,
         resume=lambda: None,
         show_fleet=view.status_lines if value["fleet"] else None,
-        fronts_holding=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
+        wait_for_fronts=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
         show_replica=view.replica_lines if value["fleet"] else None,
         show_recovery=(lambda: recovery_lines(value)) if value["fleet"] else None,
         show_config=(lambda: config_status().lines(100.0)) if value["fleet"] else None,
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -47,8 +47,8 @@
 from cleatyoke.distribution.subscriber import Subscriber
 from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
-    EpochRestarted,
     LaneComplete,
+    LaneRestarted,
     PollAnswered,
     RelayChanged,
     SendPoll,
@@ -231,7 +231,7 @@
     match action:
         case SendPoll():
             return ["poll", action.relay, action.poll_id, action.data.hex()]
-        case EpochRestarted():
+        case LaneRestarted():
             return ["anew", LANE_WORDS[action.lane], action.epoch]
         case DeliverChanges():
             return ["entries", LANE_WORDS[action.lane], [entry_word(entry) for entry in action.entries]]
--- a/tests/recorded/settings_adapter.py
+++ b/tests/recorded/settings_adapter.py
@@ -67,7 +67,7 @@
     except ConfigError as error:
         raise Refused(str(error)) from error
     return {
-        "discovery moved": taken.discovery_moved,
+        "discovery moved": taken.discovery_address_changed,
         "the log names as waiting for a restart": list(taken.needs_restart),
         "classes gone": None if taken.retired_classes is None else sorted(taken.retired_classes),
         "holds": neutral_deployment(config),
--- a/tests/test_discovery_deadlines.py
+++ b/tests/test_discovery_deadlines.py
@@ -85,13 +85,17 @@
 
 
 def times_of_drain(
-    service: ScriptedService, *, own_agent: bool, drain_grace: float = 1.0, needs_complete_list: bool = False
+    service: ScriptedService,
+    *,
+    dedicated_agent: bool,
+    drain_grace: float = 1.0,
+    needs_complete_list: bool = False,
 ) -> list[float]:
     """Return the times at which the fronts learn of the drain.
 
     Fronts with dedicated agents are independent of each other, so fewer of them are run.
     """
-    front_count = 20 if own_agent else FRONTS
+    front_count = 20 if dedicated_agent else FRONTS
     times: dict[int, float] = {}
 
     async def run_fronts() -> None:
@@ -107,7 +111,7 @@
                 notify,
                 FRONTS,
                 number,
-                own_agent=own_agent,
+                dedicated_agent=dedicated_agent,
                 drain_grace=drain_grace,
             )
             front.directory.version = None if needs_complete_list else 1
@@ -146,20 +150,20 @@
     """
     for recovers_at in (1.0, 2.9, 6.1, 17.0):
         service = ScriptedService(fails, recovers_at)
-        latest = max(times_of_drain(service, own_agent=False, needs_complete_list=needs_complete_list))
+        latest = max(times_of_drain(service, dedicated_agent=False, needs_complete_list=needs_complete_list))
         assert latest <= max(recovers_at, 1.0) + MAX_REPORTING_DELAY, (recovers_at, latest)
 
 
 def test_shared_discovery_with_a_silent_watch_and_a_queued_call_reports_changes_in_time() -> None:
     """The idle timeout uses up part of the 6 s, and the overloaded service then takes 2 s for the call."""
     service = ScriptedService("hangs", 0.0, latency=2.0)
-    assert max(times_of_drain(service, own_agent=False)) <= 1.0 + MAX_REPORTING_DELAY
+    assert max(times_of_drain(service, dedicated_agent=False)) <= 1.0 + MAX_REPORTING_DELAY
 
 
 def test_shared_discovery_that_refuses_gets_one_call_per_front_and_period() -> None:
     """Too frequent calls from all fronts would prevent a failed service from recovering."""
     service = ScriptedService("refuses", 60.0)
-    times_of_drain(service, own_agent=False)
+    times_of_drain(service, dedicated_agent=False)
     late_calls = [time for time in service.calls if 30.0 <= time < 60.0]
     assert len(late_calls) <= FRONTS * 30.0 / schedule.MAX_CALL_INTERVAL + FRONTS
     assert max(sum(1 for time in late_calls if start <= time < start + 1.0) for start in late_calls) <= 90
@@ -168,7 +172,7 @@
 def test_shared_discovery_with_enough_capacity_answers_every_front_in_time() -> None:
     """At fifty calls a second, all fronts are answered though they may call at the same time."""
     service = ScriptedService("refuses", 20.0, service_time=0.02)
-    assert max(times_of_drain(service, own_agent=False)) <= 20.0 + MAX_REPORTING_DELAY
+    assert max(times_of_drain(service, dedicated_agent=False)) <= 20.0 + MAX_REPORTING_DELAY
 
 
 @pytest.mark.parametrize("fails", ["hangs", "refuses"])
@@ -183,7 +187,7 @@
     """
     for recovers_at in (4.0, 5.3, 12.1):
         service = ScriptedService(fails, recovers_at)
-        latest = max(times_of_drain(service, own_agent=True, drain_grace=drain_grace))
+        latest = max(times_of_drain(service, dedicated_agent=True, drain_grace=drain_grace))
         assert latest <= recovers_at + drain_grace + 0.05, (recovers_at, latest)
         assert service.max_open_calls <= 20 * (watch.MAX_CONCURRENT_CALLS + 1), "each uses a file descriptor"
 
@@ -191,7 +195,7 @@
 def test_dedicated_agent_whose_watch_ends_or_falls_silent_is_called_again_at_once() -> None:
     """A connection that is dead but not closed can only be detected by its missing heartbeats."""
     for fails in ("hangs", "refuses"):
-        latest = max(times_of_drain(ScriptedService(fails, 0.0), own_agent=True))
+        latest = max(times_of_drain(ScriptedService(fails, 0.0), dedicated_agent=True))
         assert latest <= 1.0 + schedule.IDLE_TIMEOUT + 0.5
 
 
--- a/tests/test_discovery_long_lists.py
+++ b/tests/test_discovery_long_lists.py
@@ -162,7 +162,7 @@
 
                 with mock.patch.object(listings, "read_instance", slow):
                     address = Address("127.0.0.1", agent.port)
-                    discovery = Discovery(address, directory, ignore, own_agent=True)
+                    discovery = Discovery(address, directory, ignore, dedicated_agent=True)
                     discovery.start()
                     while directory.version != 3:
                         assert not [entry for entry in logs if entry["event"] == "discovery_lost"]
@@ -182,7 +182,7 @@
             structlog.testing.capture_logs() as logs,
         ):
             address = Address("127.0.0.1", agent.port)
-            discovery = Discovery(address, self.directory, ignore, own_agent=True)
+            discovery = Discovery(address, self.directory, ignore, dedicated_agent=True)
             discovery.start()
             async with asyncio.timeout(10):
                 while not is_done():  # noqa: ASYNC110 (there is no event to wait for)
--- a/tests/test_discovery_migration.py
+++ b/tests/test_discovery_migration.py
@@ -60,7 +60,7 @@
         self.old: ScriptedDiscovery = await ScriptedDiscovery(complete_list("SERVING"), [[b""]]).start()
         self.directory = Directory({})
         self.discovery = Discovery(
-            Address("127.0.0.1", self.old.port), self.directory, ignore, own_agent=True
+            Address("127.0.0.1", self.old.port), self.directory, ignore, dedicated_agent=True
         )
         self.discovery.start()
         await until(lambda: len(self.old.asked) == 2 and self.directory.is_serving(1))
@@ -158,7 +158,7 @@
         directory = Directory({})
         directory.apply(EndpointList(7, True, [instance("s-a", 1)]))
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
-        discovery = Discovery(address, directory, ignore, own_agent=True)
+        discovery = Discovery(address, directory, ignore, dedicated_agent=True)
         discovery.start()
         await until(lambda: len(asked) == 2)
         asked[1].write(HEAD + chunk(change("DRAINING")))
@@ -170,7 +170,7 @@
         discovery.stop()
         server.close()
 
-    async def requests_until_drain(self, first: bytes, own_agent: bool) -> list[str]:
+    async def requests_until_drain(self, first: bytes, dedicated_agent: bool) -> list[str]:
         """Return the request targets that an agent gets until the front knows of its drain.
 
         The body of the first watch is ``first``, after which the connection is closed, or stays open if
@@ -197,7 +197,7 @@
         directory = Directory({})
         directory.apply(EndpointList(7, True, [instance("s-a", 1)]))
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
-        discovery = Discovery(address, directory, ignore, 200, own_agent=own_agent)
+        discovery = Discovery(address, directory, ignore, 200, dedicated_agent=dedicated_agent)
         discovery.start()
         async with asyncio.timeout(MAX_REPORTING_DELAY):
             while directory.is_serving(1):  # noqa: ASYNC110 (there is no event to wait for)
@@ -209,15 +209,15 @@
     async def test_watch_that_ends_within_a_line_is_followed_by_the_complete_list(self) -> None:
         """The connection ends within a line with a drain, which a watch from the same version might skip."""
         truncated_line = chunk(change("DRAINING"))[:60]
-        for own_agent in (True, False):
-            with self.subTest(own_agent=own_agent):
-                await self.requests_until_drain(truncated_line, own_agent)
+        for dedicated_agent in (True, False):
+            with self.subTest(dedicated_agent=dedicated_agent):
+                await self.requests_until_drain(truncated_line, dedicated_agent)
         line = json.dumps(change("DRAINING")).encode()
         terminated_body = b"1e\r\n" + line[:30] + b"\r\n0\r\n\r\n"  # the body itself is terminated correctly
         assert (await self.requests_until_drain(terminated_body, True))[1] == "/discovery/hosts"
 
     async def test_watch_that_receives_only_an_http_head_is_called_again(self) -> None:
         """An HTTP head contains no nodes: the front must not take it for a working watch."""
-        for own_agent in (True, False):
-            with self.subTest(own_agent=own_agent):
-                assert len(await self.requests_until_drain(b"", own_agent)) >= 2
+        for dedicated_agent in (True, False):
+            with self.subTest(dedicated_agent=dedicated_agent):
+                assert len(await self.requests_until_drain(b"", dedicated_agent)) >= 2
--- a/tests/test_discovery_over_http.py
+++ b/tests/test_discovery_over_http.py
@@ -108,7 +108,9 @@
         with unittest.mock.patch("cleatyoke.discovery.watch.IDLE_TIMEOUT", 0.6):
             for seed in range(12):
                 directory = Directory({})
-                clients.append(Discovery(address, directory, lambda _event: None, 200, seed, own_agent=True))
+                clients.append(
+                    Discovery(address, directory, lambda _event: None, 200, seed, dedicated_agent=True)
+                )
                 clients[-1].start()
             async with asyncio.timeout(3):
                 while not all(client.directory.instances for client in clients):
--- a/tests/test_distribution_subscriber.py
+++ b/tests/test_distribution_subscriber.py
@@ -23,8 +23,8 @@
 )
 from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
-    EpochRestarted,
     LaneComplete,
+    LaneRestarted,
     PollAnswered,
     SendPoll,
     SubscriberTiming,
@@ -49,7 +49,7 @@
     front.exchange_with(source)
     assert front.values == source_values(source)
     kinds = [type(action) for action in front.actions if not isinstance(action, SendPoll)]
-    assert kinds == [EpochRestarted, LaneComplete, EpochRestarted, DeliverChanges, LaneComplete]
+    assert kinds == [LaneRestarted, LaneComplete, LaneRestarted, DeliverChanges, LaneComplete]
     source.put(1.0, SETTINGS, "k/0001", b"new")
     source.put(1.0, NODES, "nodes/a", b"drains")
     source.put(1.0, SETTINGS, "k/0002", None)
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -19,7 +19,7 @@
 from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.emulation.network import Network
 from cleatyoke.emulation.quota_leases import RESOURCE, LeaseSimulation
-from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS, LeaseGrant, LeaseRequest, MemberId
 from tests.quota_lease_variants import ExpiryFromGrant, FullQuotaAfterRestart, LeasesEndWithMembership
 
 
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("leases_type", [FullQuotaAfterRestart, ExpiryFromGrant])
 def test_simulation_of_a_faulty_variant_exceeds_the_total(leases_type: type[QuotaLeases]) -> None:
-    assert any(simulate(seed, leases_type).max_usable_parts > 6 * HOME_PARTS for seed in range(12))
+    assert any(simulate(seed, leases_type).max_usable_parts > 6 * HOME_QUOTA_PARTS for seed in range(12))
 
 
 def test_quota_moves_to_the_busy_front_and_is_returned() -> None:
@@ -85,7 +85,7 @@
     simulation.run(5.0)
     assert [
         holder.leases.usable_parts(RESOURCE, simulation.now) for holder in simulation.holders.values()
-    ] == [HOME_PARTS] * 5
+    ] == [HOME_QUOTA_PARTS] * 5
 
 
 def test_lease_of_a_paused_borrower_has_expired_when_it_resumes() -> None:
@@ -98,14 +98,14 @@
     simulation.demands = [2500.0, 0.0, 0.0]
     simulation.run(2.5)
     borrower = simulation.holders[0]
-    assert borrower.leases.usable_parts(RESOURCE, borrower.local_time(simulation.now)) > 2 * HOME_PARTS
+    assert borrower.leases.usable_parts(RESOURCE, borrower.local_time(simulation.now)) > 2 * HOME_QUOTA_PARTS
     simulation.stop(0, 3.0)
     simulation.demands = [0.0, 2500.0, 0.0]
     simulation.run(5.4)
     other_parts = simulation.holders[1].leases.usable_parts(RESOURCE, simulation.now)
-    assert other_parts > HOME_PARTS  # the lender has taken the parts back and lent them again
+    assert other_parts > HOME_QUOTA_PARTS  # the lender has taken the parts back and lent them again
     assert (
-        borrower.leases.usable_parts(RESOURCE, borrower.local_time(5.5)) == HOME_PARTS
+        borrower.leases.usable_parts(RESOURCE, borrower.local_time(5.5)) == HOME_QUOTA_PARTS
     )  # checked before a use, without any step since the pause
 
 
@@ -126,7 +126,7 @@
         ],
     )
     assert sent.message == LeaseGrant(RESOURCE, 1, 0, 0)
-    assert leases.usable_parts(RESOURCE, terms.lender_expiry(100.0)) == HOME_PARTS
+    assert leases.usable_parts(RESOURCE, terms.lender_expiry(100.0)) == HOME_QUOTA_PARTS
     leases.step(
         103.0, [DemandChanged({RESOURCE: 0.0}), QuotaFractionChanged(0.5)]
     )  # while another process of this front runs
@@ -155,10 +155,10 @@
         leases.step(1.0, [LeaseMessageReceived(peer, LeaseRequest(RESOURCE, 1, 300))]) == first
     )  # the same lease, not a longer one
     expiry, snapshot = LeaseTerms().lender_expiry(0.0), copy.deepcopy(leases)
-    assert {snapshot.usable_parts(RESOURCE, at) for at in (1.0, expiry - 1e-6)} == {HOME_PARTS - 300}
-    assert snapshot.usable_parts(RESOURCE, expiry) == HOME_PARTS
+    assert {snapshot.usable_parts(RESOURCE, at) for at in (1.0, expiry - 1e-6)} == {HOME_QUOTA_PARTS - 300}
+    assert snapshot.usable_parts(RESOURCE, expiry) == HOME_QUOTA_PARTS
     leases.step(1.1, [LeaseMessageReceived(peer, LeaseRequest(RESOURCE, 3, 0))])
-    assert leases.usable_parts(RESOURCE, 1.1) == HOME_PARTS
+    assert leases.usable_parts(RESOURCE, 1.1) == HOME_QUOTA_PARTS
     assert (
         leases.step(
             1.2,
@@ -171,14 +171,14 @@
     )
     for grant in (LeaseGrant(RESOURCE, 9, 500, 0), LeaseGrant("limit:2", 1, 500, 0)):
         leases.step(1.3, [LeaseMessageReceived(peer, grant)])
-    assert leases.usable_parts(RESOURCE, 1.3) == HOME_PARTS
+    assert leases.usable_parts(RESOURCE, 1.3) == HOME_QUOTA_PARTS
     leases.step(2.0, [DemandChanged({RESOURCE: 1400.0})])
     lease = leases.accounts[RESOURCE].borrowed[peer]
     assert lease.pending
     leases.step(
         2.1, [LeaseMessageReceived(peer, LeaseGrant(RESOURCE, lease.pending.number, 1000, 0))]
     )  # more than was requested
-    assert leases.usable_parts(RESOURCE, 2.1) == HOME_PARTS
+    assert leases.usable_parts(RESOURCE, 2.1) == HOME_QUOTA_PARTS
     requests = [
         LeaseMessageReceived(peer, LeaseRequest(f"limit:{number}", number, 1)) for number in range(5000)
     ]
@@ -190,7 +190,8 @@
 
 
 @pytest.mark.parametrize(
-    ("leases_type", "expected"), [(QuotaLeases, HOME_PARTS - 700), (LeasesEndWithMembership, HOME_PARTS)]
+    ("leases_type", "expected"),
+    [(QuotaLeases, HOME_QUOTA_PARTS - 700), (LeasesEndWithMembership, HOME_QUOTA_PARTS)],
 )
 def test_lease_of_a_borrower_removed_from_the_membership_still_counts(
     leases_type: type[QuotaLeases], expected: int
@@ -218,4 +219,4 @@
     assert isinstance(sent.message, LeaseRequest)
     leases.step(0.0, [LeaseMessageReceived(peer, LeaseGrant(RESOURCE, sent.message.number, 200, 0))])
     [sent] = leases.step(1.2, [DemandChanged({RESOURCE: 1600.0})])
-    assert sent.message == LeaseRequest(RESOURCE, 2, HOME_PARTS - NEVER_LEASED_PARTS)
+    assert sent.message == LeaseRequest(RESOURCE, 2, HOME_QUOTA_PARTS - NEVER_LEASED_PARTS)
--- a/tests/test_quota_leases_search.py
+++ b/tests/test_quota_leases_search.py
@@ -14,7 +14,7 @@
 from cleatyoke.coordination.lease_terms import LeaseTerms
 from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.emulation.quota_leases import RESOURCE
-from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS, LeaseGrant, LeaseRequest, MemberId
 from tests.quota_lease_variants import ExpiryFromGrant, FullQuotaAfterRestart
 
 FRONTS = 3
@@ -135,7 +135,7 @@
         states = list(distinct.values())
         count += len(states)
         most = max(most, *(total_usable_parts(state) for state in states))
-        if most > FRONTS * HOME_PARTS:
+        if most > FRONTS * HOME_QUOTA_PARTS:
             break
     return count, most
 
@@ -153,11 +153,11 @@
     """
     states, most = search(QuotaLeases, duration, seconds, faults)
     assert states > 500
-    assert most == FRONTS * HOME_PARTS
+    assert most == FRONTS * HOME_QUOTA_PARTS
 
 
 @pytest.mark.parametrize(("leases_type", "search_index"), [(FullQuotaAfterRestart, 0), (ExpiryFromGrant, 1)])
 def test_search_of_a_faulty_variant_exceeds_the_total(
     leases_type: type[QuotaLeases], search_index: int
 ) -> None:
-    assert search(leases_type, *SEARCHES[search_index])[1] > FRONTS * HOME_PARTS
+    assert search(leases_type, *SEARCHES[search_index])[1] > FRONTS * HOME_QUOTA_PARTS
--- a/tests/test_slow_start_leases.py
+++ b/tests/test_slow_start_leases.py
@@ -8,7 +8,7 @@
 from cleatyoke.coordination.lease_terms import NEVER_LEASED_PARTS
 from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.coordination.slow_start_leases import SlowStartLeases, warming_node_resource
-from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS, LeaseGrant, LeaseRequest, MemberId
 from cleatyoke.scheduling.actions import SendAttempt
 from cleatyoke.scheduling.events import (
     AttemptFinished,
@@ -54,20 +54,21 @@
         warming.observe(step * 0.25, 101.0, [request(f"a{step}", 5.0, shard=3)])
         demand = warming.demand(step * 0.25)
     assert list(demand) == [name]
-    assert 8 * HOME_PARTS < demand[name] <= 10 * HOME_PARTS
+    assert 8 * HOME_QUOTA_PARTS < demand[name] <= 10 * HOME_QUOTA_PARTS
     [sent] = leases.step(2.0, [DemandChanged(demand), PeersChanged((MemberId("b", 1),))])
     assert isinstance(sent.message, LeaseRequest)
-    assert sent.message.parts == HOME_PARTS - NEVER_LEASED_PARTS
+    assert sent.message.parts == HOME_QUOTA_PARTS - NEVER_LEASED_PARTS
     leases.step(
         2.01,
         [
             LeaseMessageReceived(
-                MemberId("b", 1), LeaseGrant(name, sent.message.number, HOME_PARTS - NEVER_LEASED_PARTS, 0)
+                MemberId("b", 1),
+                LeaseGrant(name, sent.message.number, HOME_QUOTA_PARTS - NEVER_LEASED_PARTS, 0),
             )
         ],
     )
     assert warming.quota_changes(2.02) == [
-        SlowStartLeaseChanged(NODE, (2 * HOME_PARTS - NEVER_LEASED_PARTS) / HOME_PARTS)
+        SlowStartLeaseChanged(NODE, (2 * HOME_QUOTA_PARTS - NEVER_LEASED_PARTS) / HOME_QUOTA_PARTS)
     ]
     assert warming.quota_changes(2.03) == []
     assert warming.quota_changes(9.0) == [
@@ -111,7 +112,9 @@
     restarted = slow_start_leases(
         QuotaLeases(0.0, random.Random(1))
     )  # a new process whose predecessor may have granted leases, before its first step
-    assert restarted.quota_changes(0.1) == [SlowStartLeaseChanged(NODE, NEVER_LEASED_PARTS / HOME_PARTS)]
+    assert restarted.quota_changes(0.1) == [
+        SlowStartLeaseChanged(NODE, NEVER_LEASED_PARTS / HOME_QUOTA_PARTS)
+    ]
 
 
 def units_sent(front: DrivenFront, seconds: float, fraction: float | None = None) -> float:
