--- a/tests/test_load_probes.py
+++ b/tests/test_load_probes.py
@@ -31,7 +31,7 @@
     LoadProber,
 )
 from tests.scripted_peers import ScriptedHttpBackend, answer, config, instance, listed
-from tests.test_simulator import FACTS, ROOT, SHELF
+from tests.test_simulator import FACTS, LIST_ENTRY, ROOT
 
 SLOW_START_DURATION = 10.0  # seconds
 
@@ -143,10 +143,10 @@
             line = json.dumps({"TsS": now, "round": number, "news": [{"Head": 0, **one} for one in news]})
             return list(adapter.reply(line)["steps"])
 
-        warming = {**SHELF, "Shelf": 12, "Pack": 1, "UpSinceS": 5.0}
+        warming = {**LIST_ENTRY, "Shelf": 12, "Pack": 1, "UpSinceS": 5.0}
         batch(
             5.0,
-            {"type": "CATALOG", "Slot": 0, "Elements": [SHELF, warming]},
+            {"type": "CATALOG", "Slot": 0, "Elements": [LIST_ENTRY, warming]},
             {"type": "BORN", "RngSeed": 1, "Facts": self.facts("probe")},
         )
         steps = batch(5.1, {"type": "ROSTER_CHANGE", "Slot": 0, "Revision": 1, "Mode": "warm_copy"})
