--- a/cleatyoke/admin/control.py
+++ b/cleatyoke/admin/control.py
@@ -122,7 +122,7 @@
     """Serves operators' connections with non-blocking sockets and a selector, in a daemon thread.
 
     Connections that stall or send garbage get ``FAILURE`` and never delay another one. A command that waits
-    for the other fronts (``fronts_holding``) does delay them, since one thread serves all connections.
+    for the other fronts (``wait_for_fronts``) does delay them, since one thread serves all connections.
     """
 
     def __init__(self, address: Address, commands: ControlCommands) -> None:
--- a/cleatyoke/coordination/quota_leases.py
+++ b/cleatyoke/coordination/quota_leases.py
@@ -1,9 +1,9 @@
 """Quota leases: fronts lend each other unused parts of a shared quota without exceeding the total.
 
-Every front has the same home quota in each resource, ``HOME_PARTS``. The home quotas add up to the whole
-resource, so fronts need not agree on an initial division. A front whose demand exceeds its home quota borrows
-from fronts with a surplus, by messages and for a short time (leases: Gray and Cheriton, 1989; the division of
-a bound into rights: O'Neil's escrow, 1986, and the bounded counter of Balegas and others, 2015).
+Every front has the same home quota in each resource, ``HOME_QUOTA_PARTS``. The home quotas add up to the
+whole resource, so fronts need not agree on an initial division. A front whose demand exceeds its home quota
+borrows from fronts with a surplus, by messages and for a short time (leases: Gray and Cheriton, 1989; the
+division of a bound into rights: O'Neil's escrow, 1986, and the bounded counter of Balegas and others, 2015).
 
 No I/O and no clock: ``step(now, events) -> actions``. The lender's rules are in ``lease_lender``, the
 borrower's in ``lease_borrower``.
--- a/cleatyoke/coordination/rate_limit_leases.py
+++ b/cleatyoke/coordination/rate_limit_leases.py
@@ -30,7 +30,7 @@
         self.leases = leases
         self.plans = plans
         self.meters: DemandMeters[int] = DemandMeters()
-        self.reported_parts: dict[int, int] = {}  # by volume; HOME_PARTS if absent
+        self.reported_parts: dict[int, int] = {}  # by volume; HOME_QUOTA_PARTS if absent
 
     def observe(self, now: float, events: Iterable[SchedulerEvent]) -> None:
         """Count the units of the requests among these events."""
--- a/cleatyoke/coordination/slow_start_leases.py
+++ b/cleatyoke/coordination/slow_start_leases.py
@@ -64,7 +64,7 @@
         self.node_name = node_name
         self.warming_nodes: dict[int, WarmingNode] = {}  # by node id
         self.meters: DemandMeters[str] = DemandMeters()
-        self.reported_parts: dict[int, int] = {}  # by node id; HOME_PARTS if absent
+        self.reported_parts: dict[int, int] = {}  # by node id; HOME_QUOTA_PARTS if absent
 
     def observe(self, now: float, unix_time: float, events: Iterable[SchedulerEvent]) -> None:
         """Apply the endpoint updates and count the requests among these events.
--- a/cleatyoke/discovery/discovery.py
+++ b/cleatyoke/discovery/discovery.py
@@ -25,11 +25,11 @@
     """Owns the watches: one, or two and more during a migration to another agent.
 
     ``notify`` receives each update for the scheduler, in the same event loop iteration in which the directory
-    changes. ``fronts``: number of fronts that use the same service, 0 or less if unknown. ``own_agent``: the
-    agent serves this front alone, so calls cost nothing, and a change that the agent has counts as reported
-    immediately; otherwise calls load a service that all fronts share. ``drain_grace``: seconds after a
-    reported drain in which requests may still be sent to the node. ``first_answer`` is set once anything has
-    been received from an agent.
+    changes. ``fronts``: number of fronts that use the same service, 0 or less if unknown.
+    ``dedicated_agent``: the agent serves this front alone, so calls cost nothing, and a change that the agent
+    has counts as reported immediately; otherwise calls load a service that all fronts share. ``drain_grace``:
+    seconds after a reported drain in which requests may still be sent to the node. ``first_answer`` is set
+    once anything has been received from an agent.
     """
 
     def __init__(  # noqa: PLR0913 (dependencies, and keyword-only options)
--- a/cleatyoke/emulation/quota_leases.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -48,9 +48,9 @@
 class LeaseSimulation(EventQueue):
     """``size`` fronts that share one resource.
 
-    ``demands``, by front, are in parts of which each front's own quota has ``HOME_PARTS``; set them between
-    two calls of ``run``. ``max_usable_parts``: the most that all together could use after any event, which
-    must not exceed ``total_parts``.
+    ``demands``, by front, are in parts of which each front's own quota has ``HOME_QUOTA_PARTS``; set them
+    between two calls of ``run``. ``max_usable_parts``: the most that all together could use after any event,
+    which must not exceed ``total_parts``.
     """
 
     def __init__(
--- a/cleatyoke/http/answers.py
+++ b/cleatyoke/http/answers.py
@@ -13,7 +13,7 @@
 from aiohttp.http import HttpResponseParser, RawResponseMessage
 from aiohttp.http_exceptions import HttpProcessingError
 
-from cleatyoke.http.messages import MAX_UNSTREAMED_BYTES, Header, MalformedAnswerError
+from cleatyoke.http.messages import MAX_UNSTREAMED_BYTES, Header, MalformedResponseError
 from cleatyoke.scheduling.events import AttemptOutcome
 
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024  # longest response body: twice what backends send
@@ -33,7 +33,7 @@
     body: bytes
     connection_reusable: bool  # no bytes followed this response, so the connection may carry another request
     length: int | None = None  # bytes of the body; None if unknown until its end
-    is_streamed: bool = False  # the rest of the body is read with ``AnswerReader.feed_body``
+    is_streamed: bool = False  # the rest of the body is read with ``ResponseReader.feed_body``
 
 
 class _Framing(Enum):
@@ -44,12 +44,12 @@
     UNTIL_CLOSE = auto()
 
 
-class AnswerReader:
+class ResponseReader:
     """Incremental parser of one response.
 
     Each head is split off and passed to aiohttp's parser on its own, so that neither preceding 1xx responses
     nor trailing bytes can be mistaken for the response or make a complete one fail. All methods raise
-    ``MalformedAnswerError``.
+    ``MalformedResponseError``.
     """
 
     def __init__(self) -> None:
@@ -97,7 +97,7 @@
             self._body_bytes += len(data)
             if self._body_bytes > MAX_RESPONSE_BYTES:
                 msg = "too large"
-                raise MalformedAnswerError(msg)
+                raise MalformedResponseError(msg)
             return data
         if self._framing is _Framing.CHUNKED:
             self._parse_chunks(data)
@@ -123,12 +123,12 @@
     def _extract_head(self) -> bytes | None:
         if not self._buffer.startswith(b"HTTP/1."[: len(self._buffer)]):
             msg = "no answer"
-            raise MalformedAnswerError(msg)
+            raise MalformedResponseError(msg)
         end = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES) + 4
         if end < 4:
             if len(self._buffer) >= MAX_HEAD_BYTES:
                 msg = "its head does not end"
-                raise MalformedAnswerError(msg)
+                raise MalformedResponseError(msg)
             return None
         head = bytes(self._buffer[:end])
         del self._buffer[:end]
@@ -147,16 +147,16 @@
             messages, upgraded, _ = parser.feed_data(head)
         except (HttpProcessingError, ValueError) as error:
             msg = "malformed response head"
-            raise MalformedAnswerError(msg) from error
+            raise MalformedResponseError(msg) from error
         if len(messages) != 1 or upgraded:
             msg = "response head is not a single HTTP message, or switches protocols"
-            raise MalformedAnswerError(msg)
+            raise MalformedResponseError(msg)
         message, payload = messages[0]
         if 100 <= message.code < 200:
             self._informational_count += 1
             if self._informational_count > MAX_INFORMATIONAL_RESPONSES:
                 msg = "too many informational (1xx) responses"
-                raise MalformedAnswerError(msg)
+                raise MalformedResponseError(msg)
             return
         if message.chunked:
             self._framing = _Framing.CHUNKED
@@ -175,7 +175,7 @@
             self._framing = _Framing.UNTIL_CLOSE
         elif length is None or not length.isdecimal() or int(length) > MAX_RESPONSE_BYTES:
             msg = "its length is missing or too large"
-            raise MalformedAnswerError(msg)
+            raise MalformedResponseError(msg)
         else:
             self._length = int(length)
 
@@ -200,10 +200,10 @@
             self._is_clean = False  # malformed, or garbage after a complete response
             if not self._chunks.is_eof() or self._chunks.exception():
                 msg = "its chunks cannot be read"
-                raise MalformedAnswerError(msg) from error
+                raise MalformedResponseError(msg) from error
         if self._body_bytes > 2 * MAX_RESPONSE_BYTES or self._chunks.total_bytes > MAX_RESPONSE_BYTES:
             msg = "too large"
-            raise MalformedAnswerError(msg)
+            raise MalformedResponseError(msg)
 
     def _begin_streaming(self) -> BackendResponse:
         assert self._message
--- a/cleatyoke/http/backend_connection.py
+++ b/cleatyoke/http/backend_connection.py
@@ -12,8 +12,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from cleatyoke.http.answers import AnswerReader, BackendResponse
-from cleatyoke.http.messages import MalformedAnswerError
+from cleatyoke.http.answers import BackendResponse, ResponseReader
+from cleatyoke.http.messages import MalformedResponseError
 from cleatyoke.transport.sockets import has_unread_bytes
 
 # Seconds for the rest of a response's head after its first byte, and between reads of its body: the tolerance
@@ -36,7 +36,7 @@
         self.idle_timer: asyncio.TimerHandle | None = None
         self.on_lost: Callable[[], None] | None = None  # called if the connection ends while pooled
         # State of the current exchange.
-        self._reader: AnswerReader | None = None
+        self._reader: ResponseReader | None = None
         self._response: asyncio.Future[BackendResponse] | None = None
         self._response_timer: asyncio.TimerHandle | None = None
         self._on_request_written: Callable[[], None] | None = None  # called once the last byte is written
@@ -84,7 +84,7 @@
             return
         try:
             response = self._reader.feed(data)
-        except MalformedAnswerError as error:
+        except MalformedResponseError as error:
             self._fail(error)
             return
         if response is None:
@@ -96,22 +96,22 @@
                 self.streamed_body.finish(connection_reusable=self._reader.is_connection_reusable())
         self._response.set_result(response)
 
-    def _feed_streamed(self, body: StreamedBody, reader: AnswerReader, data: bytes) -> None:
+    def _feed_streamed(self, body: StreamedBody, reader: ResponseReader, data: bytes) -> None:
         try:
             body.append(reader.feed_body(data))
             if reader.is_complete:
                 body.finish(connection_reusable=reader.is_connection_reusable())
-        except MalformedAnswerError as error:
+        except MalformedResponseError as error:
             body.fail(error)
 
-    def _restart_response_timer(self, reader: AnswerReader) -> None:
+    def _restart_response_timer(self, reader: ResponseReader) -> None:
         """Start the timeout at the first byte of a response, and restart it with each read of its body."""
         if self._response_timer is not None and not reader.is_head_complete:
             return
         if self._response_timer:
             self._response_timer.cancel()
         self._response_timer = self.loop.call_later(
-            RESPONSE_TIMEOUT, self._fail, MalformedAnswerError("timed out within a response")
+            RESPONSE_TIMEOUT, self._fail, MalformedResponseError("timed out within a response")
         )
 
     def eof_received(self) -> None:
@@ -120,19 +120,19 @@
         if self.streamed_body:
             if complete:
                 self.streamed_body.finish(connection_reusable=False)
-            self.streamed_body.fail(MalformedAnswerError("backend closed the connection within a response"))
+            self.streamed_body.fail(MalformedResponseError("backend closed the connection within a response"))
         elif complete and self._response and not self._response.done():
             self._response.set_result(complete)
-        self._fail(MalformedAnswerError("backend closed the connection within a response"))
+        self._fail(MalformedResponseError("backend closed the connection within a response"))
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  asyncio calls it so
         """Fail the current exchange."""
         self.transport = None
         if self.streamed_body:
-            self.streamed_body.fail(MalformedAnswerError("connection to the backend lost"))
-        self._fail(MalformedAnswerError("connection to the backend lost"))
+            self.streamed_body.fail(MalformedResponseError("connection to the backend lost"))
+        self._fail(MalformedResponseError("connection to the backend lost"))
 
-    def _fail(self, error: MalformedAnswerError) -> None:
+    def _fail(self, error: MalformedResponseError) -> None:
         if self._response and not self._response.done():
             self._response.set_exception(error)
         self.abort()
@@ -159,12 +159,12 @@
         """Send a request, given in pieces, and return its response; a long body is in ``streamed_body``.
 
         Raises ``ConnectionError`` if the connection ended before the first byte was sent, so that the request
-        cannot have run, and ``MalformedAnswerError`` if no complete response was received.
+        cannot have run, and ``MalformedResponseError`` if no complete response was received.
         """
         if self.transport is None or self.transport.is_closing():
             msg = "connection closed before the request was sent"
             raise ConnectionError(msg)
-        self._reader = AnswerReader()
+        self._reader = ResponseReader()
         self._response = self.loop.create_future()
         self._unsent_pieces = request[::-1]
         self._on_request_written = on_request_written
@@ -196,7 +196,7 @@
         self._pieces: deque[bytes] = deque()
         self._is_complete = False
         self._connection_reusable = False
-        self._error: MalformedAnswerError | None = None
+        self._error: MalformedResponseError | None = None
         self._progress = asyncio.Event()
         self._is_reading_paused = False
         self._idle_timer = connection.loop.call_later(STREAM_IDLE_TIMEOUT, self._time_out)
@@ -220,7 +220,7 @@
         self._connection_reusable = connection_reusable
         self._note_progress()
 
-    def fail(self, error: MalformedAnswerError) -> None:
+    def fail(self, error: MalformedResponseError) -> None:
         """Mark the body as failed, unless it is complete; the first error is kept."""
         if not self._is_complete:
             self._error = self._error or error
@@ -233,11 +233,11 @@
             self._idle_timer = self.connection.loop.call_later(STREAM_IDLE_TIMEOUT, self._time_out)
 
     def _time_out(self) -> None:
-        self.fail(MalformedAnswerError("streamed response body idle for too long"))
+        self.fail(MalformedResponseError("streamed response body idle for too long"))
         self.close()
 
     async def read(self) -> bytes:
-        """Return the next bytes, empty at the end; raises ``MalformedAnswerError`` if truncated."""
+        """Return the next bytes, empty at the end; raises ``MalformedResponseError`` if truncated."""
         while not self._pieces:
             if self._is_complete:
                 return b""
--- a/cleatyoke/http/backends.py
+++ b/cleatyoke/http/backends.py
@@ -17,7 +17,7 @@
     decode_utilization,
 )
 from cleatyoke.http.backend_connection import BackendConnection, StreamedBody
-from cleatyoke.http.messages import MalformedAnswerError
+from cleatyoke.http.messages import MalformedResponseError
 from cleatyoke.http.requests import ClientRequest, encode_attempt, encode_load_probe
 from cleatyoke.process.metrics import Metrics
 from cleatyoke.scheduling.events import AttemptOutcome
@@ -90,7 +90,7 @@
             pieces = encode_attempt(request, pool.address, max_wait)
             try:
                 response = await connection.exchange(pieces, self._count_call)
-            except MalformedAnswerError:
+            except MalformedResponseError:
                 if connection.is_sending():
                     return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
                 return AttemptResult(AttemptOutcome.CONNECTION_RESET)
@@ -121,7 +121,7 @@
                 connection = self.take_idle(pool) or await self.connect(pool)
                 response = await connection.exchange([encode_load_probe(pool.address)], lambda: None)
             return decode_load_probe(response)
-        except (OSError, TimeoutError, MalformedAnswerError):
+        except (OSError, TimeoutError, MalformedResponseError):
             return None
         finally:
             if connection and connection.streamed_body:  # far longer than a report
--- a/cleatyoke/http/messages.py
+++ b/cleatyoke/http/messages.py
@@ -42,7 +42,7 @@
     """A request whose ``Idempotency-Key`` is missing or cannot be forwarded unchanged."""
 
 
-class MalformedAnswerError(MessageError):
+class MalformedResponseError(MessageError):
     """A backend's response is malformed or incomplete. Its request may have run."""
 
 
--- a/cleatyoke/http/streaming.py
+++ b/cleatyoke/http/streaming.py
@@ -6,7 +6,7 @@
 from aiohttp import HttpVersion11, web
 
 from cleatyoke.http.backend_connection import StreamedBody
-from cleatyoke.http.messages import MalformedAnswerError
+from cleatyoke.http.messages import MalformedResponseError
 
 IS_TRUNCATED = web.ResponseKey("is_truncated", bool)  # the backend did not deliver the whole body
 log = structlog.get_logger()
@@ -33,7 +33,7 @@
         while piece := await body.read():
             await response.write(piece)
         await response.write_eof()
-    except MalformedAnswerError as error:
+    except MalformedResponseError as error:
         log.info("answer_cut", reason=str(error))
         response[IS_TRUNCATED] = True
         if request.transport:
--- a/tests/http_case.py
+++ b/tests/http_case.py
@@ -157,7 +157,7 @@
         await self.wait_until(lambda: has_unread_bytes(transport))
         return transport
 
-    async def expect_answer_and_close(self, streams: Streams) -> None:
+    async def expect_response_and_close(self, streams: Streams) -> None:
         """Expect one complete response, followed by an orderly close and no reset."""
         async with asyncio.timeout(5):
             received = await streams[0].read()
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -913,7 +913,7 @@
 
 async def capture_node_answer(value: Plain) -> Plain:
     """What is understood of a node's answer, which comes in pieces; ``closed``: then its connection ends."""
-    reader, answer_poll = answers.AnswerReader(), None
+    reader, answer_poll = answers.ResponseReader(), None
     rest: list[Plain] = []
     try:
         for piece in value["pieces"]:
@@ -923,7 +923,7 @@
                 rest.append(pack(reader.feed_body(unpack(piece))))
         if answer_poll is None and value.get("closed"):
             answer_poll = reader.feed_eof()
-    except messages.MalformedAnswerError as error:
+    except messages.MalformedResponseError as error:
         return {"spoilt": str(error)}
     if answer_poll is None:
         return {"more is to come": True}
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -57,7 +57,7 @@
         await self.hold_unread(client, streams, self.request_head("next"))
         release.set()
         await self.wait_until(lambda: self.front.connections.closing)
-        await self.expect_answer_and_close(streams)
+        await self.expect_response_and_close(streams)
         assert self.backend.counts["next"] == 0, "a request read after the close must not be forwarded"
 
     async def test_rejected_upload_gets_its_status_although_body_is_unread(self) -> None:
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -30,7 +30,7 @@
         self.front.stop_accepting()
         await asyncio.sleep(0)
         transport.resume_reading()
-        await self.expect_answer_and_close(streams)
+        await self.expect_response_and_close(streams)
 
     async def test_partial_head_when_accepting_ends_is_read_to_its_end(self) -> None:
         """Part of a request head has arrived when the front stops accepting.
@@ -41,7 +41,7 @@
         await self.wait_until(lambda: client.head_started_at)
         self.front.stop_accepting()
         streams[1].write(self.request_head("t")[20:])
-        await self.expect_answer_and_close(streams)
+        await self.expect_response_and_close(streams)
 
     async def test_partial_body_when_accepting_ends_is_read_to_its_end(self) -> None:
         """Part of a request body has arrived when the front stops accepting.
@@ -56,7 +56,7 @@
         self.front.stop_accepting()
         await asyncio.sleep(0)
         streams[1].write(b"there")
-        await self.expect_answer_and_close(streams)
+        await self.expect_response_and_close(streams)
         assert self.backend.bodies["t"] == b"halfthere"
 
     async def test_connection_in_backlog_when_listener_closes_is_answered(self) -> None:
@@ -115,7 +115,7 @@
         await asyncio.sleep(0)  # the protocol is notified in the next iteration of the loop
         assert self.front.open_connections() == 1
         assert client not in self.front.connections.clients
-        await self.expect_answer_and_close(streams)
+        await self.expect_response_and_close(streams)
         streams[1].close()
         await self.wait_until(lambda: not self.front.open_connections())
 
@@ -133,7 +133,7 @@
             while self.front.open_connections():
                 await asyncio.sleep(0.005)
         assert len(self.front.connections.closing) == 1
-        await self.expect_answer_and_close(streams)
+        await self.expect_response_and_close(streams)
 
     async def test_drain_keeps_a_connection_with_an_unread_request(self) -> None:
         """An operator drains the front when a request has arrived but is unread.
@@ -148,4 +148,4 @@
         self.front.close_idle_connections()
         assert not transport.is_closing()
         transport.resume_reading()
-        await self.expect_answer_and_close(streams)
+        await self.expect_response_and_close(streams)
