--- a/cleatyoke/discovery/watch.py
+++ b/cleatyoke/discovery/watch.py
@@ -114,7 +114,7 @@
         except ListTooLongError as error:
             self._reject_list(error)
         except InvalidListError as error:
-            log.warning("discovery_line_skipped", why=str(error))
+            log.warning("discovery_line_skipped", reason=str(error))
             self.version = None  # the line may have contained a change: request the complete list
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             self._record_failure(error)
@@ -131,14 +131,14 @@
 
     def _record_failure(self, error: Exception) -> None:
         if self.failures % FAILURES_PER_LOG_LINE == 0:
-            why = f"{type(error).__name__}: {error}"
-            log.warning("discovery_lost", address=self.url, why=why, failed=self.failures + 1)
+            reason = f"{type(error).__name__}: {error}"
+            log.warning("discovery_lost", address=self.url, reason=reason, failed=self.failures + 1)
         self.failures += 1
 
     def _reject_list(self, error: Exception) -> None:
         """Keep the last accepted list; log once until a list is accepted again."""
         if not self.list_rejected:
-            log.error("discovery_list_refused", address=self.url, why=str(error))
+            log.error("discovery_list_refused", address=self.url, reason=str(error))
         self.list_rejected = True
 
     # Calls
--- a/cleatyoke/distribution/__main__.py
+++ b/cleatyoke/distribution/__main__.py
@@ -96,7 +96,7 @@
         for key, value in result.changes.items():
             source.put(loop.time(), lane_of(key), key, value)
         for reason in result.rejected:
-            log.error("change_refused", why=reason)
+            log.error("change_refused", reason=reason)
         log.info(
             "folder_scanned", epoch=source.store.epoch, number=source.last_number, changes=len(result.changes)
         )
--- a/cleatyoke/distribution/network.py
+++ b/cleatyoke/distribution/network.py
@@ -91,7 +91,9 @@
                 task.add_done_callback(self._exchanges.discard)
             case RelayChanged(relay, reason):
                 if self.relay_changes % CHANGES_PER_LOG_LINE == 0:
-                    log.info("config_relay_changed", relay=relay, why=reason, changes=self.relay_changes + 1)
+                    log.info(
+                        "config_relay_changed", relay=relay, reason=reason, changes=self.relay_changes + 1
+                    )
                 self.relay_changes += 1
             case _:
                 self.handle_action(action)
--- a/cleatyoke/distribution/subscription.py
+++ b/cleatyoke/distribution/subscription.py
@@ -129,7 +129,7 @@
                     key=entry.key,
                     epoch=version.epoch,
                     number=version.number,
-                    why=reason,
+                    reason=reason,
                 )
 
     def _try_entries(self, entries: list[Entry]) -> str:
@@ -157,7 +157,7 @@
             except InvalidListError as error:
                 invalid.append(str(error))
         if invalid:
-            log.warning("config_nodes_refused", why=invalid[0], count=len(invalid))
+            log.warning("config_nodes_refused", reason=invalid[0], count=len(invalid))
         if not_live := [instance for instance in parsed if instance.state is not EndpointState.LIVE]:
             # 0: relays don't have discovery's version, which only a watch uses in its requests.
             self.notify_nodes(EndpointList(0, is_complete=False, instances=not_live))
--- a/cleatyoke/process/daemon.py
+++ b/cleatyoke/process/daemon.py
@@ -146,7 +146,7 @@
             listing = read_endpoint_list(self.config.cached_endpoints)
             self.discovery.apply(listing, UpdateKind.CACHED)
         except InvalidListError as error:
-            log.warning("cached_list_skipped", why=str(error))
+            log.warning("cached_list_skipped", reason=str(error))
 
     def _create_http_server(self) -> None:
         """Create the server, which is ready immediately where a cached endpoint list has entries.
--- a/cleatyoke/process/faults.py
+++ b/cleatyoke/process/faults.py
@@ -38,7 +38,7 @@
         self.report(
             "loop_fault",
             context.get("exception"),
-            why=context.get("message", ""),
+            reason=context.get("message", ""),
             subject=type(subject).__name__,
         )
 
--- a/cleatyoke/process/hold_file.py
+++ b/cleatyoke/process/hold_file.py
@@ -76,7 +76,7 @@
             try:
                 self._write()
             except OSError as error:
-                log.warning("hold_file_error", why=str(error))
+                log.warning("hold_file_error", reason=str(error))
         self._notify([*held, *released])
 
     def _change(self, name: str, disable: bool) -> bool:
@@ -88,7 +88,7 @@
                     is_known = self._apply(name, disable)
                     self._write()
             except OSError as error:
-                log.warning("hold_file_error", why=str(error))
+                log.warning("hold_file_error", reason=str(error))
                 changed = []
                 is_known = self._apply(name, disable)
         self.loop.call_soon_threadsafe(self._notify, [*changed, name])
--- a/cleatyoke/process/reloading.py
+++ b/cleatyoke/process/reloading.py
@@ -37,7 +37,7 @@
     def reload(self) -> None:
         """Handle SIGHUP: re-read the configuration file."""
         if reason := self._apply(self._settings_in_force):
-            log.error("reload_failed", why=reason)
+            log.error("reload_failed", reason=reason)
 
     def apply_distributed(self, settings: DistributedSettings) -> str:
         """Apply distributed settings; return why they were rejected, or an empty string."""
--- a/cleatyoke/process/sibling_processes.py
+++ b/cleatyoke/process/sibling_processes.py
@@ -43,7 +43,7 @@
         try:
             self.marker.write_text("")
         except OSError as error:
-            log.warning("process_marker_not_written", why=str(error))
+            log.warning("process_marker_not_written", reason=str(error))
         others = self._count_others()
         self.quota_share = 1.0 / (1 + others)  # the fraction of every rate limit that this process may use
         settings.initial_quota_share = self.quota_share
--- a/tests/test_discovery_long_lists.py
+++ b/tests/test_discovery_long_lists.py
@@ -197,7 +197,7 @@
         short_list = json.dumps({"generation": 6, "instances": []}).encode()
         agent = ScriptedDiscovery({}, [[long_list], [long_list], [long_list], [short_list]])
         (event,) = await self.logged_rejections(agent, lambda: self.directory.version == 6)
-        assert (event["log_level"], "2000 bytes" in event["why"]) == ("error", True)
+        assert (event["log_level"], "2000 bytes" in event["reason"]) == ("error", True)
         assert self.directory.find("s-known")
         assert len(agent.asked) == 4
 
