--- a/cleatyoke/emulation/distribution.py
+++ b/cleatyoke/emulation/distribution.py
@@ -1,7 +1,8 @@
-"""Source, relays and subscribers by the thousand in virtual time: the real state machines of
-``cleatyoke.distribution``, with drawn delays, lost exchanges, cuts, and relays that are killed and return.
+"""Source, relays and thousands of subscribers in virtual time: the real state machines of
+``cleatyoke.distribution``, with random delays, lost exchanges, network partitions, and relays that are killed
+and restarted.
 
-A subscriber is hollow: what it is handed goes nowhere.
+A subscriber is hollow: the changes that it delivers are not applied to any front.
 """
 
 from __future__ import annotations
@@ -26,7 +27,9 @@
 
 @dataclass(slots=True)
 class Links:
-    """Seconds one way, within a region and between two; ``loss``: part of the exchanges that fail."""
+    """Bounds of the one-way delay in seconds, within a region and between two; ``loss``: fraction of the
+    exchanges that fail.
+    """
 
     near: tuple[float, float] = (0.001, 0.02)
     far: tuple[float, float] = (0.04, 0.15)
@@ -36,21 +39,19 @@
 @dataclass(slots=True)
 class Change:
     lane: Lane
-    made: float
+    made_at: float
 
 
 @dataclass(slots=True)
 class Measured:
-    """``latencies``: seconds from a change to its being known, for each subscriber that is watched;
-    ``windows``: most bytes of a subscriber in any ``WINDOW`` in turn.
-    """
+    """``latencies``: seconds from each change until a subscriber knew it, one value per subscriber."""
 
     latencies: dict[Lane, list[float]] = field(default_factory=lambda: {lane: [] for lane in Lane})
 
 
 class Tree:
-    """``fronts`` subscribers spread evenly over ``regions``, as are the ``relays``. Each asks the relays of
-    its region first.
+    """``fronts`` subscribers and ``relays`` relays, both spread evenly over ``regions``. A subscriber prefers
+    the relays of its region.
     """
 
     def __init__(
@@ -67,9 +68,9 @@
         self.rng, self.links, self.now = random.Random(f"tree:{seed}"), links or Links(), 0.0
         self.seed, self.timing, self.most_subscribers = seed, timing or SubscriberTiming(), most_subscribers
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.entries = 0
+        self.scheduled_count = 0
         self.regions: dict[str, int] = {SOURCE: SOURCE_REGION}
-        self.cut: set[int] = set()  # regions that reach no other
+        self.cut: set[int] = set()  # regions that can't reach any other
         self.source: Source | None = Source("emulated", SOURCE, epoch)
         self.relay_names = [f"relay-{number:02d}" for number in range(relays)]
         self.regions |= {name: number % regions for number, name in enumerate(self.relay_names)}
@@ -83,10 +84,10 @@
         for number in range(fronts):
             self.start_front(number, number % regions)
 
-    # Who runs
+    # Processes
 
     def start_relay(self, name: str) -> None:
-        """A new life that knows nothing."""
+        """Start a relay without any state, in place of any earlier one of this name."""
         rng = random.Random(f"{self.seed}:{name}:{self.now}")
         relay = Relay("emulated", name, [[SOURCE]], rng, self.most_subscribers, RELAY_TIMING)
         self.relays[name] = relay
@@ -109,21 +110,21 @@
     def server(self, name: str) -> ChangeServer | None:
         return self.source if name == SOURCE else self.relays.get(name)
 
-    # Time
+    # Virtual time and messages
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        self.entries += 1
-        heapq.heappush(self.heap, (when, self.entries, act))
+    def schedule(self, when: float, callback: Callable[[], None]) -> None:
+        self.scheduled_count += 1
+        heapq.heappush(self.heap, (when, self.scheduled_count, callback))
 
     def run(self, until: float) -> None:
         while self.heap and self.heap[0][0] <= until:
-            self.now, _, act = heapq.heappop(self.heap)
-            act()
+            self.now, _, callback = heapq.heappop(self.heap)
+            callback()
         self.now = until
 
     def schedule_relay(self, name: str, relay: Relay) -> None:
         due = relay.due()
-        self.at(max(self.now, due), lambda: self.relay_due(name, relay, due))
+        self.schedule(max(self.now, due), lambda: self.relay_due(name, relay, due))
 
     def relay_due(self, name: str, relay: Relay, due: float) -> None:
         if self.relays.get(name) is relay and relay.due() == due:
@@ -141,7 +142,7 @@
 
     def schedule_front(self, name: str, front: Subscriber) -> None:
         due = front.due()
-        self.at(max(self.now, due), lambda: self.front_due(name, front, due))
+        self.schedule(max(self.now, due), lambda: self.front_due(name, front, due))
 
     def front_due(self, name: str, front: Subscriber, due: float) -> None:
         if self.subscribers.get(name) is front and front.due() == due:
@@ -152,7 +153,7 @@
             match action:
                 case SendPoll():
                     self.exchange(name, action, lambda event: self.answer_front(name, front, event))
-        self.note(name, front)
+        self.record_latencies(name, front)
         self.schedule_front(name, front)
 
     def answer_front(self, name: str, front: Subscriber, event: PollAnswered) -> None:
@@ -160,25 +161,27 @@
             self.step_front(name, front, event)
 
     def exchange(self, sender: str, poll: SendPoll, back: Callable[[PollAnswered], None]) -> None:
-        """A poll on its way, and its answer; lost as a whole, or by a cut."""
+        """Deliver a poll and its response after a delay each, unless the exchange is lost or the regions are
+        cut off from each other.
+        """
         if self.rng.random() < self.links.loss:
             return
-        there, again = self.takes(sender, poll.relay), self.takes(sender, poll.relay)
+        there, again = self.draw_delay(sender, poll.relay), self.draw_delay(sender, poll.relay)
 
         def arrive() -> None:
             server = self.server(poll.relay)
-            if server is None or self.parted(sender, poll.relay):
+            if server is None or self.is_cut_off(sender, poll.relay):
                 return
             if data := server.answer(self.now, poll.data):
-                self.at(self.now + again, lambda: back(PollAnswered(poll.poll_id, data)))
+                self.schedule(self.now + again, lambda: back(PollAnswered(poll.poll_id, data)))
 
-        self.at(self.now + there, arrive)
+        self.schedule(self.now + there, arrive)
 
-    def takes(self, one: str, other: str) -> float:
+    def draw_delay(self, one: str, other: str) -> float:
         span = self.links.near if self.regions[one] == self.regions[other] else self.links.far
         return self.rng.uniform(*span)
 
-    def parted(self, one: str, other: str) -> bool:
+    def is_cut_off(self, one: str, other: str) -> bool:
         first, second = self.regions[one], self.regions[other]
         return first != second and (first in self.cut or second in self.cut)
 
@@ -190,13 +193,13 @@
         self.changes[version.number] = Change(lane, self.now)
 
     def put_at(self, times: Iterable[float], lane: Lane, keys: Sequence[str], size: int = 200) -> None:
-        """Changes of keys that are drawn, at these times."""
+        """Schedule changes of randomly chosen keys at these times."""
         for when in times:
             key = self.rng.choice(keys)
-            self.at(when, lambda key=key: self.put(lane, key, self.rng.randbytes(size)))  # type: ignore[misc]
+            self.schedule(when, lambda key=key: self.put(lane, key, self.rng.randbytes(size)))  # type: ignore[misc]
 
-    def note(self, name: str, front: Subscriber) -> None:
-        """For each change that this front knows from now on, how long that took."""
+    def record_latencies(self, name: str, front: Subscriber) -> None:
+        """Record the latency of each change that this front has learned since the last call."""
         for lane in Lane:
             before, now = self.known[name][lane], front.lanes[lane].position.number
             if now <= before:
@@ -205,33 +208,35 @@
             for number in range(before + 1, now + 1):
                 change = self.changes.get(number)
                 if change and change.lane is lane:
-                    self.measured.latencies[lane].append(self.now - change.made)
+                    self.measured.latencies[lane].append(self.now - change.made_at)
 
-    # What holds
+    # State of the subscribers
 
-    def whole(self, name: str) -> bool:
+    def has_complete_copy(self, name: str) -> bool:
+        """Return whether a subscriber has a complete copy: no listing is in progress in any lane."""
         front = self.subscribers[name]
         return all(known.position.cursor is None for known in front.lanes.values())
 
-    def settled(self) -> bool:
-        """Whether every subscriber knows just what the source has."""
+    def is_settled(self) -> bool:
+        """Return whether every subscriber has exactly the entries of the source."""
         assert self.source
         for lane in Lane:
             store = self.source.store.lanes[lane]
             true = {key: entry.version for key, entry in store.entries.items() if entry.value is not None}
             for name, front in self.subscribers.items():
-                if not self.whole(name) or front.lanes[lane].versions != true:
+                if not self.has_complete_copy(name) or front.lanes[lane].versions != true:
                     return False
         return True
 
     def settle(self, within: float, step: float = 0.5) -> float | None:
-        """Seconds until all know what the source has, or None."""
+        """Run until all subscribers have the entries of the source; return the seconds that took, or None."""
         began = self.now
         while self.now < began + within:
             self.run(self.now + step)
-            if self.settled():
+            if self.is_settled():
                 return self.now - began
         return None
 
     def bytes(self) -> dict[str, int]:
+        """Return the bytes that each subscriber has sent and received."""
         return {name: front.bytes_exchanged for name, front in self.subscribers.items()}
--- a/cleatyoke/emulation/distribution_measure.py
+++ b/cleatyoke/emulation/distribution_measure.py
@@ -1,5 +1,6 @@
-"""``python -m cleatyoke.emulation distribution --out docs``: how soon changes are known at all fronts, and at
-what cost, at the size that is planned: hollow subscribers in virtual time, a real relay on loopback.
+"""``python -m cleatyoke.emulation distribution --out docs``: measure the latency and the cost of the
+distribution of configuration at the planned size, with hollow subscribers in virtual time and a real relay on
+loopback.
 """
 
 from __future__ import annotations
@@ -29,22 +30,23 @@
 from cleatyoke.testbed.runner import ROOT
 from cleatyoke.transport.framing import read_message, write_message
 
-SETTINGS, NODES = 1000, 200  # keys that are known before a measurement begins
+SETTINGS, NODES = 1000, 200  # keys that every front has before a measurement begins
 VALUE = 200  # bytes of a changed value
-AMPLE = SubscriberTiming(bytes_per_second=1e9, burst_bytes=1e9)  # to begin with a whole copy
+UNLIMITED_TIMING = SubscriberTiming(bytes_per_second=1e9, burst_bytes=1e9)  # for the initial complete copy
 WINDOW = 13.0
 RELAY_SECONDS = 10.0
 PAGE, TABLE = "distribution.md", "distribution.csv"
 
 
 def settled_tree(fronts: int, relays: int, regions: int, seed: int) -> Tree:
-    tree = Tree(fronts, relays, regions, seed, timing=AMPLE)
+    """Return a tree whose subscribers all have a complete copy, with the usual byte budget from here on."""
+    tree = Tree(fronts, relays, regions, seed, timing=UNLIMITED_TIMING)
     for number in range(SETTINGS):
         tree.put(Lane.SETTINGS, f"db/{number:05d}", tree.rng.randbytes(VALUE))
     for number in range(NODES):
         tree.put(Lane.NODES, f"nodes/{number:05d}", tree.rng.randbytes(150))
     if tree.settle(120.0, 1.0) is None:
-        msg = "the fronts have no whole copy within 120 s"
+        msg = "not all fronts have a complete copy within 120 s"
         raise RuntimeError(msg)
     for front in tree.subscribers.values():
         front.timing = SubscriberTiming()
@@ -54,12 +56,12 @@
     return tree
 
 
-def share(values: Sequence[float], part: float) -> float:
+def percentile(values: Sequence[float], part: float) -> float:
     return sorted(values)[min(len(values) - 1, int(len(values) * part))]
 
 
-def watch(tree: Tree, seconds: float) -> tuple[float, float]:
-    """Lets time pass; a front's bytes a second in the mean, and the most of one in a window."""
+def measure_bytes(tree: Tree, seconds: float) -> tuple[float, float]:
+    """Let time pass; return the mean bytes per second of a front, and the most bytes of one in a window."""
     began, first, most = tree.now, tree.bytes(), 0
     before = first
     while tree.now < began + seconds:
@@ -67,29 +69,29 @@
         now = tree.bytes()
         most = max(most, *(now[name] - before[name] for name in now))
         before = now
-    grew = [before[name] - first[name] for name in first]
-    return sum(grew) / len(grew) / seconds, most
+    growth = [before[name] - first[name] for name in first]
+    return sum(growth) / len(growth) / seconds, most
 
 
-def outcomes(what: str, tree: Tree, seconds: float) -> Iterator[Spread]:
-    mean, most = watch(tree, seconds)
+def summarize(what: str, tree: Tree, seconds: float) -> Iterator[Spread]:
+    mean, most = measure_bytes(tree, seconds)
     for lane in Lane:
         found = tree.measured.latencies[lane]
         if found:
             changes = len(found) // len(tree.subscribers)
             yield Spread(
-                *(what, lane.name.lower(), changes, share(found, 0.5), share(found, 0.99)),
+                *(what, lane.name.lower(), changes, percentile(found, 0.5), percentile(found, 0.99)),
                 *(max(found), mean, most),
             )
 
 
-def usual_and_burst(fronts: int, relays: int, regions: int, seed: int) -> list[Spread]:
+def measure_latencies(fronts: int, relays: int, regions: int, seed: int) -> list[Spread]:
     tree = settled_tree(fronts, relays, regions, seed)
     keys = [f"db/{number:05d}" for number in range(SETTINGS)]
     nodes = [f"nodes/{number:05d}" for number in range(NODES)]
     gaps = [tree.now + number / PLAN.config_rate for number in range(50)]
     tree.put_at(gaps, Lane.SETTINGS, keys, VALUE)
-    found = list(outcomes("mean rate", tree, 98.0))
+    found = list(summarize("mean rate", tree, 98.0))
     tree.run(tree.now + 10)
     tree.measured = Measured()
     step = PLAN.burst_seconds / PLAN.burst_changes
@@ -97,20 +99,21 @@
         [tree.now + step * number for number in range(PLAN.burst_changes)], Lane.SETTINGS, keys, VALUE
     )
     tree.put_at([tree.now + 10.0 * number for number in range(6)], Lane.NODES, nodes, 150)
-    found += outcomes("burst, 500 in 60 s", tree, 91.0)
+    found += summarize("burst, 500 in 60 s", tree, 91.0)
     tree.run(tree.now + 10)
     tree.measured = Measured()
     lost = tree.relay_names[:3]
     for name in lost:
         tree.kill_relay(name)
     tree.put_at([tree.now + 2.0 * number for number in range(10)], Lane.NODES, nodes, 150)
-    found += outcomes("changes of primary, 3 of the relays just killed", tree, 39.0)
+    found += summarize("changes of primary, 3 of the relays just killed", tree, 39.0)
     return found
 
 
-def return_after(fronts: int, relays: int, regions: int, seed: int) -> tuple[float, float, float]:
-    """A region is cut off for an hour: bytes a front and second in it afterwards, seconds until all know all,
-    and changes that were missed. Fewer fronts show as much, as each returns by itself.
+def measure_catch_up(fronts: int, relays: int, regions: int, seed: int) -> tuple[float, float, float]:
+    """Cut a region off for an hour. Return the mean bytes of a front of it for catching up, the seconds until
+    all fronts are up to date, and the number of missed changes. A small number of fronts is enough, since
+    each catches up independently.
     """
     tree = settled_tree(fronts, relays, regions, seed)
     keys = [f"db/{number:05d}" for number in range(SETTINGS)]
@@ -121,31 +124,33 @@
     behind = [name for name in tree.subscribers if tree.regions[name] == regions - 1]
     before = tree.bytes()
     tree.cut = set()
-    took = tree.settle(900.0, 1.0) or 900.0
+    elapsed = tree.settle(900.0, 1.0) or 900.0
     after = tree.bytes()
-    return sum(after[name] - before[name] for name in behind) / len(behind), took, float(missed)
+    return sum(after[name] - before[name] for name in behind) / len(behind), elapsed, float(missed)
 
 
 @dataclass(slots=True, frozen=True)
 class RelayCosts:
-    """Of a real relay process with so many subscribers on loopback, at the usual interval of polls."""
+    """Costs of a real relay process with ``subscribers`` on loopback, at the usual poll interval."""
 
     subscribers: int
-    cpu: float  # of a core
+    cpu: float  # fraction of a core
     resident: int
     bytes_s: float
 
 
-async def relay_costs(subscribers: int, seed: int) -> RelayCosts:
-    """Subscribers here are polls alone: each asks from where all is known."""
+async def measure_relay(subscribers: int, seed: int) -> RelayCosts:
+    """Measure a relay whose subscribers only poll, each from a position at which it is up to date."""
     words = [sys.executable, "-m", "cleatyoke.distribution"]
     with contextlib.ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         (folder / "settings").mkdir()
         for number in range(SETTINGS):
             (folder / "settings" / f"{number:05d}.json").write_text(f'"{"x" * VALUE}"')
-        source = await control(words, "source", ["--folder", str(folder), "--epoch", str(folder / "epoch")])
-        relay = await control(
+        source = await start_process(
+            words, "source", ["--folder", str(folder), "--epoch", str(folder / "epoch")]
+        )
+        relay = await start_process(
             words, "relay", ["--name", "r", "--upstream", f"127.0.0.1:{source[1]}", "--most", "500"]
         )
         try:
@@ -156,7 +161,9 @@
                 await process.wait()
 
 
-async def control(words: list[str], role: str, options: list[str]) -> tuple[asyncio.subprocess.Process, int]:
+async def start_process(
+    words: list[str], role: str, options: list[str]
+) -> tuple[asyncio.subprocess.Process, int]:
     process = await asyncio.create_subprocess_exec(
         *(*words, role, "--listen", "127.0.0.1:0", "--deployment", "d", *options),
         cwd=ROOT,
@@ -166,13 +173,13 @@
     while line := await process.stderr.readline():
         if b"event='ready'" in line:
             return process, int(line.split(b"port=")[1].split(b")")[0])
-    msg = f"the {role} ended before it was ready"
+    msg = f"the {role} process exited before it was ready"
     raise RuntimeError(msg)
 
 
 async def poll_relay(pid: int, port: int, subscribers: int, seed: int) -> RelayCosts:
     loop, rng, size = asyncio.get_running_loop(), random.Random(seed), 0
-    epoch, positions = await whole_position(port)
+    epoch, positions = await current_position(port)
     used, began = Used.of(pid), loop.time()
     end = began + RELAY_SECONDS
 
@@ -185,12 +192,12 @@
             await asyncio.sleep(SubscriberTiming().poll_interval * rng.uniform(0.75, 1.25))
 
     await asyncio.gather(*(subscriber(number) for number in range(subscribers)))
-    after, took = Used.of(pid), loop.time() - began
-    return RelayCosts(subscribers, (after.cpu - used.cpu) / took, after.resident, size / took)
+    after, elapsed = Used.of(pid), loop.time() - began
+    return RelayCosts(subscribers, (after.cpu - used.cpu) / elapsed, after.resident, size / elapsed)
 
 
 async def exchange(port: int, data: bytes) -> int:
-    """Bytes there and back."""
+    """Make one exchange; return the bytes of the poll and the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         await write_message(writer, data)
@@ -199,8 +206,8 @@
         writer.transport.abort()
 
 
-async def whole_position(port: int) -> tuple[int, list[Position]]:
-    """From where all is known."""
+async def current_position(port: int) -> tuple[int, list[Position]]:
+    """Return the epoch and the position of each lane at which a subscriber is up to date."""
     for _ in range(100):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         await write_message(
@@ -211,13 +218,13 @@
         if reply.lanes:
             return reply.epoch, [Position(part.up_to, None) for part in reply.lanes]
         await asyncio.sleep(0.1)
-    msg = "the relay has no whole copy"
+    msg = "the relay has no complete copy"
     raise RuntimeError(msg)
 
 
 @dataclass(slots=True, frozen=True)
 class Baseline:
-    """Bytes of a front: for its return after an hour's cut, and a second at the mean rate of changes."""
+    """Bytes of a front: for catching up after an hour's cut, and per second at the mean rate of changes."""
 
     name: str
     returned: float
@@ -226,7 +233,7 @@
 
 
 def baselines(missed: int, state: int) -> list[Baseline]:
-    """Other ways to tell of changes, on paper, with the bytes of an entry as they are on the wire."""
+    """Return the calculated bytes of other designs, with the size of an entry as it is on the wire."""
     entry = VALUE + 40.0
     return [
         Baseline("whole copy on each change", float(state), PLAN.config_rate * state, "paper"),
@@ -260,14 +267,14 @@
     return table(("subscribers", "processor, of a core", "resident MB", "bytes/s"), rows)
 
 
-def return_table(found: Sequence[Baseline], took: float) -> str:
+def return_table(found: Sequence[Baseline], elapsed: float) -> str:
     rows = [
         [one.name, short(one.returned), f"{one.returned / PLAN.bytes_s:.0f}", short(one.usual), one.kind]
         for one in found
     ]
     head = ("way", "bytes of a front's return after an hour's cut", "s of it at 3 KB/s")
     text = table((*head, "bytes a second at the mean rate", "figure"), rows)
-    return f"{text}\n\nAll fronts of the region had all {took:.0f} s after the cut, in virtual time."
+    return f"{text}\n\nAll fronts of the region had all {elapsed:.0f} s after the cut, in virtual time."
 
 
 def fill(text: str, name: str, made: str) -> str:
@@ -275,7 +282,7 @@
     before, found, rest = text.partition(begin)
     _, closed, after = rest.partition(end)
     if not found or not closed:
-        msg = f"the page has no place for the table {name}"
+        msg = f"the page lacks the markers of the table {name}"
         raise ValueError(msg)
     return f"{before}{begin}\n\n{made}\n\n{end}{after}"
 
@@ -304,15 +311,15 @@
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder of the page.")
 def distribution(fronts: int, relays: int, regions: int, seed: int, out: Path) -> None:
-    """Measure the distribution of configuration, and make its tables and plot again."""
+    """Measure the distribution of configuration and regenerate its tables and plot."""
     checked_folder(out)
     if relays < regions:
-        msg = f"--relays: want one a region at the least, found {relays}"
+        msg = f"--relays: want at least one per region, found {relays}"
         raise BadOption(msg)
     steps: list[tuple[str, Callable[[], object]]] = [
-        ("in virtual time", lambda: usual_and_burst(fronts, relays, regions, seed)),
-        ("a return", lambda: return_after(min(fronts, 90), min(relays, 9), 3, seed)),
-        ("relays", lambda: [asyncio.run(relay_costs(count, seed)) for count in (103, 155)]),
+        ("in virtual time", lambda: measure_latencies(fronts, relays, regions, seed)),
+        ("a return", lambda: measure_catch_up(min(fronts, 90), min(relays, 9), 3, seed)),
+        ("relays", lambda: [asyncio.run(measure_relay(count, seed)) for count in (103, 155)]),
     ]
     done: list[object] = []
     with click.progressbar(
@@ -326,7 +333,7 @@
 def write(done: Sequence[object], out: Path) -> None:
     found, returned, relays = done
     assert isinstance(found, list) and isinstance(returned, tuple) and isinstance(relays, list)
-    cost, took, missed = returned
+    cost, elapsed, missed = returned
     state = SETTINGS * (VALUE + 40) + NODES * 190
     built = Baseline(f"as built, {missed:.0f} changes missed", cost, found[0].mean_bytes, "hollow")
     sums = [built, *baselines(int(missed), state)]
@@ -339,7 +346,7 @@
     for name, made in (
         ("latency", outcome_table(found)),
         ("relay", relay_table(relays)),
-        ("return", return_table(sums, took)),
+        ("return", return_table(sums, elapsed)),
     ):
         text = fill(text, name, made)
     path.write_text(text)
--- a/cleatyoke/emulation/measure.py
+++ b/cleatyoke/emulation/measure.py
@@ -1,6 +1,6 @@
-"""``python -m cleatyoke.emulation.measure --out docs``: what the fleet's view costs and how soon it knows, at
-several sizes, against the baselines, in virtual time. Writes ``fleet-view.csv`` and, with the extra
-``plots``, ``fleet-view-*.svg``. The same seeds give the same figures.
+"""``python -m cleatyoke.emulation.measure --out docs``: measure the traffic and the detection times of the
+membership at several fleet sizes, against the baselines, in virtual time. Writes ``fleet-view.csv`` and, with
+the extra ``plots``, ``fleet-view-*.svg``. The same seeds give the same results.
 """
 
 from __future__ import annotations
@@ -24,26 +24,32 @@
 KINDS: dict[str, type[Membership]] = {"ours": Membership, "plain SWIM": PlainSwim, "heartbeats": Heartbeats}
 SIZES = (10, 50, 200, 1000)
 PERIOD = MembershipTiming().probe_interval
-WARM = 15.0  # seconds until the fleet has one view
-KILLS = 5
-WATCHED = 120.0  # seconds over which false deaths are counted, so that an hour is thirty times as many
-LOSSES = (0.0, 0.1, 0.3)
-SLOW, BEHIND = 0.1, 2.0  # part of the members that are slow; seconds that each of their messages takes more
+JOIN_SECONDS = 15.0  # seconds until all members have the same view
+KILL_COUNT = 5
+FALSE_DEATH_SECONDS = (
+    120.0  # seconds over which false deaths are counted; the rate per hour is thirty times the count
+)
+LOSS_RATES = (0.0, 0.1, 0.3)
+SLOW_FRACTION, SLOW_DELAY = (
+    0.1,
+    2.0,
+)  # fraction of the members that are slow; seconds of extra delay of their messages
 HEAL_LIMIT = 60.0
 Row = dict[str, Any]
 
 
-def started(kind: str, size: int, seed: int, loss: float = 0.0) -> Fleet:
-    everybody = size if kind == "heartbeats" else 3
-    fleet = Fleet(size, seed, network=Network(seed, loss=loss), make=KINDS[kind], seeds=everybody)
+def start_fleet(kind: str, size: int, seed: int, loss: float = 0.0) -> Fleet:
+    """Return a fleet whose members have joined and have the same view."""
+    seed_count = size if kind == "heartbeats" else 3
+    fleet = Fleet(size, seed, network=Network(seed, loss=loss), make=KINDS[kind], seeds=seed_count)
     fleet.start_all(over=2.0)
-    fleet.run(WARM if kind != "heartbeats" else 2.5)
+    fleet.run(JOIN_SECONDS if kind != "heartbeats" else 2.5)
     return fleet
 
 
 def load(kind: str, size: int, seed: int) -> Row:
-    """Datagrams and bytes that a member sends in a second, with nothing going on."""
-    fleet = started(kind, size, seed)
+    """Return the datagrams and bytes that a member sends per second while no member changes."""
+    fleet = start_fleet(kind, size, seed)
     seconds = 10.0
     before = fleet.traffic()
     fleet.run(fleet.now + seconds)
@@ -55,83 +61,89 @@
 
 
 def detection(kind: str, size: int, seed: int) -> Row:
-    """Seconds from a kill to the first who suspects it (SWIM's detection), to the first who believes it, and
-    to the last: deaths wait for the refutation that may come, the longer the larger the fleet.
+    """Measure the seconds from a kill to the first suspicion (SWIM's detection time), to the first
+    declaration of death, and until every member knows of the death. A suspicion becomes a death only once the
+    time for a refutation has passed, and that time grows with the size of the fleet.
     """
-    fleet, doubts, firsts, lasts = started(kind, size, seed), [], [], []
-    for front in range(size - 1, size - 1 - KILLS, -1):
+    fleet, suspected_after, first_known_after, last_known_after = start_fleet(kind, size, seed), [], [], []
+    for front in range(size - 1, size - 1 - KILL_COUNT, -1):
         id = fleet.running[fleet.address(front)].members.id
         fleet.kill(front)
         fleet.journal.suspected.pop(id, None)
-        began, known = fleet.now, len(fleet.journal.deaths)
-        while fleet.now < began + 60 and fleet.fraction_knowing_dead(id) < 1.0:
+        started_at, known = fleet.now, len(fleet.journal.deaths)
+        while fleet.now < started_at + 60 and fleet.fraction_knowing_dead(id) < 1.0:
             fleet.run(fleet.now + 0.05)
-        of_it = [at for at, _, dead, _ in fleet.journal.deaths[known:] if dead == id]
-        doubts.append(fleet.journal.suspected[id] - began)
-        firsts.append(min(of_it) - began)
-        lasts.append(fleet.now - began)
+        death_times = [at for at, _, dead, _ in fleet.journal.deaths[known:] if dead == id]
+        suspected_after.append(fleet.journal.suspected[id] - started_at)
+        first_known_after.append(min(death_times) - started_at)
+        last_known_after.append(fleet.now - started_at)
     return {
-        "suspected s": sum(doubts) / KILLS,
-        "first s": sum(firsts) / KILLS,
-        "last s": sum(lasts) / KILLS,
-        "worst last s": max(lasts),
-        "spread periods": max(last - first for first, last in zip(firsts, lasts)) / PERIOD,
+        "suspected s": sum(suspected_after) / KILL_COUNT,
+        "first s": sum(first_known_after) / KILL_COUNT,
+        "last s": sum(last_known_after) / KILL_COUNT,
+        "worst last s": max(last_known_after),
+        "spread periods": max(last - first for first, last in zip(first_known_after, last_known_after))
+        / PERIOD,
     }
 
 
 def false_deaths(kind: str, size: int, seed: int, loss: float, slow: float) -> Row:
-    """Deaths of lives that run, as told by each member for itself, in an hour of the whole fleet."""
-    fleet = started(kind, size, seed, loss)
-    faint = range(size - max(1, int(size * slow)), size) if slow else range(0)
-    for front in faint:
-        fleet.network.extra_delay[fleet.address(front)] = BEHIND
+    """Return how many deaths of running incarnations are declared per hour, summed over all members: each
+    member that declares the same death counts.
+    """
+    fleet = start_fleet(kind, size, seed, loss)
+    slow_members = range(size - max(1, int(size * slow)), size) if slow else range(0)
+    for front in slow_members:
+        fleet.network.extra_delay[fleet.address(front)] = SLOW_DELAY
     fleet.run(fleet.now + 10.0)
     fleet.journal.deaths.clear()
-    fleet.run(fleet.now + WATCHED)
-    names = {f"front-{front:04d}" for front in faint}
-    wrong = [(by, dead) for _, by, dead, true in fleet.journal.deaths if not true]
-    hours = WATCHED / 3600
+    fleet.run(fleet.now + FALSE_DEATH_SECONDS)
+    slow_names = {f"front-{front:04d}" for front in slow_members}
+    false_reports = [(by, dead) for _, by, dead, true in fleet.journal.deaths if not true]
+    hours = FALSE_DEATH_SECONDS / 3600
     return {
-        "told/h": len(wrong) / hours,
-        "of the healthy/h": sum(dead.name not in names for _, dead in wrong) / hours,
-        "of the slow/h": sum(dead.name in names for _, dead in wrong) / hours,
+        "told/h": len(false_reports) / hours,
+        "of the healthy/h": sum(dead.name not in slow_names for _, dead in false_reports) / hours,
+        "of the slow/h": sum(dead.name in slow_names for _, dead in false_reports) / hours,
     }
 
 
 def heal(kind: str, size: int, seed: int) -> Row:
-    """Seconds from the end of a cut of two to three, which lasted 40 s, to one view of all."""
-    fleet = started(kind, size, seed)
+    """Return the seconds from the end of a 40 s partition (2 to 3) until all members have the same view."""
+    fleet = start_fleet(kind, size, seed)
     fleet.cut(range(size * 2 // 5))
     fleet.run(fleet.now + 40.0)
     fleet.end_cuts()
-    took = fleet.settle(HEAL_LIMIT)
-    return {"one view s": math.inf if took is None else took}
+    elapsed = fleet.settle(HEAL_LIMIT)
+    return {"one view s": math.inf if elapsed is None else elapsed}
 
 
 def jobs(sizes: Sequence[int]) -> list[tuple[str, Callable[..., Row], str, int, int, tuple[float, ...]]]:
     out: list[tuple[str, Callable[..., Row], str, int, int, tuple[float, ...]]] = []
     for size in sorted(sizes, reverse=True):
         for kind in KINDS:
-            beats = kind == "heartbeats"
+            is_heartbeats = kind == "heartbeats"
             for seed in (1, 2) if size <= 200 else (1,):
-                if beats and size > 200:
-                    continue  # a million datagrams a round: more than this is worth
+                if is_heartbeats and size > 200:
+                    continue  # heartbeats from all to all: a million datagrams a round at 1000 members
                 out.append(("load", load, kind, size, seed, ()))
                 out.append(("detection", detection, kind, size, seed, ()))
                 if size <= 200:
                     out.append(("heal", heal, kind, size, seed, ()))
-                if size <= 50 or (size <= 200 and kind == "ours"):  # baselines in a storm of false deaths
-                    for loss in LOSSES:
+                if size <= 50 or (
+                    size <= 200 and kind == "ours"
+                ):  # baselines declare deaths en masse in larger fleets
+                    for loss in LOSS_RATES:
                         out.append((f"loss {loss:g}", false_deaths, kind, size, seed, (loss, 0.0)))
-                    out.append(("slow", false_deaths, kind, size, seed, (0.0, SLOW)))
+                    out.append(("slow", false_deaths, kind, size, seed, (0.0, SLOW_FRACTION)))
     return out
 
 
 def measure(sizes: Sequence[int], workers: int) -> list[Row]:
     rows = []
     with ProcessPoolExecutor(workers) as pool:
-        todo = [(job, pool.submit(job[1], *job[2:5], *job[5])) for job in jobs(sizes)]
-        for (what, _, kind, size, seed, _), future in todo:
+        pending = [(job, pool.submit(job[1], *job[2:5], *job[5])) for job in jobs(sizes)]
+        for (what, _, kind, size, seed, _), future in pending:
             for figure, value in future.result().items():
                 rows.append(
                     {
@@ -187,17 +199,17 @@
     parser.add_argument("--out", type=Path, required=True)
     parser.add_argument("--sizes", type=int, nargs="+", default=SIZES)
     parser.add_argument("--jobs", type=int, default=6)
-    parser.add_argument("--plot-only", action="store_true", help="of the figures that are in the folder")
-    chosen = parser.parse_args(words)
-    table = chosen.out / "fleet-view.csv"
-    if not chosen.plot_only:
-        rows = measure(chosen.sizes, chosen.jobs)
+    parser.add_argument("--plot-only", action="store_true", help="plot the CSV file that is in the folder")
+    options = parser.parse_args(words)
+    table = options.out / "fleet-view.csv"
+    if not options.plot_only:
+        rows = measure(options.sizes, options.jobs)
         with table.open("w", newline="") as file:
             writer = csv.DictWriter(file, list(rows[0]))
             writer.writeheader()
             writer.writerows(rows)
     with table.open(newline="") as file:
-        plot(list(csv.DictReader(file)), chosen.out)
+        plot(list(csv.DictReader(file)), options.out)
     return 0
 
 
--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -1,6 +1,7 @@
-"""``python -m cleatyoke.emulation.recovery --out docs``: what is earned from a loss of all power on, in
-virtual time and by processes, and what of a limit is used under a skewed load. Writes ``recovery.csv`` and,
-with the extra ``plots``, pictures. The same seeds give the same figures, but for the processes' own.
+"""``python -m cleatyoke.emulation.recovery --out docs``: measure the value earned per second after a loss of
+all power, in virtual time and with real processes, and how much of a rate limit is used under a skewed load.
+Writes ``recovery.csv`` and, with the extra ``plots``, plots. The same seeds give the same results, except for
+those of real processes.
 """
 
 from __future__ import annotations
@@ -29,29 +30,30 @@
 from cleatyoke.testbed.scenario_file import make_scenario
 from cleatyoke.testbed.search import run_values
 
-LOST, BACK = 5, 9  # seconds: the power is lost, and the fronts are back; the boxes a little sooner
-COLD = range(BACK, 22)  # seconds while boxes are cold
-SHARES = (0.5, 0.9, 0.99)
+# Seconds of the power loss and of the return of the fronts; the backends return 0.3 s before the fronts.
+POWER_LOST_AT, POWER_BACK_AT = 5, 9
+COLD_SECONDS = range(POWER_BACK_AT, 22)  # seconds in which the backends are cold
+RECOVERED_SHARES = (0.5, 0.9, 0.99)
 Values = dict[str, Any]
 Row = dict[str, Any]
 
 
-def loss(fronts: int, seed: int, view: bool) -> Values:
-    """Three boxes for ten fronts, at two thirds of what they can do; clients ask once more, and for 10 s
-    after the return half as much again comes.
+def power_loss_scenario(fronts: int, seed: int, view: bool) -> Values:
+    """Return a scenario with a loss of all power: three backends per ten fronts, loaded to two thirds of
+    their capacity. Clients retry once, and for 10 s after the return of power the load is 1.6 times as high.
     """
-    boxes = max(2, fronts * 3 // 10)
+    backend_count = max(2, fronts * 3 // 10)
     return {
-        "fleet": {"fronts": fronts, "boxes": boxes, "seconds": 30.0, "seed": seed},
+        "fleet": {"fronts": fronts, "boxes": backend_count, "seconds": 30.0, "seed": seed},
         "box": {"ramp_s": 12.0},
         "load": {
-            "rate": 21.7 * boxes,
+            "rate": 21.7 * backend_count,
             "hosts": min(4, fronts),
             "units": 1,
             "units_most": 3,
             "retries": 1,
-            "volumes": 4 * boxes,
-            "surge_at": float(BACK),
+            "volumes": 4 * backend_count,
+            "surge_at": float(POWER_BACK_AT),
             "surge_s": 10.0,
             "surge": 1.6,
         },
@@ -64,17 +66,17 @@
             {"name": "research", "rate": 12.0, "reserve": 6.0, "weight": 2.0},
         ],
         "trouble": [
-            {"kind": "powercut", "at": LOST, "lasts_s": BACK - LOST},
-            {"kind": "restart", "at": LOST, "lasts_s": BACK - LOST - 0.3},
+            {"kind": "powercut", "at": POWER_LOST_AT, "lasts_s": POWER_BACK_AT - POWER_LOST_AT},
+            {"kind": "restart", "at": POWER_LOST_AT, "lasts_s": POWER_BACK_AT - POWER_LOST_AT - 0.3},
         ],
         "view": {"enabled": True, "cold": True} if view else {},
     }
 
 
-def skewed(fronts: int, seed: int, lend: bool) -> Values:
-    """A limit that more is asked of than it allows, through one front ten times as much as through another,
-    and which one it is changes every 7 s. Plans are sized so large that nothing but the limit binds: reserves
-    and spare rates are even parts too, which are not lent.
+def skewed_load_scenario(fronts: int, seed: int, lend: bool) -> Values:
+    """Return a scenario whose load exceeds a rate limit and is skewed: one front receives ten times as much
+    as each of the others, and which front it is changes every 7 s. The plans' rates are so large that only
+    the limit binds: reserved and spare rates are divided evenly among fronts too, and are not lent.
     """
     return {
         "fleet": {"fronts": fronts, "boxes": 4, "seconds": 42.0, "seed": seed},
@@ -93,85 +95,99 @@
     }
 
 
-def at_once(settings: SchedulerSettings) -> Core:
-    """A front that takes every box for warm."""
+def core_without_slow_start(settings: SchedulerSettings) -> Core:
+    """Make a core without slow start, which treats every backend as warm."""
     settings.safety = dataclasses.replace(settings.safety, slow_start_duration=0.0)
     return Core(settings, UNIX_TIME_AT_START)
 
 
 def row(fleet: str, kind: str, seed: int, figure: str, value: float | None) -> Row:
-    told = "never" if value is None else f"{value:.4g}"
-    return {"fleet": fleet, "kind": kind, "seed": seed, "figure": figure, "value": told}
+    text = "never" if value is None else f"{value:.4g}"
+    return {"fleet": fleet, "kind": kind, "seed": seed, "figure": figure, "value": text}
 
 
 def reached(earned: Sequence[float], share: float) -> float | None:
-    """Seconds from the loss until two seconds earn this share of what was earned before it."""
-    before = sum(earned[1:LOST]) / (LOST - 1)
-    for second in range(BACK, len(earned) - 2):
+    """Return the seconds from the power loss until the mean of two seconds is this share of the value earned
+    per second before the loss; None if that is never reached.
+    """
+    before = sum(earned[1:POWER_LOST_AT]) / (POWER_LOST_AT - 1)
+    for second in range(POWER_BACK_AT, len(earned) - 2):
         if sum(earned[second : second + 2]) / 2 >= share * before:
-            return float(second - LOST)
+            return float(second - POWER_LOST_AT)
     return None
 
 
-def rows_of(fleet: str, kind: str, seed: int, earned: Sequence[float], best: Sequence[float]) -> list[Row]:
+def recovery_rows(
+    fleet: str, kind: str, seed: int, earned: Sequence[float], ideal: Sequence[float]
+) -> list[Row]:
     rows = [row(fleet, kind, seed, f"second {place}", value) for place, value in enumerate(earned)]
-    rows += [row(fleet, kind, seed, f"s to {share:.0%}", reached(earned, share)) for share in SHARES]
-    if best:
-        part = sum(earned[second] for second in COLD) / sum(best[second] for second in COLD)
-        rows.append(row(fleet, kind, seed, "part of the reachable while cold", part))
+    rows += [
+        row(fleet, kind, seed, f"s to {share:.0%}", reached(earned, share)) for share in RECOVERED_SHARES
+    ]
+    if ideal:
+        fraction = sum(earned[second] for second in COLD_SECONDS) / sum(
+            ideal[second] for second in COLD_SECONDS
+        )
+        rows.append(row(fleet, kind, seed, "part of the reachable while cold", fraction))
     return rows
 
 
-def over_time(scenario: Scenario, requests: Sequence[RequestTemplate], began: float) -> list[float]:
+def value_per_second(scenario: Scenario, requests: Sequence[RequestTemplate], began: float) -> list[float]:
     return earnings.value_over_time(requests, earnings.achieved_value(scenario, requests), began)
 
 
-def quiet() -> None:
+def silence_logs() -> None:
+    """Suppress log lines below CRITICAL."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
 
 
 def recover(kind: str, fronts: int, seed: int) -> list[Row]:
-    """In virtual time."""
-    quiet()
-    scenario, fleet = make_scenario("loss", loss(fronts, seed, kind == "ours")), f"{fronts} in virtual time"
-    played = emulate(scenario, at_once if kind == "at once" else make_core)
-    best = earnings.value_over_time(
-        played.requests, earnings.ideal_value(scenario, played.requests, played.power), played.began
+    """Measure the recovery from the power loss in virtual time."""
+    silence_logs()
+    scenario, fleet = (
+        make_scenario("loss", power_loss_scenario(fronts, seed, kind == "ours")),
+        f"{fronts} in virtual time",
+    )
+    outcome = emulate(scenario, core_without_slow_start if kind == "at once" else make_core)
+    ideal = earnings.value_over_time(
+        outcome.requests, earnings.ideal_value(scenario, outcome.requests, outcome.power), outcome.began
+    )
+    rows = recovery_rows(
+        fleet, kind, seed, value_per_second(scenario, outcome.requests, outcome.began), ideal
     )
-    rows = rows_of(fleet, kind, seed, over_time(scenario, played.requests, played.began), best)
     if kind == "ours":
-        rows += rows_of(fleet, "sees all", seed, best, [])
-    return rows + kept(fleet, kind, seed, played)
+        rows += recovery_rows(fleet, "sees all", seed, ideal, [])
+    return rows + rule_rows(fleet, kind, seed, outcome)
 
 
-def kept(fleet: str, kind: str, seed: int, played: Emulation) -> list[Row]:
+def rule_rows(fleet: str, kind: str, seed: int, outcome: Emulation) -> list[Row]:
     return [
         row(
             fleet,
             kind,
             seed,
             "most at a cold box",
-            played.checker.max_warm_up_load(played.scenario.backend_capacity.overload_window),
+            outcome.checker.max_warm_up_load(outcome.scenario.backend_capacity.overload_window),
         ),
-        row(fleet, kind, seed, "boxes that fell", sum(box.has_fallen for box in played.backends)),
-        row(fleet, kind, seed, "rules broken", len(played.broken())),
+        row(fleet, kind, seed, "boxes that fell", sum(box.has_fallen for box in outcome.backends)),
+        row(fleet, kind, seed, "rules broken", len(outcome.broken())),
     ]
 
 
-def processes(kind: str, fronts: int, seed: int) -> list[Row]:
-    """The same with real processes."""
-    values, fleet = loss(fronts, seed, kind == "ours"), f"{fronts} processes"
+def recover_processes(kind: str, fronts: int, seed: int) -> list[Row]:
+    """Measure the recovery from the power loss with real processes."""
+    values, fleet = power_loss_scenario(fronts, seed, kind == "ours"), f"{fronts} processes"
     report = run_values("loss", values)
-    earned = over_time(make_scenario("loss", values), report.request_templates, report.load_started_at)
+    earned = value_per_second(make_scenario("loss", values), report.request_templates, report.load_started_at)
     return [
-        *rows_of(fleet, kind, seed, earned, []),
+        *recovery_rows(fleet, kind, seed, earned, []),
         row(fleet, kind, seed, "most at a cold box", report.max_warm_up_load),
         row(fleet, kind, seed, "rules broken", len(report.violations)),
     ]
 
 
-def allowed(scenario: Scenario, requests: Sequence[RequestTemplate]) -> int:
-    """How many requests one counter that all see at once would let through."""
+def count_admitted(scenario: Scenario, requests: Sequence[RequestTemplate]) -> int:
+    """Return how many requests a single rate limiter shared by all fronts without delay would admit."""
     plan, level, last, passed = scenario.plans[0], scenario.plans[0].burst, 0.0, 0
     for request in sorted(
         (request for request in requests if request.volume == 0), key=lambda request: request.at
@@ -183,22 +199,28 @@
 
 
 def share(kind: str, fronts: int, seed: int) -> list[Row]:
-    """What of a limit is used, against one counter that all see."""
-    quiet()
-    scenario, fleet = make_scenario("skew", skewed(fronts, seed, kind == "lent")), f"{fronts} in virtual time"
-    played = emulate(scenario)
-    later = [dataclasses.replace(request, at=request.at - played.began) for request in played.requests]
-    steady = [request for request in later if request.at >= BACK]
+    """Measure the used fraction of a rate limit, relative to a single shared rate limiter."""
+    silence_logs()
+    scenario, fleet = (
+        make_scenario("skew", skewed_load_scenario(fronts, seed, kind == "lent")),
+        f"{fronts} in virtual time",
+    )
+    outcome = emulate(scenario)
+    later = [dataclasses.replace(request, at=request.at - outcome.began) for request in outcome.requests]
+    steady = [request for request in later if request.at >= POWER_BACK_AT]
     served = sum(request.volume == 0 and request.served is not None for request in steady)
-    part = served / max(1, allowed(scenario, steady))
-    return [row(fleet, kind, seed, "part of the limit used", part), *kept(fleet, kind, seed, played)]
+    fraction = served / max(1, count_admitted(scenario, steady))
+    return [
+        row(fleet, kind, seed, "part of the limit used", fraction),
+        *rule_rows(fleet, kind, seed, outcome),
+    ]
 
 
 Job = tuple[Callable[[str, int, int], list[Row]], str, int, int]
 
 
 def jobs(sizes: Sequence[int], seeds: Sequence[int]) -> list[Job]:
-    """The longest first."""
+    """Return the runs, the longest first."""
     out: list[Job] = []
     for size in sorted(sizes, reverse=True):
         for seed in seeds if size <= 50 else seeds[:1]:
@@ -224,7 +246,7 @@
         picture, axes = pyplot.subplots(figsize=(7, 4))
         for kind, points in lines.items():
             axes.plot(*zip(*sorted(points)[:-1]), label=kind)
-        axes.axvspan(LOST, BACK, color="0.9")
+        axes.axvspan(POWER_LOST_AT, POWER_BACK_AT, color="0.9")
         axes.set(xlabel="seconds", title=f"worth earned a second, {fleet}", ylim=(0, None))
         axes.legend()
         picture.savefig(out / f"recovery-{fleet.replace(' ', '-')}.svg", metadata={"Date": None})
@@ -244,8 +266,8 @@
         futures = [pool.submit(act, kind, size, seed) for act, kind, size, seed in plan]
         for future in futures:
             rows += future.result()
-    for kind in ("ours", "apart"):  # by themselves, as they run in real time
-        rows += processes(kind, 8, 1)
+    for kind in ("ours", "apart"):  # one at a time, as they run in real time
+        rows += recover_processes(kind, 8, 1)
     table = chosen.out / "recovery.csv"
     with table.open("w", newline="") as file:
         writer = csv.DictWriter(file, list(rows[0]))
