--- a/cleatyoke/emulation/capacity/__init__.py
+++ b/cleatyoke/emulation/capacity/__init__.py
@@ -1,5 +1,6 @@
-"""What the design costs at the planned size.
+"""Capacity planning: the resource use of each duty of a front at the planned size, compared with its budget.
 
-Slopes measured on the real state machines, their fits, and the need of each duty against its budget.
-``python -m cleatyoke.emulation capacity`` makes ``docs/CAPACITY.md``, its table and its plots.
+Costs are measured on the real state machines at several sizes, and power laws fitted to them extrapolate to
+the planned size. ``python -m cleatyoke.emulation capacity`` generates the tables of ``docs/CAPACITY.md``, the
+CSV file and the plots.
 """
--- a/cleatyoke/emulation/capacity/cost.py
+++ b/cleatyoke/emulation/capacity/cost.py
@@ -1,4 +1,6 @@
-"""What a piece of work costs: counted operations, which are the same in every run, and processor time."""
+"""Measures the cost of a function: executed bytecode operations, which are the same in every run, allocated
+memory and processor time.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +19,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """``operations``: of the interpreter; ``peak``: bytes that were allocated at once, at the most. What C
-    code copies or scans is no operation, but a copy shows in ``peak``.
+    """``operations``: executed bytecode operations; ``peak``: the most bytes allocated at a time. Work in C
+    code, such as copying or scanning a list, doesn't count as operations, but a copy shows in ``peak``.
     """
 
     operations: int
@@ -26,12 +28,12 @@
 
 
 def count(work: Callable[[], object]) -> Cost:
-    """Run it twice, once counted and once measured: each way of looking disturbs the other."""
+    """Call ``work`` twice, once for each figure, since tracing and memory tracking disturb each other."""
     return Cost(count_operations(work), peak_bytes(work))
 
 
 def count_operations(work: Callable[[], object]) -> int:
-    """Bytecode operations of this thread until it returns."""
+    """Return the bytecode operations that this thread executes in ``work``."""
     counted = 0
 
     def trace(frame: FrameType, event: str, _: Any) -> Callable[..., Any]:
@@ -50,7 +52,7 @@
 
 
 def peak_bytes(work: Callable[[], object]) -> int:
-    """Most bytes that it holds beyond what was held before."""
+    """Return the peak of the memory allocated in ``work``, beyond what was allocated before."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -63,7 +65,7 @@
 
 
 def processor_seconds(work: Callable[[], object], times: int = 1) -> float:
-    """Of this process, for one of so many runs of it."""
+    """Return the processor time of this process for one call, the mean of ``times`` calls."""
     began = time.process_time()
     for _ in range(times):
         work()
@@ -71,7 +73,7 @@
 
 
 def resident_bytes() -> int:
-    """Of this process, after a collection."""
+    """Return the resident memory of this process after a garbage collection."""
     gc.collect()
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * PAGE
--- a/cleatyoke/emulation/capacity/duties.py
+++ b/cleatyoke/emulation/capacity/duties.py
@@ -1,4 +1,6 @@
-"""What other duties of a front cost by the members or by what is kept: the real I/O-free parts."""
+"""Costs of the other duties of a front, by the number of members, nodes or holds, measured on the real
+I/O-free state machines.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +28,14 @@
 from cleatyoke.scheduling.events import Endpoint, EndpointState, EndpointUpdate, SettingsReloaded, UpdateKind
 from cleatyoke.scheduling.load_probes import LoadProber
 
-RESOURCES = 10  # limits and cold nodes that a front needs parts of at one time
+RESOURCES = 10  # limits and cold nodes of which a front leases a share at a time
 OUTAGE = 60.0  # seconds for which discovery is down
-RETUNES = 20
+RELOADS = 20
 
 
 @dataclass(slots=True, frozen=True)
 class ViewCosts:
-    """A whole view of so many members: bytes, and processor seconds to write and to read it."""
+    """A full state of the membership: its bytes, and the processor seconds to encode and to decode it."""
 
     bytes: int
     encode: float
@@ -42,7 +44,7 @@
 
 def whole_view(members: int, seed: int) -> ViewCosts:
     rng = random.Random(seed)
-    lives = [
+    updates = [
         Update(
             MemberId(f"front-{one:05d}", 1_790_000_000_000 + rng.randrange(10**9)),
             address(one),
@@ -51,10 +53,10 @@
         )
         for one in range(members)
     ]
-    data = encode_full_state("capacity", lives[0], lives)
+    data = encode_full_state("capacity", updates[0], updates)
     return ViewCosts(
         len(data),
-        processor_seconds(lambda: encode_full_state("capacity", lives[0], lives), 3),
+        processor_seconds(lambda: encode_full_state("capacity", updates[0], updates), 3),
         processor_seconds(lambda: decode_full_state("capacity", data), 3),
     )
 
@@ -65,12 +67,16 @@
 
 @dataclass(slots=True, frozen=True)
 class HoldCosts:
-    """So many holds, each placed by another front. ``digest``: with every probe."""
+    """Costs of holds that were placed by a different front each.
+
+    ``digest``: processor seconds to compute the digest that every probe carries; ``merge``: to merge two
+    sets.
+    """
 
     bytes: int
     digest: float
     merge: float
-    rows: int  # bytes on the disk
+    rows: int  # bytes of the rows on disk
 
 
 def holds(count: int, seed: int) -> HoldCosts:
@@ -87,24 +93,24 @@
     )
 
 
-def rights_at_rest(members: int, seed: int) -> float:
-    """Processor seconds a second of a front that looks at its needs, with enough of everything."""
+def idle_lease_cpu(members: int, seed: int) -> float:
+    """Return the processor seconds per second that a front spends on its leases while it needs no more."""
     peers = {MemberId(f"front-{one:05d}", 1): None for one in range(members)}
-    doubted: dict[MemberId, None] = {}
-    rights = QuotaLeases(0.0, random.Random(seed))
+    suspected: dict[MemberId, None] = {}
+    leases = QuotaLeases(0.0, random.Random(seed))
     need = DemandChanged({f"limit:{number}": 100.0 for number in range(RESOURCES)})
     now = 10.0
 
-    def look() -> None:
+    def step_leases() -> None:
         nonlocal now
         now += LEASE_INTERVAL
-        rights.step(now, [PeersChanged(tuple(one for one in peers if one not in doubted)), need])
+        leases.step(now, [PeersChanged(tuple(one for one in peers if one not in suspected)), need])
 
-    return processor_seconds(look, 100) / LEASE_INTERVAL
+    return processor_seconds(step_leases, 100) / LEASE_INTERVAL
 
 
 def discovery_calls(hosts: int, seed: int) -> float:
-    """Calls a second, of all hosts together, at a shared discovery that is down, by the real ``Pace``."""
+    """Return the calls per second of all fronts to a shared discovery that is down, by ``Backoff``."""
     calls = 0
     for host in range(hosts):
         pace = Backoff(
@@ -122,22 +128,24 @@
     return calls / OUTAGE
 
 
-def probes_a_second(hosts: int, nodes: int, seed: int) -> float:
-    """Of one front while a node is cold, by the real ``Prober``."""
+def probes_per_second(hosts: int, nodes: int, seed: int) -> float:
+    """Return the load probes per second of one front while a node is cold, by the real ``LoadProber``."""
     prober = LoadProber(hosts, 1e9, seed)
     entries = [Endpoint(node, node, 0, EndpointState.LIVE, 0.0) for node in range(nodes)]
     entries[0].started_at = NOW
     prober.on_endpoints(EndpointUpdate(UpdateKind.SNAPSHOT, entries))
-    asked, now = 0, NOW
+    probe_count, now = 0, NOW
     for _ in range(20 * 60):
         now += 0.05
-        asked += prober.step(now) is not None
-    return asked / 60
+        probe_count += prober.step(now) is not None
+    return probe_count / 60
 
 
 def cold_wait(hosts: int, seed: int) -> float:
-    """Seconds until one front's even part of a node that has just started has paid off a request of mean
-    units, where the front knows no usual rate: by ``Policy.bears_at``.
+    """Return the seconds until a front may send the next request to a node that has just started.
+
+    The front has an even share of the node's slow start rate, knows no usual rate of the node and has just
+    sent a request of mean size; by ``SlowStart.check``.
     """
     front = ListedFront(8, hosts)
     front.replace_node(seed)
@@ -148,21 +156,23 @@
 
 
 def limit_wait(hosts: int) -> float:
-    """Seconds until one front's even part of a limit of the archive's size has filled by a request of mean
-    units: on paper, by the rate that ``Policy.within_limit_at`` takes.
+    """Return the seconds in which a front's even share of a rate limit allows a request of mean size.
+
+    Calculated, from the rate that ``RateLimits.check`` uses; the limit is as large as the archive's.
     """
     plan, terms = settings(hosts).plans[0], settings(hosts)
     return terms.mean_request_units / (plan.base_rate / hosts)
 
 
-def retune(nodes: int, seed: int) -> float:
-    """Processor seconds for a change of settings to be in force in the policy."""
+def reload_cpu(nodes: int, seed: int) -> float:
+    """Return the processor seconds that the scheduler takes to apply changed settings."""
     front = ListedFront(nodes)
     changed = settings(PLAN.fronts)
     changed.seed = seed
-    return processor_seconds(lambda: front.policy.step(front.now, [SettingsReloaded(changed)]), RETUNES)
+    return processor_seconds(lambda: front.policy.step(front.now, [SettingsReloaded(changed)]), RELOADS)
 
 
 def metrics_bytes(classes: int) -> int:
+    """Return the bytes of the metrics of a front with this many request classes."""
     lines = Metrics().stat_lines([f"class-{number}" for number in range(classes)], PLAN.nodes, 0)
     return len("\n".join(lines))
--- a/cleatyoke/emulation/capacity/hollow.py
+++ b/cleatyoke/emulation/capacity/hollow.py
@@ -1,6 +1,8 @@
-"""Hollow fronts: the real ``Members`` by the thousand in virtual time, with no policy, socket or client.
+"""Hollow fronts: thousands of real ``Membership`` instances in virtual time, without scheduler, sockets and
+clients.
 
-A fleet begins settled, each knowing all others, as a start from nothing costs by the square of the members.
+A fleet begins settled, with members that all know each other, since emulating a start without any state costs
+time with the square of the number of members.
 """
 
 from __future__ import annotations
@@ -21,18 +23,18 @@
 from cleatyoke.membership.wire import MemberId, MemberState, Update
 
 LOSS = 0.01
-QUIET_SECONDS = 10.0
-WINDOW = 13.0  # seconds of the worst figure of bytes
-SETTLE = 120.0  # seconds that are waited for one view
-STEP = 0.25  # seconds between looks
-CUT_SECONDS = 40.0  # of a region, in place of an hour: by then each side believes the other dead
-LOST_SHARE = 1 / 20  # of the members, with a zone
-CUT_SHARE = 1 / 9  # of the members, in a region
+IDLE_SECONDS = 10.0
+WINDOW = 13.0  # seconds of the windows whose worst byte count is reported
+SETTLE = 120.0  # seconds to wait at most until all members agree
+STEP = 0.25  # seconds between checks of the agreement
+CUT_SECONDS = 40.0  # partition of a region, instead of an hour: by then each side has declared the other dead
+ZONE_SHARE = 1 / 20  # of the members, with a zone
+REGION_SHARE = 1 / 9  # of the members, in a region
 
 
 @dataclass(slots=True, frozen=True)
-class QuietCosts:
-    """A member's, a second; ``memory``: of one member for each that it knows."""
+class IdleCosts:
+    """Costs per member and second without changes; ``memory``: bytes of a member for each member it knows."""
 
     bytes: float
     datagrams: float
@@ -42,9 +44,9 @@
 
 @dataclass(slots=True, frozen=True)
 class EventCosts:
-    """After an event: seconds until all have one view again (infinite: not within the time), the most bytes
-    that a member sent in ``WINDOW``, in the mean and at the one that sent most, and a member's processor
-    seconds in all.
+    """Costs of an event. ``settled``: seconds until all members agree again, infinite if they don't within
+    ``SETTLE``; ``mean_bytes`` and ``most_bytes``: bytes sent in the worst ``WINDOW``, by the mean member and
+    by the one that sent most; ``cpu``: total processor seconds per member.
     """
 
     settled: float
@@ -54,8 +56,8 @@
 
 
 @contextlib.contextmanager
-def no_collection() -> Iterator[None]:
-    """Millions of records that stay are looked through by no garbage collection."""
+def garbage_collection_disabled() -> Iterator[None]:
+    """Disable garbage collection, which would scan millions of long-lived records again and again."""
     gc.collect()
     gc.disable()
     try:
@@ -65,15 +67,16 @@
 
 
 def settled_fleet(size: int, seed: int) -> Fleet:
+    """Return a running fleet in which every member knows all others."""
     fleet = Fleet(size, seed, network=Network(seed, loss=LOSS))
-    rumours = [
+    updates = [
         Update(MemberId(f"front-{front:04d}", 1), fleet.address(front), MemberState.ALIVE, 0, True)
         for front in range(size)
     ]
-    marks = {rumour.id: member_checksum(rumour) for rumour in rumours}
+    checksums = {rumour.id: member_checksum(rumour) for rumour in updates}
     rng = random.Random(f"settled:{size}:{seed}")
     for front in range(size):
-        members = settled_members(fleet, front, rumours, marks, rng)
+        members = make_settled_member(fleet, front, updates, checksums, rng)
         fleet.boot_numbers[front] = 1
         process = fleet.running[fleet.address(front)] = Process(front, members, 0.0)
         process.timer_at = members.next_step_at()
@@ -86,11 +89,11 @@
     return lambda: fleet.fire_timer(address, process, due)
 
 
-def settled_members(
-    fleet: Fleet, front: int, rumours: list[Update], marks: dict[MemberId, int], rng: random.Random
+def make_settled_member(
+    fleet: Fleet, front: int, updates: list[Update], checksums: dict[MemberId, int], rng: random.Random
 ) -> Membership:
-    """One that has been there for long, and knows all."""
-    own = rumours[front]
+    """Return a member that joined long ago and knows all others."""
+    own = updates[front]
     members = Membership(
         "test",
         own.id.name,
@@ -103,14 +106,14 @@
     members.step(0.0)
     members.has_joined = True
     members.due_at.join = members.timing.exchange_interval * (0.5 + rng.random())
-    members.due_at.exchange = rng.random() * members.timing.exchange_interval * max(1.0, len(rumours) / 20)
-    for rumour in rumours:
+    members.due_at.exchange = rng.random() * members.timing.exchange_interval * max(1.0, len(updates) / 20)
+    for rumour in updates:
         if rumour is not own:
-            life = MemberRecord(rumour, 0.0)
-            life.checksum = marks[rumour.id]
-            members.records[rumour.id] = life
+            record = MemberRecord(rumour, 0.0)
+            record.checksum = checksums[rumour.id]
+            members.records[rumour.id] = record
             members.active_members[rumour.id] = None
-            members.active_checksum ^= life.checksum
+            members.active_checksum ^= record.checksum
     members.probe_round = list(members.active_members)
     rng.shuffle(members.probe_round)
     members.transmit_counts.clear()
@@ -119,11 +122,12 @@
     return members
 
 
-def quiet(size: int, seed: int, seconds: float = QUIET_SECONDS) -> QuietCosts:
-    with no_collection():
+def measure_idle(size: int, seed: int, seconds: float = IDLE_SECONDS) -> IdleCosts:
+    """Measure a settled fleet without changes."""
+    with garbage_collection_disabled():
         before = resident_bytes()
         fleet = settled_fleet(size, seed)
-        gc.disable()  # measuring the memory has collected
+        gc.disable()  # resident_bytes runs a collection; keep it off for the run
         memory = (resident_bytes() - before) / size / (size - 1)
         datagrams, sent = fleet.traffic()
         began = time.process_time()
@@ -131,11 +135,11 @@
         cpu = time.process_time() - began
         after = fleet.traffic()
     each = size * seconds
-    return QuietCosts((after[1] - sent) / each, (after[0] - datagrams) / each, cpu / each, memory)
+    return IdleCosts((after[1] - sent) / each, (after[0] - datagrams) / each, cpu / each, memory)
 
 
-def agreed(fleet: Fleet) -> bool:
-    """Whether all who run believe the same, doubt nobody, and believe what is true."""
+def all_agree(fleet: Fleet) -> bool:
+    """Return whether all running members have the same view, suspect nobody, and the view is correct."""
     true = 0
     for process in fleet.running.values():
         true ^= member_checksum(process.members.own_update())
@@ -145,8 +149,8 @@
     )
 
 
-class Watcher:
-    """Lets time pass, and measures what each member sends in windows and what that costs."""
+class CostMonitor:
+    """Advances the emulation; measures the bytes of each member per window, and the processor time."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet, self.began = fleet, fleet.now
@@ -160,74 +164,74 @@
         self.fleet.run(until)
         self.cpu += time.process_time() - began
         if self.fleet.now >= self.window_ends:
-            self.close_window()
+            self.end_window()
 
     def totals(self) -> dict[MemberId, int]:
-        lives = (process.members for process in self.fleet.running.values())
-        return {members.id: members.counters.bytes_out for members in lives}
+        memberships = (process.members for process in self.fleet.running.values())
+        return {members.id: members.counters.bytes_out for members in memberships}
 
-    def close_window(self) -> None:
+    def end_window(self) -> None:
         totals = self.totals()
-        grew = [total - self.sent.get(id, 0) for id, total in totals.items()]
-        self.mean, self.most = max(self.mean, sum(grew) / len(grew)), max(self.most, *grew)
+        growth = [total - self.sent.get(id, 0) for id, total in totals.items()]
+        self.mean, self.most = max(self.mean, sum(growth) / len(growth)), max(self.most, *growth)
         self.sent, self.window_ends = totals, self.fleet.now + WINDOW
 
-    def until_agreed(self) -> EventCosts:
-        took = math.inf
+    def run_until_agreed(self) -> EventCosts:
+        elapsed = math.inf
         while self.fleet.now < self.began + SETTLE:
             self.run(self.fleet.now + STEP)
-            if agreed(self.fleet):
-                took = self.fleet.now - self.began
+            if all_agree(self.fleet):
+                elapsed = self.fleet.now - self.began
                 break
-        self.close_window()
-        return EventCosts(took, self.mean, self.most, self.cpu / self.fleet.size)
+        self.end_window()
+        return EventCosts(elapsed, self.mean, self.most, self.cpu / self.fleet.size)
 
 
-def wait_until_agreed(fleet: Fleet) -> None:
+def wait_until_all_agree(fleet: Fleet) -> None:
     end = fleet.now + SETTLE
-    while fleet.now < end and not agreed(fleet):
+    while fleet.now < end and not all_agree(fleet):
         fleet.run(fleet.now + STEP)
 
 
 def zone_lost(size: int, seed: int) -> EventCosts:
-    """One of twenty zones goes in one moment."""
-    with no_collection():
+    """Measure the loss of one of twenty zones at once."""
+    with garbage_collection_disabled():
         fleet = settled_fleet(size, seed)
         fleet.run(2.0)
-        for front in range(3, 3 + max(1, round(size * LOST_SHARE))):  # the seeds stay
+        for front in range(3, 3 + max(1, round(size * ZONE_SHARE))):  # the seeds stay
             fleet.kill(front)
-        return Watcher(fleet).until_agreed()
+        return CostMonitor(fleet).run_until_agreed()
 
 
 def zone_back(size: int, seed: int) -> EventCosts:
-    """The zone comes back in one moment, under new lives that know nobody."""
-    with no_collection():
+    """Measure the return of a lost zone at once, as new incarnations that know nobody."""
+    with garbage_collection_disabled():
         fleet = settled_fleet(size, seed)
-        lost = range(3, 3 + max(1, round(size * LOST_SHARE)))
+        lost = range(3, 3 + max(1, round(size * ZONE_SHARE)))
         for front in lost:
             fleet.kill(front)
-        wait_until_agreed(fleet)
-        watcher = Watcher(fleet)
+        wait_until_all_agree(fleet)
+        watcher = CostMonitor(fleet)
         for front in lost:
             fleet.start(front)
-        return watcher.until_agreed()
+        return watcher.run_until_agreed()
 
 
 def region_back(size: int, seed: int) -> EventCosts:
-    """A region that was cut off is back."""
-    with no_collection():
+    """Measure the end of a partition that cut off one region."""
+    with garbage_collection_disabled():
         fleet = settled_fleet(size, seed)
-        fleet.cut(range(round(size * CUT_SHARE)))
+        fleet.cut(range(round(size * REGION_SHARE)))
         fleet.run(CUT_SECONDS)
         fleet.end_cuts()
-        return Watcher(fleet).until_agreed()
+        return CostMonitor(fleet).run_until_agreed()
 
 
 def power_loss(size: int, seed: int) -> EventCosts:
-    """All begin within a second and know nobody but three seeds."""
-    with no_collection():
+    """Measure a start of all members within a second, who know nobody but three seeds."""
+    with garbage_collection_disabled():
         fleet = Fleet(size, seed, network=Network(seed, loss=LOSS))
-        watcher = Watcher(fleet)
+        watcher = CostMonitor(fleet)
         fleet.start_all(over=1.0)
         watcher.run(1.5)
-        return watcher.until_agreed()
+        return watcher.run_until_agreed()
--- a/cleatyoke/emulation/capacity/measure.py
+++ b/cleatyoke/emulation/capacity/measure.py
@@ -1,4 +1,4 @@
-"""Which figure is measured at which sizes, and the run of all of them in several processes."""
+"""The measured duties and their sizes, and the execution of all measurements in several processes."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from cleatyoke.emulation.capacity.plan import PLAN
 
 Values = dict[str, float]
-Run = Callable[[int, int], Values]  # of a size and a seed
+Run = Callable[[int, int], Values]  # takes a size and a seed
 
 
 class Kind(Enum):
-    """How much of a front stood behind a figure."""
+    """How a figure was obtained: with real code, with hollow fronts, or by calculation."""
 
     REAL = "real"
     HOLLOW = "hollow"
@@ -26,8 +26,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Series:
-    """One duty at several sizes. ``design``: the size that is planned; ``near``: one more run, as near to it
-    as a machine carries, that takes no part in the fit.
+    """One duty at several sizes. ``design``: the planned size; ``near``: size of one more run, as close to
+    the planned size as one machine can run, which the fit leaves out.
     """
 
     duty: str
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """One measured value. ``fitted``: whether the fit goes through it."""
+    """One measured value. ``fitted``: whether it is a point of the fit."""
 
     duty: str
     figure: str
@@ -60,7 +60,7 @@
 
 
 def quiet_members(size: int, seed: int) -> Values:
-    return asdict(hollow.quiet(size, seed, 4.0 if size > 2000 else hollow.QUIET_SECONDS))
+    return asdict(hollow.measure_idle(size, seed, 4.0 if size > 2000 else hollow.IDLE_SECONDS))
 
 
 def zone_lost(size: int, seed: int) -> Values:
@@ -87,8 +87,8 @@
     return asdict(duties.holds(size, seed))
 
 
-def rights(size: int, seed: int) -> Values:
-    return {"cpu": duties.rights_at_rest(size, seed)}
+def leases(size: int, seed: int) -> Values:
+    return {"cpu": duties.idle_lease_cpu(size, seed)}
 
 
 def discovery(size: int, seed: int) -> Values:
@@ -103,8 +103,8 @@
     return {"wait": duties.limit_wait(size)}
 
 
-def retune(size: int, seed: int) -> Values:
-    return {"cpu": duties.retune(size, seed)}
+def reload_cpu(size: int, seed: int) -> Values:
+    return {"cpu": duties.reload_cpu(size, seed)}
 
 
 def process_start(size: int, seed: int) -> Values:
@@ -112,35 +112,37 @@
 
 
 def data_path(size: int, seed: int) -> Values:
-    return {"cpu": asyncio.run(processes.cpu_a_second(size, seed))}
+    return {"cpu": asyncio.run(processes.cpu_per_second(size, seed))}
 
 
 def connections(size: int, seed: int) -> Values:
     return {"bytes": asyncio.run(processes.connection_bytes(size, seed))}
 
 
-def sixteenfold(largest: int) -> tuple[int, ...]:
+def halved_sizes(largest: int) -> tuple[int, ...]:
     return tuple(largest // part for part in (16, 8, 4, 2, 1))
 
 
 MEMBERS, NODES, HOLLOW, REAL, PAPER = PLAN.fronts, PLAN.nodes, Kind.HOLLOW, Kind.REAL, Kind.PAPER
 SERIES = (
-    Series("members, quiet", "members", sixteenfold(1600), MEMBERS, HOLLOW, quiet_members, near=MEMBERS),
-    Series("members, a region back", "members", sixteenfold(400), MEMBERS, HOLLOW, region_back),
-    Series("members, a zone lost", "members", sixteenfold(400), MEMBERS, HOLLOW, zone_lost),
-    Series("members, a zone back", "members", sixteenfold(400), MEMBERS, HOLLOW, zone_back),
-    Series("members, power loss", "members", sixteenfold(400), MEMBERS, HOLLOW, power_loss),
-    Series("node list", "nodes", sixteenfold(25_000), NODES, REAL, node_list),
-    Series("start of a front", "nodes", sixteenfold(25_000), NODES, REAL, process_start),
-    Series("settings in the policy", "nodes", sixteenfold(25_000), NODES, REAL, retune),
-    Series("data path", "requests/s", sixteenfold(640), PLAN.front_statements, REAL, data_path),
-    Series("client connections", "connections", sixteenfold(4800), PLAN.front_connections, REAL, connections),
-    Series("whole view", "members", sixteenfold(3200), MEMBERS, REAL, whole_view),
-    Series("holds by hand", "holds", sixteenfold(3200), MEMBERS, REAL, holds),
-    Series("parts of limits", "members", sixteenfold(3200), MEMBERS, REAL, rights),
-    Series("calls at discovery", "fronts", sixteenfold(3200), MEMBERS, REAL, discovery),
-    Series("a cold node's part", "fronts", sixteenfold(3200), MEMBERS, REAL, cold_part),
-    Series("a limit's part", "fronts", sixteenfold(3200), MEMBERS, PAPER, limit_part),
+    Series("members, quiet", "members", halved_sizes(1600), MEMBERS, HOLLOW, quiet_members, near=MEMBERS),
+    Series("members, a region back", "members", halved_sizes(400), MEMBERS, HOLLOW, region_back),
+    Series("members, a zone lost", "members", halved_sizes(400), MEMBERS, HOLLOW, zone_lost),
+    Series("members, a zone back", "members", halved_sizes(400), MEMBERS, HOLLOW, zone_back),
+    Series("members, power loss", "members", halved_sizes(400), MEMBERS, HOLLOW, power_loss),
+    Series("node list", "nodes", halved_sizes(25_000), NODES, REAL, node_list),
+    Series("start of a front", "nodes", halved_sizes(25_000), NODES, REAL, process_start),
+    Series("settings in the policy", "nodes", halved_sizes(25_000), NODES, REAL, reload_cpu),
+    Series("data path", "requests/s", halved_sizes(640), PLAN.front_statements, REAL, data_path),
+    Series(
+        "client connections", "connections", halved_sizes(4800), PLAN.front_connections, REAL, connections
+    ),
+    Series("whole view", "members", halved_sizes(3200), MEMBERS, REAL, whole_view),
+    Series("holds by hand", "holds", halved_sizes(3200), MEMBERS, REAL, holds),
+    Series("parts of limits", "members", halved_sizes(3200), MEMBERS, REAL, leases),
+    Series("calls at discovery", "fronts", halved_sizes(3200), MEMBERS, REAL, discovery),
+    Series("a cold node's part", "fronts", halved_sizes(3200), MEMBERS, REAL, cold_part),
+    Series("a limit's part", "fronts", halved_sizes(3200), MEMBERS, PAPER, limit_part),
 )
 
 
@@ -153,7 +155,10 @@
 
 
 def plan_jobs(series: Sequence[Series], seeds: Sequence[int], sizes: Sequence[int]) -> list[Job]:
-    """The largest first, so that the last ones are short. ``sizes``: in place of each series' own."""
+    """Return the jobs, the hollow fleets and then the largest sizes first, so that the last ones are short.
+
+    ``sizes``, if any, replace those of each series.
+    """
     jobs = []
     for one in series:
         chosen = tuple(sizes) or one.sizes
@@ -173,7 +178,7 @@
 
 
 def run_jobs(jobs: Sequence[Job], workers: int, done: Callable[[Job], None]) -> list[Row]:
-    """In processes that end with each job, so that one's memory is none of the next one's."""
+    """Run the jobs in a new process each, so that the memory of one doesn't count for the next."""
     rows: list[tuple[int, list[Row]]] = []
     with ProcessPoolExecutor(workers, get_context("spawn"), max_tasks_per_child=1) as pool:
         futures: dict[Future[list[Row]], int] = {
--- a/cleatyoke/emulation/capacity/needs.py
+++ b/cleatyoke/emulation/capacity/needs.py
@@ -13,25 +13,25 @@
 from cleatyoke.emulation.capacity import duties
 from cleatyoke.emulation.capacity.measure import Kind
 from cleatyoke.emulation.capacity.plan import DAY, PLAN, Plan
-from cleatyoke.emulation.capacity.results import Results, Spread
+from cleatyoke.emulation.capacity.results import PropagationResult, Results
 from cleatyoke.membership.wire import MAX_REPLICA_BYTES, MAX_STREAM_BYTES
 
-LOAD = 0.7  # of a core that a process of the data path may be kept at
-ENTRIES = 3  # of the list for one machine that is replaced: drains, went, came
-ENTRY_HEAD = 60  # bytes of a line of changes beside its entries
-PROBE_BYTES = 400  # of a probe, its answer and their TCP acknowledgements, on paper
+LOAD = 0.7  # fraction of a core that a process of the data path may use
+ENTRIES = 3  # list entries for the replacement of one machine: draining, removed, added
+ENTRY_HEAD = 60  # bytes of a line of changes besides its entries
+PROBE_BYTES = 400  # of a load probe, its response and their TCP acknowledgements; calculated
 SCRAPE_EVERY = 15.0  # seconds between two scrapes of the metrics
-LOG_LINE = 160  # bytes of a line of the log, on paper
-KEPT_OPEN = 15.0  # seconds for which an idle connection to a node is kept: half of an idle limit of 30 s
+LOG_LINE = 160  # bytes of a log line; calculated
+IDLE_CLOSE_S = 15.0  # seconds that an idle connection to a node stays open: half of an idle limit of 30 s
 CLASSES = 6
 
 
 @dataclass(slots=True, frozen=True)
 class Need:
-    """What one duty takes at the design size, and what it may take.
+    """The resource use of one duty at the design size, and its budget.
 
-    ``need`` and ``budget`` are in ``unit``. ``mechanism``: the function and module that carries the duty
-    today; empty where nothing does.
+    ``need`` and ``budget`` are in ``unit``. ``mechanism``: the function and module that implements the duty;
+    empty where nothing does.
     """
 
     duty: str
@@ -41,11 +41,11 @@
     kind: str
     mechanism: str
     why: str = ""
-    asked: str = ""  # in words, where there is no figure
+    asked: str = ""  # the requirement in words, where there is no figure
 
     @property
     def factor(self) -> float:
-        """Return the need as a multiple of the budget; infinite where nothing carries the duty."""
+        """Return the need as a multiple of the budget; infinite where nothing implements the duty."""
         return self.need / self.budget if self.mechanism else math.inf
 
 
@@ -60,29 +60,29 @@
     return results.at("node list", "list_bytes") / PLAN.nodes
 
 
-def missing(spreads: Sequence[Spread], plan: Plan = PLAN) -> Iterator[Need]:
-    """Yield what nothing carries today. ``spreads``: of the distribution, where it was measured."""
+def missing_duties(propagation: Sequence[PropagationResult], plan: Plan = PLAN) -> Iterator[Need]:
+    """Yield the duties that nothing implements. ``propagation``: results of the distribution, if measured."""
 
-    def lacks(duty: str, asked: str, why: str) -> Need:
+    def missing_duty(duty: str, asked: str, why: str) -> Need:
         return Need(duty, math.nan, math.nan, "", Kind.PAPER.value, "", why, asked)
 
-    if not spreads:
-        yield lacks(
+    if not propagation:
+        yield missing_duty(
             "distribution of configuration",
             f"{plan.config_changes_a_day:,} changes a day, each in force within {plan.config_within:g} s",
             "a file and SIGHUP at each front; no version, no relay, nothing for a front that was away",
         )
-    yield lacks(
+    yield missing_duty(
         "durable copy of configuration and nodes at a front",
         "a start with no relay from what was in force",
         "a front that restarts while all relays are down serves by its file",
     )
-    yield lacks(
+    yield missing_duty(
         "subset of nodes for a front",
         f"of {plan.nodes:,} nodes what a front uses",
         "every front keeps, and may connect to, all nodes",
     )
-    yield lacks(
+    yield missing_duty(
         "workers of a front that share one control part",
         "one member, watch and part of limits a front",
         "each process of a front is all of these by itself",
@@ -155,10 +155,10 @@
         "a whole view, size", view, MAX_STREAM_BYTES, "bytes", real, "encode_full_state (membership/wire.py)"
     )
     all_workers = plan.fronts * workers(results)
-    wide = results.at("whole view", "bytes", all_workers)
+    all_workers_view = results.at("whole view", "bytes", all_workers)
     yield Need(
         "a whole view, with each worker a member",
-        *(wide, MAX_STREAM_BYTES, "bytes", real, "encode_full_state (membership/wire.py)"),
+        *(all_workers_view, MAX_STREAM_BYTES, "bytes", real, "encode_full_state (membership/wire.py)"),
         f"{workers(results)} processes a front",
     )
 
@@ -180,10 +180,10 @@
         real,
         hold,
     )
-    rights = results.at("parts of limits", "cpu")
+    leases = results.at("parts of limits", "cpu")
     yield Need(
         "parts of limits, at rest",
-        rights,
+        leases,
         plan.core,
         "core",
         real,
@@ -200,23 +200,29 @@
         "a cold node, one front's part, a request of 2 units",
         *(cold, plan.primary_within, "s", real, "SlowStart.check (scheduling/slow_start.py)"),
     )
-    probes = duties.probes_a_second(plan.fronts, plan.nodes, 1)
+    probes = duties.probes_per_second(plan.fronts, plan.nodes, 1)
     prober = "LoadProber (scheduling/load_probes.py)"
     yield Need("probes while a node is cold", probes * PROBE_BYTES, plan.bytes_s, "bytes/s", real, prober)
     pace = "Backoff (discovery/backoff.py)"
     calls = results.at("calls at discovery", "calls")
     yield Need("calls at a shared discovery that is down", calls, 1 / SECONDS_PER_CALL, "calls/s", real, pace)
-    beats = all_workers / HEARTBEAT_INTERVAL
+    heartbeats = all_workers / HEARTBEAT_INTERVAL
     yield Need(
         "beats of a shared discovery's watches",
-        *(beats, plan.control_machines / SECONDS_PER_CALL, "lines/s", paper, "Watch (discovery/watch.py)"),
+        *(
+            heartbeats,
+            plan.control_machines / SECONDS_PER_CALL,
+            "lines/s",
+            paper,
+            "Watch (discovery/watch.py)",
+        ),
     )
     rows = results.at("holds by hand", "rows")
     yield Need(
         "durable state, one write", rows, 1 << 20, "bytes", real, "encode_state (durability/records.py)"
     )
-    told = plan.machine_rate * ENTRIES * LOG_LINE
-    yield Need("log, of members and nodes", told, plan.bytes_s, "bytes/s", paper, "log (fleet/view.py)")
+    log_bytes = plan.machine_rate * ENTRIES * LOG_LINE
+    yield Need("log, of members and nodes", log_bytes, plan.bytes_s, "bytes/s", paper, "log (fleet/view.py)")
     scraped = duties.metrics_bytes(CLASSES) / SCRAPE_EVERY
     yield Need(
         "metrics, a scrape every 15 s",
@@ -248,10 +254,10 @@
     )
 
 
-def distribution_needs(spreads: Sequence[Spread], plan: Plan = PLAN) -> Iterator[Need]:
+def distribution_needs(propagation: Sequence[PropagationResult], plan: Plan = PLAN) -> Iterator[Need]:
     """Yield the needs of the distribution of settings and primaries, for each measured load."""
     carrier, hollow = "Subscriber, Relay (distribution/)", Kind.HOLLOW.value
-    for one in spreads:
+    for one in propagation:
         within = plan.config_within if one.lane == "settings" else plan.primary_within
         name = f"distribution, {one.what}, {one.lane}"
         yield Need(f"{name}, until the last front knows", one.worst, within, "s", hollow, carrier)
@@ -270,18 +276,18 @@
     sockets = plan.front_connections / count
     bound = SocketBudget.divide(1024, False).clients
     yield Need("client connections, sockets of a process", sockets, bound, "sockets", paper, server)
-    each = plan.front_statements / count / plan.nodes  # a second, of one process at one node
-    rested = plan.nodes * (1 - math.exp(-each * KEPT_OPEN))
-    boxes = SocketBudget.divide(1024, False).backends
+    each = plan.front_statements / count / plan.nodes  # requests per second of one process to one node
+    open_to_nodes = plan.nodes * (1 - math.exp(-each * IDLE_CLOSE_S))
+    backend_sockets = SocketBudget.divide(1024, False).backends
     yield Need(
         "connections to nodes, of a process",
-        rested,
-        boxes,
+        open_to_nodes,
+        backend_sockets,
         "sockets",
         paper,
         "BackendPools (http/backends.py)",
     )
-    at_node = plan.fronts * count * (1 - math.exp(-each * KEPT_OPEN))
+    at_node = plan.fronts * count * (1 - math.exp(-each * IDLE_CLOSE_S))
     yield Need(
         "idle connections at one node",
         *(at_node, 1024.0, "sockets", paper, "BackendPools (http/backends.py)"),
@@ -294,7 +300,7 @@
 
 
 def all_needs(results: Results) -> list[Need]:
-    """Return what nothing carries, then the needs by descending factor, then what was not measured."""
-    found = [*missing(results.spreads), *list_needs(results), *member_needs(results)]
-    found += [*shared_needs(results), *data_needs(results), *distribution_needs(results.spreads)]
+    """Return the duties that nothing implements, the needs by descending factor, and the unmeasured ones."""
+    found = [*missing_duties(results.propagation), *list_needs(results), *member_needs(results)]
+    found += [*shared_needs(results), *data_needs(results), *distribution_needs(results.propagation)]
     return sorted(found, key=lambda one: -one.factor if not math.isnan(one.factor) else math.inf)
--- a/cleatyoke/emulation/capacity/nodes.py
+++ b/cleatyoke/emulation/capacity/nodes.py
@@ -1,4 +1,6 @@
-"""The list of nodes at one front: the real ``Directory``, ``Policy`` and ``Discovery`` at many nodes."""
+"""Costs of the list of nodes at one front: the real ``Directory``, ``Scheduler`` and ``Discovery`` with many
+nodes.
+"""
 
 from __future__ import annotations
 
@@ -36,12 +38,12 @@
 )
 
 NOW = 1.8e9  # Unix time at which a measurement begins
-CHANGES = 50  # that a mean is taken over
-IDLE_SECONDS = 200  # of a front at rest
+CHANGES = 50  # changes over which a mean is taken
+IDLE_SECONDS = 200  # seconds of virtual time for an idle front
 
 
 def settings(hosts: int) -> SchedulerSettings:
-    """Plain ones with an attempt budget, as both deployments have one."""
+    """Return simple settings with an attempt budget, as both deployments have one."""
     kind = RequestClass(0.5, 2.0, 0.2, Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 5.0, False)
     plan = VolumePlan(1.0, 8.0, 4.0, 1.0, 0.0, 0.0)
     safety = SafetyLimits(0.2, 10.0, 2.0, 1.0, None, 0.1, 10.0, 0.1, 10.0)
@@ -49,7 +51,7 @@
 
 
 def list_text(count: int, version: int = 1, draining: int = 0) -> bytes:
-    """A whole list as the platform's discovery sends it; the first ``draining`` nodes drain."""
+    """Return a complete list as the platform's discovery sends it; the first ``draining`` nodes drain."""
     nodes = [
         {
             "instanceId": f"s-{node:06d}",
@@ -65,51 +67,52 @@
 
 
 class ListedFront:
-    """A front's directory, policy and prober that know so many nodes."""
+    """The directory, scheduler and load prober of a front that knows ``nodes`` nodes."""
 
     def __init__(self, nodes: int, hosts: int = 3100) -> None:
         self.listing = decode_endpoint_list(list_text(nodes))
         self.directory, self.policy = Directory({}), Scheduler(settings(hosts))
         self.prober = LoadProber(hosts, 10.0, 1)
         self.now = NOW
-        self.take(self.listing, UpdateKind.SNAPSHOT)
+        self.apply_list(self.listing, UpdateKind.SNAPSHOT)
         self.rest(3)
 
-    def take(self, listing: EndpointList, kind: UpdateKind = UpdateKind.DELTA) -> None:
-        news = EndpointUpdate(kind, self.directory.apply(listing))
-        self.policy.step(self.now, [news])
-        self.prober.on_endpoints(news)
+    def apply_list(self, listing: EndpointList, kind: UpdateKind = UpdateKind.DELTA) -> None:
+        update = EndpointUpdate(kind, self.directory.apply(listing))
+        self.policy.step(self.now, [update])
+        self.prober.on_endpoints(update)
 
     def change(self, number: int, state: EndpointState) -> None:
-        """One node has another state, a moment later."""
+        """Apply a change of the state of one node, 0.01 s later."""
         self.now += 0.01
-        box = self.listing.instances[number % len(self.listing.instances)]
-        self.take(EndpointList(2, False, [replace(box, state=state)]))
+        endpoint = self.listing.instances[number % len(self.listing.instances)]
+        self.apply_list(EndpointList(2, False, [replace(endpoint, state=state)]))
 
     def replace_node(self, number: int) -> None:
-        """One node went, and another one holds its cell: as a primary that moves."""
+        """Remove a node and add another one of the same cell, as when a primary moves."""
         self.now += 0.01
-        box = self.listing.instances[number % len(self.listing.instances)]
-        successor = replace(box, name=f"{box.name}-{self.now:.2f}", started_at=self.now)
-        self.take(EndpointList(2, False, [replace(box, state=EndpointState.REMOVED), successor]))
+        endpoint = self.listing.instances[number % len(self.listing.instances)]
+        successor = replace(endpoint, name=f"{endpoint.name}-{self.now:.2f}", started_at=self.now)
+        self.apply_list(EndpointList(2, False, [replace(endpoint, state=EndpointState.REMOVED), successor]))
 
     def rest(self, seconds: int) -> None:
+        """Let time pass without requests and changes."""
         for _ in range(seconds):
             self.now += 1.0
             self.policy.step(self.now, [])
             self.prober.step(self.now)
 
     def serve(self, number: int, new: bool = False) -> None:
-        """One request from its arrival to its end; a new object may go to any node."""
+        """Run one request from its arrival to its end; one for a new object may go to any node."""
         self.now += 0.001
         cell = None if new else number % len(self.listing.instances)
         arrival = RequestArrived(f"r{number}", 0, 0, number % 50, None, cell, 2.0, self.now + 1.5, 10)
         for action in self.policy.step(self.now, [arrival]):
             if isinstance(action, SendAttempt):
-                ended = AttemptFinished(
+                finished = AttemptFinished(
                     action.request_id, 0, action.node_id, AttemptOutcome.SERVED, 0.01, True
                 )
-                self.policy.step(self.now + 0.01, [ended])
+                self.policy.step(self.now + 0.01, [finished])
 
 
 @dataclass(slots=True, frozen=True)
@@ -119,21 +122,21 @@
     nodes: int
     list_bytes: int
     decode: float
-    take_cpu: float  # of a whole list, first known
-    again_cpu: float  # of the same list once more, as after a watch was lost
-    longest_turn: float  # of the event loop meanwhile, in processor time
+    take_cpu: float  # to apply the first complete list
+    again_cpu: float  # to apply the same list again, as after a lost watch
+    longest_turn: float  # of the event loop while the first list is applied, in processor time
     longest_turn_again: float
     change: float
-    primary: float  # two entries: one went, one holds its cell
-    rest: float  # in a second
+    primary: float  # two entries: a node removed, another one added for its cell
+    rest: float  # per second
     request: float
-    new_object: float  # a request that every node could take
+    new_object: float  # a request that may go to any node
     memory: int
 
 
 @dataclass(slots=True, frozen=True)
 class NodeOperations:
-    """Counted, for the verdict that is the same in every run."""
+    """Operation counts, which are the same in every run."""
 
     change: Cost
     primary: Cost
@@ -143,7 +146,7 @@
 
 def count_operations(nodes: int) -> NodeOperations:
     front = ListedFront(nodes)
-    for number in range(8):  # so that no first time is counted
+    for number in range(8):  # warm up: the first calls cost more
         front.change(number, EndpointState.DRAINING)
         front.serve(number)
     numbers = iter(range(100, 200))
@@ -157,10 +160,10 @@
 
 
 def measure(nodes: int, seed: int = 1) -> NodeCosts:
-    """Processor times of one front; ``seed`` draws where its changes fall."""
+    """Measure the processor times of one front; ``seed`` selects the nodes that change."""
     text = list_text(nodes)
     decode = processor_seconds(lambda: decode_endpoint_list(text))
-    took, turn, again, turn_again = asyncio.run(take_whole(text))
+    took, longest_turn_first, again, turn_again = asyncio.run(apply_complete_list(text))
     before = resident_bytes()
     front = ListedFront(nodes)
     memory = resident_bytes() - before
@@ -177,7 +180,7 @@
         decode=decode,
         take_cpu=took,
         again_cpu=again,
-        longest_turn=turn,
+        longest_turn=longest_turn_first,
         longest_turn_again=turn_again,
         change=drain,
         primary=primary,
@@ -188,31 +191,33 @@
     )
 
 
-async def take_whole(text: bytes) -> tuple[float, float, float, float]:
-    """The real path from the list's text into the policy: processor time in all and of the longest turn of
-    the loop, for the first time and for the same list once more.
+async def apply_complete_list(text: bytes) -> tuple[float, float, float, float]:
+    """Apply a complete list twice, by the real path from its text to the scheduler.
+
+    Return, for each time, the total processor time and that of the longest turn of the event loop.
     """
     core, directory = Core(settings(3100)), Directory({})
-    with mock.patch.object(Watch, "run", asyncio.Event().wait):  # it calls nobody
+    with mock.patch.object(Watch, "run", asyncio.Event().wait):  # no connection to discovery
         address = Address("127.0.0.1", 1)
         watch = Watch(Discovery(address, directory, core.notify, 3100), address, None)
         turns: list[float] = []
-        beat = asyncio.create_task(measure_turns(turns))
+        turn_task = asyncio.create_task(measure_turns(turns))
         out: list[float] = []
         for _ in range(2):
             await asyncio.sleep(0)
             turns.clear()
             began = time.process_time()
             await watch.apply_text(text, UpdateKind.SNAPSHOT)
-            for _ in range(3):  # until the policy has stepped
+            for _ in range(3):  # until the scheduler has run its step
                 await asyncio.sleep(0)
             out += [time.process_time() - began, max(turns)]
-        beat.cancel()
+        turn_task.cancel()
         watch.task.cancel()
     return out[0], out[1], out[2], out[3]
 
 
 async def measure_turns(turns: list[float]) -> None:
+    """Append the processor time of each turn of the event loop."""
     last = time.process_time()
     while True:
         await asyncio.sleep(0)
--- a/cleatyoke/emulation/capacity/page.py
+++ b/cleatyoke/emulation/capacity/page.py
@@ -1,4 +1,7 @@
-"""``docs/CAPACITY.md``: its tables between markers, and its plots. The words around them are people's."""
+"""Generates the tables and plots of ``docs/CAPACITY.md``.
+
+The tables stand between markers; the text outside the markers is written by hand.
+"""
 
 from __future__ import annotations
 
@@ -23,8 +26,8 @@
 )
 
 
-def short(value: float) -> str:
-    """Three figures, as a person writes them."""
+def rounded(value: float) -> str:
+    """Format a number with three significant digits, and k or M for large ones."""
     if math.isnan(value):
         return "not measured"
     if math.isinf(value):
@@ -38,7 +41,7 @@
     return f"{value:.3g}"
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+def markdown_table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
     lines = [f"| {' | '.join(head)} |", f"|{' --- |' * len(head)}"]
     return "\n".join(lines + [f"| {' | '.join(row)} |" for row in rows])
 
@@ -54,30 +57,37 @@
                 f"{found.sizes[0]:,} to {found.sizes[-1]:,} {found.sized_by}",
                 f"{found.fit.exponent:.2f} ({found.fit.error:.2f})",
                 f"{found.fit.residual:.2f}",
-                f"{short(found.at_design)} ({short(low)} to {short(high)}) at {found.design:,.0f}",
-                near_text(found),
+                f"{rounded(found.at_design)} ({rounded(low)} to {rounded(high)}) at {found.design:,.0f}",
+                format_nearest(found),
                 found.kind,
             ]
         )
     head = ("duty", "figure", "sizes", "exponent (error)", "residual", "at the design size (range)")
-    return table((*head, "measured nearest, fit there", "real, hollow, paper"), rows)
+    return markdown_table((*head, "measured nearest, fit there", "real, hollow, paper"), rows)
 
 
-def near_text(found: Figure) -> str:
-    return f"{short(found.near)} at {found.near_size:,}, {short(found.at(found.near_size))}"
+def format_nearest(found: Figure) -> str:
+    return f"{rounded(found.near)} at {found.near_size:,}, {rounded(found.at(found.near_size))}"
 
 
-def need_cells(need: Need) -> list[str]:
+def need_row(need: Need) -> list[str]:
     if not need.mechanism:
         return [need.duty, need.asked, "-", "none carries it", f"nothing: {need.why}", need.kind]
     why = f"; {need.why}" if need.why else ""
-    budget = f"{short(need.budget)} {need.unit}"
-    return [need.duty, short(need.need), budget, short(need.factor), need.mechanism + why, need.kind]
+    budget = f"{rounded(need.budget)} {need.unit}"
+    return [
+        need.duty,
+        rounded(need.need),
+        budget,
+        rounded(need.factor),
+        need.mechanism + why,
+        need.kind,
+    ]
 
 
 def ranking_table(results: Results) -> str:
-    rows = [[str(place), *need_cells(need)] for place, need in enumerate(all_needs(results), 1)]
-    return table(("", "duty", "need", "budget", "need / budget", "carried by", "figure"), rows)
+    rows = [[str(place), *need_row(need)] for place, need in enumerate(all_needs(results), 1)]
+    return markdown_table(("", "duty", "need", "budget", "need / budget", "carried by", "figure"), rows)
 
 
 def situations_table(results: Results) -> str:
@@ -86,28 +96,29 @@
         rows.append(
             [
                 one.name,
-                f"{short(one.bytes)} ({short(one.bytes / (13 * PLAN.bytes_s))})",
-                f"{short(one.cpu)} ({short(one.cpu / (13 * PLAN.core))})",
-                short(one.settles),
-                one.lacks or "nothing",
+                f"{rounded(one.bytes)} ({rounded(one.bytes / (13 * PLAN.bytes_s))})",
+                f"{rounded(one.cpu)} ({rounded(one.cpu / (13 * PLAN.core))})",
+                rounded(one.settles),
+                one.missing_duty or "nothing",
                 one.kind,
             ]
         )
     head = ("situation", "bytes in the worst 13 s (of 39 KB)", "processor s in them (of 0.53)")
-    return table((*head, "s until in force, at 3 KB/s", "lacks", "figures"), rows)
+    return markdown_table((*head, "s until in force, at 3 KB/s", "lacks", "figures"), rows)
 
 
 def workers_table(results: Results) -> str:
     count = workers(results)
     rows = [
-        ["requests a second of one process, one core full", short(capacity(results))],
+        ["requests a second of one process, one core full", rounded(requests_per_core(results))],
         ["processes of a front, at 0.7 of a core each", str(count)],
         ["members, watches, parts of limits, if each process is one", f"{PLAN.fronts * count:,}"],
     ]
-    return table(("data path", "figure"), rows)
+    return markdown_table(("data path", "figure"), rows)
 
 
-def capacity(results: Results) -> float:
+def requests_per_core(results: Results) -> float:
+    """Return the requests per second that keep one core busy."""
     return PLAN.front_statements / results.at("data path", "cpu")
 
 
@@ -118,27 +129,27 @@
     yield "slopes", slopes_table(results)
 
 
-def fill(text: str, results: Results) -> str:
-    """The page with its tables made anew. Raises ``ValueError`` where a marker is missing."""
-    for name, made in tables(results):
+def fill_tables(text: str, results: Results) -> str:
+    """Return the page with its tables regenerated. Raises ``ValueError`` if a marker is missing."""
+    for name, content in tables(results):
         begin, end = BEGIN.format(name), END.format(name)
         before, found, rest = text.partition(begin)
         _, closed, after = rest.partition(end)
         if not found or not closed:
-            msg = f"the page has no place for the table {name}"
+            msg = f"the page lacks the markers of the table {name}"
             raise ValueError(msg)
-        text = f"{before}{begin}\n\n{made}\n\n{end}{after}"
+        text = f"{before}{begin}\n\n{content}\n\n{end}{after}"
     return text
 
 
-def blank_page() -> str:
-    """A page with nothing but its places, for a folder that has none."""
-    places = [f"## {name}\n\n{BEGIN.format(name)}\n{END.format(name)}\n" for name, _ in tables(Results([]))]
-    return "# Capacity\n\n" + "\n".join(places)
+def empty_page() -> str:
+    """Return a page with only the markers of the tables, for a folder without a page."""
+    blocks = [f"## {name}\n\n{BEGIN.format(name)}\n{END.format(name)}\n" for name, _ in tables(Results([]))]
+    return "# Capacity\n\n" + "\n".join(blocks)
 
 
 def plot(results: Results, out: Path) -> None:
-    """Wants the extra ``plots``."""
+    """Write the plots; needs the extra ``plots``."""
     matplotlib = importlib.import_module("matplotlib")
     matplotlib.use("svg")
     matplotlib.rcParams.update({"svg.hashsalt": "capacity", "svg.fonttype": "none"})
--- a/cleatyoke/emulation/capacity/plan.py
+++ b/cleatyoke/emulation/capacity/plan.py
@@ -1,4 +1,4 @@
-"""The size that the operators plan, and what a front may spend on control there."""
+"""The planned size of a deployment, and the budget of a front for control duties at that size."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """Counts, rates a second unless a name says otherwise, times in seconds, sizes in bytes."""
+    """Counts, rates per second unless a name says otherwise, times in seconds, sizes in bytes."""
 
     fronts: int = 3_100
     nodes: int = 25_000
@@ -23,7 +23,7 @@
     primary_within: float = 20.0
     config_changes_a_day: int = 44_000
     config_within: float = 13.0
-    burst_changes: int = 500  # of configuration, in ...
+    burst_changes: int = 500  # of configuration, within ``burst_seconds``
     burst_seconds: float = 60.0
     failures_a_day: int = 100
     restarts_a_day: int = 2_400
@@ -50,12 +50,12 @@
 
     @property
     def machine_rate(self) -> float:
-        """Machines that fail, are restarted or replaced, of fronts and nodes together."""
+        """Return the rate at which machines of fronts and nodes fail, are restarted or replaced."""
         return (self.failures_a_day + self.restarts_a_day) / DAY
 
     @property
     def node_rate(self) -> float:
-        """Of these, nodes."""
+        """Return the part of ``machine_rate`` that falls to nodes."""
         return self.machine_rate * self.nodes / (self.nodes + self.fronts)
 
     @property
--- a/cleatyoke/emulation/capacity/processes.py
+++ b/cleatyoke/emulation/capacity/processes.py
@@ -1,4 +1,4 @@
-"""Real fronts as processes: what a start and a request cost, and what a client's connection holds."""
+"""Costs of real front processes: of a start, of requests, and of idle client connections."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 from cleatyoke.testbed.scenario import Scenario
 from cleatyoke.testbed.scenario_file import make_scenario
 
-TICKS = os.sysconf("SC_CLK_TCK")
-START_SECONDS = 60.0  # that are waited for a front to be ready
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
+START_SECONDS = 60.0  # to wait at most until a front is ready
 LOAD_SECONDS = 8.0
 NODES = 24
 SOCKETS = 12_000
 
 
 @dataclass(slots=True, frozen=True)
-class Used:
-    """By a process so far."""
+class ProcessUsage:
+    """Processor time and resident memory of a process."""
 
     cpu: float  # seconds
     resident: int  # bytes
 
     @classmethod
-    def of(cls, pid: int) -> Used:
+    def of(cls, pid: int) -> ProcessUsage:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         resident = int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
-        return cls((int(fields[11]) + int(fields[12])) / TICKS, resident)
+        return cls((int(fields[11]) + int(fields[12])) / CLOCK_TICKS, resident)
 
 
 def scenario(rate: float, seed: int) -> Scenario:
@@ -51,8 +51,8 @@
 
 @contextlib.asynccontextmanager
 async def front_process(nodes: int, seed: int) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    """A front that knows so many nodes from its file, once it is ready, and its port; killed at the end. Its
-    discovery does not answer.
+    """Start a front that knows ``nodes`` nodes from its settings file. Yield the process and its port once it
+    is ready; kill it at the end. Its discovery does not respond.
     """
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "config.json"
@@ -66,11 +66,11 @@
             "settings": settings_of(scenario(10.0, seed)),
         }
         config.write_text(json.dumps(values))
-        kept = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+        environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
         process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "cleatyoke"),
             cwd=ROOT,
-            env={**kept, "RELAY_CONFIG": str(config), "TMPDIR": folder, "RELAY_LISTEN": "127.0.0.1:0"},
+            env={**environment, "RELAY_CONFIG": str(config), "TMPDIR": folder, "RELAY_LISTEN": "127.0.0.1:0"},
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
@@ -84,53 +84,53 @@
 
 
 async def wait_until_ready(process: asyncio.subprocess.Process) -> int:
-    """Returns the port. Raises ``RuntimeError`` for a process that ends before."""
+    """Return the port. Raises ``RuntimeError`` if the process exits before it is ready."""
     assert process.stdout
     while line := await process.stdout.readline():
         if b"event='ready'" in line:
             return int(line.split(b"port=")[1].split(b")")[0])
-    msg = "the front ended before it was ready"
+    msg = "the front process exited before it was ready"
     raise RuntimeError(msg)
 
 
-async def start(nodes: int, seed: int) -> Used:
-    """Of a front that has just become ready."""
+async def start(nodes: int, seed: int) -> ProcessUsage:
+    """Return the usage of a front that has just become ready."""
     async with front_process(nodes, seed) as (process, _):
-        return Used.of(process.pid)
+        return ProcessUsage.of(process.pid)
 
 
 async def connection_bytes(connections: int, seed: int) -> float:
-    """Resident memory for each client connection that rests."""
+    """Return the resident memory per idle client connection."""
     async with front_process(NODES, seed) as (process, port):
-        before = Used.of(process.pid).resident
-        open_ones = [await asyncio.open_connection("127.0.0.1", port) for _ in range(connections)]
+        before = ProcessUsage.of(process.pid).resident
+        streams = [await asyncio.open_connection("127.0.0.1", port) for _ in range(connections)]
         await asyncio.sleep(0.3)
-        after = Used.of(process.pid).resident
-        for _, writer in open_ones:
+        after = ProcessUsage.of(process.pid).resident
+        for _, writer in streams:
             writer.transport.abort()
         return (after - before) / connections
 
 
-async def cpu_a_second(rate: float, seed: int) -> float:
-    """Processor seconds a second of a front that gets so many requests a second."""
+async def cpu_per_second(rate: float, seed: int) -> float:
+    """Return the processor seconds per second of a front that receives ``rate`` requests per second."""
     with tempfile.TemporaryDirectory() as folder:
-        play = ScenarioRun(scenario(rate, seed), Path(folder))
-        sampling = asyncio.create_task(sample(play))
-        report = await play.run()
+        scenario_run = ScenarioRun(scenario(rate, seed), Path(folder))
+        sampling = asyncio.create_task(sample_cpu(scenario_run))
+        report = await scenario_run.run()
         if report.violations:
-            msg = f"the play broke a rule: {report.violations[0]}"
+            msg = f"the scenario run violated a rule: {report.violations[0]}"
             raise RuntimeError(msg)
         return await sampling
 
 
-async def sample(play: ScenarioRun) -> float:
-    """Over the middle of the load."""
-    while not play.report.load_started_at:
+async def sample_cpu(scenario_run: ScenarioRun) -> float:
+    """Return the processor seconds per second over the middle half of the load."""
+    while not scenario_run.report.load_started_at:
         await asyncio.sleep(0.02)
-    process = play.fronts[0].process
+    process = scenario_run.fronts[0].process
     assert process
     await asyncio.sleep(LOAD_SECONDS / 4)
-    began, loop = Used.of(process.pid).cpu, asyncio.get_running_loop()
+    began, loop = ProcessUsage.of(process.pid).cpu, asyncio.get_running_loop()
     at = loop.time()
     await asyncio.sleep(LOAD_SECONDS / 2)
-    return (Used.of(process.pid).cpu - began) / (loop.time() - at)
+    return (ProcessUsage.of(process.pid).cpu - began) / (loop.time() - at)
--- a/cleatyoke/emulation/capacity/results.py
+++ b/cleatyoke/emulation/capacity/results.py
@@ -1,4 +1,4 @@
-"""The measured rows with their fits, and what they say of the design size."""
+"""The measured rows, their fits, and the values extrapolated to the design size."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Figure:
-    """One figure of one duty. ``near``: measured at the size nearest to the design, or at the largest one."""
+    """One figure of one duty. ``near``: mean of the values measured at ``near_size``, the largest size."""
 
     duty: str
     name: str
@@ -27,7 +27,7 @@
     design: float
     near_size: int
     near: float
-    lost: int  # runs without a finite value
+    unfinished: int  # runs without a finite value
 
     def at(self, size: float) -> float:
         return self.fit.at(size)
@@ -42,10 +42,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Spread:
-    """How changes were spread to all fronts in one situation (``emulate.distribution_measure``): seconds from
-    a change to its being known, over all changes and fronts; bytes of a front a second in the mean, and the
-    most that one took in a window of 13 s.
+class PropagationResult:
+    """The distribution of changes to all fronts in one situation (``emulation.distribution_measure``):
+    seconds from a change until a front knows it, over all changes and fronts; mean bytes per second of a
+    front, and the most bytes of one front in a window of 13 s.
     """
 
     what: str
@@ -59,10 +59,10 @@
 
 
 class Results:
-    """``spreads``: of the distribution; none where it was not measured."""
+    """``propagation``: results of the distribution; empty if it was not measured."""
 
-    def __init__(self, rows: Sequence[Row], spreads: Sequence[Spread] = ()) -> None:
-        self.rows, self.spreads = list(rows), list(spreads)
+    def __init__(self, rows: Sequence[Row], propagation: Sequence[PropagationResult] = ()) -> None:
+        self.rows, self.propagation = list(rows), list(propagation)
         self.figures: dict[tuple[str, str], Figure] = {}
         designs = {one.duty: one.design for one in SERIES}
         groups: defaultdict[tuple[str, str], list[Row]] = defaultdict(list)
@@ -76,7 +76,7 @@
         return self.figures[key]
 
     def at(self, duty: str, figure: str, size: float | None = None) -> float:
-        """What the fit says, at the design size where none is named; NaN where it was not measured."""
+        """Return the fitted value at ``size``, by default the design size; NaN if it was not measured."""
         found = self.figures.get((duty, figure))
         if found is None:
             return math.nan
@@ -84,7 +84,7 @@
 
 
 def read_group(rows: Sequence[Row], design: float) -> Figure | None:
-    """None where fewer than two sizes have a finite value."""
+    """Return the figure of these rows; None if fewer than two sizes have a finite value."""
     finite = [row for row in rows if math.isfinite(row.value)]
     fitted = [(float(row.size), row.value) for row in finite if row.fitted]
     if len({size for size, _ in fitted}) < 2:
@@ -103,17 +103,17 @@
         design=design,
         near_size=largest,
         near=near,
-        lost=len(rows) - len(finite),
+        unfinished=len(rows) - len(finite),
     )
 
 
-def read_spreads(path: Path) -> list[Spread]:
-    """Nothing where there is no such file."""
+def read_propagation(path: Path) -> list[PropagationResult]:
+    """Return the rows of the file; an empty list if it doesn't exist."""
     if not path.is_file():
         return []
     with path.open(newline="") as file:
         return [
-            Spread(
+            PropagationResult(
                 row["what"],
                 row["lane"],
                 int(row["changes"]),
--- a/cleatyoke/emulation/capacity/situations.py
+++ b/cleatyoke/emulation/capacity/situations.py
@@ -1,4 +1,4 @@
-"""What a front sends and receives, and how long it takes, in the situations that the plan names."""
+"""Bytes, processor time and settling time of one front in the situations that the plan names."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from cleatyoke.emulation.capacity.plan import PLAN, Plan
 from cleatyoke.emulation.capacity.results import Results
 
-WINDOW_S = 13.0  # seconds: the worst such window is counted
-LIST_KNOWN_S = 6.0  # seconds until a front knows of a change of the list (protocol page)
+WINDOW_S = 13.0  # seconds; the costs of the worst such window are reported
+LIST_KNOWN_S = 6.0  # seconds until a front knows a change of the list, by the protocol
 CONFIG_LACKS = "configuration: no mechanism"
-ON_PAPER = "hollow members, paper"  # what the figures rest on
+ON_PAPER = "hollow members, paper"  # how the figures were obtained
 
 
 @dataclass(slots=True, frozen=True)
 class Situation:
-    """What a situation takes of one front."""
+    """The costs of a situation for one front."""
 
     name: str
     bytes: float  # in the worst 13 s
     cpu: float  # processor seconds in the worst 13 s
     settles: float  # seconds until all is in force at 3 KB/s
-    lacks: str  # what of it nothing carries; empty: nothing is lacking
+    missing_duty: str  # the part that nothing implements; empty if all is implemented
     kind: str
 
 
 class EventCost(NamedTuple):
-    """What an event among the members takes of one of them."""
+    """The costs of a membership event for one member."""
 
     bytes: float
     cpu: float  # processor seconds
@@ -39,9 +39,9 @@
 
 
 class BaseCosts(NamedTuple):
-    """What the situations have in common."""
+    """Costs that several situations share."""
 
-    quiet: float  # bytes in 13 s in which nothing happens
+    quiet: float  # bytes in 13 s without changes
     quiet_cpu: float  # processor seconds of the same
     entry: float  # bytes of a node's entry in the list
     change: float  # processor seconds for a change of one entry
@@ -87,7 +87,7 @@
         entry=entry,
         change=results.at("node list", "change"),
         machine=ENTRIES * (entry + ENTRY_HEAD),
-        probes=duties.probes_a_second(plan.fronts, plan.nodes, 1) * PROBE_BYTES * WINDOW_S,
+        probes=duties.probes_per_second(plan.fronts, plan.nodes, 1) * PROBE_BYTES * WINDOW_S,
         whole_list=results.at("node list", "list_bytes"),
     )
 
@@ -99,13 +99,13 @@
 def _ordinary(results: Results, plan: Plan, base: BaseCosts) -> Situation:
     sent = base.quiet + plan.node_rate * base.machine * WINDOW_S
     settles = LIST_KNOWN_S
-    lacks = CONFIG_LACKS
-    usual = [one for one in results.spreads if one.what == "mean rate"]
+    missing_duty = CONFIG_LACKS
+    usual = [one for one in results.propagation if one.what == "mean rate"]
     if usual:
         sent += usual[0].worst_window
         settles = max(LIST_KNOWN_S, usual[0].worst)
-        lacks = ""
-    return Situation("an ordinary second, times 13", sent, base.quiet_cpu, settles, lacks, ON_PAPER)
+        missing_duty = ""
+    return Situation("an ordinary second, times 13", sent, base.quiet_cpu, settles, missing_duty, ON_PAPER)
 
 
 def _machines_lost(name: str, machines: int, plan: Plan, base: BaseCosts) -> Situation:
--- a/cleatyoke/emulation/distribution_measure.py
+++ b/cleatyoke/emulation/distribution_measure.py
@@ -21,11 +21,11 @@
 
 from cleatyoke.distribution.records import FORMAT_VERSION, Lane, Poll, Position, decode_reply, encode
 from cleatyoke.distribution.subscriber_messages import SubscriberTiming
-from cleatyoke.emulation.capacity.command import BadOption, checked_folder
-from cleatyoke.emulation.capacity.page import BEGIN, END, short, table
+from cleatyoke.emulation.capacity.command import OptionError, require_writable_folder
+from cleatyoke.emulation.capacity.page import BEGIN, END, markdown_table, rounded
 from cleatyoke.emulation.capacity.plan import HOUR, PLAN
-from cleatyoke.emulation.capacity.processes import Used
-from cleatyoke.emulation.capacity.results import Spread
+from cleatyoke.emulation.capacity.processes import ProcessUsage
+from cleatyoke.emulation.capacity.results import PropagationResult
 from cleatyoke.emulation.distribution import Measured, Tree
 from cleatyoke.testbed.runner import ROOT
 from cleatyoke.transport.framing import read_message, write_message
@@ -73,19 +73,19 @@
     return sum(growth) / len(growth) / seconds, most
 
 
-def summarize(what: str, tree: Tree, seconds: float) -> Iterator[Spread]:
+def summarize(what: str, tree: Tree, seconds: float) -> Iterator[PropagationResult]:
     mean, most = measure_bytes(tree, seconds)
     for lane in Lane:
         found = tree.measured.latencies[lane]
         if found:
             changes = len(found) // len(tree.subscribers)
-            yield Spread(
+            yield PropagationResult(
                 *(what, lane.name.lower(), changes, percentile(found, 0.5), percentile(found, 0.99)),
                 *(max(found), mean, most),
             )
 
 
-def measure_latencies(fronts: int, relays: int, regions: int, seed: int) -> list[Spread]:
+def measure_latencies(fronts: int, relays: int, regions: int, seed: int) -> list[PropagationResult]:
     tree = settled_tree(fronts, relays, regions, seed)
     keys = [f"db/{number:05d}" for number in range(SETTINGS)]
     nodes = [f"nodes/{number:05d}" for number in range(NODES)]
@@ -180,7 +180,7 @@
 async def poll_relay(pid: int, port: int, subscribers: int, seed: int) -> RelayCosts:
     loop, rng, size = asyncio.get_running_loop(), random.Random(seed), 0
     epoch, positions = await current_position(port)
-    used, began = Used.of(pid), loop.time()
+    used, began = ProcessUsage.of(pid), loop.time()
     end = began + RELAY_SECONDS
 
     async def subscriber(number: int) -> None:
@@ -192,7 +192,7 @@
             await asyncio.sleep(SubscriberTiming().poll_interval * rng.uniform(0.75, 1.25))
 
     await asyncio.gather(*(subscriber(number) for number in range(subscribers)))
-    after, elapsed = Used.of(pid), loop.time() - began
+    after, elapsed = ProcessUsage.of(pid), loop.time() - began
     return RelayCosts(subscribers, (after.cpu - used.cpu) / elapsed, after.resident, size / elapsed)
 
 
@@ -241,7 +241,7 @@
     ]
 
 
-def outcome_table(found: Sequence[Spread]) -> str:
+def outcome_table(found: Sequence[PropagationResult]) -> str:
     rows = [
         [
             one.what,
@@ -250,44 +250,50 @@
             f"{one.p50:.1f}",
             f"{one.p99:.1f}",
             f"{one.worst:.1f}",
-            short(one.mean_bytes),
-            f"{short(one.worst_window)} ({one.worst_window / (WINDOW * PLAN.bytes_s):.2f})",
+            rounded(one.mean_bytes),
+            f"{rounded(one.worst_window)} ({one.worst_window / (WINDOW * PLAN.bytes_s):.2f})",
         ]
         for one in found
     ]
     head = ("situation", "lane", "changes", "p50 s", "p99 s", "worst s", "bytes a front and second, mean")
-    return table((*head, "most in 13 s (of 39 KB)"), rows)
+    return markdown_table((*head, "most in 13 s (of 39 KB)"), rows)
 
 
 def relay_table(found: Sequence[RelayCosts]) -> str:
     rows = [
-        [str(one.subscribers), f"{one.cpu:.3f}", f"{one.resident / 1e6:.0f}", short(one.bytes_s)]
+        [str(one.subscribers), f"{one.cpu:.3f}", f"{one.resident / 1e6:.0f}", rounded(one.bytes_s)]
         for one in found
     ]
-    return table(("subscribers", "processor, of a core", "resident MB", "bytes/s"), rows)
+    return markdown_table(("subscribers", "processor, of a core", "resident MB", "bytes/s"), rows)
 
 
 def return_table(found: Sequence[Baseline], elapsed: float) -> str:
     rows = [
-        [one.name, short(one.returned), f"{one.returned / PLAN.bytes_s:.0f}", short(one.usual), one.kind]
+        [
+            one.name,
+            rounded(one.returned),
+            f"{one.returned / PLAN.bytes_s:.0f}",
+            rounded(one.usual),
+            one.kind,
+        ]
         for one in found
     ]
     head = ("way", "bytes of a front's return after an hour's cut", "s of it at 3 KB/s")
-    text = table((*head, "bytes a second at the mean rate", "figure"), rows)
+    text = markdown_table((*head, "bytes a second at the mean rate", "figure"), rows)
     return f"{text}\n\nAll fronts of the region had all {elapsed:.0f} s after the cut, in virtual time."
 
 
-def fill(text: str, name: str, made: str) -> str:
+def fill_table(text: str, name: str, content: str) -> str:
     begin, end = BEGIN.format(name), END.format(name)
     before, found, rest = text.partition(begin)
     _, closed, after = rest.partition(end)
     if not found or not closed:
         msg = f"the page lacks the markers of the table {name}"
         raise ValueError(msg)
-    return f"{before}{begin}\n\n{made}\n\n{end}{after}"
+    return f"{before}{begin}\n\n{content}\n\n{end}{after}"
 
 
-def plot(found: Sequence[Spread], out: Path) -> None:
+def plot(found: Sequence[PropagationResult], out: Path) -> None:
     matplotlib = importlib.import_module("matplotlib")
     matplotlib.use("svg")
     matplotlib.rcParams.update({"svg.hashsalt": "distribution", "svg.fonttype": "none"})
@@ -312,10 +318,10 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder of the page.")
 def distribution(fronts: int, relays: int, regions: int, seed: int, out: Path) -> None:
     """Measure the distribution of configuration and regenerate its tables and plot."""
-    checked_folder(out)
+    require_writable_folder(out)
     if relays < regions:
         msg = f"--relays: want at least one per region, found {relays}"
-        raise BadOption(msg)
+        raise OptionError(msg)
     steps: list[tuple[str, Callable[[], object]]] = [
         ("in virtual time", lambda: measure_latencies(fronts, relays, regions, seed)),
         ("a return", lambda: measure_catch_up(min(fronts, 90), min(relays, 9), 3, seed)),
@@ -338,22 +344,22 @@
     built = Baseline(f"as built, {missed:.0f} changes missed", cost, found[0].mean_bytes, "hollow")
     sums = [built, *baselines(int(missed), state)]
     with (out / TABLE).open("w", newline="") as file:
-        writer = csv.DictWriter(file, [one.name for one in fields(Spread)])
+        writer = csv.DictWriter(file, [one.name for one in fields(PropagationResult)])
         writer.writeheader()
         writer.writerows(asdict(one) for one in found)
     path = out / PAGE
-    text = path.read_text() if path.is_file() else blank_page()
-    for name, made in (
+    text = path.read_text() if path.is_file() else empty_page()
+    for name, content in (
         ("latency", outcome_table(found)),
         ("relay", relay_table(relays)),
         ("return", return_table(sums, elapsed)),
     ):
-        text = fill(text, name, made)
+        text = fill_table(text, name, content)
     path.write_text(text)
     if importlib.util.find_spec("matplotlib"):
         plot(found, out)
 
 
-def blank_page() -> str:
-    places = [f"{BEGIN.format(name)}\n{END.format(name)}\n" for name in ("latency", "relay", "return")]
-    return "# Distribution\n\n" + "\n".join(places)
+def empty_page() -> str:
+    blocks = [f"{BEGIN.format(name)}\n{END.format(name)}\n" for name in ("latency", "relay", "return")]
+    return "# Distribution\n\n" + "\n".join(blocks)
--- a/cleatyoke/emulation/measure.py
+++ b/cleatyoke/emulation/measure.py
@@ -26,14 +26,9 @@
 PERIOD = MembershipTiming().probe_interval
 JOIN_SECONDS = 15.0  # seconds until all members have the same view
 KILL_COUNT = 5
-FALSE_DEATH_SECONDS = (
-    120.0  # seconds over which false deaths are counted; the rate per hour is thirty times the count
-)
+FALSE_DEATH_SECONDS = 120.0  # observation time for false deaths; an hour is thirty times as long
 LOSS_RATES = (0.0, 0.1, 0.3)
-SLOW_FRACTION, SLOW_DELAY = (
-    0.1,
-    2.0,
-)  # fraction of the members that are slow; seconds of extra delay of their messages
+SLOW_FRACTION, SLOW_DELAY = 0.1, 2.0  # of the members; seconds of extra delay of their messages
 HEAL_LIMIT = 60.0
 Row = dict[str, Any]
 
@@ -130,9 +125,8 @@
                 out.append(("detection", detection, kind, size, seed, ()))
                 if size <= 200:
                     out.append(("heal", heal, kind, size, seed, ()))
-                if size <= 50 or (
-                    size <= 200 and kind == "ours"
-                ):  # baselines declare deaths en masse in larger fleets
+                # In larger fleets the baselines declare false deaths en masse.
+                if size <= 50 or (size <= 200 and kind == "ours"):
                     for loss in LOSS_RATES:
                         out.append((f"loss {loss:g}", false_deaths, kind, size, seed, (loss, 0.0)))
                     out.append(("slow", false_deaths, kind, size, seed, (0.0, SLOW_FRACTION)))
