--- a/cleatyoke/emulation/__init__.py
+++ b/cleatyoke/emulation/__init__.py
@@ -1,5 +1,5 @@
-"""A fleet in virtual time: the program's own parts without I/O, by the hundred, repeatable from a seed.
+"""Emulation of fleets in virtual time: hundreds of fronts in one process, reproducible from a seed.
 
-Nothing here models a front: ``cleatyoke.fleet``, and in ``traffic`` the whole core, run themselves, over a
-network and a clock that this package provides. It has no part in serving, and the daemon never imports it.
+Fronts are not modelled: the production code of ``cleatyoke.fleet``, and in ``traffic`` of the whole core,
+runs on a clock and a network that this package provides. The daemon never imports this package.
 """
--- a/cleatyoke/emulation/baselines.py
+++ b/cleatyoke/emulation/baselines.py
@@ -1,5 +1,5 @@
-"""What the fleet's members are measured against, on the same wire and in the same virtual time: plain SWIM,
-and a heartbeat to everybody. Both are our own, written from the papers.
+"""Baseline protocols that the fleet membership is measured against, on the same wire format and in the same
+virtual time: plain SWIM and all-to-all heartbeats. Both were implemented for this project from the papers.
 """
 
 from __future__ import annotations
@@ -17,18 +17,21 @@
 from cleatyoke.membership.wire import Datagram, Gossip, MemberState, Update, decode_datagram, encode_datagram
 from cleatyoke.transport.encoding import WireError
 
-MISSED = 4.0  # periods of silence after which a heartbeat's absence is a death; a suspicion of SWIM lasts
-# as long times the logarithm (to 10) of the members, which is the least that our own lasts
+# Probe intervals without a heartbeat after which a member is declared dead. A suspicion of SWIM lasts as
+# long, multiplied by the decimal logarithm of the member count; this is also the minimum of the fleet
+# membership.
+MISSED_PERIODS = 4.0
 
 
 class PlainSwim(Membership):
-    """SWIM with suspicion (Das, Gupta, Motivala 2002): no local health, no suspicion that accusers shorten,
-    nobody told first, no second look, nothing that reaches those believed dead.
+    """SWIM with suspicion (Das, Gupta, Motivala 2002), without the extensions of the fleet membership: no
+    local health score, no suspicion time-out shortened by further accusers, no direct notification of a
+    suspect, no recheck of suspects and no probes of members believed dead.
     """
 
-    def suspicion_deadline(self, life: MemberRecord) -> float:
+    def suspicion_deadline(self, record: MemberRecord) -> float:
         timing = self.timing
-        return life.state_since + timing.suspicion_multiplier * timing.probe_interval * max(
+        return record.state_since + timing.suspicion_multiplier * timing.probe_interval * max(
             1.0, math.log10(len(self.records) + 1)
         )
 
@@ -37,7 +40,7 @@
         super().run_timers()
         self.health_score = 0
 
-    def notify_suspect(self, life: MemberRecord, sender: Update) -> None:
+    def notify_suspect(self, record: MemberRecord, sender: Update) -> None:
         pass
 
     def exchange_if_allowed(self, address: str) -> None:
@@ -54,7 +57,10 @@
 
 
 class Heartbeats(Membership):
-    """Everybody tells everybody, once a period, that it is there. ``seeds`` are all of them."""
+    """All-to-all heartbeats: each member sends one to every other once per probe interval.
+
+    ``seeds`` must hold the addresses of all members.
+    """
 
     def __init__(
         self,
@@ -68,31 +74,31 @@
         owns_address: bool = False,
     ) -> None:
         super().__init__(deployment, name, boot, address, seeds, rng, timing, owns_address)
-        self.everybody = self.other_seeds()
+        self.other_addresses = self.other_seeds()
 
     def run_timers(self) -> None:
         now = self.now
         if now >= self.due_at.probe:
             self.due_at.probe = now + self.timing.probe_interval
             data, _ = encode_datagram(self.deployment, self.own_update(), Gossip(), [])
-            for address in self.everybody:
-                self.beat(address, data)
+            for address in self.other_addresses:
+                self.send_heartbeat(address, data)
         for id in [
             id
             for id in self.active_members
-            if now >= self.records[id].last_heard + MISSED * self.timing.probe_interval
+            if now >= self.records[id].last_heard + MISSED_PERIODS * self.timing.probe_interval
         ]:
-            old = self.records[id].update
-            self.merge_update(Update(id, old.address, MemberState.DEAD, old.incarnation, old.owns_address))
+            last = self.records[id].update
+            self.merge_update(Update(id, last.address, MemberState.DEAD, last.incarnation, last.owns_address))
 
-    def beat(self, address: str, data: bytes) -> None:
+    def send_heartbeat(self, address: str, data: bytes) -> None:
         self.counters.datagrams_out += 1
         self.counters.bytes_out += len(data)
         self.actions.append(SendDatagram(address, data))
 
     def next_step_at(self) -> float:
-        silent = min((self.records[id].last_heard for id in self.active_members), default=math.inf)
-        return max(self.now, min(self.due_at.probe, silent + MISSED * self.timing.probe_interval))
+        oldest = min((self.records[id].last_heard for id in self.active_members), default=math.inf)
+        return max(self.now, min(self.due_at.probe, oldest + MISSED_PERIODS * self.timing.probe_interval))
 
     def handle_event(self, event: Any) -> None:
         if isinstance(event, DatagramReceived):
@@ -103,10 +109,10 @@
 
     def handle_datagram(self, message: Datagram) -> None:
         sender = message.sender
-        life = self.records.get(sender.id)
-        if life is None:
+        record = self.records.get(sender.id)
+        if record is None:
             self.merge_update(sender)
-            life = self.records[sender.id]
-        elif life.update.state is not MemberState.ALIVE:
-            self.apply_update(life, life.update, sender)
-        life.last_heard = self.now
+            record = self.records[sender.id]
+        elif record.update.state is not MemberState.ALIVE:
+            self.apply_update(record, record.update, sender)
+        record.last_heard = self.now
--- a/cleatyoke/emulation/clock.py
+++ b/cleatyoke/emulation/clock.py
@@ -1,8 +1,9 @@
-"""An event loop whose time is virtual: it passes only where everything waits, and then at once.
+"""An asyncio event loop with a virtual clock.
 
-What is written for asyncio runs on it unchanged, hours in seconds, the same way every time: nothing comes
-from outside, so the order of all steps follows from the program and its seeds. No sockets, threads or
-processes.
+The clock advances only when all tasks are waiting, and then jumps to the next timer. asyncio code runs
+unchanged, hours of virtual time in seconds. Runs are deterministic: there is no input from outside the
+process, so the order of all steps follows from the program and its seeds. Sockets, threads and processes
+can't be used.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-RESOLUTION = 1e-7  # seconds: what is due within it is due now, whatever is lost in sums of floats
+CLOCK_RESOLUTION_S = 1e-7  # timers due within it run now, to allow for rounding in sums of floats
 
 
-class Idle(RuntimeError):
-    """Everything waits, and nothing will ever come."""
+class DeadlockError(RuntimeError):
+    """All tasks are waiting and no timer is scheduled, so that none can ever continue."""
 
 
-class TimePasses(selectors.SelectSelector):
-    """Where a loop would wait for its sockets, its clock goes on."""
+class VirtualTimeSelector(selectors.SelectSelector):
+    """Advances the virtual clock where an event loop would wait for its sockets."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -29,23 +30,23 @@
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            msg = "everything waits, and nothing is due"
-            raise Idle(msg)
+            msg = "deadlock: all tasks are waiting and no timer is scheduled"
+            raise DeadlockError(msg)
         self.now += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self.passes = TimePasses()
-        super().__init__(self.passes)
-        self._clock_resolution = RESOLUTION
+        self.virtual_selector = VirtualTimeSelector()
+        super().__init__(self.virtual_selector)
+        self._clock_resolution = CLOCK_RESOLUTION_S
 
     def time(self) -> float:
-        return self.passes.now
+        return self.virtual_selector.now
 
 
 def run(main: Coroutine[Any, Any, T]) -> T:
-    """Run to its end, in virtual time from 0 on."""
+    """Run a coroutine to its end in virtual time, starting at 0, and return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
--- a/cleatyoke/emulation/fault_events.py
+++ b/cleatyoke/emulation/fault_events.py
@@ -1,8 +1,8 @@
 """The fault events of a scenario, applied to an emulated deployment at their virtual times.
 
 Kinds: ``roll``, ``kill`` and ``powercut`` end a front and start it again; ``restart``, ``replace``, ``drain``
-and ``silence`` concern a backend's process; ``reset``, ``lose_answers``, ``spoil`` and ``slow`` concern part
-of its requests; ``links`` the network among fronts. The keys are those of scenario files.
+and ``silence`` affect a backend's process; ``reset``, ``lose_answers``, ``spoil`` and ``slow`` affect a
+fraction of its requests; ``links`` impairs the network among fronts. The keys are those of scenario files.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from cleatyoke.emulation.traffic import Emulation
 
-DRAINING_LISTED_S = 1.5  # seconds for which a backend that is replaced is listed as draining
-FRONT_RESTART_S = 0.3  # seconds between a front's end and its next start
+DRAINING_LISTED_S = 1.5  # seconds for which a backend being replaced is listed as draining
+FRONT_RESTART_S = 0.3  # seconds between the end of a front's process and its next start
 
 
 class FaultInjector:
@@ -43,9 +43,9 @@
         }
 
     async def inject(self, event: FaultEvent) -> None:
-        """Wait until the event is due, apply it to each of its subjects in turn, and undo it.
+        """Wait until the event is due, apply it to its targets one after the other, and undo it when it ends.
 
-        Raises ConfigError for a kind that only real processes can meet.
+        Raises ConfigError for a kind that needs real processes.
         """
         await asyncio.sleep(event.at)
         if event.links:
@@ -53,65 +53,65 @@
             return
         step = event.spread / max(1, len(event.targets))
 
-        async def inject_one(place: int, subject: int) -> None:
-            await asyncio.sleep(place * step)
-            await self._apply(subject, event)
+        async def inject_one(position: int, target: int) -> None:
+            await asyncio.sleep(position * step)
+            await self._apply(target, event)
 
-        await asyncio.gather(*(inject_one(place, subject) for place, subject in enumerate(event.targets)))
+        await asyncio.gather(*(inject_one(position, target) for position, target in enumerate(event.targets)))
 
-    async def _apply(self, subject: int, event: FaultEvent) -> None:
-        act = self._by_kind.get(event.kind)
-        if act is None:
-            msg = f"trouble.kind: {event.kind} is for real processes only"
+    async def _apply(self, target: int, event: FaultEvent) -> None:
+        handler = self._by_kind.get(event.kind)
+        if handler is None:
+            msg = f"trouble.kind: {event.kind} needs real processes and can't be emulated"
             raise ConfigError(msg)
-        await act(subject, event)
+        await handler(target, event)
 
-    async def _restart_front(self, subject: int, event: FaultEvent) -> None:
-        front = self._emulation.fronts[subject]
+    async def _restart_front(self, target: int, event: FaultEvent) -> None:
+        front = self._emulation.fronts[target]
         self._emulation.kill_front(front)
         await asyncio.sleep(event.duration if event.kind == "powercut" else FRONT_RESTART_S)
         await self._emulation.start_front(front)
 
-    async def _restart_backend(self, subject: int, event: FaultEvent) -> None:
+    async def _restart_backend(self, target: int, event: FaultEvent) -> None:
         emulation = self._emulation
-        backend = emulation.backends[subject]
+        backend = emulation.backends[target]
         emulation.end_backend(backend)
         await asyncio.sleep(event.duration)
-        fresh = emulation.begin_backend(subject, backend.name, emulation.loop.time())
-        emulation.backends[subject] = fresh
-        emulation.publish(fresh)
+        successor = emulation.begin_backend(target, backend.name, emulation.loop.time())
+        emulation.backends[target] = successor
+        emulation.publish(successor)
 
-    async def _replace_backend(self, subject: int, _event: FaultEvent) -> None:
-        """Start a successor beside the backend, which finishes the requests that it has."""
+    async def _replace_backend(self, target: int, _event: FaultEvent) -> None:
+        """Start a successor while the old backend drains and finishes its open requests."""
         emulation = self._emulation
-        old = emulation.backends[subject]
+        old = emulation.backends[target]
         emulation.publish(old, EndpointState.DRAINING)
-        fresh = emulation.begin_backend(subject, f"{old.name}+", emulation.loop.time())
-        emulation.backends[subject] = fresh
+        successor = emulation.begin_backend(target, f"{old.name}+", emulation.loop.time())
+        emulation.backends[target] = successor
         emulation.backends.append(old)
-        emulation.publish(fresh)
+        emulation.publish(successor)
         await asyncio.sleep(DRAINING_LISTED_S)
         emulation.publish(old, EndpointState.REMOVED)
         await asyncio.sleep(max(kind.deadline for kind in emulation.scenario.request_classes))
         old.is_up = False
         emulation.backends.remove(old)
 
-    async def _silence_backend(self, subject: int, event: FaultEvent) -> None:
-        backend = self._emulation.backends[subject]
+    async def _silence_backend(self, target: int, event: FaultEvent) -> None:
+        backend = self._emulation.backends[target]
         backend.is_silent = True
         await asyncio.sleep(event.duration)
         backend.is_silent = False
 
-    async def _impair_requests(self, subject: int, event: FaultEvent) -> None:
-        model = self._emulation.backends[subject].model
+    async def _impair_requests(self, target: int, event: FaultEvent) -> None:
+        model = self._emulation.backends[target].model
         model.faults[event.kind] = event.share
         await asyncio.sleep(event.duration)
         model.faults.pop(event.kind, None)
 
-    async def _drain_backend(self, subject: int, event: FaultEvent) -> None:
-        self._emulation.publish(self._emulation.backends[subject], EndpointState.DRAINING)
+    async def _drain_backend(self, target: int, event: FaultEvent) -> None:
+        self._emulation.publish(self._emulation.backends[target], EndpointState.DRAINING)
         await asyncio.sleep(event.duration)
-        self._emulation.publish(self._emulation.backends[subject])
+        self._emulation.publish(self._emulation.backends[target])
 
     async def _impair_links(self, event: FaultEvent, links: LinkFault) -> None:
         near = _addresses(event.targets)
@@ -127,7 +127,7 @@
 
 
 def _addresses(fronts: list[int]) -> frozenset[str]:
-    return frozenset(f"{one.host}:{one.port}" for one in map(address_of, fronts))
+    return frozenset(f"{address.host}:{address.port}" for address in map(address_of, fronts))
 
 
 def _network_fault(sources: frozenset[str], targets: frozenset[str], links: LinkFault) -> Fault:
--- a/cleatyoke/emulation/fleet.py
+++ b/cleatyoke/emulation/fleet.py
@@ -1,6 +1,7 @@
-"""Many fronts' memberships in one process, in virtual time, and what must hold of them at each step.
+"""The memberships of many fronts in one process and in virtual time, with invariants checked at each step.
 
-Each front is the real ``membership.members.Membership``; datagrams and exchanges pass a ``Network``.
+Each front runs the production ``membership.members.Membership``; datagrams and exchanges pass through an
+emulated ``Network``.
 """
 
 from __future__ import annotations
@@ -35,8 +36,8 @@
 from cleatyoke.membership.timing import MembershipTiming
 from cleatyoke.membership.wire import MemberId, MemberState
 
-EXCHANGE_TIMEOUT_S = 1.0  # seconds after which an exchange without an answer is given up
-Make = Callable[..., Membership]
+EXCHANGE_TIMEOUT_S = 1.0  # seconds after which an unanswered exchange fails
+MembershipFactory = Callable[..., Membership]
 
 
 @dataclass(slots=True)
@@ -46,43 +47,43 @@
     front: int
     members: Membership
     began: float
-    stopped_until: float = -math.inf  # seconds; by SIGSTOP
-    inbox: list[MembershipEvent] = field(default_factory=list)  # what arrived meanwhile
+    stopped_until: float = -math.inf  # seconds; when a process stopped by SIGSTOP resumes
+    inbox: list[MembershipEvent] = field(default_factory=list)  # events received while stopped
     timer_at: float = math.inf
-    precedences: dict[MemberId, tuple[bool, int, int]] = field(default_factory=dict)
+    precedences: dict[MemberId, tuple[bool, int, int]] = field(default_factory=dict)  # as last checked
 
 
 class DeclaredDeath(NamedTuple):
-    """A member's belief that another has failed."""
+    """A member's declaration that another has failed."""
 
     at: float  # seconds
-    by: str  # name of the member that believes it
+    by: str  # name of the declaring member
     of: MemberId
-    is_true: bool  # no such incarnation ran any more
+    is_correct: bool  # that incarnation no longer ran
 
 
 @dataclass(slots=True)
 class ViewJournal:
-    """What a run measures of its fronts' beliefs."""
+    """Deaths and suspicions recorded over a run."""
 
     deaths: list[DeclaredDeath] = field(default_factory=list)
-    suspected: dict[MemberId, float] = field(default_factory=dict)  # when somebody first suspected it
+    suspected: dict[MemberId, float] = field(default_factory=dict)  # when any member first suspected it
 
 
 class Fleet(EventQueue):
-    """``size`` fronts, started with ``start``. Each fault is a method; ``run`` lets time pass.
+    """``size`` fronts, started with ``start``. Each fault is a method; ``run`` advances the virtual time.
 
-    ``running``: the processes by address. ``broken``: a line for each rule that did not hold, beginning with
-    its name. ``seeds``: how many of the first fronts the others know at their start.
+    ``running``: the processes by address. ``broken``: a line for each violation of a rule, beginning with the
+    rule's name. ``seeds``: the number of fronts, from the first, that serve as the seeds of all.
     """
 
-    def __init__(  # noqa: PLR0913 (what a run is made of; all but the size have defaults)
+    def __init__(  # noqa: PLR0913 (parameters of a run; all but the size have defaults)
         self,
         size: int,
         seed: int = 0,
         timing: MembershipTiming | None = None,
         network: Network | None = None,
-        make: Make = Membership,
+        make: MembershipFactory = Membership,
         seeds: int = 3,
     ) -> None:
         super().__init__()
@@ -94,13 +95,13 @@
         self.running: dict[str, Process] = {}  # by address
         self.boot_numbers: dict[int, int] = {}
         self.seeds = [self.address(front) for front in range(min(seeds, size))]
-        self.streams: dict[int, tuple[str, str]] = {}  # token: who asked whom
+        self.streams: dict[int, tuple[str, str]] = {}  # token of an open exchange: requester, responder
         self.tokens = 0
         self.journal = ViewJournal()
         self.broken: list[str] = []
 
     def address(self, front: int) -> str:
-        """Return the address at which a front listens, in all its incarnations."""
+        """Return the address at which all incarnations of a front listen."""
         return f"10.0.{front // 250}.{front % 250}:7946"
 
     # Faults
@@ -125,7 +126,7 @@
         self.step(address)
 
     def start_all(self, over: float = 1.0) -> None:
-        """Start all fronts one after the other within so many seconds."""
+        """Start all fronts one after the other, evenly spread over this many seconds."""
         for front in range(self.size):
             self.schedule(self.now + over * front / self.size, lambda front=front: self.start(front))  # type: ignore[misc]
 
@@ -134,18 +135,18 @@
         self.running.pop(self.address(front), None)
 
     def stop(self, front: int, seconds: float) -> None:
-        """Stop a front as SIGSTOP would, and resume it so many seconds later."""
+        """Stop a front as SIGSTOP would, and resume it after this many seconds."""
         if process := self.running.get(self.address(front)):
             process.stopped_until = max(process.stopped_until, self.now + seconds)
             address = self.address(front)
             self.schedule(process.stopped_until, lambda: self._resume(address, process))
 
     def leave(self, front: int) -> None:
-        """Have a front leave, as at a graceful shutdown."""
+        """Let a front leave the fleet, as at a graceful shutdown."""
         self.step(self.address(front), LeaveRequested())
 
     def cut(self, *sides: Iterable[int]) -> None:
-        """Cut these groups off from each other and from the rest."""
+        """Partition the network: these groups are cut off from each other and from the rest."""
         self.network.sides = {
             self.address(front): number for number, side in enumerate(sides, 1) for front in side
         }
@@ -163,9 +164,9 @@
             self.step(address, *inbox)
 
     def step(self, address: str, *events: MembershipEvent) -> None:
-        """Have the front at this address handle events, and do what it wants done.
+        """Pass events to the front at this address and perform its actions.
 
-        Nothing happens where none runs; a stopped one handles the events when it resumes.
+        Does nothing if no front runs there. A stopped front handles the events when it resumes.
         """
         process = self.running.get(address)
         if process is None:
@@ -203,7 +204,7 @@
             self.schedule(due, lambda: self.fire_timer(address, process, due))
 
     def fire_timer(self, address: str, process: Process, due: float) -> None:
-        """Step a front whose timer was set for ``due``, unless it was set anew or its process ended."""
+        """Step a front whose timer was set for ``due``, unless the timer was reset or the process ended."""
         if self.running.get(address) is process and process.timer_at == due:
             process.timer_at = math.inf
             self.step(address)
@@ -220,61 +221,69 @@
         self.streams[self.tokens] = source, target
         self._deliver(reached, target, ExchangeRequested(self.tokens, data))
 
-    # What must hold, and what is measured
+    # Invariants and measurements
 
     def _record_change(self, process: Process, change: MembershipChanged) -> None:
         if change.change in (ChangeKind.SUSPECTED, ChangeKind.DEAD):
             self.journal.suspected.setdefault(change.id, self.now)
         if change.change is ChangeKind.DEAD:
-            true = all(other.members.id != change.id for other in self.running.values())
-            self.journal.deaths.append(DeclaredDeath(self.now, process.members.id.name, change.id, true))
+            is_correct = all(other.members.id != change.id for other in self.running.values())
+            self.journal.deaths.append(
+                DeclaredDeath(self.now, process.members.id.name, change.id, is_correct)
+            )
 
     def _check_precedence(self, process: Process) -> None:
-        """Check that what an incarnation believes of another never goes back."""
+        """Check that the precedence of what a process knows of each member never decreases."""
         for id in process.members.changed_ids:
-            life = process.members.records.get(id)
-            if life is None:
+            record = process.members.records.get(id)
+            if record is None:
                 continue
-            was = process.precedences.get(id)
-            if was is not None and precedence(life.update) < was:
-                self.broken.append(f"back: {process.members.id} of {id} at {self.now:.3f}")
-            process.precedences[id] = precedence(life.update)
+            previous = process.precedences.get(id)
+            if previous is not None and precedence(record.update) < previous:
+                self.broken.append(
+                    f"back: {process.members.id} lowered the precedence of {id} at {self.now:.3f}"
+                )
+            process.precedences[id] = precedence(record.update)
 
     def conclusion(self, process: Process, front_count: int) -> Conclusion:
-        """Return what a process may conclude now, configured for this number of fronts."""
+        """Return the conclusions of a process now if it is configured for this number of fronts."""
         members = process.members
-        known = [ObservedMember(life.update, life.last_heard) for life in members.records.values()]
+        known = [ObservedMember(record.update, record.last_heard) for record in members.records.values()]
         return conclude(members.own_update(), known, front_count, self.now)
 
     def check_counts(self) -> None:
-        """Check that no front counts fewer fronts than run, nor calls a running one stopped.
+        """Check that no front counts fewer fronts than run, or concludes that a running one has stopped.
 
-        Both hold on each side of any cut.
+        Both must hold on each side of any partition.
         """
-        true = {one.members.id for one in self.running.values() if not one.members.is_leaving}
+        running_ids = {
+            process.members.id for process in self.running.values() if not process.members.is_leaving
+        }
         for process in self.running.values():
             conclusion = self.conclusion(process, self.size)
-            if conclusion.front_count < len({id.name for id in true}):
+            if conclusion.front_count < len({id.name for id in running_ids}):
                 self.broken.append(
-                    f"count: {process.members.id} counts {conclusion.front_count} at {self.now:.3f}"
+                    f"count: {process.members.id} counts only {conclusion.front_count} at {self.now:.3f}"
+                )
+            if wrong := conclusion.certainly_stopped & running_ids:
+                self.broken.append(
+                    f"stopped: {process.members.id} counts running {min(wrong)} as stopped at {self.now:.3f}"
                 )
-            if wrong := conclusion.certainly_stopped & true:
-                self.broken.append(f"stopped: {process.members.id} says so of {min(wrong)} at {self.now:.3f}")
 
     def has_one_view(self) -> bool:
-        """Return whether all running fronts believe the same, and believe alive just those that run."""
-        true = {process.members.id for process in self.running.values()}
+        """Return whether all running fronts agree on one view, with exactly the running ones alive."""
+        running_ids = {process.members.id for process in self.running.values()}
         digests = set()
         for process in self.running.values():
             members = process.members
-            there = {id for id, life in members.records.items() if life.update.state is MemberState.ALIVE}
-            if there | {members.id} != true:
+            alive = {id for id, record in members.records.items() if record.update.state is MemberState.ALIVE}
+            if alive | {members.id} != running_ids:
                 return False
             digests.add(members.operator_view_checksum())
         return len(digests) <= 1
 
     def settle(self, within: float, step: float = 0.1) -> float | None:
-        """Run until there is one view; return the seconds it took, or None after ``within``."""
+        """Run until there is one view; return the seconds it took, or None after ``within`` seconds."""
         began = self.now
         while self.now < began + within:
             self.run(self.now + step)
@@ -283,12 +292,14 @@
         return None
 
     def fraction_knowing_dead(self, id: MemberId) -> float:
-        """Return the fraction of running fronts that know this incarnation as dead or gone."""
-        lives = [process.members.records.get(id) for process in self.running.values()]
-        gone = sum(life is not None and life.update.state not in ACTIVE_STATES for life in lives)
-        return gone / max(1, len(lives))
+        """Return the fraction of running fronts that know this incarnation as dead or departed."""
+        records = [process.members.records.get(id) for process in self.running.values()]
+        inactive = sum(record is not None and record.update.state not in ACTIVE_STATES for record in records)
+        return inactive / max(1, len(records))
 
     def traffic(self) -> tuple[int, int]:
         """Return the datagrams and bytes that the running fronts have sent."""
-        figures = [process.members.counters for process in self.running.values()]
-        return sum(one.datagrams_out for one in figures), sum(one.bytes_out for one in figures)
+        all_counters = [process.members.counters for process in self.running.values()]
+        return sum(counters.datagrams_out for counters in all_counters), sum(
+            counters.bytes_out for counters in all_counters
+        )
--- a/cleatyoke/emulation/network.py
+++ b/cleatyoke/emulation/network.py
@@ -1,8 +1,8 @@
-"""Links among addresses, with their faults, in virtual time or behind a relay.
+"""Network links between addresses, with faults; used in virtual time and by the fault relay.
 
-What becomes of a message is derived from the message, its link and the seed, never drawn from a generator
-that advances: a fault on one link changes nothing on another, and a run with the same messages meets the
-same faults.
+The outcome of a message is a hash of the message, its link and the seed, not the next value of a random
+generator. A fault on one link therefore changes nothing on another, and a run that sends the same messages
+meets the same faults.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MAX_PASSAGES = 100_000  # messages whose earlier passages are remembered
-STREAM_LOSS_DELAYS = 5  # delays more of a stream whose every message is lost once
-CORRUPTION_MASK = 0x55  # the bits of a byte that corruption flips
+MAX_COUNTED_MESSAGES = 100_000  # distinct messages whose repetitions are counted; then counting restarts
+STREAM_LOSS_DELAYS = 5  # added delays of a stream at a loss of 1.0, in proportion at lower loss
+CORRUPTION_MASK = 0x55  # bits that corruption flips in one byte
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """A fault on every link from one of ``sources`` to one of ``targets``, on top of the network's own.
+    """A fault on every link from one of ``sources`` to one of ``targets``, in addition to the network's own.
 
     Delays are in seconds; loss, duplication and corruption are fractions of the messages.
     """
@@ -35,9 +35,9 @@
 
 
 class Delivery(NamedTuple):
-    """A copy of a datagram that arrives."""
+    """A delivered copy of a datagram."""
 
-    after: float  # seconds
+    after: float  # seconds since the sending
     data: bytes
 
 
@@ -45,7 +45,7 @@
 class Network:
     """Links with delays in seconds and faults as fractions of the messages, from 0 to 1.
 
-    A datagram may be lost, duplicated or corrupted. A stream's message is lost by a cut only.
+    Datagrams may be lost, duplicated or corrupted. Messages on a stream are lost only through a cut.
     """
 
     seed: int = 0
@@ -54,38 +54,41 @@
     loss: float = 0.0
     duplication: float = 0.0
     corruption: float = 0.0
-    sides: dict[str, int] = field(default_factory=dict)  # address: its side of a partition, 0 if not named
+    sides: dict[str, int] = field(default_factory=dict)  # address: its side of a partition; 0 if absent
     cut_one_way: set[tuple[str, str]] = field(default_factory=set)  # from, to
-    extra_delay: dict[str, float] = field(default_factory=dict)  # address: seconds more for its messages
+    extra_delay: dict[str, float] = field(default_factory=dict)  # address: added seconds, in both directions
     faults: list[Fault] = field(default_factory=list)
-    passages: dict[int, int] = field(default_factory=dict)  # message on its link: how often it came before
+    send_counts: dict[int, int] = field(default_factory=dict)  # hash of message and link: times sent
 
-    def passage(self, source: str, target: str, data: bytes) -> int:
-        """Return a number for this message on this link; each repetition of it has another one."""
+    def transmission_hash(self, source: str, target: str, data: bytes) -> int:
+        """Return a hash of this message on this link; each repetition of the message has a different one."""
         key = zlib.crc32(data, zlib.crc32(f"{self.seed}:{source}:{target}:".encode()))
-        if len(self.passages) >= MAX_PASSAGES:
-            self.passages.clear()
-        times = self.passages.get(key, 0) + 1
-        self.passages[key] = times
-        return zlib.crc32(times.to_bytes(4, "big"), key)
+        if len(self.send_counts) >= MAX_COUNTED_MESSAGES:
+            self.send_counts.clear()
+        count = self.send_counts.get(key, 0) + 1
+        self.send_counts[key] = count
+        return zlib.crc32(count.to_bytes(4, "big"), key)
 
     @staticmethod
-    def chance(passage: int, what: str) -> float:
-        """Return a number from 0 to 1 that decides ``what`` for this passage."""
-        return zlib.crc32(what.encode(), passage) / 2**32
+    def draw(transmission: int, purpose: str) -> float:
+        """Return a number from 0 to 1 that decides ``purpose`` for the transmission with this hash.
+
+        The purposes are part of the hash: renaming one would change the faults of recorded seeds.
+        """
+        return zlib.crc32(purpose.encode(), transmission) / 2**32
 
     def faults_on(self, source: str, target: str) -> Iterator[Fault]:
-        """Return the faults of this link, in the order in which they were added."""
-        return (one for one in self.faults if source in one.sources and target in one.targets)
+        """Return the faults on this link, in the order in which they were added."""
+        return (fault for fault in self.faults if source in fault.sources and target in fault.targets)
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Return whether no message passes from ``source`` to ``target``."""
+        """Return whether all messages from ``source`` to ``target`` are lost."""
         if (source, target) in self.cut_one_way or self.sides.get(source, 0) != self.sides.get(target, 0):
             return True
         return any(fault.cut for fault in self.faults_on(source, target))
 
     def transit_time(self, source: str, target: str, draw: float) -> float:
-        """Return the seconds that a message takes; ``draw`` is its part of the jitter."""
+        """Return the seconds that a message takes; ``draw`` is the factor on the jitter."""
         delay = self.delay + self.extra_delay.get(source, 0.0) + self.extra_delay.get(target, 0.0)
         jitter = self.jitter
         for fault in self.faults_on(source, target):
@@ -103,40 +106,40 @@
         return _combine(self.corruption, (fault.corruption for fault in self.faults_on(source, target)))
 
     def datagram(self, source: str, target: str, data: bytes) -> list[Delivery]:
-        """Return what arrives of a datagram: nothing, one copy or two."""
-        passage = self.passage(source, target, data)
+        """Return the deliveries of a datagram: none, one or two."""
+        transmission = self.transmission_hash(source, target, data)
         if self.is_cut(source, target):
             return []
-        if self.chance(passage, "loss") < self._loss(source, target):
+        if self.draw(transmission, "loss") < self._loss(source, target):
             return []
-        first = self.transit_time(source, target, self.chance(passage, "delay"))
+        first = self.transit_time(source, target, self.draw(transmission, "delay"))
         copies = [Delivery(first, data)]
-        if self.chance(passage, "double") < self._duplication(source, target):
-            again = self.transit_time(source, target, 3 * self.chance(passage, "again"))
-            copies.append(Delivery(again, data))
+        if self.draw(transmission, "double") < self._duplication(source, target):
+            second = self.transit_time(source, target, 3 * self.draw(transmission, "again"))
+            copies.append(Delivery(second, data))
         corruption = self._corruption(source, target)
-        draw = self.chance(passage, "garble")
+        draw = self.draw(transmission, "garble")
         if data and draw < corruption:
-            place = int(draw / corruption * len(data))
-            corrupted = data[:place] + bytes([data[place] ^ CORRUPTION_MASK]) + data[place + 1 :]
+            index = int(draw / corruption * len(data))
+            corrupted = data[:index] + bytes([data[index] ^ CORRUPTION_MASK]) + data[index + 1 :]
             copies = [Delivery(after, corrupted) for after, _ in copies]
         return copies
 
     def stream(self, source: str, target: str, data: bytes) -> float | None:
-        """Return the seconds until a stream's message has arrived complete, or None if it never does.
+        """Return the seconds until a message on a stream has arrived in full, or None if it never does.
 
-        A cut in one direction breaks both, as nothing is acknowledged; loss only makes the stream slower.
+        A cut in one direction breaks both, since acknowledgements are lost; loss only slows the stream down.
         """
         if self.is_cut(source, target) or self.is_cut(target, source):
             return None
         slowdown = 1 + STREAM_LOSS_DELAYS * self._loss(source, target)
-        passage = self.passage(source, target, data)
-        return slowdown * self.transit_time(source, target, self.chance(passage, "delay"))
+        transmission = self.transmission_hash(source, target, data)
+        return slowdown * self.transit_time(source, target, self.draw(transmission, "delay"))
 
 
 def _combine(own: float, others: Iterable[float]) -> float:
     """Return the fraction of messages that meet at least one of these faults."""
-    spared = 1.0 - own
+    unaffected = 1.0 - own
     for fraction in others:
-        spared *= 1.0 - fraction
-    return 1.0 - spared
+        unaffected *= 1.0 - fraction
+    return 1.0 - unaffected
--- a/cleatyoke/emulation/quota_leases.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -1,7 +1,8 @@
 """Quota leases among many fronts in virtual time.
 
-The real ``coordination.quota_leases`` of each front, on a network with faults, with clocks that drift apart,
-crashes and stopped processes. After each event the sum of what all may use is compared with the total.
+Each front runs the production ``coordination.quota_leases``, on a network with faults and with drifting
+clocks, crashes and stopped processes. The highest sum of what all fronts may use is recorded, for comparison
+with the total.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
 
 RESOURCE = "limit:1"
-TICK_S = 0.05  # seconds between two steps of a front without other cause
-LONG_AGO = -3600.0  # start of the fronts that a run begins with
+TICK_S = 0.05  # seconds between the periodic steps of a front
+INITIAL_FRONTS_STARTED_AT = -3600.0  # seconds; so early that home quotas are available at once
 LeasesFactory = Callable[[float, random.Random, LeaseTerms], QuotaLeases]
 
 _decoder: msgspec.msgpack.Decoder[LeaseRequest | LeaseGrant] = msgspec.msgpack.Decoder(
@@ -37,19 +38,19 @@
 
     id: MemberId
     leases: QuotaLeases
-    clock_rate: float  # of its own clock against true time
-    stopped_until: float = -math.inf
+    clock_rate: float  # speed of its clock relative to true time
+    stopped_until: float = -math.inf  # seconds of true time
 
     def local_time(self, now: float) -> float:
-        """Return what its own clock shows at the true time ``now``."""
+        """Return the time on its own clock at the true time ``now``."""
         return now * self.clock_rate
 
 
 class LeaseSimulation(EventQueue):
     """``size`` fronts that share one resource.
 
-    ``demands``, by front, are in parts of which each front's own quota has ``HOME_PARTS``; set them between
-    two calls of ``run``. ``max_usable_parts``: the most that all together could use after any event, which
+    ``demands``, by front, are in parts, of which each front's own quota has ``HOME_PARTS``; set them between
+    calls of ``run``. ``max_usable_parts``: the highest sum of what all fronts could use after any event; it
     must not exceed ``total_parts``.
     """
 
@@ -70,31 +71,32 @@
         self._seed = seed
         self._make = make
         self._terms = terms or LeaseTerms()
+        # Part of the seed: another name would change all random sequences.
         self._rng = random.Random(f"market:{seed}")
         for front in range(size):
-            self.start(front, began=LONG_AGO)
+            self.start(front, began=INITIAL_FRONTS_STARTED_AT)
             self._schedule_tick(front, self._rng.random() * TICK_S)
 
     def after_event(self) -> None:
-        """Note the most that could be used."""
+        """Update ``max_usable_parts``."""
         self.max_usable_parts = max(self.max_usable_parts, self.usable_parts())
 
     def usable_parts(self) -> int:
-        """Return the parts that all fronts that are not stopped could use together now."""
+        """Return the sum of the parts that the fronts that are not stopped could use now."""
         return sum(
-            one.leases.usable_parts(RESOURCE, one.local_time(self.now))
-            for one in self.holders.values()
-            if self.now >= one.stopped_until
+            holder.leases.usable_parts(RESOURCE, holder.local_time(self.now))
+            for holder in self.holders.values()
+            if self.now >= holder.stopped_until
         )
 
     def total_parts(self) -> int:
-        """Return the parts that there are."""
+        """Return the number of parts of the resource."""
         return self.size * HOME_PARTS
 
     # Faults
 
     def start(self, front: int, began: float | None = None) -> None:
-        """Begin a new incarnation, now or at ``began``, and let all know who is there."""
+        """Start a new incarnation, now or at ``began``, and notify all fronts of their current peers."""
         boot = self.holders[front].id.boot + 1 if front in self.holders else 1
         drift = self._terms.clock_drift / 2
         clock_rate = 1 + self._rng.uniform(-drift, drift)
@@ -102,11 +104,11 @@
         leases = self._make(since, random.Random(f"{self._seed}:{front}:{boot}"), self._terms)
         self.holders[front] = LeaseHolder(MemberId(f"front-{front}", boot), leases, clock_rate)
         for holder in self.holders.values():
-            others = tuple(one.id for one in self.holders.values() if one is not holder)
+            others = tuple(other.id for other in self.holders.values() if other is not holder)
             holder.leases.step(holder.local_time(self.now), [PeersChanged(others)])
 
     def stop(self, front: int, seconds: float) -> None:
-        """Stop a front's process as SIGSTOP would, for so long."""
+        """Stop a front's process as SIGSTOP would, for this many seconds."""
         self.holders[front].stopped_until = self.now + seconds
 
     # Steps
@@ -121,16 +123,16 @@
     def _step(self, front: int, event: DemandChanged | LeaseMessageReceived) -> None:
         holder = self.holders[front]
         if self.now < holder.stopped_until:
-            if isinstance(event, LeaseMessageReceived):  # it waits in the socket
+            if isinstance(event, LeaseMessageReceived):  # stays in the socket buffer
                 self.schedule(holder.stopped_until, lambda: self._receive_when_resumed(holder, front, event))
             return
-        for post in holder.leases.step(holder.local_time(self.now), [event]):
-            self._send(front, holder.id, post.receiver, _encoder.encode(post.message))
+        for envelope in holder.leases.step(holder.local_time(self.now), [event]):
+            self._send(front, holder.id, envelope.receiver, _encoder.encode(envelope.message))
 
     def _send(self, front: int, sender: MemberId, receiver: MemberId, data: bytes) -> None:
         target = int(receiver.name.partition("-")[2])
         for after, arrived in self.network.datagram(str(front), str(target), data):
-            if arrived != data:  # the receiver rejects a corrupted datagram by its checksum
+            if arrived != data:  # the receiver would reject a corrupted datagram by its checksum
                 continue
             self.schedule(self.now + after, lambda: self._deliver(target, receiver, sender, data))
 
--- a/cleatyoke/emulation/view.py
+++ b/cleatyoke/emulation/view.py
@@ -1,5 +1,5 @@
-"""The fleet's view, and what is lent by it, of fronts by the hundred in one process: the real carrier's
-steps on a network in virtual time in place of its sockets.
+"""Fleet views, with quota leases, of hundreds of fronts in one process: the production ``FleetView`` on an
+emulated network in virtual time instead of sockets.
 """
 
 from __future__ import annotations
@@ -18,68 +18,83 @@
 from cleatyoke.process.faults import Faults
 
 
-class Ether:
-    """Who listens where, and what lies between."""
+class VirtualTransport:
+    """Delivers datagrams and exchanges between the fleet views of one emulation, over its network."""
 
     def __init__(self, network: Network) -> None:
         self.network, self.loop = network, asyncio.get_running_loop()
         self.views: dict[str, VirtualView] = {}  # by address
-        self.streams: dict[int, tuple[VirtualView, str]] = {}  # token: who waits for an answer, from whom
+        # Token of an open exchange: the requester and the responder's address.
+        self.streams: dict[int, tuple[VirtualView, str]] = {}
         self.tokens = 0
 
-    def later(self, after: float, address: str, act: Callable[[VirtualView], None]) -> None:
-        def arrive() -> None:
+    def deliver(self, after: float, address: str, deliver_to: Callable[[VirtualView], None]) -> None:
+        def deliver_if_running() -> None:
             if view := self.views.get(address):
-                act(view)
+                deliver_to(view)
 
-        self.loop.call_later(after, arrive)
+        self.loop.call_later(after, deliver_if_running)
 
 
 class VirtualView(FleetView):
     def __init__(
-        self, ether: Ether, peers: FleetSettings, name: str, hosts: int, seed: int, faults: Faults
+        self,
+        transport: VirtualTransport,
+        settings: FleetSettings,
+        name: str,
+        front_count: int,
+        seed: int,
+        faults: Faults,
     ) -> None:
-        super().__init__(peers, name, hosts, seed, faults)
-        self.ether, self.address = ether, format_address(peers.advertise)
+        super().__init__(settings, name, front_count, seed, faults)
+        self.transport, self.address = transport, format_address(settings.advertise)
 
     async def start(self) -> None:
-        self.ether.views[self.address] = self
+        self.transport.views[self.address] = self
         self.step()
 
     def kill(self) -> None:
-        """As by SIGKILL: no word, and nothing of it is left."""
-        if self.ether.views.get(self.address) is self:
-            del self.ether.views[self.address]
-        for bell in (self.step_timer, self.lease_timer.timer, self.settings_timer.timer):
-            if bell:
-                bell.cancel()
+        """End as SIGKILL would: no leave notice is sent, and nothing is delivered any more."""
+        if self.transport.views.get(self.address) is self:
+            del self.transport.views[self.address]
+        for timer in (self.step_timer, self.lease_timer.timer, self.settings_timer.timer):
+            if timer:
+                timer.cancel()
 
     def close_sockets(self) -> None:
         self.kill()
 
     def perform(self, action: MembershipAction) -> None:
-        network, here = self.ether.network, self.address
+        network, own_address = self.transport.network, self.address
         match action:
             case SendDatagram(target, data):
-                for after, came in network.datagram(here, target, data):
-                    self.ether.later(after, target, lambda view, came=came: view.step(DatagramReceived(came)))  # type: ignore[misc]
+                for after, arrived in network.datagram(own_address, target, data):
+                    self.transport.deliver(
+                        after,
+                        target,
+                        lambda view, arrived=arrived: view.step(DatagramReceived(arrived)),  # type: ignore[misc]
+                    )
             case StartExchange(target, data):
-                reached = network.stream(here, target, data)
-                if reached is None or target not in self.ether.views:
-                    self.ether.later(
-                        EXCHANGE_TIMEOUT, here, lambda view: view.step(ExchangeAnswered(target, None))
+                transit_time = network.stream(own_address, target, data)
+                if transit_time is None or target not in self.transport.views:
+                    self.transport.deliver(
+                        EXCHANGE_TIMEOUT, own_address, lambda view: view.step(ExchangeAnswered(target, None))
                     )
                     return
-                self.ether.tokens += 1
-                token = self.ether.tokens
-                self.ether.streams[token] = self, target
-                self.ether.later(reached, target, lambda view: view.step(ExchangeRequested(token, data)))
+                self.transport.tokens += 1
+                token = self.transport.tokens
+                self.transport.streams[token] = self, target
+                self.transport.deliver(
+                    transit_time, target, lambda view: view.step(ExchangeRequested(token, data))
+                )
             case ReplyExchange(token, data):
-                asker, _ = self.ether.streams.pop(token)
-                back = network.stream(here, asker.address, data)
-                if back is not None:
-                    self.ether.later(
-                        back, asker.address, lambda view: view.step(ExchangeAnswered(here, data))
+                requester, _ = self.transport.streams.pop(token)
+                reply_time = network.stream(own_address, requester.address, data)
+                if reply_time is not None:
+                    self.transport.deliver(
+                        reply_time,
+                        requester.address,
+                        lambda view: view.step(ExchangeAnswered(own_address, data)),
                     )
             case _:
                 super().perform(action)
--- a/cleatyoke/emulation/virtual_front.py
+++ b/cleatyoke/emulation/virtual_front.py
@@ -1,4 +1,4 @@
-"""A front of an emulated deployment: the real core, endpoint directory and fleet view, without sockets."""
+"""A front of an emulated deployment: production core, endpoint directory and fleet view, without sockets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cleatyoke.config.settings import read_settings
 from cleatyoke.core import Core
 from cleatyoke.discovery.directory import Directory, EndpointList, Instance
-from cleatyoke.emulation.view import Ether, VirtualView, address_of
+from cleatyoke.emulation.view import VirtualTransport, VirtualView, address_of
 from cleatyoke.emulation.virtual_backend import UNIX_TIME_AT_START
 from cleatyoke.process.faults import Faults
 from cleatyoke.scheduling.events import EndpointUpdate, UpdateKind
@@ -22,26 +22,26 @@
 
 
 def make_core(settings: SchedulerSettings) -> Core:
-    """Make the real core, on the run's virtual wall clock."""
+    """Create the production core, on the run's virtual wall clock."""
     return Core(settings, UNIX_TIME_AT_START)
 
 
 class VirtualFront:
-    """A front over all its incarnations. ``core`` and ``directory`` are None while it is down."""
+    """A front across all its incarnations. ``core`` and ``directory`` are None while it is down."""
 
-    def __init__(self, number: int, scenario: Scenario, ether: Ether, faults: Faults) -> None:
+    def __init__(self, number: int, scenario: Scenario, transport: VirtualTransport, faults: Faults) -> None:
         self.number = number
         self.core: Core | None = None
         self.directory: Directory | None = None
         self.open_requests: set[asyncio.Task[Any]] = set()
         self._scenario = scenario
-        self._ether = ether
+        self._transport = transport
         self._faults = faults
-        self._boot = 0  # number of its incarnation, from 1
+        self._boot = 0  # boot number; 1 in the first incarnation
         self._view: VirtualView | None = None
 
     async def start(self, make: CoreFactory) -> None:
-        """Begin an incarnation that knows no endpoint yet; ``notify_snapshot`` gives it the list."""
+        """Start an incarnation without endpoints; ``notify_snapshot`` delivers the list."""
         scenario = self._scenario
         self._boot += 1
         settings = read_settings(settings_of(scenario), scenario.seed * 1000 + self.number)
@@ -54,7 +54,7 @@
     async def _start_view(self, terms: ViewTerms, core: Core, directory: Directory) -> None:
         scenario = self._scenario
         view = VirtualView(
-            self._ether,
+            self._transport,
             self._fleet_settings(terms),
             f"n{self.number}",
             scenario.fronts,
@@ -81,21 +81,21 @@
         )
 
     def notify_snapshot(self, version: int, instances: Iterable[Instance]) -> None:
-        """Give a running front the complete endpoint list."""
+        """Deliver the complete endpoint list to a running front."""
         self._notify(UpdateKind.SNAPSHOT, EndpointList(version, True, list(instances)))
 
     def notify_change(self, version: int, instance: Instance) -> None:
-        """Give a running front one changed endpoint."""
+        """Deliver one changed endpoint to a running front."""
         self._notify(UpdateKind.DELTA, EndpointList(version, False, [instance]))
 
-    def _notify(self, kind: UpdateKind, listing: EndpointList) -> None:
+    def _notify(self, kind: UpdateKind, endpoint_list: EndpointList) -> None:
         assert self.core
         assert self.directory
-        entries = self.directory.apply(listing)
+        entries = self.directory.apply(endpoint_list)
         self.core.notify(EndpointUpdate(kind, entries))
 
     def kill(self) -> None:
-        """End the incarnation as SIGKILL would: its requests get no answer, its peers no leave notice."""
+        """End the incarnation as SIGKILL would: its clients get no answers and its peers no leave notice."""
         if self._view:
             self._view.kill()
         if self.core and self.core.timer:
