--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -69,7 +69,7 @@
     ]
 
 
-def test_emulation_with_all_fault_kinds_keeps_rules_and_is_reproducible() -> None:
+def test_emulation_with_mixed_faults_keeps_rules_and_is_reproducible() -> None:
     fault_lines = (
         "roll 1 0 2",
         "roll 2 1 0",
