--- a/cleatyoke/emulation/quota_leases.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -19,7 +19,7 @@
 from cleatyoke.coordination.quota_leases import QuotaLeases
 from cleatyoke.emulation.event_queue import EventQueue
 from cleatyoke.emulation.network import Network
-from cleatyoke.membership.wire import HOME_PARTS, LeaseGrant, LeaseRequest, MemberId
+from cleatyoke.membership.wire import HOME_QUOTA_PARTS, LeaseGrant, LeaseRequest, MemberId
 
 RESOURCE = "limit:1"
 TICK_S = 0.05  # seconds between the periodic steps of a front
@@ -91,7 +91,7 @@
 
     def total_parts(self) -> int:
         """Return the number of parts of the resource."""
-        return self.size * HOME_PARTS
+        return self.size * HOME_QUOTA_PARTS
 
     # Faults
 
