--- a/cleatyoke/emulation/capacity/processes.py
+++ b/cleatyoke/emulation/capacity/processes.py
@@ -17,7 +17,7 @@
 from cleatyoke.testbed.front_settings import settings_of
 from cleatyoke.testbed.runner import ROOT, ScenarioRun
 from cleatyoke.testbed.scenario import Scenario
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 START_SECONDS = 60.0  # to wait at most until a front is ready
@@ -46,7 +46,7 @@
         "load": {"rate": rate, "volumes": 48, "hosts": 1},
         "box": {"units": 400.0},
     }
-    return make_scenario("capacity", values)
+    return parse_scenario("capacity", values)
 
 
 @contextlib.asynccontextmanager
--- a/cleatyoke/emulation/distribution.py
+++ b/cleatyoke/emulation/distribution.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Measured:
+class LatencySamples:
     """``latencies``: seconds from each change until a subscriber knew it, one value per subscriber."""
 
     latencies: dict[Lane, list[float]] = field(default_factory=lambda: {lane: [] for lane in Lane})
@@ -78,7 +78,7 @@
         self.subscribers: dict[str, Subscriber] = {}
         self.changes: dict[int, Change] = {}
         self.known: dict[str, dict[Lane, int]] = {}
-        self.measured = Measured()
+        self.measured = LatencySamples()
         for name in self.relay_names:
             self.start_relay(name)
         for number in range(fronts):
--- a/cleatyoke/emulation/distribution_measure.py
+++ b/cleatyoke/emulation/distribution_measure.py
@@ -26,7 +26,7 @@
 from cleatyoke.emulation.capacity.plan import HOUR, PLAN
 from cleatyoke.emulation.capacity.processes import ProcessUsage
 from cleatyoke.emulation.capacity.results import PropagationResult
-from cleatyoke.emulation.distribution import Measured, Tree
+from cleatyoke.emulation.distribution import LatencySamples, Tree
 from cleatyoke.testbed.runner import ROOT
 from cleatyoke.transport.framing import read_message, write_message
 
@@ -52,7 +52,7 @@
         front.timing = SubscriberTiming()
         front.budget.level = 0.0
     tree.run(tree.now + 5.0)
-    tree.measured = Measured()
+    tree.measured = LatencySamples()
     return tree
 
 
@@ -93,7 +93,7 @@
     tree.put_at(gaps, Lane.SETTINGS, keys, VALUE)
     found = list(summarize("mean rate", tree, 98.0))
     tree.run(tree.now + 10)
-    tree.measured = Measured()
+    tree.measured = LatencySamples()
     step = PLAN.burst_seconds / PLAN.burst_changes
     tree.put_at(
         [tree.now + step * number for number in range(PLAN.burst_changes)], Lane.SETTINGS, keys, VALUE
@@ -101,7 +101,7 @@
     tree.put_at([tree.now + 10.0 * number for number in range(6)], Lane.NODES, nodes, 150)
     found += summarize("burst, 500 in 60 s", tree, 91.0)
     tree.run(tree.now + 10)
-    tree.measured = Measured()
+    tree.measured = LatencySamples()
     lost = tree.relay_names[:3]
     for name in lost:
         tree.kill_relay(name)
--- a/cleatyoke/emulation/quota_leases.py
+++ b/cleatyoke/emulation/quota_leases.py
@@ -49,9 +49,9 @@
 class LeaseSimulation(EventQueue):
     """``size`` fronts that share one resource.
 
-    ``demands``, by front, are in parts, of which each front's own quota has ``HOME_PARTS``; set them between
-    calls of ``run``. ``max_usable_parts``: the highest sum of what all fronts could use after any event; it
-    must not exceed ``total_parts``.
+    ``demands``, by front, are in parts, of which each front's own quota has ``HOME_QUOTA_PARTS``; set them
+    between calls of ``run``. ``max_usable_parts``: the highest sum of what all fronts could use after any
+    event; it must not exceed ``total_parts``.
     """
 
     def __init__(
--- a/cleatyoke/emulation/recovery.py
+++ b/cleatyoke/emulation/recovery.py
@@ -22,12 +22,12 @@
 from cleatyoke.core import Core
 from cleatyoke.emulation import value as earnings
 from cleatyoke.emulation.traffic import Emulation, emulate
-from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.emulation.value import LogicalRequest
 from cleatyoke.emulation.virtual_backend import UNIX_TIME_AT_START
 from cleatyoke.emulation.virtual_front import make_core
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 from cleatyoke.testbed.search import run_values
 
 # Seconds of the power loss and of the return of the fronts; the backends return 0.3 s before the fronts.
@@ -132,7 +132,7 @@
     return rows
 
 
-def value_per_second(scenario: Scenario, requests: Sequence[RequestTemplate], began: float) -> list[float]:
+def value_per_second(scenario: Scenario, requests: Sequence[LogicalRequest], began: float) -> list[float]:
     return earnings.value_over_time(requests, earnings.achieved_value(scenario, requests), began)
 
 
@@ -145,7 +145,7 @@
     """Measure the recovery from the power loss in virtual time."""
     silence_logs()
     scenario, fleet = (
-        make_scenario("loss", power_loss_scenario(fronts, seed, kind == "ours")),
+        parse_scenario("loss", power_loss_scenario(fronts, seed, kind == "ours")),
         f"{fronts} in virtual time",
     )
     outcome = emulate(scenario, core_without_slow_start if kind == "at once" else make_core)
@@ -169,7 +169,7 @@
             "most at a cold box",
             outcome.checker.max_warm_up_load(outcome.scenario.backend_capacity.overload_window),
         ),
-        row(fleet, kind, seed, "boxes that fell", sum(box.has_fallen for box in outcome.backends)),
+        row(fleet, kind, seed, "boxes that fell", sum(box.has_crashed for box in outcome.backends)),
         row(fleet, kind, seed, "rules broken", len(outcome.broken())),
     ]
 
@@ -178,7 +178,7 @@
     """Measure the recovery from the power loss with real processes."""
     values, fleet = power_loss_scenario(fronts, seed, kind == "ours"), f"{fronts} processes"
     report = run_values("loss", values)
-    earned = value_per_second(make_scenario("loss", values), report.request_templates, report.load_started_at)
+    earned = value_per_second(parse_scenario("loss", values), report.logical_requests, report.load_started_at)
     return [
         *recovery_rows(fleet, kind, seed, earned, []),
         row(fleet, kind, seed, "most at a cold box", report.max_warm_up_load),
@@ -186,7 +186,7 @@
     ]
 
 
-def count_admitted(scenario: Scenario, requests: Sequence[RequestTemplate]) -> int:
+def count_admitted(scenario: Scenario, requests: Sequence[LogicalRequest]) -> int:
     """Return how many requests a single rate limiter shared by all fronts without delay would admit."""
     plan, level, last, passed = scenario.plans[0], scenario.plans[0].burst, 0.0, 0
     for request in sorted(
@@ -202,7 +202,7 @@
     """Measure the used fraction of a rate limit, relative to a single shared rate limiter."""
     silence_logs()
     scenario, fleet = (
-        make_scenario("skew", skewed_load_scenario(fronts, seed, kind == "lent")),
+        parse_scenario("skew", skewed_load_scenario(fronts, seed, kind == "lent")),
         f"{fronts} in virtual time",
     )
     outcome = emulate(scenario)
--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -18,7 +18,7 @@
 from cleatyoke.emulation.clock import run
 from cleatyoke.emulation.fault_events import FaultInjector
 from cleatyoke.emulation.network import Network
-from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.emulation.value import LogicalRequest
 from cleatyoke.emulation.view import VirtualTransport
 from cleatyoke.emulation.virtual_backend import IncarnationHistory, VirtualBackend
 from cleatyoke.emulation.virtual_front import CoreFactory, VirtualFront, make_core
@@ -70,7 +70,7 @@
         self.checker = RuleChecker(scenario.plans, scenario.terms, max(4.0, float(scenario.load.max_units)))
         self.network = Network(scenario.seed)
         self.backends: list[VirtualBackend] = []  # by shard, followed by those being replaced
-        self.requests: list[RequestTemplate] = []
+        self.requests: list[LogicalRequest] = []
         self.rejections: list[Rejection] = []
         self.began = 0.0
         self._make = make
@@ -139,7 +139,7 @@
         """Perform one attempt of a front; return the outcome that its connection would have had."""
         backend = self._backend_of(front, node)
         await asyncio.sleep(LATENCY_S)
-        if backend is None or not backend.is_up or backend.has_fallen:
+        if backend is None or not backend.is_up or backend.has_crashed:
             return AttemptResult(AttemptOutcome.CONNECTION_FAILED)
         if backend.is_silent:
             await asyncio.sleep(NO_ANSWER_S)
@@ -148,7 +148,7 @@
             trace, backend.name, now, backend.shard, backend.zone, request.content
         )
         self._record_warm_up_request(backend, now, request.units)
-        if backend.has_fallen:
+        if backend.has_crashed:
             record.ended = now
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
         ticket = backend.model.accept(now, trace, request.units)
@@ -178,7 +178,7 @@
         if ticket.outcome is RequestOutcome.UNREAD:
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
         await asyncio.sleep(ticket.ends_at - now)
-        if backend.has_fallen or not backend.is_up:
+        if backend.has_crashed or not backend.is_up:
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
         record.executed = True
         await asyncio.sleep(LATENCY_S)
@@ -210,7 +210,7 @@
             if at >= now - capacity.overload_window
         ]
         if self._crash_on_overload and sum(recent) > max_units + self.checker.warm_up_slack:
-            backend.has_fallen = True
+            backend.has_crashed = True
             self.end_backend(backend)
 
     # Clients
@@ -228,7 +228,7 @@
                 break
             await asyncio.sleep(max(answer.retry_after, load.retry_delay))
         self.requests.append(
-            RequestTemplate(first, generated.volume, generated.request_class, generated.units, served)
+            LogicalRequest(first, generated.volume, generated.request_class, generated.units, served)
         )
 
     async def _request(self, generated: GeneratedRequest, trace: str) -> ClientAnswer:
--- a/cleatyoke/emulation/value.py
+++ b/cleatyoke/emulation/value.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RequestTemplate:
+class LogicalRequest:
     """A client's request over all its retries, and when it was served. Times are in seconds."""
 
     at: float  # when it was first sent
@@ -45,7 +45,7 @@
     remaining: dict[tuple[int, int], float] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, scenario: Scenario, requests: Iterable[RequestTemplate]) -> Reserves:
+    def of(cls, scenario: Scenario, requests: Iterable[LogicalRequest]) -> Reserves:
         """Return the unused reserves for the volumes and seconds of these requests."""
         demand: defaultdict[tuple[int, int], float] = defaultdict(float)
         for request in requests:
@@ -55,12 +55,12 @@
             {second: min(units, scenario.plan_of(second[0]).reserve) for second, units in demand.items()},
         )
 
-    def unit_value(self, request: RequestTemplate) -> float:
+    def unit_value(self, request: LogicalRequest) -> float:
         """Return the mean value of the request's units if it is served in time and next."""
         within = min(1.0, self.remaining.get(_second_of(request), 0.0) / request.units)
         return request.value(self.scenario) * (within + (1 - within) * SURPLUS_VALUE_SHARE)
 
-    def take(self, request: RequestTemplate) -> float:
+    def take(self, request: LogicalRequest) -> float:
         """Count the request against the reserves and return its value."""
         value = self.unit_value(request) * request.units
         second = _second_of(request)
@@ -68,11 +68,11 @@
         return value
 
 
-def _second_of(request: RequestTemplate) -> tuple[int, int]:
+def _second_of(request: LogicalRequest) -> tuple[int, int]:
     return request.volume, int(request.at)
 
 
-def achieved_value(scenario: Scenario, requests: Sequence[RequestTemplate]) -> list[float]:
+def achieved_value(scenario: Scenario, requests: Sequence[LogicalRequest]) -> list[float]:
     """Return the value that each request contributed to the run, in the order of ``requests``."""
     reserves = Reserves.of(scenario, requests)
     values = [0.0] * len(requests)
@@ -83,7 +83,7 @@
     return values
 
 
-def full_value(scenario: Scenario, requests: Sequence[RequestTemplate]) -> list[float]:
+def full_value(scenario: Scenario, requests: Sequence[LogicalRequest]) -> list[float]:
     """Return the value of each request if all were served in time and in the order of their arrival."""
     reserves = Reserves.of(scenario, requests)
     values = [0.0] * len(requests)
@@ -93,7 +93,7 @@
 
 
 def ideal_value(
-    scenario: Scenario, requests: Sequence[RequestTemplate], power: Callable[[int, float], float]
+    scenario: Scenario, requests: Sequence[LogicalRequest], power: Callable[[int, float], float]
 ) -> list[float]:
     """Return the value of each request under a scheduler with complete knowledge.
 
@@ -130,7 +130,7 @@
 
 
 def value_over_time(
-    requests: Sequence[RequestTemplate], values: Sequence[float], began: float, step: float = 1.0
+    requests: Sequence[LogicalRequest], values: Sequence[float], began: float, step: float = 1.0
 ) -> list[float]:
     """Return the sums of ``values`` by the time of first sending, per ``step`` seconds from ``began`` on."""
     sums: defaultdict[int, float] = defaultdict(float)
--- a/cleatyoke/emulation/virtual_backend.py
+++ b/cleatyoke/emulation/virtual_backend.py
@@ -28,7 +28,7 @@
     state: EndpointState = EndpointState.LIVE  # in the endpoint list
     is_up: bool = True
     is_silent: bool = False  # accepts connections and never answers
-    has_fallen: bool = False  # was sent more than it can take while warming up
+    has_crashed: bool = False  # was sent more than it can take while warming up
 
     def instance(self) -> Instance:
         """Return its entry in the endpoint list."""
--- a/cleatyoke/testbed/clients.py
+++ b/cleatyoke/testbed/clients.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.emulation.value import LogicalRequest
 from cleatyoke.scheduling.settings import Idempotency
 from cleatyoke.testbed.checker import ClientRequestRecord, RequestContent, RuleChecker
 from cleatyoke.testbed.scenario import Scenario
@@ -67,7 +67,7 @@
         # Blocks created last, and the shard that has each.
         self.written: deque[tuple[str, int]] = deque(maxlen=RECENT_OBJECTS)
         self.tasks: set[asyncio.Task[None]] = set()
-        self.templates: list[RequestTemplate] = []  # what came of each request, over its attempts
+        self.templates: list[LogicalRequest] = []  # what came of each request, over its attempts
 
     async def run(self) -> None:
         """Send all requests at their times and return once each has its outcome."""
@@ -91,7 +91,7 @@
                 break
             if number < load.retries:
                 await asyncio.sleep(max(record.retry_after, load.retry_delay))
-        template = RequestTemplate(first_sent_at, drawn.volume, drawn.request_class, drawn.units, served_at)
+        template = LogicalRequest(first_sent_at, drawn.volume, drawn.request_class, drawn.units, served_at)
         self.templates.append(template)
 
     async def send_once(
--- a/cleatyoke/testbed/fault_injection.py
+++ b/cleatyoke/testbed/fault_injection.py
@@ -132,7 +132,7 @@
             case "powercut":
                 await front.kill()
                 if self.run.scenario.view and self.run.scenario.view.durable:
-                    front.erase_memory()
+                    front.erase_volatile_files()
                 await asyncio.sleep(fault.duration)
                 front.write_config()
                 await front.start()
--- a/cleatyoke/testbed/front_process.py
+++ b/cleatyoke/testbed/front_process.py
@@ -215,7 +215,7 @@
             self.process.kill()
             await self.process.wait()
 
-    def erase_memory(self) -> None:
+    def erase_volatile_files(self) -> None:
         """Delete what a loss of power destroys: the files in $TMPDIR, not those in the durable folder."""
         for path in self.folder.glob("cleatyoke-*"):
             path.unlink()
--- a/cleatyoke/testbed/peer.py
+++ b/cleatyoke/testbed/peer.py
@@ -92,7 +92,7 @@
         self.writers.add(writer)
         self.handlers.add(handler)
         try:
-            await self.converse(reader, writer)
+            await self.serve_connection(reader, writer)
         except (EOFError, OSError, ValueError, asyncio.CancelledError):
             pass  # the peer disconnected or sent malformed data, or this listener stops
         finally:
@@ -105,7 +105,7 @@
         """Abort a connection."""
         writer.transport.abort()
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a connection (in subclasses). May raise if the peer disconnects or sends malformed data."""
         raise NotImplementedError
 
--- a/cleatyoke/testbed/run_report.py
+++ b/cleatyoke/testbed/run_report.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.emulation.value import LogicalRequest
 
 MAX_LISTED = 20  # fault lines, and violations, that the text lists
 
@@ -33,8 +33,8 @@
     fault_lines: list[str] = field(
         default_factory=list
     )  # log lines of unexpected exceptions (``*_fault`` events)
-    load_started_at: float = 0.0  # on the event loop's clock, like the times in ``request_templates``
-    request_templates: list[RequestTemplate] = field(
+    load_started_at: float = 0.0  # on the event loop's clock, like the times in ``logical_requests``
+    logical_requests: list[LogicalRequest] = field(
         default_factory=list
     )  # the clients' requests and their times
     hold_answers: list[str] = field(default_factory=list)  # to the commands that hold and release backends
--- a/cleatyoke/testbed/runner.py
+++ b/cleatyoke/testbed/runner.py
@@ -188,7 +188,7 @@
 
     def _complete_report(self, clients: ClientDoubles) -> RunReport:
         report = self.report
-        report.request_templates = clients.templates
+        report.logical_requests = clients.templates
         self._count_requests(list(self.checker.requests.values()))
         report.probes = self.checker.probe_count
         for backend in (*self.backends, *self.retired_backends):
--- a/cleatyoke/testbed/scenario_file.py
+++ b/cleatyoke/testbed/scenario_file.py
@@ -40,10 +40,10 @@
     except (OSError, ValueError) as error:
         msg = f"{path.name}: {error}"
         raise ConfigError(msg) from error
-    return make_scenario(path.stem, values)
+    return parse_scenario(path.stem, values)
 
 
-def make_scenario(name: str, values: dict[str, Any]) -> Scenario:
+def parse_scenario(name: str, values: dict[str, Any]) -> Scenario:
     """Validate the contents of a scenario file and convert them; ``docs/standin.md`` describes each key.
 
     Raises ``ConfigError`` naming the first invalid key. The order of the reads below decides which is first.
--- a/cleatyoke/testbed/search.py
+++ b/cleatyoke/testbed/search.py
@@ -19,7 +19,7 @@
 from cleatyoke.testbed.generator import SPAN, THEMES, Values, draw, dump
 from cleatyoke.testbed.run_report import RunReport
 from cleatyoke.testbed.runner import ROOT, run_scenario
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 JOBS = 3  # plays at once
 TRIES = 2  # plays of a shorter scenario: what depends on the moment need not show in the first
@@ -29,7 +29,7 @@
 
 def run_values(name: str, values: Values, program: Path = ROOT) -> RunReport:
     """Run a scenario given by its file's values, in this process, to the exit of its fronts."""
-    return asyncio.run(run_scenario(make_scenario(name, values), program))
+    return asyncio.run(run_scenario(parse_scenario(name, values), program))
 
 
 def pool(jobs: int = JOBS) -> ProcessPoolExecutor:
--- a/cleatyoke/testbed/soak.py
+++ b/cleatyoke/testbed/soak.py
@@ -177,7 +177,7 @@
                 await self._terminate(front, event)
         await asyncio.sleep(DOWN_S)
         if self.scenario.view:
-            front.erase_memory()  # what it still knows of holds is on its durable disk, or its peers have it
+            front.erase_volatile_files()  # what it still knows of holds is on its durable disk, or its peers have it
         self.write_config(front)
         await front.start()
 
--- a/cleatyoke/testbed/soak_plan.py
+++ b/cleatyoke/testbed/soak_plan.py
@@ -13,7 +13,7 @@
 from cleatyoke.config.table import TableReader
 from cleatyoke.testbed.generator import Values, draw
 from cleatyoke.testbed.scenario import FRONT_FAULTS, LIST_FAULTS, Scenario
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 SOAK_SECONDS = 7.0  # of load
 FIRST_SIGNAL_AT = (1.0, 4.5)  # seconds after the load begins, between which a series starts
@@ -113,7 +113,7 @@
 def make_soak(name: str, values: Values) -> SoakPlan:
     """Check the values of a soak. Raises ``ConfigError`` naming the first faulty key."""
     rest = {key: value for key, value in values.items() if key not in ("soak", "signal")}
-    scenario = make_scenario(name, rest)
+    scenario = parse_scenario(name, rest)
     root = TableReader(values, f"{name}: ")
     soak = root.table("soak", {})
     return SoakPlan(
--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -1003,7 +1003,7 @@
 
 
 @asynccontextmanager
-async def listening(converse: Conversation) -> AsyncIterator[int]:
+async def listening(serve_connection: Conversation) -> AsyncIterator[int]:
     """A peer on loopback; yields its port. Its conversations are over at the end."""
     writers: list[asyncio.StreamWriter] = []
     tasks: list[asyncio.Task[Any] | None] = []
@@ -1012,7 +1012,7 @@
         writers.append(writer)
         tasks.append(asyncio.current_task())
         with contextlib.suppress(OSError, EOFError):
-            await converse(reader, writer)
+            await serve_connection(reader, writer)
 
     server = await asyncio.start_server(accept, LOCAL, 0)
     try:
@@ -1031,7 +1031,7 @@
     """A node on loopback that notes each request and gives the next answer; yields its port. An answer of two
     parts goes on once the client has the head of its own (``passed``)."""
 
-    async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while (request := await read_http(reader)) and answers:
             heard.append(request)
             match answers.pop(0):
@@ -1043,7 +1043,7 @@
                 case whole:
                     writer.write(unpack(whole))
 
-    async with listening(converse) as port:
+    async with listening(serve_connection) as port:
         yield port
 
 
@@ -1143,7 +1143,7 @@
     events: list[Plain] = []
     enough = asyncio.Event()
 
-    async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while call := await read_http(reader):
             if (one := blank(call)) not in calls:
                 calls.append(one)
@@ -1159,7 +1159,7 @@
         if len(events) == value["events"]:
             enough.set()
 
-    async with listening(converse) as port:
+    async with listening(serve_connection) as port:
         directory = Directory({"basement": 0})
         directory.version = value.get("known version")
         watch = Discovery(Address(LOCAL, port), directory, heard, dedicated_agent=value["own agent"])
@@ -1289,7 +1289,7 @@
     to_node: list[list[Plain]] = []
     replies = [list(one) for one in value["node connections"]]
 
-    async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         mine, script = list[Plain](), replies.pop(0)
         to_node.append(mine)
         while True:
@@ -1297,7 +1297,7 @@
             if script:
                 writer.write(unpack(script.pop(0)))
 
-    async with listening(converse) as port:
+    async with listening(serve_connection) as port:
         answers = await sftp_answers(value, port)
     return {"to client": answers, "to node": to_node}
 
--- a/tests/scripted_peers.py
+++ b/tests/scripted_peers.py
@@ -87,7 +87,7 @@
         self.counts: defaultdict[str, int] = defaultdict(int)
         self.bodies: dict[str, bytes] = {}
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             fields = dict(line.split(": ", 1) for line in head.split("\r\n")[1:] if line)
@@ -129,7 +129,7 @@
         super().__init__()
         self.whole, self.rounds, self.asked = whole, rounds, []
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             target = (await reader.readuntil(b"\r\n\r\n")).decode().split()[1]
             self.asked.append(target)
@@ -156,7 +156,7 @@
         self.stored: defaultdict[str, int] = defaultdict(int)
         self.commands: list[str] = []
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         handles: Handles = {}
         while True:
             packet = codec.decode(await codec.read_packet(reader))
--- a/tests/test_distribution_fleet.py
+++ b/tests/test_distribution_fleet.py
@@ -9,7 +9,7 @@
 
 from cleatyoke.distribution.records import Lane
 from cleatyoke.distribution.relay import ChangeServer, Source
-from cleatyoke.emulation.distribution import SOURCE, Links, Measured, Tree
+from cleatyoke.emulation.distribution import SOURCE, LatencySamples, Links, Tree
 from tests.distribution import (
     NODES,
     SETTINGS,
@@ -23,7 +23,7 @@
     for number in range(20):
         tree.put(NODES, f"nodes/{number}", b"y" * 150)
     assert tree.settle(300) is not None
-    tree.measured = Measured()
+    tree.measured = LatencySamples()
     return tree
 
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -20,7 +20,7 @@
 from cleatyoke.emulation.network import Network
 from cleatyoke.testbed.front_settings import settings_of
 from cleatyoke.testbed.peer import Peer, hold_port
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 ROOT = Path(__file__).resolve().parent.parent
 FRONTS = 8
@@ -28,7 +28,7 @@
 
 def make_settings(worth: float = 3.0) -> dict[str, Any]:
     values = {"fleet": {"fronts": 1, "boxes": 2, "seconds": 5}, "load": {"rate": 10}}
-    found = settings_of(make_scenario("d", values))
+    found = settings_of(parse_scenario("d", values))
     found["Lanes"][0]["Worth"] = worth
     return found
 
@@ -40,7 +40,7 @@
         super().__init__()
         self.target, self.network, self.exchange_count = target, network, 0
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         size = await reader.readexactly(4)
         poll = size + await reader.readexactly(int.from_bytes(size, "big"))
         self.exchange_count += 1
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
 
 from cleatyoke.emulation.traffic import emulate
 from cleatyoke.testbed.run_report import RunReport
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 from cleatyoke.testbed.search import pool, rules, run_values
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("name", ["fleet-cold lent", "fleet-cold fixed"])
 def test_emulation_matches_processes(runs: Runs, name: str) -> None:
     """The same scenario with the same requests, by processes on sockets and in virtual time."""
-    report, emulated = runs.result(name), emulate(make_scenario(name, runs.values[name]))
+    report, emulated = runs.result(name), emulate(parse_scenario(name, runs.values[name]))
     sent = [request for request in emulated.checker.requests.values() if not request.excused]
     assert (emulated.broken(), len(sent)) == ([], report.requests)
     served = sum(request.status == 200 for request in sent) / len(sent)
--- a/tests/test_load_probes.py
+++ b/tests/test_load_probes.py
@@ -179,7 +179,9 @@
         class ProbedBackend(ScriptedHttpBackend):
             silent = False
 
-            async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def serve_connection(
+                self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> None:
                 while True:
                     self.heads.append((await reader.readuntil(b"\r\n\r\n")).decode())
                     if self.silent:
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -7,10 +7,10 @@
 
 from cleatyoke.scheduling.settings import Idempotency, IdempotencyScope
 from cleatyoke.testbed.checker import ClientRequestRecord, RequestContent, RuleChecker
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 FLEET = {"fronts": 2, "boxes": 4, "seconds": 3.0, "limit": 10}
-PLAIN = make_scenario("plain", {"fleet": FLEET, "load": {"rate": 10, "units": 1}})
+PLAIN = parse_scenario("plain", {"fleet": FLEET, "load": {"rate": 10, "units": 1}})
 READ, WRITE = PLAIN.request_classes
 KEYED = replace(WRITE, idempotency=Idempotency.KEYED, scope=IdempotencyScope.SHARD, key_memory=1.0)
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -7,13 +7,13 @@
 import pytest
 
 from cleatyoke.config.errors import ConfigError
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 
 class ScenarioFileTests(unittest.TestCase):
     def test_invalid_key_is_named_in_the_error(self) -> None:
         valid = {"fleet": {"fronts": 2, "boxes": 4, "seconds": 3.0}, "load": {"rate": 10}}
-        assert make_scenario("x", valid).load.volumes == 16
+        assert parse_scenario("x", valid).load.volumes == 16
         for change, message in (
             ({"load": {"rate": 0}}, "x: load.rate: want a positive"),
             ({"load": {"rate": 5, "speed": 1}}, "x: load.speed: unknown key"),
@@ -25,4 +25,4 @@
             ({"terms": {"attempts": 0}}, "terms.attempts: want a whole number"),
         ):
             with pytest.raises(ConfigError, match=message):
-                make_scenario("x", {**valid, **change})
+                parse_scenario("x", {**valid, **change})
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -13,7 +13,7 @@
 from cleatyoke.testbed.generator import THEMES, Values, draw, dump
 from cleatyoke.testbed.run_report import RunReport
 from cleatyoke.testbed.runner import ROOT
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 from cleatyoke.testbed.search import pool, rules, run_values, shorten
 
 JOBS = 5
@@ -27,10 +27,10 @@
                 values = draw(theme, seed)
                 assert values == draw(theme, seed)
                 again = tomllib.loads(dump(values))
-                assert make_scenario("x", again) == make_scenario("x", values)
+                assert parse_scenario("x", again) == parse_scenario("x", values)
 
     def test_the_draws_reach_the_ends_of_the_page(self) -> None:
-        drawn = [make_scenario("x", draw("settings", seed)) for seed in range(200)]
+        drawn = [parse_scenario("x", draw("settings", seed)) for seed in range(200)]
         assert {len(one.request_classes) for one in drawn} == set(range(1, 7))
         assert {one.terms.max_attempts for one in drawn} == set(range(1, 7))
         assert {one.terms.load_report for one in drawn} == {"answers", "probe", "none"}
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -17,11 +17,11 @@
 from cleatyoke.emulation import recovery, value
 from cleatyoke.emulation.clock import DeadlockError, run
 from cleatyoke.emulation.traffic import Emulation, emulate
-from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.emulation.value import LogicalRequest
 from cleatyoke.emulation.virtual_backend import UNIX_TIME_AT_START
 from cleatyoke.scheduling.settings import SchedulerSettings
 from cleatyoke.testbed.scenario import Scenario
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 
 @pytest.fixture(autouse=True)
@@ -38,7 +38,7 @@
     }
     tables = {name: {**values.get(name, {}), **table} for name, table in {**values, **changes}.items()}
     plans = [{"name": "p", "reserve": 4, "worth": 2}]
-    return make_scenario("emulated", {**tables, "trouble": faults, "plan": plans})
+    return parse_scenario("emulated", {**tables, "trouble": faults, "plan": plans})
 
 
 def test_virtual_clock_while_all_tasks_wait_advances() -> None:
@@ -107,8 +107,8 @@
     )
     regular, without_slow_start = emulate(power_loss), emulate(power_loss, make_core_without_slow_start)
     assert regular.broken() == []
-    assert not any(backend.has_fallen for backend in regular.backends)
-    assert any(backend.has_fallen for backend in without_slow_start.backends)
+    assert not any(backend.has_crashed for backend in regular.backends)
+    assert any(backend.has_crashed for backend in without_slow_start.backends)
     assert any(line.startswith("cold:") for line in without_slow_start.broken())
     sums = [
         sum(value.achieved_value(power_loss, finished.requests)) for finished in (without_slow_start, regular)
@@ -134,10 +134,10 @@
     small = scenario([])
     kind = small.request_classes[0]
     requests = [
-        RequestTemplate(0.1, 0, kind, 2.0, 0.2),
-        RequestTemplate(0.2, 0, kind, 2.0, 0.2 + kind.latency_objective + 0.1),
-        RequestTemplate(0.3, 0, kind, 4.0, 0.4),
-        RequestTemplate(1.3, 0, kind, 4.0, None),
+        LogicalRequest(0.1, 0, kind, 2.0, 0.2),
+        LogicalRequest(0.2, 0, kind, 2.0, 0.2 + kind.latency_objective + 0.1),
+        LogicalRequest(0.3, 0, kind, 4.0, 0.4),
+        LogicalRequest(1.3, 0, kind, 4.0, None),
     ]
     unit = kind.value * 2
     late = 2 * 0.35 * unit * kind.late_value_share  # the two in time use all of the reserve in this second
