--- a/cleatyoke/testbed/backend.py
+++ b/cleatyoke/testbed/backend.py
@@ -1,4 +1,4 @@
-"""A test backend on loopback: the platform's backend protocol around a ``BackendModel``."""
+"""Test backend on loopback that serves the platform's backend protocol from a ``BackendModel``."""
 
 from __future__ import annotations
 
@@ -13,83 +13,83 @@
 from cleatyoke.testbed.checker import AttemptRecord, RequestContent, RuleChecker
 from cleatyoke.testbed.peer import Peer, TimedReader
 
-FULL = b"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-PROBES = ("/alive", "/metrics/load")
-OTHER = b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n"
-SPOILT = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\nX-Half"
-LINGER = struct.pack("ii", 1, 0)  # a close with it is a reset
+REJECTED_RESPONSE = b"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+PROBE_TARGETS = ("/alive", "/metrics/load")
+NOT_FOUND_RESPONSE = b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n"
+MALFORMED_RESPONSE = b"HTTP/1.1 200 X\r\nContent-Length: 9\r\nX-Half"
+ZERO_LINGER = struct.pack("ii", 1, 0)  # makes a close send a TCP reset
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
     """Close a connection with a TCP reset."""
     with contextlib.suppress(OSError):
-        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
     writer.transport.abort()
 
 
 class BackendDouble(Peer):
-    """A backend under one id, at one address for all its incarnations.
+    """A backend with one id and one address for all its incarnations.
 
-    While it is silent, connections are established and nothing is read, as where the machine is cut off from
-    the network: what is written to it meanwhile never arrives, as those connections are reset once it is
-    back (protocol page, The network).
+    While it is silent, it accepts connections but reads nothing, like a machine that is cut off from the
+    network. Bytes sent to it in that time never arrive: the connections are reset when the silence ends
+    (protocol page, The network).
     """
 
     def __init__(
-        self, name: str, cell: int, zone: str, judge: RuleChecker, clock: Callable[[], float]
+        self, name: str, shard: int, zone: str, checker: RuleChecker, clock: Callable[[], float]
     ) -> None:
         super().__init__()
-        self.name, self.shard, self.zone = name, cell, zone
-        self.checker, self.clock = judge, clock
+        self.name, self.shard, self.zone = name, shard, zone
+        self.checker, self.clock = checker, clock
         self.model: BackendModel
-        self._receiving = asyncio.Event()  # cleared while the box is silent
+        self._receiving = asyncio.Event()  # cleared while the backend is silent or stalled
         self._receiving.set()
         self.outcomes: Counter[str] = Counter()
         self.executions: dict[str, int] = {}
 
     async def start_incarnation(self, model: BackendModel) -> None:
-        """Start listening, with a new model."""
+        """Start listening as a new incarnation, which the model describes."""
         self.model = model
         await self.start()
 
     def end(self, writer: asyncio.StreamWriter) -> None:
-        """Reset a connection, as when the process dies; new ones are refused."""
+        """Reset a connection, as when the process dies, which then refuses new ones."""
         reset(writer)
 
     def set_silent(self, on: bool) -> None:
-        """Begin or end a silence; its end resets the connections that were open meanwhile."""
+        """Begin or end a silence. Its end resets the connections that were open during it."""
         if on:
             self._receiving.clear()
-        else:  # what stood through it is reset once the machine is back
+        else:
             self._receiving.set()
             for writer in list(self.writers):
                 reset(writer)
 
-    async def stall(self, lasts: float) -> None:
-        """Stop working for so many seconds; what arrives meanwhile is executed afterwards."""
+    async def stall(self, duration: float) -> None:
+        """Stop processing for ``duration`` seconds; requests that arrive meanwhile are executed later."""
         self._receiving.clear()
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         self._receiving.set()
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve the requests of a connection until it ends."""
+        """Serve the requests of one connection until it ends."""
         assert isinstance(reader, TimedReader)
         while True:
             await self._receiving.wait()
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-            first, *lines = head.split("\r\n")
-            fields = {name.lower(): value for name, _, value in (one.partition(": ") for one in lines)}
+            request_line, *lines = head.split("\r\n")
+            fields = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines)}
             body = await reader.readexactly(int(fields.get("content-length", 0)))
-            came = reader.came
+            arrived_at = reader.came
             await self._receiving.wait()
-            if writer.transport.is_closing():  # it stood through a silence, and what it brought never came
+            if writer.transport.is_closing():  # reset by the end of a silence: the request never arrived
                 return
-            method, target, _ = first.split(" ")
-            if target in PROBES:
+            method, target, _ = request_line.split(" ")
+            if target in PROBE_TARGETS:
                 self._answer_probe(target, writer)
                 continue
-            form = RequestContent(method, target, fields.get("idempotency-key"), body)
-            if not await self._execute(fields.get("x-trace-id", ""), form, came, reader, writer):
+            content = RequestContent(method, target, fields.get("idempotency-key"), body)
+            if not await self._execute(fields.get("x-trace-id", ""), content, arrived_at, reader, writer):
                 return
 
     def _answer_probe(self, target: str, writer: asyncio.StreamWriter) -> None:
@@ -109,55 +109,59 @@
     async def _execute(
         self,
         trace: str,
-        form: RequestContent,
-        came: float,
+        content: RequestContent,
+        arrived_at: float,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Execute a request whose last byte has arrived; return whether the connection stays open."""
+        """Execute a request that has arrived in full; return whether the connection stays open."""
         now, model = self.clock(), self.model
         if trace not in self.checker.requests:
-            writer.write(OTHER)
+            writer.write(NOT_FOUND_RESPONSE)
             return True
         units = self.checker.requests[trace].units
-        made = self.checker.on_attempt(trace, self.name, came, self.shard, self.zone, form)
+        attempt = self.checker.on_attempt(trace, self.name, arrived_at, self.shard, self.zone, content)
         if model.started_at is not None and now - model.started_at < model.capacity.ramp_duration:
-            power = model.capacity
+            capacity = model.capacity
             self.checker.on_warm_up_arrival(
-                self.name, came, units, power.overload_factor * model.rate(now) * power.overload_window
+                self.name,
+                arrived_at,
+                units,
+                capacity.overload_factor * model.rate(now) * capacity.overload_window,
             )
         ticket = model.accept(now, trace, units)
         self.outcomes[ticket.outcome.value] += 1
         try:
             if ticket.outcome is RequestOutcome.FULL:
-                made.rejected = True
-                writer.write(FULL)
+                attempt.rejected = True
+                writer.write(REJECTED_RESPONSE)
                 return True
             if ticket.outcome is RequestOutcome.UNREAD:
                 reset(writer)
                 return False
-            gone = asyncio.ensure_future(reader.read(1))
-            await asyncio.wait({gone}, timeout=max(0.0, ticket.ends_at - now))
-            if gone.done():  # its front gave up, or left, which a machine that is cut off never hears
-                made.executed = not self._receiving.is_set() or not model.withdraw(self.clock(), ticket)
-                self._count_execution(trace, made)
+            disconnect = asyncio.ensure_future(reader.read(1))
+            await asyncio.wait({disconnect}, timeout=max(0.0, ticket.ends_at - now))
+            # The front gave up or exited. A backend that is cut off does not learn of it and executes.
+            if disconnect.done():
+                attempt.executed = not self._receiving.is_set() or not model.withdraw(self.clock(), ticket)
+                self._count_execution(trace, attempt)
                 return False
-            gone.cancel()
+            disconnect.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await gone
-            made.executed = True
-            self._count_execution(trace, made)
+                await disconnect
+            attempt.executed = True
+            self._count_execution(trace, attempt)
             await self._receiving.wait()
             return await self._answer(ticket.outcome, trace, reader, writer)
         finally:
-            made.ended_at = self.clock()
+            attempt.ended_at = self.clock()
 
-    def _count_execution(self, trace: str, made: AttemptRecord) -> None:
-        if made.executed:
+    def _count_execution(self, trace: str, attempt: AttemptRecord) -> None:
+        if attempt.executed:
             self.executions[trace] = self.executions.get(trace, 0) + 1
 
     async def _answer(
-        self, fate: RequestOutcome, trace: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, outcome: RequestOutcome, trace: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         body = f"{trace} {self.name} {self.executions[trace]}".encode()
         load = (
@@ -165,14 +169,14 @@
             if self.checker.terms.load_report == "answers"
             else ""
         )
-        if fate is RequestOutcome.RESET:
+        if outcome is RequestOutcome.RESET:
             reset(writer)
             return False
-        if fate is RequestOutcome.LOST:
-            await reader.read(1)  # until the front gives up
+        if outcome is RequestOutcome.LOST:
+            await reader.read(1)  # until the front closes the connection
             return False
-        if fate is RequestOutcome.SPOILT:
-            writer.write(SPOILT)
+        if outcome is RequestOutcome.SPOILT:
+            writer.write(MALFORMED_RESPONSE)
             return False
         head = f"HTTP/1.1 200 X\r\nContent-Length: {len(body)}\r\n{load}\r\n"
         writer.write(head.encode() + body)
--- a/cleatyoke/testbed/discovery_agent.py
+++ b/cleatyoke/testbed/discovery_agent.py
@@ -1,4 +1,4 @@
-"""Discovery as the fronts' machines have it: one registry, an agent for each front, its faults."""
+"""Discovery doubles: one registry, and an agent for each front, which can be made faulty."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from cleatyoke.testbed.checker import RuleChecker
 from cleatyoke.testbed.peer import Peer
 
-KEEP_ALIVE_S = 2.0  # without a change, after which a watch sends an empty line
+KEEP_ALIVE_S = 2.0  # without a change until a watch sends an empty line
 
 
 class Registry:
-    """What discovery knows: each change has a version."""
+    """The discovery service's list of backends; each change gets a version."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -22,9 +22,9 @@
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self.changed = asyncio.Condition()
 
-    async def set(self, name: str, **facts: Any) -> None:
+    async def set(self, name: str, **fields: Any) -> None:
         """Add or change a backend's entry; ``lifecycle`` DELETED removes it."""
-        entry = {**self.entries.get(name, {"instanceId": name}), **facts}
+        entry = {**self.entries.get(name, {"instanceId": name}), **fields}
         self.version += 1
         self.changes.append((self.version, entry))
         self.entries[name] = entry
@@ -34,7 +34,7 @@
             self.changed.notify_all()
 
     def listing(self, after: int | None = None) -> dict[str, Any]:
-        """Return the complete list, or what changed after a version."""
+        """Return the complete list, or the entries changed after a version."""
         if after is None:
             return {"generation": self.version, "reset": True, "instances": list(self.entries.values())}
         latest = {entry["instanceId"]: entry for version, entry in self.changes if version > after}
@@ -42,17 +42,17 @@
 
 
 class DiscoveryAgent(Peer):
-    """The agent of one front.
+    """The discovery agent of one front.
 
-    ``delay`` is the seconds by which it forwards changes late. ``fault`` is what it serves in place of a list
-    ("garble", "empty" or "silent"; "" for none).
+    ``delay`` is the time in seconds by which it delays changes. ``fault`` is what it serves in place of a
+    list: "garble", "empty" or "silent"; "" for no fault.
     """
 
     def __init__(
-        self, front: int, registry: Registry, judge: RuleChecker, clock: Callable[[], float]
+        self, front: int, registry: Registry, checker: RuleChecker, clock: Callable[[], float]
     ) -> None:
         super().__init__()
-        self.front, self.registry, self.checker, self.clock = front, registry, judge, clock
+        self.front, self.registry, self.checker, self.clock = front, registry, checker, clock
         self.delay = 0.0
         self.fault = ""
 
@@ -80,14 +80,14 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, after: int
     ) -> None:
         writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n")
-        first = True
+        is_first_event = True
         while not writer.transport.is_closing():
-            if self.registry.version > after or first:
+            if self.registry.version > after or is_first_event:
                 await asyncio.sleep(self.delay)
                 if reader.at_eof():
-                    return  # the front has closed the watch and is notified of nothing
+                    return  # the front has closed the watch, so it does not receive the change
                 listing = self.registry.listing(after)
-                after, first = int(listing["generation"]), False
+                after, is_first_event = int(listing["generation"]), False
                 line = {"garble": b'{"generation":', "empty": b""}.get(self.fault)
                 if line is None:
                     line = json.dumps(listing).encode()
@@ -105,7 +105,7 @@
         writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
 
     def notify(self, listing: dict[str, Any]) -> None:
-        """Report to the checker that the front is notified, which holds once a list is written."""
+        """Tell the checker that the front knows of a list, which counts from when the list is written."""
         now = self.clock()
         for entry in listing["instances"]:
             serving = entry["lifecycle"] == "SERVING"
--- a/cleatyoke/testbed/generator.py
+++ b/cleatyoke/testbed/generator.py
@@ -1,9 +1,13 @@
-"""Scenarios drawn by a seed: the same number gives the same one in every run, as values of a scenario file.
+"""Random scenarios, as values of a scenario file.
 
-``trouble``: the fleet that the platform promises, with limits that bind and two to five troubles of any kind.
-``settings``: a deployment nobody has seen, drawn within the ranges of the protocol page (a class's repeats
-and scope, plans with and without limits, attempts, grace, how load is told), with up to three troubles,
-beside answers that leave open whether their requests ran. One class at the least is a keyed write.
+The same profile and seed give the same scenario in every run.
+
+Profiles:
+
+``trouble``: a fleet as the platform specifies it, with binding rate limits and two to five faults.
+``settings``: an arbitrary deployment within the ranges of the protocol page (idempotency and scope of each
+class, plans with and without limits, attempts, drain grace, load reports), with up to three faults, and one
+more that leaves open whether requests were executed. At least one class is a write with idempotency keys.
 """
 
 from __future__ import annotations
@@ -18,78 +22,83 @@
 from cleatyoke.testbed.scenario import BACKEND_FAULTS, FRONT_FAULTS, LIST_FAULTS
 from cleatyoke.testbed.scenario_file import LOAD_REPORTS
 
-MOST_RATE = 130.0  # requests a second: what the stand-ins of one play can serve without running late
-BOX_UNITS = (10.0, 20.0, 40.0)  # a second, of a warm box
-TIP_MULTIPLE = 2.0  # times its power that a cold box bears
-COLD_LARGEST = 2.5  # largest requests that a cold box bears in any case: the least seen in settings
-DOUBTS = ("reset", "lose_answers", "spoil")  # what leaves it open whether a request has run
-STALLS = (0.06, 0.6)  # seconds that a box stands still: the briefs' pauses
-SPAN = {"trouble": 7.0, "settings": 3.0}  # seconds of load
-THEMES = tuple(SPAN)
+MAX_REQUEST_RATE = 130.0  # requests a second that the test doubles of one run can serve without running late
+BACKEND_RATES = (10.0, 20.0, 40.0)  # units a second, of a warm backend
+OVERLOAD_FACTOR = 2.0  # times its current rate that a warming backend bears
+# Requests of the largest size that a cold backend bears at least: the lowest value seen in settings.
+MIN_COLD_REQUESTS = 2.5
+AMBIGUOUS_FAULTS = ("reset", "lose_answers", "spoil")  # faults that leave open whether a request was executed
+STALL_DURATIONS = (0.06, 0.6)  # seconds that a backend stalls: the range of pauses in the briefs
+LOAD_SECONDS = {"trouble": 7.0, "settings": 3.0}  # seconds of load
+PROFILES = tuple(LOAD_SECONDS)
 
 Values = dict[str, Any]
 
 
-def draw(theme: str, seed: int) -> Values:
-    """The values of the scenario with this number: a ``ValueError`` for an unknown theme."""
-    if theme not in SPAN:
-        msg = f"want one of {', '.join(THEMES)}, found {theme!r}"
+def generate_scenario(profile: str, seed: int) -> Values:
+    """Return the values of the scenario with this seed. Raises ``ValueError`` for an unknown profile."""
+    if profile not in LOAD_SECONDS:
+        msg = f"unknown profile {profile!r}: expected one of {', '.join(PROFILES)}"
         raise ValueError(msg)
-    rng, seconds = random.Random(f"{theme}:{seed}"), SPAN[theme]
-    fronts, boxes = rng.randint(2, 6), rng.randint(1, 20)
-    if theme == "trouble":
-        fronts, boxes = rng.randint(2, 8), rng.randint(2, 12)
+    rng, seconds = random.Random(f"{profile}:{seed}"), LOAD_SECONDS[profile]
+    fronts, backends = rng.randint(2, 6), rng.randint(1, 20)
+    if profile == "trouble":
+        fronts, backends = rng.randint(2, 8), rng.randint(2, 12)
     zones = rng.choice((["basement"], ["basement", "second-floor"], ["a", "b", "c"]))
-    hosts = rng.randint(1, min(3, fronts))
-    least = rng.choice((1, 2))
-    largest = rng.choice((least, 4, 8))
+    fronts_per_volume = rng.randint(1, min(3, fronts))
+    min_units = rng.choice((1, 2))
+    max_units = rng.choice((min_units, 4, 8))
     cold_from, tip_after = round(rng.uniform(0.16, 0.4), 2), rng.choice((1.0, 1.5, 2.0))
-    borne = TIP_MULTIPLE * cold_from * tip_after  # of a second's power
-    power = max(rng.choice(BOX_UNITS), math.ceil(COLD_LARGEST * largest / borne))
-    cells = boxes * power / ((least + largest) / 2)  # requests a second that the boxes could serve
+    overload_allowance = OVERLOAD_FACTOR * cold_from * tip_after  # seconds of work at full rate
+    backend_rate = max(
+        rng.choice(BACKEND_RATES), math.ceil(MIN_COLD_REQUESTS * max_units / overload_allowance)
+    )
+    service_rate = (
+        backends * backend_rate / ((min_units + max_units) / 2)
+    )  # requests a second, of all backends
     values: Values = {
-        "fleet": {"fronts": fronts, "boxes": boxes, "zones": zones, "seconds": seconds, "seed": seed},
+        "fleet": {"fronts": fronts, "boxes": backends, "zones": zones, "seconds": seconds, "seed": seed},
         "load": {
-            "rate": round(min(MOST_RATE, cells * rng.uniform(0.4, 1.3)), 1),
-            "hosts": hosts,
-            "volumes": boxes * rng.randint(2, 5),
+            "rate": round(min(MAX_REQUEST_RATE, service_rate * rng.uniform(0.4, 1.3)), 1),
+            "hosts": fronts_per_volume,
+            "volumes": backends * rng.randint(2, 5),
             "hot": round(rng.uniform(0, 0.4), 2),
-            "units": least,
-            "units_most": largest,
+            "units": min_units,
+            "units_most": max_units,
             "fresh": rng.choice((0.0, 0.3, 0.8)),
             "reread": rng.choice((0.0, 0.4)),
         },
         "box": {
-            "units": power,
+            "units": backend_rate,
             "cold_from": cold_from,
-            "tip_multiple": TIP_MULTIPLE,
+            "tip_multiple": OVERLOAD_FACTOR,
             "ramp_s": round(rng.uniform(3, 8), 1),
             "tip_after_s": tip_after,
         },
-        "class": classes(rng) if theme == "settings" else [],
-        "plan": plans(rng, hosts, largest, theme == "trouble"),
-        "terms": terms(rng) if theme == "settings" else {},
+        "class": generate_classes(rng) if profile == "settings" else [],
+        "plan": generate_plans(rng, fronts_per_volume, max_units, profile == "trouble"),
+        "terms": generate_terms(rng) if profile == "settings" else {},
         "trouble": [],
     }
-    most = rng.randint(2, 5) if theme == "trouble" else rng.randint(0, 3)
-    values["trouble"] = [trouble(rng, fronts, boxes, seconds) for _ in range(most)]
-    if theme == "settings":  # repeats are what settings differ in most
-        doubt = {"at": 0.3, "kind": rng.choice(DOUBTS), "lasts_s": seconds, "share": 0.25}
-        values["trouble"].append(doubt)
+    fault_count = rng.randint(2, 5) if profile == "trouble" else rng.randint(0, 3)
+    values["trouble"] = [generate_fault(rng, fronts, backends, seconds) for _ in range(fault_count)]
+    if profile == "settings":  # deployments differ most in how they treat repeated requests
+        ambiguous_fault = {"at": 0.3, "kind": rng.choice(AMBIGUOUS_FAULTS), "lasts_s": seconds, "share": 0.25}
+        values["trouble"].append(ambiguous_fault)
     return {key: value for key, value in values.items() if value}
 
 
-def classes(rng: random.Random) -> list[Values]:
-    """Draw one to six classes; the window of a keyed one may be shorter than its deadline."""
-    out: list[Values] = []
+def generate_classes(rng: random.Random) -> list[Values]:
+    """Draw one to six classes. Keys may be remembered for a shorter time than the deadline."""
+    drawn: list[Values] = []
     for number in range(rng.randint(1, 6)):
-        aim = round(rng.uniform(0.1, 2.0), 2)
-        out.append(
+        latency_objective = round(rng.uniform(0.1, 2.0), 2)
+        drawn.append(
             {
                 "name": f"kind-{number}",
                 "share": round(rng.uniform(0.1, 1.0), 2),
-                "aim_s": aim,
-                "deadline_s": round(max(0.2, min(8.0, aim * rng.uniform(1.0, 6.0))), 2),
+                "aim_s": latency_objective,
+                "deadline_s": round(max(0.2, min(8.0, latency_objective * rng.uniform(1.0, 6.0))), 2),
                 "worth": float(rng.randint(1, 5)),
                 "late": round(rng.uniform(0, 0.3), 2),
                 "repeat": rng.choice(list(IDEMPOTENCY_NAMES)) if number else "by_key",
@@ -98,16 +107,16 @@
                 "write": not number or rng.random() < 0.5,
             }
         )
-    return out
+    return drawn
 
 
-def plans(rng: random.Random, hosts: int, largest: int, limited: bool) -> list[Values]:
+def generate_plans(rng: random.Random, fronts_per_volume: int, max_units: int, limited: bool) -> list[Values]:
     """Draw one to three plans.
 
-    Where there is a limit, its burst holds two largest requests for each front at the least (brief, This kind
-    of system), and its slack one.
+    The burst of a rate limit holds at least two requests of the largest size for each front (brief, This kind
+    of system), and its slack holds at least one.
     """
-    out: list[Values] = []
+    drawn: list[Values] = []
     for number in range(rng.randint(1, 3)):
         rate = round(rng.uniform(3, 12), 1)
         plan: Values = {
@@ -119,14 +128,14 @@
         }
         if (limited and number == 0) or rng.random() < 0.4:
             limit = round(rate * rng.uniform(1, 4), 1)
-            burst = max(2.0 * largest * hosts, round(limit * rng.uniform(1, 2), 1))
-            plan |= {"limit": limit, "burst": burst, "slack": max(float(largest), 0.1 * burst)}
-        out.append(plan)
-    return out
+            burst = max(2.0 * max_units * fronts_per_volume, round(limit * rng.uniform(1, 2), 1))
+            plan |= {"limit": limit, "burst": burst, "slack": max(float(max_units), 0.1 * burst)}
+        drawn.append(plan)
+    return drawn
 
 
-def terms(rng: random.Random) -> Values:
-    """Draw what the deployment allows."""
+def generate_terms(rng: random.Random) -> Values:
+    """Draw the terms of the deployment."""
     report = rng.choice(list(LOAD_REPORTS))
     return {
         "attempts": rng.randint(1, 6),
@@ -140,30 +149,30 @@
     }
 
 
-def trouble(rng: random.Random, fronts: int, boxes: int, seconds: float) -> Values:
+def generate_fault(rng: random.Random, fronts: int, backends: int, seconds: float) -> Values:
     """Draw one fault."""
     kind = rng.choice((*BACKEND_FAULTS, "replace", "restart", *FRONT_FAULTS, *LIST_FAULTS))
-    count = boxes if kind in BACKEND_FAULTS else fronts
+    count = backends if kind in BACKEND_FAULTS else fronts
     chosen = sorted(rng.sample(range(count), rng.randint(1, count)))
-    lasts = round(rng.uniform(*STALLS) if kind == "stall" else rng.uniform(0.3, seconds * 0.6), 2)
-    made: Values = {"at": round(rng.uniform(0.2, seconds * 0.8), 2), "kind": kind, "of": chosen}
+    duration = round(rng.uniform(*STALL_DURATIONS) if kind == "stall" else rng.uniform(0.3, seconds * 0.6), 2)
+    fault: Values = {"at": round(rng.uniform(0.2, seconds * 0.8), 2), "kind": kind, "of": chosen}
     if kind not in ("roll", "kill", "replace"):
-        made["lasts_s"] = lasts
+        fault["lasts_s"] = duration
     if kind not in LIST_FAULTS:
-        made["over_s"] = rng.choice((0.0, round(rng.uniform(0, 3), 2)))
-    if kind in (*DOUBTS, "late_lists"):
-        made["share"] = round(rng.uniform(0.05, 0.5) if kind != "late_lists" else rng.uniform(0.3, 3), 2)
+        fault["over_s"] = rng.choice((0.0, round(rng.uniform(0, 3), 2)))
+    if kind in (*AMBIGUOUS_FAULTS, "late_lists"):
+        fault["share"] = round(rng.uniform(0.05, 0.5) if kind != "late_lists" else rng.uniform(0.3, 3), 2)
     elif kind == "slow":
-        made["share"] = round(rng.uniform(0.1, 0.5), 2)
-    return made
+        fault["share"] = round(rng.uniform(0.1, 0.5), 2)
+    return fault
 
 
-def dump(values: Values) -> str:
-    """As a scenario file: JSON's numbers, texts and lists are TOML's too."""
+def to_toml(values: Values) -> str:
+    """Format values as a scenario file; JSON numbers, strings and lists are valid TOML too."""
     lines = []
     for name, table in values.items():
-        for one in table if isinstance(table, list) else [table]:
+        for entry in table if isinstance(table, list) else [table]:
             lines.append(f"[[{name}]]" if isinstance(table, list) else f"[{name}]")
-            lines += [f"{key} = {json.dumps(value)}" for key, value in one.items()]
+            lines += [f"{key} = {json.dumps(value)}" for key, value in entry.items()]
             lines.append("")
     return "\n".join(lines)
--- a/cleatyoke/testbed/soak_plan.py
+++ b/cleatyoke/testbed/soak_plan.py
@@ -1,7 +1,7 @@
-"""What a soak run does beside its scenario, drawn by a seed: signals in series, a crowd, impatient clients.
+"""Plan of a soak run, drawn from a seed: a scenario with series of signals and clients in addition.
 
-A soak's values are those of a scenario file, with one table more, ``soak``, so that a run that breaks a rule
-can be made shorter and kept as a file.
+The values of a soak are those of a scenario file with two more tables, ``soak`` and ``signal``, so that a run
+that violates a rule can be shrunk and kept as a file.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from enum import Enum
 
 from cleatyoke.config.table import TableReader
-from cleatyoke.testbed.generator import Values, draw
+from cleatyoke.testbed.generator import Values, generate_scenario
 from cleatyoke.testbed.scenario import FRONT_FAULTS, LIST_FAULTS, Scenario
 from cleatyoke.testbed.scenario_file import make_scenario
 
 SOAK_SECONDS = 7.0  # of load
-FIRST_SIGNAL_AT = (1.0, 4.5)  # seconds after the load begins, between which a series starts
-MAX_RATE = 60.0  # requests a second of the scenario's own load, as persistent clients add theirs
+FIRST_SIGNAL_AT = (1.0, 4.5)  # range of starts of a series, in seconds after the load begins
+MAX_RATE = 60.0  # requests a second of the scenario's load, to which persistent clients add theirs
 MAX_FRONTS = 5
-CROWD_SEED_STEP = 3  # each so many-th seed has a crowd
-VIEW_SEED_STEP = 4  # each so many-th seed has fronts with a view and durable state, and a held node
+SATURATION_SEED_STEP = 3  # seeds that are multiples of it have saturated fronts
+VIEW_SEED_STEP = 4  # multiples of it have fronts with a view and durable state, and a held node
 HOLD_AT = 0.5  # seconds after the load begins
-SOCKETS_IN_A_CROWD = 160  # descriptors that each front may use where a crowd fills them
+SATURATED_SOCKET_LIMIT = 160  # descriptors that a front may use if clients are to fill them
 MAX_STOPPED_SECONDS = 0.3  # for which a process is stopped around its signals
-MAX_CLIENTS = 64  # of a kind, at each front
+MAX_CLIENTS = 64  # of each kind, at each front
 
 
 class SignalSeries(Enum):
-    """Series of signals to one front; the values are those of a scenario file."""
+    """Series of signals to one front; the values are used in soak files."""
 
     TERM_TWICE = "term twice"
     HANGUP_THEN_TERM = "hangup, term"
@@ -40,7 +40,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SignalEvent:
-    """One series at one front. ``stopped_seconds``: SIGSTOP and SIGCONT around its first signal; 0: none."""
+    """One series of signals to one front.
+
+    ``stopped_seconds`` is the time from a SIGSTOP right before its SIGTERM to a SIGCONT; 0: neither is sent.
+    """
 
     at: float
     front: int
@@ -50,36 +53,36 @@
 
 @dataclass(slots=True, frozen=True)
 class SoakPlan:
-    """A scenario and what is done beside it.
+    """A scenario, and the signals and clients added to it.
 
-    ``persistent``: clients at each front that send on their connection again and again. ``leaving``: those
-    that leave while their request waits. ``stopping``: those that stop in the middle of a request.
-    ``crowd``: idle clients that take every connection of each front.
+    ``persistent_clients`` at each front keep sending on one connection. ``leaving_clients`` disconnect while
+    their request waits. ``stalling_clients`` stop in the middle of a request. With ``saturates_connections``,
+    idle clients take every connection of each front.
     """
 
     scenario: Scenario
     signals: list[SignalEvent]
-    persistent: int
-    leaving: int
-    stopping: int
-    crowd: bool
+    persistent_clients: int
+    leaving_clients: int
+    stalling_clients: int
+    saturates_connections: bool
 
 
-def draw_soak(seed: int) -> Values:
-    """The values of the soak with this number: the same in every run."""
+def generate_soak(seed: int) -> Values:
+    """Return the values of the soak with this seed, the same in every run."""
     rng = random.Random(f"soak:{seed}")
-    values = draw("settings" if seed % 2 else "trouble", seed)
+    values = generate_scenario("settings" if seed % 2 else "trouble", seed)
     fleet, load = values["fleet"], values["load"]
     fleet["seconds"] = SOAK_SECONDS
     fleet["fronts"] = min(MAX_FRONTS, fleet["fronts"])
     load["hosts"] = min(load["hosts"], fleet["fronts"])
     load["rate"] = min(MAX_RATE, load["rate"])
-    # The series end processes themselves, each at its own front.
+    # Front faults are left out, as the series of signals end the fronts' processes.
     faults = [fault for fault in values.get("trouble", []) if fault["kind"] not in FRONT_FAULTS]
-    within = (_within(fault, fleet["fronts"]) for fault in faults)
-    values["trouble"] = [fault for fault in within if fault.get("of") != []]
-    is_crowded = seed % CROWD_SEED_STEP == 0
-    if is_crowded and rng.random() < 0.5:
+    restricted = (_restrict_targets(fault, fleet["fronts"]) for fault in faults)
+    values["trouble"] = [fault for fault in restricted if fault.get("of") != []]
+    saturates_connections = seed % SATURATION_SEED_STEP == 0
+    if saturates_connections and rng.random() < 0.5:
         values["trouble"].append({"at": 1.0, "kind": "silent_lists", "lasts_s": 4.0})
     if seed % VIEW_SEED_STEP == 0:
         values["view"] = {"enabled": True, "durable": True}
@@ -89,7 +92,7 @@
         "persistent": rng.randint(1, 3),
         "leaving": rng.randint(0, 2),
         "stopping": rng.randint(0, 2),
-        "crowd": is_crowded,
+        "crowd": saturates_connections,
     }
     values["signal"] = [
         {
@@ -103,26 +106,26 @@
     return {key: value for key, value in values.items() if value}
 
 
-def _within(fault: Values, fronts: int) -> Values:
-    """Keep a fault's targets to the fronts that there are; those of backends stay."""
+def _restrict_targets(fault: Values, fronts: int) -> Values:
+    """Remove targets beyond the number of fronts from a list fault; other faults stay unchanged."""
     if fault["kind"] not in LIST_FAULTS or "of" not in fault:
         return fault
     return {**fault, "of": [front for front in fault["of"] if front < fronts]}
 
 
 def make_soak(name: str, values: Values) -> SoakPlan:
-    """Check the values of a soak. Raises ``ConfigError`` naming the first faulty key."""
-    rest = {key: value for key, value in values.items() if key not in ("soak", "signal")}
-    scenario = make_scenario(name, rest)
+    """Parse the values of a soak. Raises ``ConfigError`` that names the first faulty key."""
+    scenario_values = {key: value for key, value in values.items() if key not in ("soak", "signal")}
+    scenario = make_scenario(name, scenario_values)
     root = TableReader(values, f"{name}: ")
     soak = root.table("soak", {})
     return SoakPlan(
         scenario=scenario,
         signals=[_read_signal(table, scenario.fronts) for table in root.tables("signal", [])],
-        persistent=soak.integer("persistent", 0, MAX_CLIENTS, 0),
-        leaving=soak.integer("leaving", 0, MAX_CLIENTS, 0),
-        stopping=soak.integer("stopping", 0, MAX_CLIENTS, 0),
-        crowd=soak.boolean("crowd"),
+        persistent_clients=soak.integer("persistent", 0, MAX_CLIENTS, 0),
+        leaving_clients=soak.integer("leaving", 0, MAX_CLIENTS, 0),
+        stalling_clients=soak.integer("stopping", 0, MAX_CLIENTS, 0),
+        saturates_connections=soak.boolean("crowd"),
     )
 
 
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -1,6 +1,7 @@
-"""Losses of power, and what a front still knows afterwards.
+"""Tests of losses of power, and of the state that a front recovers afterwards.
 
-Of drawn fleets in virtual time, of eight processes together, and of one process at every stage of its start.
+They run random fleets in virtual time, eight processes that fail together, and one process that is killed at
+each stage of its start.
 """
 
 from __future__ import annotations
@@ -38,8 +39,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-class TakesAbsenceForRelease(HoldReplication):
-    """Takes a peer's copy for complete: what it lacks is released."""
+class ReleasesMissingHolds(HoldReplication):
+    """Faulty variant: takes a peer's copy for complete, and so releases the holds that it lacks."""
 
     def load(self, sender: MemberId, data: bytes) -> bool:
         is_new = super().load(sender, data)
@@ -47,32 +48,32 @@
         return is_new
 
 
-def reads_no_holds(rows: Sequence[Row], name: str) -> FrontState:
+def recall_without_holds(rows: Sequence[Row], name: str) -> FrontState:
     return FrontState(boot_number=recall_state(rows, name).boot_number)
 
 
-def test_no_hold_that_was_kept_is_lost_in_any_order_of_losses_and_wrong_variants_are_caught() -> None:
-    """Six fronts with disks are killed, cut off and started in drawn orders; disks are put back or emptied.
+def test_stored_holds_survive_power_losses_and_faulty_variants_lose_them() -> None:
+    """Six fronts with disks are killed, cut off and started in random orders; disks are restored or emptied.
 
-    A hold that was acknowledged as stored, and not released, must stand at every front in the end.
+    A hold that was acknowledged as stored, and not released, must be in force at every front in the end.
     """
     seeds = (*range(20), 25, 33)
     assert [durability.run_script(seed) for seed in seeds] == [[]] * len(seeds)
-    assert any(durability.run_script(seed, share=TakesAbsenceForRelease) for seed in (25, 33))
-    assert any(durability.run_script(seed, recall=reads_no_holds) for seed in range(10))
+    assert any(durability.run_script(seed, share=ReleasesMissingHolds) for seed in (25, 33))
+    assert any(durability.run_script(seed, recall=recall_without_holds) for seed in range(10))
 
 
 Runs = dict[str, Future[RunReport]]
-SLOW_WRITE = 2.7  # seconds: longer than all stages of a start
+SLOW_WRITE = 2.7  # seconds; longer than all stages of a start
 
 
 @pytest.fixture(scope="module")
 def runs() -> Iterator[Runs]:
-    """Processes that lose their power together, side by side.
+    """Runs of fronts that all lose power at once. The runs execute in parallel.
 
-    ``whole``: eight, twice. ``small``: three, once. ``forgetful``: as ``small`` and longer, with the program
-    changed so that it does not take the holds that its disk has. ``slow``: as ``small``, with the write of
-    each start after the first slower than all its stages together.
+    ``whole``: eight fronts, two losses. ``small``: three fronts, one loss. ``forgetful``: like ``small`` and
+    longer, with a program that does not load the holds from its disk. ``slow``: like ``small``, with a
+    program whose write at each start after the first takes longer than all stages of the start together.
     """
     values = tomllib.loads((ROOT / "tests" / "scenarios" / "power-loss.toml").read_text())
     small = {
@@ -84,7 +85,7 @@
             {"kind": "powercut", "at": 2, "lasts_s": 1},
         ],
     }
-    # A busy machine may take seconds to start its fronts: there must be time left in which the fault shows.
+    # A busy machine may take seconds to start its fronts: the run must last long enough to show the fault.
     longer = {
         **small,
         "fleet": {**small["fleet"], "seconds": 14},
@@ -116,43 +117,43 @@
         shutil.rmtree(slow)
 
 
-def change_program(folder: Path, part: str, right: str, wrong: str) -> None:
-    """Copy the program to a folder, with one place changed."""
+def change_program(folder: Path, module_path: str, original: str, replacement: str) -> None:
+    """Copy the program to a folder, with one piece of its source replaced."""
     shutil.copytree(ROOT / "cleatyoke", folder / "cleatyoke")
-    module = folder / "cleatyoke" / part
+    module = folder / "cleatyoke" / module_path
     text = module.read_text()
-    assert text.count(right) == 1
-    module.write_text(text.replace(right, wrong))
+    assert text.count(original) == 1
+    module.write_text(text.replace(original, replacement))
 
 
 @pytest.mark.parametrize("name", ["whole", "small"])
 def test_every_rule_is_kept_through_losses_of_power(runs: Runs, name: str) -> None:
-    """All fronts and nodes lose their power at once and come back, the nodes cold.
+    """All fronts and nodes lose power at once and restart; the nodes are cold.
 
-    No rule of the checker may be broken: no request at a held node, none lost or run twice, no node driven
-    over what it can do while it warms up.
+    No rule of the checker may be violated: no request reaches a held node, none is lost or executed twice,
+    and no node is overloaded while it warms up.
     """
     report = runs[name].result()
     assert report.violations == [], "\n".join(report.lines())
     assert report.fault_lines == []
 
 
-def test_a_slow_write_at_the_start_delays_no_hold(runs: Runs) -> None:
-    """Guards against requests at a held node: the holds were read, and kept back until a write was done."""
+def test_slow_write_at_start_delays_no_hold(runs: Runs) -> None:
+    """Guards against requests at a held node: stored holds took effect only after a write had finished."""
     report = runs["slow"].result()
     assert report.violations == [], "\n".join(report.lines())
     assert report.fault_lines == []
 
 
-def test_every_front_passes_all_stages_at_each_start_and_serves(runs: Runs) -> None:
+def test_fronts_pass_all_recovery_stages_and_serve(runs: Runs) -> None:
     report = runs["whole"].result()
-    # A front that was killed before the old leases had ended has not passed the last stage.
+    # A front that was killed before the old leases expired did not pass the last stage.
     missing = 4 * report.front_starts - report.log_counts["recovery_stage"]
     assert 0 <= missing <= report.early_kills
     assert report.served_share > 0.4
 
 
-def test_a_front_that_does_not_read_its_disk_is_caught(runs: Runs) -> None:
+def test_front_that_ignores_stored_holds_violates_hold_rule(runs: Runs) -> None:
     broken = runs["forgetful"].result().violations
     assert any(line.startswith("hold:") for line in broken), broken
 
@@ -164,7 +165,7 @@
 
 
 class SingleFront:
-    """Files and processes of one front by itself."""
+    """Files and processes of a single front."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -201,7 +202,7 @@
 
     @contextlib.asynccontextmanager
     async def process(self) -> AsyncIterator[asyncio.subprocess.Process]:
-        """A process of the front, which is killed at the end."""
+        """Run a process of the front, which is killed at the end."""
         command = (sys.executable, "-m", "cleatyoke", "--fronts", str(self.folder / "fronts.toml"))
         process = await asyncio.create_subprocess_exec(
             *command,
@@ -217,7 +218,7 @@
             await process.wait()
 
     async def log(self, process: asyncio.subprocess.Process, until: str) -> str:
-        """The process's log from here on, up to the line with this text."""
+        """Return the process's log from here to the first line that contains ``until``."""
         assert process.stderr
         text = ""
         async with asyncio.timeout(10):
@@ -226,7 +227,7 @@
         return text
 
     async def call(self, command: str) -> str:
-        """The answer to a control command."""
+        """Return the answer to a control command."""
         async with asyncio.timeout(5):
             reader, writer = await asyncio.open_connection("127.0.0.1", self.control_port)
             writer.write(f"{command}\n".encode())
@@ -241,17 +242,17 @@
         yield SingleFront(Path(folder))
 
 
-def test_a_front_alone_serves_in_the_end_and_tells_what_it_waits_for(front: SingleFront) -> None:
-    """A front starts, and nobody else is there.
+def test_front_without_peers_serves_and_shows_what_it_waits_for(front: SingleFront) -> None:
+    """A front starts and none of its peers is reachable.
 
-    It must not wait for its peers for ever: each stage passes at its bound, the front serves, and
-    ``show-recovery`` says what it still waits for.
+    It must not wait for them for ever: each stage ends at its time limit, the front serves, and
+    ``show-recovery`` shows what it still waits for.
     """
-    asyncio.run(start_alone(front), debug=True)
+    asyncio.run(check_start_without_peers(front), debug=True)
 
 
-async def start_alone(front: SingleFront) -> None:
-    front.write_fronts_file('["127.0.0.1:9"]')  # nobody is there
+async def check_start_without_peers(front: SingleFront) -> None:
+    front.write_fronts_file('["127.0.0.1:9"]')  # unreachable
     async with front.process() as process:
         text = await front.log(process, "event='ready'")
         assert "passed='disk' by='nothing found'" in text
@@ -266,15 +267,15 @@
     assert StateDatabase(front.durable, "ours/n1").load().state.boot_number > 0
 
 
-def test_killed_at_any_stage_ten_times_in_a_row_it_goes_on_from_what_it_kept(front: SingleFront) -> None:
+def test_front_killed_at_any_stage_recovers_stored_state(front: SingleFront) -> None:
     """A front is killed ten times, in each stage of its start and once it serves.
 
-    No hold may be lost, and no boot number used twice, though the clock is far behind the stored number.
+    No hold may be lost and no boot number used twice, although the clock is far behind the stored number.
     """
-    asyncio.run(kill_at_every_stage(front), debug=True)
+    asyncio.run(check_kills_at_every_stage(front), debug=True)
 
 
-async def kill_at_every_stage(front: SingleFront) -> None:
+async def check_kills_at_every_stage(front: SingleFront) -> None:
     stored = FrontState(HoldSet().hold(MemberId("n1", 5), "s-003"), 1 << 52)  # far ahead of any clock
     database = StateDatabase(front.durable, "ours/n1")
     assert database.save(stored) == []
@@ -296,15 +297,15 @@
         assert "replica.hold s-003" in await front.call("show-replica")
 
 
-def test_a_shutdown_while_the_start_waits_for_others_is_over_before_sigkill(front: SingleFront) -> None:
-    """Guards against an exit after SIGKILL: the start waited out all its stages before it saw the SIGTERM."""
-    asyncio.run(terminate_while_starting(front), debug=True)
+def test_sigterm_while_waiting_for_peers_exits_before_sigkill(front: SingleFront) -> None:
+    """Guards against an exit later than SIGKILL: a start handled SIGTERM only after all of its stages."""
+    asyncio.run(check_termination_while_starting(front), debug=True)
 
 
-async def terminate_while_starting(front: SingleFront) -> None:
+async def check_termination_while_starting(front: SingleFront) -> None:
     path = front.folder / "config.json"
     config = json.loads(path.read_text())
-    del config["known"]  # so that it waits for discovery too, and nobody is there
+    del config["known"]  # so that it waits for discovery too, which is unreachable
     for lane in config["settings"]["Lanes"]:
         lane["GiveUpS"] = 0.5
     path.write_text(json.dumps(config))
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -1,4 +1,4 @@
-"""Drawn scenarios: what is drawn, how one is made shorter, a fixed part of the draws, and wrong programs."""
+"""Tests of random scenarios: generation, shrinking, runs of fixed seeds and detection of faulty programs."""
 
 from __future__ import annotations
 
@@ -10,77 +10,81 @@
 from pathlib import Path
 
 from cleatyoke.config.settings import IDEMPOTENCY_NAMES
-from cleatyoke.testbed.generator import THEMES, Values, draw, dump
+from cleatyoke.testbed.generator import PROFILES, Values, generate_scenario, to_toml
 from cleatyoke.testbed.run_report import RunReport
 from cleatyoke.testbed.runner import ROOT
 from cleatyoke.testbed.scenario_file import make_scenario
-from cleatyoke.testbed.search import pool, rules, run_values, shorten
+from cleatyoke.testbed.search import pool, rules, run_values, shrink
 
 JOBS = 5
-TROUBLES, SETTINGS = range(1, 6), (*range(1, 21), 123)
+TROUBLE_SEEDS, SETTINGS_SEEDS = range(1, 6), (*range(1, 21), 123)
 
 
-class DrawCase(unittest.TestCase):
-    def test_a_draw_is_the_same_each_time_and_a_scenario_file_as_it_is_written(self) -> None:
-        for theme in THEMES:
+class ScenarioGenerationTests(unittest.TestCase):
+    def test_generate_scenario_is_deterministic_and_survives_toml_round_trip(self) -> None:
+        for profile in PROFILES:
             for seed in range(200):
-                values = draw(theme, seed)
-                assert values == draw(theme, seed)
-                again = tomllib.loads(dump(values))
-                assert make_scenario("x", again) == make_scenario("x", values)
+                values = generate_scenario(profile, seed)
+                assert values == generate_scenario(profile, seed)
+                parsed = tomllib.loads(to_toml(values))
+                assert make_scenario("x", parsed) == make_scenario("x", values)
 
-    def test_the_draws_reach_the_ends_of_the_page(self) -> None:
-        drawn = [make_scenario("x", draw("settings", seed)) for seed in range(200)]
-        assert {len(one.request_classes) for one in drawn} == set(range(1, 7))
-        assert {one.terms.max_attempts for one in drawn} == set(range(1, 7))
-        assert {one.terms.load_report for one in drawn} == {"answers", "probe", "none"}
-        assert {kind.idempotency for one in drawn for kind in one.request_classes} == set(
+    def test_generated_settings_cover_specified_ranges(self) -> None:
+        scenarios = [make_scenario("x", generate_scenario("settings", seed)) for seed in range(200)]
+        assert {len(one.request_classes) for one in scenarios} == set(range(1, 7))
+        assert {one.terms.max_attempts for one in scenarios} == set(range(1, 7))
+        assert {one.terms.load_report for one in scenarios} == {"answers", "probe", "none"}
+        assert {kind.idempotency for one in scenarios for kind in one.request_classes} == set(
             IDEMPOTENCY_NAMES.values()
         )
-        assert len({(kind.idempotency, kind.scope) for one in drawn for kind in one.request_classes}) == 9
-        assert {bool(plan.limit) for one in drawn for plan in one.plans} == {True, False}
-        spans = sorted(kind.deadline for one in drawn for kind in one.request_classes)
-        assert spans[0] < 0.3
-        assert spans[-1] > 7
-        assert min(one.backends for one in drawn) == 1
-        assert max(one.backends for one in drawn) == 20
+        assert len({(kind.idempotency, kind.scope) for one in scenarios for kind in one.request_classes}) == 9
+        assert {bool(plan.limit) for one in scenarios for plan in one.plans} == {True, False}
+        deadlines = sorted(kind.deadline for one in scenarios for kind in one.request_classes)
+        assert deadlines[0] < 0.3
+        assert deadlines[-1] > 7
+        assert min(one.backends for one in scenarios) == 1
+        assert max(one.backends for one in scenarios) == 20
 
-    def test_a_scenario_is_made_as_short_as_it_still_breaks_its_rule(self) -> None:
-        guilty = {"at": 1.0, "kind": "kill", "of": [0]}
+    def test_shrink_keeps_only_what_violates_rule(self) -> None:
+        failing_fault = {"at": 1.0, "kind": "kill", "of": [0]}
 
-        def breaks(values: Values) -> set[str]:
-            held = guilty in values.get("trouble", []) and values["fleet"]["seconds"] > 2
-            return {"limit"} if held else {"cold"}
+        def find_violations(values: Values) -> set[str]:
+            is_violated = failing_fault in values.get("trouble", []) and values["fleet"]["seconds"] > 2
+            return {"limit"} if is_violated else {"cold"}
 
-        values = draw("trouble", 1)
-        values["trouble"].insert(1, guilty)
-        short = shorten(values, "limit", breaks)
-        assert short["trouble"] == [guilty]
-        assert len(short["plan"]) == 1
-        assert 2 < short["fleet"]["seconds"] < 3
-        assert shorten(values, "limit", breaks, most=0) == values
+        values = generate_scenario("trouble", 1)
+        values["trouble"].insert(1, failing_fault)
+        shrunk = shrink(values, "limit", find_violations)
+        assert shrunk["trouble"] == [failing_fault]
+        assert len(shrunk["plan"]) == 1
+        assert 2 < shrunk["fleet"]["seconds"] < 3
+        assert shrink(values, "limit", find_violations, max_runs=0) == values
 
 
-class PlayedDraws(unittest.TestCase):
-    def play(self, draws: Iterable[tuple[str, int]]) -> dict[str, RunReport]:
+class GeneratedScenarioRunTests(unittest.TestCase):
+    def run_draws(self, draws: Iterable[tuple[str, int]]) -> dict[str, RunReport]:
         with pool(JOBS) as workers:
-            out = {
-                f"{theme}:{seed}": workers.submit(run_values, f"{theme}-{seed}", draw(theme, seed))
-                for theme, seed in draws
+            futures = {
+                f"{profile}:{seed}": workers.submit(
+                    run_values, f"{profile}-{seed}", generate_scenario(profile, seed)
+                )
+                for profile, seed in draws
             }
-            return {name: future.result() for name, future in out.items()}
+            return {name: future.result() for name, future in futures.items()}
 
-    def test_no_rule_breaks_in_any_drawn_deployment_or_trouble(self) -> None:
-        themes = [("trouble", seed) for seed in TROUBLES] + [("settings", seed) for seed in SETTINGS]
-        for name, report in self.play(themes).items():
+    def test_generated_scenarios_violate_no_rule(self) -> None:
+        draws = [("trouble", seed) for seed in TROUBLE_SEEDS] + [
+            ("settings", seed) for seed in SETTINGS_SEEDS
+        ]
+        for name, report in self.run_draws(draws).items():
             with self.subTest(name):
                 assert report.violations == [], "\n".join(report.lines())
                 assert [event for event in report.log_counts if event.endswith("_fault")] == []
                 assert report.answers["200"] > 10
 
-    def test_wrong_programs_are_caught(self) -> None:
-        """One line is wrong in each, and the draw named says so by its rule."""
-        wrong = {
+    def test_faulty_programs_violate_their_rules(self) -> None:
+        """In each program one condition is wrong; a run of the given profile and seed violates the rule."""
+        mutations = {
             "mangled": (
                 "http/requests.py",
                 "if request.idempotency_key is not None",
@@ -112,14 +116,14 @@
             ),
         }
         with tempfile.TemporaryDirectory() as folder, pool(JOBS) as workers:
-            plays = {}
-            for rule, (part, right, changed, theme, seed) in wrong.items():
+            runs = {}
+            for rule, (module, original, changed, profile, seed) in mutations.items():
                 program = Path(folder) / rule
                 shutil.copytree(ROOT / "cleatyoke", program / "cleatyoke")
-                text = (program / "cleatyoke" / part).read_text()
-                assert text.count(right) == 1
-                (program / "cleatyoke" / part).write_text(text.replace(right, changed))
-                plays[rule] = workers.submit(run_values, rule, draw(theme, seed), program)
-            for rule, play in plays.items():
+                text = (program / "cleatyoke" / module).read_text()
+                assert text.count(original) == 1
+                (program / "cleatyoke" / module).write_text(text.replace(original, changed))
+                runs[rule] = workers.submit(run_values, rule, generate_scenario(profile, seed), program)
+            for rule, run in runs.items():
                 with self.subTest(rule):
-                    assert rule in rules(play.result().violations)
+                    assert rule in rules(run.result().violations)
