--- a/cleatyoke/testbed/generator.py
+++ b/cleatyoke/testbed/generator.py
@@ -38,7 +38,7 @@
 def generate_scenario(profile: str, seed: int) -> Values:
     """Return the values of the scenario with this seed. Raises ``ValueError`` for an unknown profile."""
     if profile not in LOAD_SECONDS:
-        msg = f"unknown profile {profile!r}: expected one of {', '.join(PROFILES)}"
+        msg = f"profile: expected one of {', '.join(PROFILES)}, got {profile!r}"
         raise ValueError(msg)
     rng, seconds = random.Random(f"{profile}:{seed}"), LOAD_SECONDS[profile]
     fronts, backends = rng.randint(2, 6), rng.randint(1, 20)
@@ -53,9 +53,8 @@
     backend_rate = max(
         rng.choice(BACKEND_RATES), math.ceil(MIN_COLD_REQUESTS * max_units / overload_allowance)
     )
-    service_rate = (
-        backends * backend_rate / ((min_units + max_units) / 2)
-    )  # requests a second, of all backends
+    # Requests a second that all backends together can serve.
+    service_rate = backends * backend_rate / ((min_units + max_units) / 2)
     values: Values = {
         "fleet": {"fronts": fronts, "boxes": backends, "zones": zones, "seconds": seconds, "seed": seed},
         "load": {
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_signal_series_under_persistent_clients_violate_no_rule(seed: int) -> None:
-    """Guards against requests lost at an exit, exits later than SIGKILL, and faults, under series of signals."""
+    """Guards against lost requests, exits later than SIGKILL and logged faults under series of signals."""
     report = run_seed(seed)
     assert report.violations == [], "\n".join([summary(seed, report), *report.lines()])
     assert report.fault_lines == []
--- a/tests/test_testbed_doubles.py
+++ b/tests/test_testbed_doubles.py
@@ -22,7 +22,7 @@
     """A request to a silent backend never arrives; one to a stalled backend arrives when it was sent."""
 
     async def arrival_times(self, **options: Any) -> list[float]:
-        """Return when two requests arrived: one sent and cancelled during the fault, and one sent after it."""
+        """Return when requests arrived: one sent and cancelled during the fault, and one sent after it."""
         checker, clock = RuleChecker(PLAIN.plans, PLAIN.terms), asyncio.get_running_loop().time
         backend = BackendDouble("s-0", 0, "basement", checker, clock)
         await backend.start_incarnation(BackendModel(PLAIN.backend_capacity, None))
@@ -33,14 +33,14 @@
         else:
             stall = asyncio.ensure_future(backend.stall(0.3))
             self.addCleanup(stall.cancel)
-        for trace in ("amid", "after"):
+        for trace in ("during", "after"):
             content = RequestContent("GET", f"/api?block={trace}", None, b"")
             checker.on_request(
                 trace, ClientRequestRecord(0, 0, READ, 1.0, started_at, started_at + 1.5, content)
             )
             reader, writer = await asyncio.open_connection("127.0.0.1", backend.port)
             writer.write(f"GET {content.target} HTTP/1.1\r\nX-Trace-Id: {trace}\r\n\r\n".encode())
-            if trace == "amid":
+            if trace == "during":
                 await asyncio.sleep(0.1)
                 writer.close()  # its front cancels the request
                 await asyncio.sleep(0.3)
