--- a/cleatyoke/testbed/soak.py
+++ b/cleatyoke/testbed/soak.py
@@ -91,7 +91,7 @@
     def _generate_requests(self, front: FrontProcess, client: str) -> Iterator[GeneratedRequest]:
         """Yield requests like the scenario's to one front without end, different ones for each client."""
         rng = random.Random(f"{self.scenario.seed}:{front.number}:{client}")
-        # Only requests for volumes that use this front are sent, as each states its volume's fronts.
+        # Only requests for volumes of this front are sent, as each states how many fronts its volume uses.
         has_volumes = True  # False: no volume uses this front, and the loop ends
         while has_volumes:
             has_volumes = False
