--- a/cleatyoke/testbed/backend.py
+++ b/cleatyoke/testbed/backend.py
@@ -71,7 +71,7 @@
         await asyncio.sleep(duration)
         self._receiving.set()
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve the requests of one connection until it ends."""
         assert isinstance(reader, TimedReader)
         while True:
--- a/cleatyoke/testbed/clients.py
+++ b/cleatyoke/testbed/clients.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from cleatyoke.emulation.value import RequestTemplate
+from cleatyoke.emulation.value import LogicalRequest
 from cleatyoke.scheduling.settings import Idempotency
 from cleatyoke.testbed.checker import ClientRequestRecord, RequestContent, RuleChecker
 from cleatyoke.testbed.scenario import Scenario
@@ -68,7 +68,7 @@
         # The latest blocks created, each with the shard that stores it.
         self.recent_objects: deque[tuple[str, int]] = deque(maxlen=MAX_RECENT_OBJECTS)
         self.tasks: set[asyncio.Task[None]] = set()
-        self.templates: list[RequestTemplate] = []  # each request with its final outcome, after all retries
+        self.templates: list[LogicalRequest] = []  # each request with its final outcome, after all retries
 
     async def run(self) -> None:
         """Send all requests at their times; return when each has its final outcome."""
@@ -92,7 +92,7 @@
                 break
             if number < load.retries:
                 await asyncio.sleep(max(record.retry_after, load.retry_delay))
-        template = RequestTemplate(
+        template = LogicalRequest(
             first_sent_at, generated.volume, generated.request_class, generated.units, served_at
         )
         self.templates.append(template)
--- a/cleatyoke/testbed/discovery_agent.py
+++ b/cleatyoke/testbed/discovery_agent.py
@@ -56,7 +56,7 @@
         self.delay = 0.0
         self.fault = ""
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve lists and watches on a connection until it ends."""
         while True:
             target = (await reader.readuntil(b"\r\n\r\n")).split()[1].decode()
--- a/cleatyoke/testbed/search.py
+++ b/cleatyoke/testbed/search.py
@@ -19,7 +19,7 @@
 from cleatyoke.testbed.generator import LOAD_SECONDS, PROFILES, Values, generate_scenario, to_toml
 from cleatyoke.testbed.run_report import RunReport
 from cleatyoke.testbed.runner import ROOT, run_scenario
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 JOBS = 3  # runs at once
 RUNS_PER_CANDIDATE = 2  # as a violation that depends on timing may not occur in the first
@@ -29,7 +29,7 @@
 
 def run_values(name: str, values: Values, program: Path = ROOT) -> RunReport:
     """Run a scenario given by the values of its file, in this process, until its fronts have exited."""
-    return asyncio.run(run_scenario(make_scenario(name, values), program))
+    return asyncio.run(run_scenario(parse_scenario(name, values), program))
 
 
 def pool(jobs: int = JOBS) -> ProcessPoolExecutor:
--- a/cleatyoke/testbed/soak.py
+++ b/cleatyoke/testbed/soak.py
@@ -179,7 +179,7 @@
                 await self._terminate(front, event)
         await asyncio.sleep(DOWN_S)
         if self.scenario.view:
-            front.erase_memory()  # it recovers its holds from its durable folder or from its peers
+            front.erase_volatile_files()  # it recovers its holds from its durable folder or from its peers
         self.write_config(front)
         await front.start()
 
--- a/cleatyoke/testbed/soak_plan.py
+++ b/cleatyoke/testbed/soak_plan.py
@@ -13,7 +13,7 @@
 from cleatyoke.config.table import TableReader
 from cleatyoke.testbed.generator import Values, generate_scenario
 from cleatyoke.testbed.scenario import FRONT_FAULTS, LIST_FAULTS, Scenario
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 SOAK_SECONDS = 7.0  # of load
 FIRST_SIGNAL_AT = (1.0, 4.5)  # range of starts of a series, in seconds after the load begins
@@ -116,7 +116,7 @@
 def make_soak(name: str, values: Values) -> SoakPlan:
     """Parse the values of a soak. Raises ``ConfigError`` that names the first faulty key."""
     scenario_values = {key: value for key, value in values.items() if key not in ("soak", "signal")}
-    scenario = make_scenario(name, scenario_values)
+    scenario = parse_scenario(name, scenario_values)
     root = TableReader(values, f"{name}: ")
     soak = root.table("soak", {})
     return SoakPlan(
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -13,7 +13,7 @@
 from cleatyoke.testbed.generator import PROFILES, Values, generate_scenario, to_toml
 from cleatyoke.testbed.run_report import RunReport
 from cleatyoke.testbed.runner import ROOT
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 from cleatyoke.testbed.search import pool, rules, run_values, shrink
 
 JOBS = 5
@@ -27,10 +27,10 @@
                 values = generate_scenario(profile, seed)
                 assert values == generate_scenario(profile, seed)
                 parsed = tomllib.loads(to_toml(values))
-                assert make_scenario("x", parsed) == make_scenario("x", values)
+                assert parse_scenario("x", parsed) == parse_scenario("x", values)
 
     def test_generated_settings_cover_specified_ranges(self) -> None:
-        scenarios = [make_scenario("x", generate_scenario("settings", seed)) for seed in range(200)]
+        scenarios = [parse_scenario("x", generate_scenario("settings", seed)) for seed in range(200)]
         assert {len(one.request_classes) for one in scenarios} == set(range(1, 7))
         assert {one.terms.max_attempts for one in scenarios} == set(range(1, 7))
         assert {one.terms.load_report for one in scenarios} == {"answers", "probe", "none"}
--- a/tests/test_testbed_doubles.py
+++ b/tests/test_testbed_doubles.py
@@ -11,10 +11,10 @@
 from cleatyoke.testbed.backend_model import BackendModel
 from cleatyoke.testbed.checker import ClientRequestRecord, RequestContent, RuleChecker
 from cleatyoke.testbed.discovery_agent import DiscoveryAgent, Registry
-from cleatyoke.testbed.scenario_file import make_scenario
+from cleatyoke.testbed.scenario_file import parse_scenario
 
 FLEET = {"fronts": 2, "boxes": 4, "seconds": 3.0, "limit": 10}
-PLAIN = make_scenario("plain", {"fleet": FLEET, "load": {"rate": 10, "units": 1}})
+PLAIN = parse_scenario("plain", {"fleet": FLEET, "load": {"rate": 10, "units": 1}})
 READ, WRITE = PLAIN.request_classes
 
 
