--- a/cleatyoke/emulation/traffic.py
+++ b/cleatyoke/emulation/traffic.py
@@ -188,7 +188,7 @@
         """Return the result of an attempt whose request was executed."""
         if outcome is RequestOutcome.RESET:
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
-        if outcome is RequestOutcome.SPOILT:
+        if outcome is RequestOutcome.MALFORMED:
             return AttemptResult(AttemptOutcome.ERROR)
         if outcome is RequestOutcome.LOST:
             await asyncio.sleep(NO_ANSWER_S)
--- a/cleatyoke/testbed/backend.py
+++ b/cleatyoke/testbed/backend.py
@@ -175,7 +175,7 @@
         if outcome is RequestOutcome.LOST:
             await reader.read(1)  # until the front closes the connection
             return False
-        if outcome is RequestOutcome.SPOILT:
+        if outcome is RequestOutcome.MALFORMED:
             writer.write(MALFORMED_RESPONSE)
             return False
         head = f"HTTP/1.1 200 X\r\nContent-Length: {len(body)}\r\n{load}\r\n"
--- a/cleatyoke/testbed/backend_model.py
+++ b/cleatyoke/testbed/backend_model.py
@@ -18,7 +18,7 @@
     UNREAD = "unread"  # the connection is reset before the request is read; not executed
     RESET = "reset"  # executed; the connection is reset before the answer
     LOST = "lost"  # executed; the answer is never sent
-    SPOILT = "spoilt"  # executed; the answer is malformed
+    MALFORMED = "spoilt"  # executed; the answer is malformed
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
         for kind, injected in (
             ("reset", RequestOutcome.RESET),
             ("lose_answers", RequestOutcome.LOST),
-            ("spoil", RequestOutcome.SPOILT),
+            ("spoil", RequestOutcome.MALFORMED),
         ):
             if fraction < self.faults.get(kind, 0.0):
                 outcome = injected
