--- a/tests/recorded/bytes_plain.py
+++ b/tests/recorded/bytes_plain.py
@@ -1,11 +1,11 @@
-"""Plain JSON values for bytes, and the parts of captured messages that differ from run to run."""
+"""Conversion of bytes to JSON values, and replacement of the parts of messages that vary between runs."""
 
 from __future__ import annotations
 
 import re
 from typing import Any
 
-Plain = Any  # what JSON holds
+Plain = Any  # a JSON value
 
 LONG_RUN = re.compile(r"(.)\1{999,}")
 BLANKED: dict[str, str] = {
@@ -18,8 +18,10 @@
 
 
 def pack(data: bytes) -> Plain:
-    """Bytes as JSON: a text where they are printable ASCII with line ends, else hex digits. A text with long
-    runs of one character is a list of texts and of ``[character, times]``."""
+    """Return bytes as a JSON value: text if they are printable ASCII, tabs and line ends, else hex digits.
+
+    Text with runs of 1000 or more equal characters is a list of texts and ``[character, count]`` pairs.
+    """
     if not all(byte in b"\r\n\t" or 32 <= byte < 127 for byte in data):
         return {"hex": data.hex()}
     text, parts, end = data.decode("ascii"), list[Plain](), 0
@@ -30,7 +32,7 @@
 
 
 def unpack(value: Plain) -> bytes:
-    """The bytes that ``pack`` was given."""
+    """Return the bytes from which ``pack`` made the value."""
     if "hex" in value:
         return bytes.fromhex(value["hex"])
     parts = value["text"] if isinstance(value["text"], list) else [value["text"]]
@@ -38,8 +40,8 @@
 
 
 def blank(data: bytes) -> Plain:
-    """As ``pack``, with the parts of an HTTP head that differ from run to run replaced."""
+    """Like ``pack``, but replace the parts of an HTTP head that vary between runs."""
     text = data.decode("latin-1")
-    for pattern, name in BLANKED.items():
-        text = re.sub(pattern, name, text)
+    for pattern, replacement in BLANKED.items():
+        text = re.sub(pattern, replacement, text)
     return pack(text.encode("latin-1"))
--- a/tests/recorded/make_bytes.py
+++ b/tests/recorded/make_bytes.py
@@ -1,4 +1,4 @@
-"""Write the recording of bytes, once: ``python -m tests.recorded.make_bytes``."""
+"""Writes the recording of message bytes: ``python -m tests.recorded.make_bytes``. Never overwrites one."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def record(sample: Plain) -> Plain:
-    """A sample with what the present code makes of it."""
+    """Return the sample with the outputs of the current code."""
     kind = sample["kind"]
     if kind in bytes_adapter.CAPTURES:
         return sample | {"captured": bytes_adapter.capture(kind, sample["given"])}
@@ -25,18 +25,18 @@
 
 
 def recorded_samples() -> dict[str, Plain]:
-    """All samples; those of exchanges among fronts are made of others' bytes."""
+    """Return all samples; the samples of exchanges among fronts reuse the bytes of earlier samples."""
     out: dict[str, Plain] = {}
 
     def add(samples: dict[str, Plain]) -> None:
         for name, sample in samples.items():
             if name in out:
-                raise ValueError(f"{name}: twice")
+                raise ValueError(f"duplicate sample name: {name}")
             out[name] = record(sample)
 
     add(bytes_samples.fleet())
-    named = ("ping", "all states, every field", "loan request", "foreign", "corrupt")
-    datagrams = [out[f"fleet datagram: {name}"]["bytes"] for name in named]
+    names = ("ping", "all states, every field", "loan request", "foreign", "corrupt")
+    datagrams = [out[f"fleet datagram: {name}"]["bytes"] for name in names]
     add(bytes_samples.copies())
     add(bytes_samples.exchanges(datagrams, out["fleet view: every field"]["bytes"]))
     add(bytes_samples.distribution())
@@ -55,9 +55,9 @@
 
 
 def main() -> int:
-    """Returns 1 where there is a recording already: an old sample is never made again."""
+    """Write the recording; return 1 if it already exists."""
     if RECORDING.exists():
-        print(f"{RECORDING.name}: exists, and is never made again", file=sys.stderr)
+        print(f"{RECORDING.name} already exists; recordings are never overwritten", file=sys.stderr)
         return 1
     value = {"blanked": BLANKED, "samples": recorded_samples()}
     RECORDING.parent.mkdir(exist_ok=True)
--- a/tests/recorded/make_control.py
+++ b/tests/recorded/make_control.py
@@ -1,4 +1,7 @@
-"""Write the recording of control: ``python -m tests.recorded.make_control``; never over an existing one."""
+"""Writes the recording of control decisions: ``python -m tests.recorded.make_control``.
+
+Never overwrites an existing recording.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 def record() -> dict[str, Any]:
-    """Each case's count of entries and digest, and for some all entries."""
+    """Return the entry count and digest of each case, and the whole log of the readable cases."""
     cases: dict[str, Any] = {}
     for name in CASES:
         log = run_case(name)
@@ -24,7 +27,7 @@
 
 
 def recording_text(cases: dict[str, Any]) -> str:
-    """JSON with one line for each entry of a readable case."""
+    """Return the recording as JSON text, with one line per entry of a readable case."""
     lines = []
     for name, case in cases.items():
         head = json.dumps({key: value for key, value in case.items() if key != "log"})
@@ -36,13 +39,13 @@
 
 
 def main() -> int:
-    """Write the recording, unless there is one."""
+    """Write the recording; return 1 if it already exists."""
     text = recording_text(record())
     try:
         with RECORDING.open("x", encoding="utf-8") as file:
             file.write(text)
     except FileExistsError:
-        print(f"{RECORDING.name} exists: old samples are never made again", file=sys.stderr)
+        print(f"{RECORDING.name} already exists; recordings are never overwritten", file=sys.stderr)
         return 1
     print(f"{RECORDING.name}: {len(CASES)} cases, {len(text)} bytes")
     return 0
--- a/tests/recorded/make_fleet.py
+++ b/tests/recorded/make_fleet.py
@@ -1,4 +1,7 @@
-"""Writes the recording of the fleet's decisions, once: ``python -m tests.recorded.make_fleet``."""
+"""Writes the recording of the fleet's decisions: ``python -m tests.recorded.make_fleet``.
+
+Never overwrites an existing recording.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,11 @@
 
 from tests.recorded.fleet_cases import CASES, READABLE, run_case
 
-PATH = Path(__file__).parent / "data" / "fleet.json"
+RECORDING = Path(__file__).parent / "data" / "fleet.json"
 
 
-def recording() -> dict[str, Any]:
-    """What is kept of all cases."""
+def record() -> dict[str, Any]:
+    """Return the entry count, digests and kind counts of each case, and the entries of the readable cases."""
     records = {name: run_case(name) for name in CASES}
     return {
         "cases": {
@@ -29,23 +32,23 @@
     }
 
 
-def text(kept: dict[str, Any]) -> str:
-    """The recording as a file, an entry of a readable case on each line."""
-    cases = ",\n".join(f"{json.dumps(name)}: {json.dumps(one)}" for name, one in kept["cases"].items())
+def recording_text(recording: dict[str, Any]) -> str:
+    """Return the recording as JSON text, with one line per entry of a readable case."""
+    cases = ",\n".join(f"{json.dumps(name)}: {json.dumps(case)}" for name, case in recording["cases"].items())
     readable = ",\n".join(
         f"{json.dumps(name)}: [\n" + ",\n".join(json.dumps(entry) for entry in entries) + "\n]"
-        for name, entries in kept["readable"].items()
+        for name, entries in recording["readable"].items()
     )
     return f'{{"cases": {{\n{cases}\n}},\n"readable": {{\n{readable}\n}}}}\n'
 
 
 def main() -> int:
-    """Write it, unless there is one: old samples are never made again."""
+    """Write the recording; return 1 if it already exists."""
     try:
-        with PATH.open("x") as file:
-            file.write(text(recording()))
+        with RECORDING.open("x") as file:
+            file.write(recording_text(record()))
     except FileExistsError:
-        print(f"{PATH.name} exists and stays as it is", file=sys.stderr)
+        print(f"{RECORDING.name} already exists; recordings are never overwritten", file=sys.stderr)
         return 1
     return 0
 
--- a/tests/recorded/make_scheduler.py
+++ b/tests/recorded/make_scheduler.py
@@ -1,6 +1,6 @@
-"""Write the recording of the scheduler's decisions: ``python -m tests.recorded.make_scheduler``.
+"""Writes the recording of the scheduler's decisions: ``python -m tests.recorded.make_scheduler``.
 
-It was run once, on the code before the reorganisation. An existing recording is never written again.
+The present recording is of the code before its reorganisation. An existing recording is never overwritten.
 """
 
 from __future__ import annotations
@@ -16,45 +16,49 @@
 from tests.recorded.scheduler_cases import all_cases
 
 RECORDING = Path(__file__).with_name("data") / "scheduler.json"
-READABLE = 16  # of the cases with the fewest rows, so many are kept as they are
-SPAN = 50  # rows from one mark to the next
+READABLE = 16  # number of cases that are recorded with all their rows: those with the fewest rows
+INTERVAL = 50  # rows from one mark to the next
 
 
 def encode(row: Row) -> str:
-    """Return one row as JSON text; floats have all their digits."""
+    """Return one row as JSON text, with floats at full precision."""
     return json.dumps(row, separators=(",", ":"), allow_nan=False)
 
 
 def digest(rows: list[Row]) -> dict[str, Any]:
-    """Return the digest of all rows, their number, and marks that tell about where a difference begins."""
+    """Return the row count, the digest of all rows, and marks.
+
+    A mark is the beginning of the running digest after each ``INTERVAL`` rows; marks show about where a
+    difference begins.
+    """
     running, marks = hashlib.sha256(), []
-    for place, row in enumerate(rows, 1):
+    for count, row in enumerate(rows, 1):
         running.update(encode(row).encode() + b"\n")
-        if place % SPAN == 0:
+        if count % INTERVAL == 0:
             marks.append(running.hexdigest()[:8])
     return {"rows": len(rows), "sha256": running.hexdigest(), "marks": marks}
 
 
 def record() -> dict[str, Any]:
-    """Play every case and return the recording."""
+    """Run every case and return the recording."""
     cases: dict[str, Any] = {}
-    played: dict[str, list[Row]] = {}
+    rows_by_case: dict[str, list[Row]] = {}
     reached: Counter[str] = Counter()
-    for name, play in all_cases().items():
-        rows, kinds = play()
-        played[name], cases[name] = rows, digest(rows)
+    for name, run in all_cases().items():
+        rows, kinds = run()
+        rows_by_case[name], cases[name] = rows, digest(rows)
         reached.update(kinds)
-    shortest = sorted(played, key=lambda name: (not name.endswith(" 0"), len(played[name])))
+    shortest = sorted(rows_by_case, key=lambda name: (not name.endswith(" 0"), len(rows_by_case[name])))
     return {
         "cases": cases,
         "reached": dict(sorted(reached.items())),
-        "rows": {name: played[name] for name in shortest[:READABLE]},
+        "rows": {name: rows_by_case[name] for name in shortest[:READABLE]},
     }
 
 
-def write_text(recording: dict[str, Any]) -> str:
-    """Return the recording as JSON text with one case or row a line."""
-    cases = ",\n".join(f"{json.dumps(name)}: {json.dumps(one)}" for name, one in recording["cases"].items())
+def recording_text(recording: dict[str, Any]) -> str:
+    """Return the recording as JSON text, with one line per case or row."""
+    cases = ",\n".join(f"{json.dumps(name)}: {json.dumps(case)}" for name, case in recording["cases"].items())
     rows = ",\n".join(
         f"{json.dumps(name)}: [\n" + ",\n".join(map(encode, rows)) + "\n]"
         for name, rows in recording["rows"].items()
@@ -64,11 +68,11 @@
 
 
 def main() -> int:
-    """Write the recording unless there is one."""
+    """Write the recording; return 1 if it already exists."""
     if RECORDING.exists():
-        print(f"{RECORDING.name} exists; an old recording is never made again", file=sys.stderr)
+        print(f"{RECORDING.name} already exists; recordings are never overwritten", file=sys.stderr)
         return 1
-    text = write_text(record())
+    text = recording_text(record())
     RECORDING.parent.mkdir(exist_ok=True)
     RECORDING.write_text(text)
     print(f"{RECORDING.name}: {len(text)} bytes")
--- a/tests/recorded/make_settings.py
+++ b/tests/recorded/make_settings.py
@@ -1,4 +1,7 @@
-"""``python -m tests.recorded.make_settings``: record, once for all, what settings give and their errors."""
+"""Writes the recording of settings and their errors: ``python -m tests.recorded.make_settings``.
+
+Never overwrites an existing recording.
+"""
 
 from __future__ import annotations
 
@@ -232,7 +235,7 @@
 }
 LEAST_SCENARIO: dict[str, Any] = {"fleet": {"fronts": 4, "boxes": 6, "seconds": 12}, "load": {"rate": 60}}
 
-# Values beside the generic ones, by the key (last of a path) that they are for.
+# Values that are tried in addition to the generic ones, by the last key of a path.
 SPECIAL_SETTINGS: dict[str, list[Any]] = {
     "listen": ADDRESSES,
     "discovery": ADDRESSES,
@@ -310,38 +313,43 @@
 
 
 def paths_in(values: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
-    """The paths of all keys in nested dicts and lists of dicts; places of lists are no keys."""
+    """Yield the paths of all keys in nested dicts and lists of dicts; list indexes are not keys."""
     if isinstance(values, dict):
         for key, value in values.items():
             yield (*path, key)
             yield from paths_in(value, (*path, key))
     elif isinstance(values, list):
-        for place, value in enumerate(values):
-            yield from paths_in(value, (*path, place))
+        for index, value in enumerate(values):
+            yield from paths_in(value, (*path, index))
 
 
 def tables_in(values: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
-    """The paths of all tables, the root's first."""
+    """Yield the paths of all tables, beginning with the root."""
     if isinstance(values, dict):
         yield path
         for key, value in values.items():
             yield from tables_in(value, (*path, key))
     elif isinstance(values, list):
-        for place, value in enumerate(values):
-            yield from tables_in(value, (*path, place))
+        for index, value in enumerate(values):
+            yield from tables_in(value, (*path, index))
 
 
 def wrong_values(
     base: dict[str, Any], special: dict[str, list[Any]], generic: list[Any]
 ) -> dict[str, list[Change]]:
-    """The changes of each key of ``base``: absent, generic values, values of its own; and unknown keys."""
+    """Return the changes to try by key: the key is absent, or has each generic and each special value.
+
+    Each table also gets an unknown key.
+    """
     out: dict[str, list[Change]] = {}
     for path in paths_in(base):
         if path[:1] == ("known",) and len(path) > 1:
-            continue  # read by discovery, not with the settings
+            continue  # discovery reads the contents, not the settings reader
         values = [*generic, *special.get(str(path[-1]), [])]
         if path == ("known",):
-            values = [value for value in values if value == value]  # any value is taken, and NaN equals none
+            values = [
+                value for value in values if value == value
+            ]  # all are accepted; NaN is left out, as it equals no value
         changes: list[Change] = [{"path": list(path)}]
         changes += [{"path": list(path), "value": value} for value in values]
         out[".".join(map(str, path))] = changes
@@ -353,7 +361,7 @@
 
 
 def shipped_fronts() -> dict[str, Any]:
-    """The fronts file of the repository with each front on and each optional key given."""
+    """Return the repository's fronts file with every table enabled and every optional key set."""
     values = tomllib.loads(adapter.SHIPPED_FRONTS.read_text())
     for table in values.values():
         table["enabled"] = True
@@ -367,17 +375,17 @@
 def with_outcomes(
     wrong: dict[str, list[Change]], base: dict[str, Any], read: Callable[[dict[str, Any]], dict[str, Any]]
 ) -> dict[str, list[Change]]:
-    """The changes, each with what reading the changed base gives."""
-    whole = read(base)
+    """Return the changes, each with the outcome of reading the changed base."""
+    unchanged = read(base)
     return {
-        key: [{**change, "gives": outcome(whole, read(changed(base, [change])))} for change in changes]
+        key: [{**change, "gives": outcome(unchanged, read(changed(base, [change])))} for change in changes]
         for key, changes in wrong.items()
     }
 
 
 def environments() -> dict[str, dict[str, str]]:
-    """Variables, by what is tried with them."""
-    tried = {
+    """Return environment variables by the name of their case."""
+    cases = {
         "no path": {"RELAY_CONFIG": ""},
         "no file": {"RELAY_CONFIG": f"{FOLDER}/none.json"},
         "a folder": {"RELAY_CONFIG": FOLDER},
@@ -391,20 +399,22 @@
     }
     for variable in ("RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_OPS"):
         for text in ("", *ADDRESSES):
-            tried[f"{variable}={text}"] = {variable: text}
+            cases[f"{variable}={text}"] = {variable: text}
     for text in ("", "0", "7", "1048575", "1048576", "-1", "four", " 4", "4.0", "\u0664"):
-        tried[f"RELAY_ACCEPT_FD={text}"] = {"RELAY_ACCEPT_FD": text}
-    return tried
+        cases[f"RELAY_ACCEPT_FD={text}"] = {"RELAY_ACCEPT_FD": text}
+    return cases
 
 
 def reloads() -> dict[str, dict[str, Any]]:
-    """Changes of the settings, variables and fronts between two reads, by what is tried."""
-    lane = {"Name": "late-class", "AimS": 0.7, "Repeat": "repeatable", "Worth": 1.0, "GiveUpS": 2.0}
+    """Return changes of the settings, variables and fronts file between two reads, by case."""
+    new_class = {"Name": "late-class", "AimS": 0.7, "Repeat": "repeatable", "Worth": 1.0, "GiveUpS": 2.0}
     in_settings: dict[str, list[Change]] = {
         "nothing": [],
         "a limit": [{"path": ["settings", "Contracts", 0, "Limit"], "value": 40.0}],
         "a drain's seconds": [{"path": ["settings", "Safety", "StopSendingWithinS"], "value": 0.4}],
-        "a class more": [{"path": ["settings", "Lanes"], "value": [*SETTINGS["settings"]["Lanes"], lane]}],
+        "a class more": [
+            {"path": ["settings", "Lanes"], "value": [*SETTINGS["settings"]["Lanes"], new_class]}
+        ],
         "a class less": [{"path": ["settings", "Lanes", 1]}],
         "classes in another order": [
             {"path": ["settings", "Lanes"], "value": SETTINGS["settings"]["Lanes"][::-1]},
@@ -414,7 +424,7 @@
         "a table less": [{"path": ["settings", "Report"]}],
         "a wrong value": [{"path": ["settings", "PolicyLimits", "SendCap"], "value": 0}],
     }
-    elsewhere: dict[str, Any] = {
+    top_level: dict[str, Any] = {
         "name": "front-2",
         "listen": "127.0.0.1:8090",
         "discovery": "127.0.0.1:8501",
@@ -423,7 +433,7 @@
         "known": {"version": 4, "instances": []},
         "limits": {"sockets": 600, "memory_mb": 50},
     }
-    in_settings |= {key: [{"path": [key], "value": value}] for key, value in elsewhere.items()}
+    in_settings |= {key: [{"path": [key], "value": value}] for key, value in top_level.items()}
     in_settings |= {
         key: [{"path": ["settings", "PolicyLimits", key], "value": 0.5}]
         for key in ("DialTimeoutS", "IdleCloseS")
@@ -438,7 +448,7 @@
 
 
 def commands() -> dict[str, dict[str, Any]]:
-    """Commands that end by an error in settings, with files to write before."""
+    """Return commands that exit because of an error in their settings, with the files to write before."""
     source = ["source", "--listen", "127.0.0.1:0", "--deployment", "d", "--folder", FOLDER]
     relay = ["relay", "--deployment", "d", "--name", "r"]
     fronts = ["--fronts", f"{FOLDER}/fronts.toml"]
@@ -476,7 +486,7 @@
 
 
 def recording(folder: Path) -> dict[str, Any]:
-    """All that is recorded."""
+    """Return the whole recording."""
     deployment = Deployment(folder)
     deployment.write_odd_files()
     fronts = shipped_fronts()
@@ -510,19 +520,19 @@
         ("scenario", SCENARIO, SPECIAL_SCENARIO, [*GENERIC, *ONLY_TOML], deployment.read_scenario),
     ):
         out[f"{name} by key"] = with_outcomes(wrong_values(base, special, generic), base, read)
-    whole = deployment.read(SETTINGS)
+    unchanged = deployment.read(SETTINGS)
     out["environments"] = {
-        name: {"variables": given, "gives": outcome(whole, deployment.read(SETTINGS, None, given))}
+        name: {"variables": given, "gives": outcome(unchanged, deployment.read(SETTINGS, None, given))}
         for name, given in environments().items()
     }
-    least = changed(
+    without_addresses = changed(
         SETTINGS, [{"path": ["ops"]}, {"path": ["name"]}, {"path": ["listen"]}, {"path": ["discovery"]}]
     )
     given = {"RELAY_NAME": "n", "RELAY_LISTEN": "h:1", "RELAY_DISCOVERY": "h:2", "RELAY_OPS": "h:3"}
     out["environment alone"] = {
-        "settings": least,
+        "settings": without_addresses,
         "variables": given,
-        "gives": outcome(whole, deployment.read(least, None, given)),
+        "gives": outcome(unchanged, deployment.read(without_addresses, None, given)),
     }
     out["texts for a fronts file"] = [
         {"text": text, "gives": deployment.fronts_text(SETTINGS, text)}
@@ -545,19 +555,19 @@
 
 
 def main() -> int:
-    """Write the recording, unless there is one."""
+    """Write the recording; return 1 if it already exists."""
     if DATA.exists():
-        print(f"{DATA.name}: recorded before; a recording is never made again", file=sys.stderr)
+        print(f"{DATA.name} already exists; recordings are never overwritten", file=sys.stderr)
         return 1
     with tempfile.TemporaryDirectory() as folder:
-        found = recording(Path(folder))
+        values = recording(Path(folder))
     DATA.parent.mkdir(parents=True, exist_ok=True)
-    DATA.write_text(compact(found) + "\n")
+    DATA.write_text(compact(values) + "\n")
     return 0
 
 
 def compact(values: dict[str, Any]) -> str:
-    """JSON with one line for each case, so that a difference can be read."""
+    """Return JSON text with one line per case, so that differences are readable."""
     parts = []
     for name, value in values.items():
         if isinstance(value, dict):
--- a/tests/recorded/make_stored.py
+++ b/tests/recorded/make_stored.py
@@ -1,4 +1,7 @@
-"""``python -m tests.recorded.make_stored``: write samples of stored data, once for all, and what they say."""
+"""Writes samples of stored data and the results of reading them: ``python -m tests.recorded.make_stored``.
+
+Never overwrites existing samples.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +15,17 @@
 
 
 def main() -> int:
-    """Write the recording, unless there is one."""
+    """Write the samples and the expected results; return 1 if there are samples already."""
     if SAMPLES.exists():
-        print(f"{SAMPLES.name}: recorded before; old samples are never made again", file=sys.stderr)
+        print(f"{SAMPLES.name} already exists; recordings are never overwritten", file=sys.stderr)
         return 1
     SAMPLES.mkdir(parents=True)
     write_samples()
-    found = {}
+    results = {}
     for name in CASES:
         with tempfile.TemporaryDirectory() as folder:
-            found[name] = tried(name, Path(folder))
-    EXPECTED.write_text(json.dumps(found, indent=1, ensure_ascii=False) + "\n")
+            results[name] = tried(name, Path(folder))
+    EXPECTED.write_text(json.dumps(results, indent=1, ensure_ascii=False) + "\n")
     return 0
 
 
--- a/tests/recorded/stored_files.py
+++ b/tests/recorded/stored_files.py
@@ -1,4 +1,4 @@
-"""Samples of stored data, copied, damaged and looked into from outside: no project names here."""
+"""Copies, damages and inspects samples of stored data without using the project's own code."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 def copy_of(sample: str, folder: Path) -> Path:
-    """A copy of a sample's folder, as reading may write beside a file."""
+    """Copy a sample's folder, as reading a database may write files next to it."""
     return Path(shutil.copytree(SAMPLES / sample, folder / sample))
 
 
 def database(path: Path) -> dict[str, Any]:
-    """A database as another program finds it: its numbers, its schema and all rows."""
+    """Return a database's header values, schema and rows, read with plain sqlite3."""
     with closing(sqlite3.connect(path)) as connection:
 
         def one(query: str) -> Any:
             return connection.execute(query).fetchone()[0]
 
-        numbers = {name: one(f"PRAGMA {name}") for name in ("application_id", "user_version", "journal_mode")}
+        header = {name: one(f"PRAGMA {name}") for name in ("application_id", "user_version", "journal_mode")}
         schema = connection.execute("SELECT type, name, tbl_name, sql FROM sqlite_schema ORDER BY name")
         schema_rows = [list(row) for row in schema]
         columns = [list(row[1:]) for row in connection.execute("PRAGMA table_info(rows)")]
@@ -36,11 +36,11 @@
             [value.hex() if isinstance(value, bytes) else value for value in row]
             for row in connection.execute("SELECT * FROM rows ORDER BY kind")
         ]
-    return {**numbers, "schema": schema_rows, "columns": columns, "rows": rows}
+    return {**header, "schema": schema_rows, "columns": columns, "rows": rows}
 
 
 def execute(path: Path, query: str, *rows: tuple[Any, ...]) -> None:
-    """Change a database from outside."""
+    """Run a query on a database with plain sqlite3."""
     with closing(sqlite3.connect(path)) as connection, connection:
         if rows:
             connection.executemany(query, rows)
@@ -49,8 +49,8 @@
 
 
 def spoil(path: Path, how: str) -> None:
-    """Damage a database file in one of the ways that a reader distinguishes."""
-    whole = path.read_bytes()
+    """Damage a database file in one of the ways that the reader tells apart."""
+    original = path.read_bytes()
     match how:
         case "newer file":
             execute(path, "PRAGMA user_version = 2")
@@ -63,19 +63,19 @@
         case "empty":
             path.write_bytes(b"")
         case "cut short":
-            path.write_bytes(whole[:4096])
+            path.write_bytes(original[:4096])
         case "gone":
             path.unlink()
         case "one bit":
-            place = whole.index(b"s-003")
-            path.write_bytes(whole[:place] + bytes([whole[place] ^ 1]) + whole[place + 1 :])
+            offset = original.index(b"s-003")
+            path.write_bytes(original[:offset] + bytes([original[offset] ^ 1]) + original[offset + 1 :])
         case _:
             raise ValueError(how)
 
 
 def run_check(module: str, folder: Path, *options: str) -> dict[str, Any]:
-    """Exit status and output of the program that checks a folder."""
-    ended = subprocess.run(
+    """Run the program that checks a folder; return its exit status and output."""
+    process = subprocess.run(
         [sys.executable, "-m", module, "check", str(folder), *options],
         cwd=ROOT,
         env=dict(os.environ),
@@ -84,7 +84,7 @@
         timeout=60,
     )
     return {
-        "status": ended.returncode,
-        "output": ended.stdout.replace(str(folder), "FOLDER").splitlines(),
-        "errors": len(ended.stderr.splitlines()),
+        "status": process.returncode,
+        "output": process.stdout.replace(str(folder), "FOLDER").splitlines(),
+        "errors": len(process.stderr.splitlines()),
     }
--- a/tests/recorded/test_recorded_fleet.py
+++ b/tests/recorded/test_recorded_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's decisions are those that were recorded before the code was reorganised."""
+"""The fleet decides as recorded before the code was reorganised."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.recorded import make_fleet
 from tests.recorded.fleet_cases import BLOCK, CASES, READABLE, run_case
 
-KEPT: dict[str, Any] = json.loads(make_fleet.PATH.read_text())
+RECORDED: dict[str, Any] = json.loads(make_fleet.RECORDING.read_text())
 
 KINDS = {
     "membership event": {"heard", "asked", "answered", "leave", "remembered"},
@@ -29,44 +29,44 @@
 }
 
 
-def first_difference(kept: list[Any], now: list[Any]) -> str:
-    """The first entry that is not as it was, for people."""
-    for place, (old, new) in enumerate(zip_longest(kept, now)):
+def first_difference(recorded: list[Any], actual: list[Any]) -> str:
+    """Describe the first entry that differs from the recording."""
+    for index, (old, new) in enumerate(zip_longest(recorded, actual)):
         if old != new:
-            return f"entry {place}\n  recorded: {json.dumps(old)}\n  now:      {json.dumps(new)}"
+            return f"entry {index}\n  recorded: {json.dumps(old)}\n  actual:   {json.dumps(new)}"
     return "no entry differs"
 
 
-def test_the_cases_are_those_recorded() -> None:
-    assert list(KEPT["cases"]) == list(CASES)
-    assert list(KEPT["readable"]) == list(READABLE)
+def test_all_cases_are_recorded() -> None:
+    assert list(RECORDED["cases"]) == list(CASES)
+    assert list(RECORDED["readable"]) == list(READABLE)
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_the_decisions_are_those_recorded(name: str) -> None:
-    kept, record = KEPT["cases"][name], run_case(name)
-    if name in KEPT["readable"]:
+def test_case_is_as_recorded(name: str) -> None:
+    recorded, record = RECORDED["cases"][name], run_case(name)
+    if name in RECORDED["readable"]:
         entries = json.loads(json.dumps(record.entries))
-        assert entries == KEPT["readable"][name], first_difference(KEPT["readable"][name], entries)
-    if record.digest() != kept["sha256"]:
-        pairs = enumerate(zip_longest(kept["blocks"], record.blocks()))
-        block = next(place for place, (old, new) in pairs if old != new)
+        assert entries == RECORDED["readable"][name], first_difference(RECORDED["readable"][name], entries)
+    if record.digest() != recorded["sha256"]:
+        pairs = enumerate(zip_longest(recorded["blocks"], record.blocks()))
+        block = next(index for index, (old, new) in pairs if old != new)
         entries = record.entries[block * BLOCK : (block + 1) * BLOCK]
         pytest.fail(
-            f"{name}: differs first within entries {block * BLOCK} to {(block + 1) * BLOCK - 1}; now:\n"
+            f"{name}: first difference in entries {block * BLOCK} to {(block + 1) * BLOCK - 1}; actual:\n"
             + "\n".join(json.dumps(entry) for entry in entries)
         )
-    assert len(record.entries) == kept["entries"]
-    assert dict(sorted(record.kinds.items())) == kept["kinds"]
+    assert len(record.entries) == recorded["entries"]
+    assert dict(sorted(record.kinds.items())) == recorded["kinds"]
 
 
 def test_every_kind_of_event_and_action_occurs() -> None:
-    seen = {kind for name in CASES for kind in run_case(name).kinds}
-    assert seen == {f"{area} {kind}" for area, kinds in KINDS.items() for kind in kinds}
+    reached = {kind for name in CASES for kind in run_case(name).kinds}
+    assert reached == {f"{area} {kind}" for area, kinds in KINDS.items() for kind in kinds}
 
 
-def test_a_recording_is_never_made_again(capsys: pytest.CaptureFixture[str]) -> None:
-    before = make_fleet.PATH.read_bytes()
+def test_recording_is_not_overwritten(capsys: pytest.CaptureFixture[str]) -> None:
+    before = make_fleet.RECORDING.read_bytes()
     assert make_fleet.main() == 1
-    assert make_fleet.PATH.read_bytes() == before
+    assert make_fleet.RECORDING.read_bytes() == before
     assert "exists" in capsys.readouterr().err
--- a/tests/recorded/test_recorded_stored.py
+++ b/tests/recorded/test_recorded_stored.py
@@ -1,4 +1,4 @@
-"""Data that the code stored before it was reorganised is read, and written, as recorded."""
+"""Data stored by the code before its reorganisation is read and written as recorded."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def digests() -> dict[str, str]:
-    """Each file of the samples, by its path, with a digest of its bytes."""
+    """Return the digest of each sample file by its path."""
     return {
         path.relative_to(SAMPLES).as_posix(): hashlib.sha256(path.read_bytes()).hexdigest()
         for path in sorted(SAMPLES.rglob("*"))
@@ -25,22 +25,22 @@
     }
 
 
-def test_every_recorded_case_is_tried() -> None:
-    """None is lost with a rename."""
+def test_all_cases_are_recorded() -> None:
+    """No recorded case is lost by a rename."""
     assert list(CASES) == list(RECORDED)
 
 
 @pytest.mark.parametrize("name", RECORDED)
-def test_stored_data_gives_what_is_recorded(name: str, tmp_path: Path) -> None:
-    """What is read, refused and written."""
+def test_stored_data_case_is_as_recorded(name: str, tmp_path: Path) -> None:
+    """The data that is read, rejected and written is as recorded, and the samples stay unchanged."""
     before = digests()
     assert tried(name, tmp_path) == RECORDED[name]
-    assert digests() == before, "a sample was changed"
+    assert digests() == before, "the case changed a sample file"
 
 
-def test_the_samples_are_not_written_over(capsys: pytest.CaptureFixture[str]) -> None:
-    """They stand for what operators have on their disks."""
+def test_samples_are_not_overwritten(capsys: pytest.CaptureFixture[str]) -> None:
+    """The samples represent data on the disks of existing installations."""
     before = digests()
     assert main() == 1
     assert digests() == before
-    assert "never made again" in capsys.readouterr().err
+    assert "never overwritten" in capsys.readouterr().err
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,11 +1,11 @@
-"""What may import what, and that nothing is left that no code reaches."""
+"""Checks the import contracts, the modules that the daemon loads at startup, and unused code."""
 
 import subprocess
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-OFF_IN_RUN = (
+OPTIONAL = (
     "cleatyoke.coordination",
     "cleatyoke.distribution",
     "cleatyoke.durability",
@@ -27,21 +27,25 @@
 
 
 def test_import_contracts_hold() -> None:
-    """Contracts of pyproject.toml: decisions without I/O, edges apart, tools imported by nothing."""
+    """The import contracts of pyproject.toml hold.
+
+    Decision code imports no I/O and no clock, the edges don't import each other, and the program doesn't
+    import its tools.
+    """
     code = "import sys; from importlinter.cli import lint_imports; sys.exit(lint_imports(no_cache=True))"
     result = run(sys.executable, "-c", code)
     assert result.returncode == 0, result.stdout + result.stderr
 
 
-def test_the_daemon_imports_nothing_that_is_off() -> None:
-    """A start pays for every import; a part that is off must cost nothing."""
-    code = f"import sys, cleatyoke.__main__; print([n for n in sys.modules if n.startswith({OFF_IN_RUN})])"
+def test_daemon_does_not_import_disabled_parts() -> None:
+    """Each import lengthens the startup, so parts that are disabled by default are not imported."""
+    code = f"import sys, cleatyoke.__main__; print([n for n in sys.modules if n.startswith({OPTIONAL})])"
     result = run(sys.executable, "-c", code)
     assert result.stdout.strip() == "[]", result.stdout + result.stderr
 
 
-def test_no_code_is_unreachable() -> None:
-    """Names that nothing uses; those that only look unused are explained in vulture_allowlist.py."""
+def test_no_code_is_unused() -> None:
+    """Vulture reports no unused names in cleatyoke; vulture_allowlist.py lists its false positives."""
     result = run(sys.executable, "-m", "vulture", "cleatyoke", "tests")
-    assert result.returncode in (0, 3), result.stderr  # 3: something was found, maybe in the tests only
+    assert result.returncode in (0, 3), result.stderr  # 3: unused names were found, maybe only in tests
     assert [line for line in result.stdout.splitlines() if line.startswith("cleatyoke")] == []
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in the README runs and sends its request."""
+"""Runs the Python example of the README."""
 
 import contextlib
 import io
@@ -10,7 +10,7 @@
 
 def test_readme_example_sends_its_request() -> None:
     (code,) = re.findall(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
-    printed = io.StringIO()
-    with contextlib.redirect_stdout(printed):
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output):
         exec(compile(code, str(README), "exec"), {})
-    assert "SendAttempt(request_id='a', node_id=11)" in printed.getvalue()
+    assert "SendAttempt(request_id='a', node_id=11)" in output.getvalue()
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -1,4 +1,4 @@
-"""Lint, types, the limits on modules' sizes, and what the scheduler's modules may import."""
+"""Runs the linter, formatter and type checker; limits module sizes and the imports of the scheduler."""
 
 import ast
 import subprocess
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SCHEDULING = ROOT / "cleatyoke" / "scheduling"
-MAX_LINES = 560  # non-blank ones; the line length is ruff's
+MAX_LINES = 560  # non-blank lines; ruff checks the line length
 MAX_SCHEDULING_LINES = 300
 PURE_MODULES = {
     "__future__",
@@ -45,8 +45,8 @@
     return sum(1 for line in path.read_text().splitlines() if line.strip())
 
 
-def test_every_module_stays_small() -> None:
-    """A module that grows beyond this has more than one job."""
+def test_modules_do_not_exceed_max_lines() -> None:
+    """A longer module has more than one responsibility."""
     too_long = {
         str(path.relative_to(ROOT)): lines
         for path in sorted((ROOT / "cleatyoke").rglob("*.py"))
@@ -55,33 +55,33 @@
     assert too_long == {}
 
 
-def test_every_scheduling_module_stays_smaller() -> None:
-    """To learn why a request was held, one reads the module of one rule, not all of them."""
+def test_scheduling_modules_do_not_exceed_their_lower_limit() -> None:
+    """Each rule has a short module of its own, which is all one has to read to see why a request was held."""
     lines = {path.name: nonblank_lines(path) for path in SCHEDULING.glob("*.py")}
     assert len(lines) > 10
     assert {name: count for name, count in lines.items() if count > MAX_SCHEDULING_LINES} == {}
 
 
 def test_scheduling_imports_only_itself_and_pure_modules() -> None:
-    """Decisions with input, output or a clock of their own could not be replayed or simulated."""
-    foreign = {
+    """A scheduler that did I/O or read a clock could not be replayed or simulated."""
+    forbidden = {
         (path.name, name)
         for path in SCHEDULING.rglob("*.py")
         for name in imported_modules(ast.parse(path.read_text()))
         if name not in PURE_MODULES and not name.startswith("cleatyoke.scheduling.")
     }
-    assert foreign == set()
+    assert forbidden == set()
 
 
 def imported_modules(tree: ast.Module) -> set[str]:
-    found: set[str] = set()
+    modules: set[str] = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
-            found |= {alias.name for alias in node.names}
+            modules |= {alias.name for alias in node.names}
         if isinstance(node, ast.ImportFrom):
             assert node.level == 0, "imports are absolute"
-            found.add(node.module or "")
-    return found
+            modules.add(node.module or "")
+    return modules
 
 
 @pytest.mark.parametrize(
@@ -92,6 +92,6 @@
         ("if True:\n    import asyncio", {"asyncio"}),
     ],
 )
-def test_the_import_check_sees_imports_anywhere(text: str, names: set[str]) -> None:
+def test_imported_modules_finds_nested_imports(text: str, names: set[str]) -> None:
     assert imported_modules(ast.parse(text)) == names
     assert names - PURE_MODULES
--- a/tests/vulture_allowlist.py
+++ b/tests/vulture_allowlist.py
@@ -1,4 +1,4 @@
-"""Names that look unused to vulture, each with the reason why it is needed."""
+"""Names that vulture reports as unused, each with the reason why it is needed."""
 
 _.convert  # click calls it on its parameter types
 _.datagram_received  # asyncio calls the methods of a protocol
@@ -12,12 +12,12 @@
 _.f_trace_lines  # the interpreter reads these of a frame
 _.f_trace_opcodes
 _._clock_resolution  # asyncio's event loop reads it
-SSH_FX_PERMISSION_DENIED  # codes and flags of the SFTP draft, kept complete
+SSH_FX_PERMISSION_DENIED  # the SFTP draft's codes and flags are defined in full
 SSH_FX_NO_CONNECTION
 SSH_FX_CONNECTION_LOST
 APPEND
 EXCL
-list_bytes  # columns of the capacity results, read by name
+list_bytes  # columns of the capacity results, which are read by name
 take_cpu
 again_cpu
 longest_turn
