--- a/tests/recorded/bytes_samples.py
+++ b/tests/recorded/bytes_samples.py
@@ -1,4 +1,4 @@
-"""What the recording of bytes was made from: one or more samples of each kind of message."""
+"""Input of the recording of bytes: one or more samples of each kind of message."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 def text(value: str) -> Plain:
-    """A text as packed bytes."""
+    """Return text as packed bytes."""
     return pack(value.encode())
 
 
 def changed(**changes: str | None) -> list[list[str]]:
-    """The headers of a read with some of them changed, or left out where the change is None."""
+    """Return the headers of a read with changed values; a header changed to None is left out."""
     new = {name.replace("_", "-"): value for name, value in changes.items()}
     old: dict[str, str | None] = dict(READ_FIELDS)
     return [[name, value] for name, value in (old | new).items() if value is not None]
 
 
 def http(method: str, target: str, headers: list[list[str]], body: str = "", version: str = "1.1") -> Plain:
-    """A request as a client writes it."""
+    """Return an HTTP request as a client writes it."""
     lines = [f"{method} {target} HTTP/{version}", "Host: front.test"]
     lines += [f"{name}: {value}" for name, value in headers]
     if body:
@@ -42,13 +42,13 @@
 
 
 def answer(status: int, body: str = "", *fields: str, length: bool = True) -> Plain:
-    """An answer as a node writes it."""
+    """Return an HTTP answer as a node writes it."""
     lines = [f"HTTP/1.1 {status} X", *([f"Content-Length: {len(body)}"] if length else []), *fields, "", ""]
     return text("\r\n".join(lines) + body)
 
 
 def fleet() -> dict[str, Plain]:
-    """Datagrams and views of every type, and those that are refused."""
+    """Datagrams and full states of every type, and rejected ones."""
     me = {"life": ["n1", 41], "address": "192.0.2.1:7001", "state": "alive", "count": 3}
     full = me | {"state": "suspected", "sole": True, "accuser": "n7", "settings sum": 3735928559}
     bodies: dict[str, Plain] = {
@@ -91,23 +91,23 @@
         "unknown body": b"\x95" + prefix + b"\x02" + sender + b"\x91\xa6gossup\x90",
         "a field too many": b"\x96" + prefix + b"\x02" + sender + b"\x91\xa6gossip\x90\xc0",
     }.items():
-        out[f"fleet datagram: {what}"] = {"kind": "fleet datagram", "bytes": pack(seal(data))}
+        out[f"fleet datagram: {what}"] = {"kind": "fleet datagram", "bytes": pack(with_checksum(data))}
     out["fleet datagram: corrupt"] = {"kind": "fleet datagram", "bytes": text("no message at all")}
     out["fleet datagram: too long"] = {"kind": "fleet datagram", "bytes": text("x" * 1201)}
     out["fleet view: another version"] = {
         "kind": "fleet view",
-        "bytes": pack(seal(b"\x94" + prefix + b"\x03" + sender + b"\x90")),
+        "bytes": pack(with_checksum(b"\x94" + prefix + b"\x03" + sender + b"\x90")),
     }
     return out
 
 
-def seal(data: bytes) -> bytes:
-    """A message with its checksum behind."""
+def with_checksum(data: bytes) -> bytes:
+    """Return a message with its checksum appended."""
     return data + struct.pack(">I", zlib.crc32(data))
 
 
-def copies() -> dict[str, Plain]:
-    """What goes along with views, and the sums of it."""
+def replicas() -> dict[str, Plain]:
+    """Replicas that are sent along with full states, and their checksums."""
     holds = {
         "known": [["n1", 41, 3], ["n2", 1 << 40, 7], ["n3", 1, 1]],
         "held": {"s-a": [["n1", 41, 2]], "s-b": [["n2", 1 << 40, 7]]},
@@ -134,8 +134,8 @@
     return out
 
 
-def exchanges(datagrams: list[Plain], view: Plain) -> dict[str, Plain]:
-    """What a front makes of others' datagrams and views."""
+def fleet_exchanges(datagrams: list[Plain], view: Plain) -> dict[str, Plain]:
+    """Datagrams and full states received from other fronts."""
     return {
         "sums among fronts: without peers": {"kind": "sums among fronts", "given": {}},
         "sums among fronts: with peers and holds": {
@@ -151,7 +151,7 @@
 
 
 def distribution() -> dict[str, Plain]:
-    """Polls, replies, and what a front makes of entries."""
+    """Polls, replies, and the settings and nodes that a front derives from entries."""
     poll = {"subscriber": "n1", "number": 7, "epoch": 3, "bytes": 262144}
     every = poll | {"positions": [[24, None], [25, "settings/Limits"]], "with removals": True}
     entries = [
@@ -213,8 +213,8 @@
     return out
 
 
-def answers_to_polls(every: Plain, least: Plain) -> dict[str, Plain]:
-    """What a relay answers to recorded polls."""
+def poll_answers(every: Plain, least: Plain) -> dict[str, Plain]:
+    """A relay's answers to recorded polls."""
     entries = [
         ["nodes/s-a", 3, 1, text("{}")],
         ["settings", 3, 2, text("{}")],
@@ -234,7 +234,7 @@
 
 
 def streams() -> dict[str, Plain]:
-    """Messages on a stream, and VRRP."""
+    """Framed messages on a stream, and VRRP advertisements."""
     vrrp = {"router": 7, "priority": 200, "interval": 0.25}
     good = bytes.fromhex("3107c8010019e91e0a000001")
     out: dict[str, Plain] = {
@@ -260,7 +260,7 @@
 
 
 def sftp_packets() -> dict[str, Plain]:
-    """Packets of every type, and those that are none."""
+    """SFTP packets of every type, and malformed ones."""
     attributes = {
         "size": 1 << 40,
         "owner": [1000, 1001],
@@ -323,18 +323,18 @@
 
 
 def u32(value: int) -> bytes:
-    """Four bytes in network order."""
+    """Return a number as four bytes in network byte order."""
     return struct.pack(">I", value)
 
 
 def packet(kind: int, number: int, *fields: bytes | int) -> Plain:
-    """An SFTP packet; a text goes with its length, a number as it is."""
+    """Return an SFTP packet; byte strings are written with their length, numbers without."""
     body = b"".join(u32(one) if isinstance(one, int) else u32(len(one)) + one for one in fields)
     return pack(u32(5 + len(body)) + bytes([kind]) + u32(number) + body)
 
 
 def sftp_sessions() -> dict[str, Plain]:
-    """Whole sessions: what the client and the node are sent."""
+    """Whole SFTP sessions, with the packets of the client and the answers of the node."""
     init, version = packet(1, 3), packet(2, 3)
 
     def done(number: int) -> Plain:
@@ -441,8 +441,8 @@
     }
 
 
-def understood_requests() -> dict[str, Plain]:
-    """Clients' requests as they are understood, and malformed ones."""
+def client_requests() -> dict[str, Plain]:
+    """Headers of clients' requests, valid and malformed."""
     read: Plain = {"method": "GET", "target": TARGET, "headers": READ}
     write = {"method": "PUT", "target": TARGET, "headers": changed(X_Qos="record-write")}
     given: dict[str, Plain] = {
@@ -491,7 +491,7 @@
 
 
 def node_messages() -> dict[str, Plain]:
-    """Requests to nodes, and their answers as they are understood."""
+    """Requests to nodes, and nodes' answers."""
     read = {"trace": "t1", "method": "GET", "target": TARGET, "body": [], "seconds": 1.2349}
     write = read | {"method": "PUT", "body": [text("scan "), {"hex": "00ff"}]}
     node = {"node": ["192.0.2.9", 8080]}
@@ -551,7 +551,7 @@
 
 
 def http_exchanges() -> dict[str, Plain]:
-    """Clients' requests over loopback."""
+    """HTTP exchanges with clients over loopback."""
     read, slow = http("GET", TARGET, READ), changed(X_Expires_In_Ms="20000")
     put = http("PUT", TARGET, changed(X_Qos="record-write"), "scan")
     continued = [*changed(X_Qos="record-write"), ["Expect", "100-continue"]]
@@ -618,7 +618,7 @@
 
 
 def discovery() -> dict[str, Plain]:
-    """Lists, and the calls of a watch."""
+    """Node lists, and the calls of a watch."""
     node = {
         "instanceId": "s-a",
         "hostPort": "192.0.2.9:8080",
@@ -671,7 +671,7 @@
 
 
 def administration(datagrams: list[Plain]) -> dict[str, Plain]:
-    """Control calls and the exporter."""
+    """Calls to the control listener and the metrics listener."""
     words = [
         "ready",
         "show-stat",
@@ -736,7 +736,7 @@
 
 
 def simulator() -> dict[str, Plain]:
-    """Events and steps of the simulator's wire, and a short conversation."""
+    """Events and actions of the simulator's protocol, and a short session."""
     steps: dict[str, Plain] = {
         "send": {"request": "r1", "node": 5},
         "refuse": {"request": "r1", "seconds": 1.5},
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -1,4 +1,7 @@
-"""The only access of the control recordings to the project's types: plain values in, neutral forms out."""
+"""The only module of the control recording that uses the project: converts recorded values to its types.
+
+After a rename in the project only this module changes; the words in the recorded data stay.
+"""
 
 from __future__ import annotations
 
@@ -56,8 +59,7 @@
 )
 from cleatyoke.http.body_limits import BodyMemory, body_timeout
 from cleatyoke.process.front_drain import FrontDrain
-from cleatyoke.process.lifecycle import ExitStatus as ExitStatus
-from cleatyoke.process.lifecycle import Lifecycle, ShutdownDeadlines, ShutdownStep, Stage
+from cleatyoke.process.lifecycle import ExitStatus, Lifecycle, ShutdownDeadlines, ShutdownStep, Stage
 from cleatyoke.scheduling.events import Endpoint, EndpointState
 from cleatyoke.scheduling.settings import (
     Idempotency,
@@ -78,15 +80,15 @@
 
 Neutral = Any  # None, bool, int, str, or a list of these
 LANES = {"nodes": Lane.NODES, "settings": Lane.SETTINGS}
-LANE_WORDS = {lane: word for word, lane in LANES.items()}
-REFUSALS = {
+LANE_NAMES = {lane: word for word, lane in LANES.items()}
+REJECTIONS = {
     "": Rejection.NONE,
     "full": Rejection.FULL,
     "not ready": Rejection.NOT_READY,
     "older epoch": Rejection.OLDER_EPOCH,
     "behind": Rejection.BEHIND,
 }
-REFUSAL_WORDS = {refusal: word for word, refusal in REFUSALS.items()}
+REJECTION_NAMES = {refusal: word for word, refusal in REJECTIONS.items()}
 
 
 def shard_number(shard: int | None) -> int:
@@ -95,35 +97,35 @@
 
 
 def number(value: float) -> str:
-    """A float at full precision."""
+    """Return a float as text at full precision."""
     return repr(float(value))
 
 
 def digest(data: bytes) -> str:
-    """Bytes as their sha256."""
+    """Return the SHA-256 of bytes as hex digits."""
     return hashlib.sha256(data).hexdigest()
 
 
 def value_word(value: bytes | None) -> Neutral:
-    """A value as hex where it is short, else as its digest."""
+    """Return a value as hex digits if it is short, otherwise its length and digest."""
     if value is None:
         return None
     return value.hex() if len(value) <= 48 else f"{len(value)}:{digest(value)}"
 
 
-def entry_word(entry: Entry) -> Neutral:
-    """A key, its version and its value."""
+def plain_entry(entry: Entry) -> Neutral:
+    """Return the key, version and value of an entry."""
     return [entry.key, entry.version.epoch, entry.version.number, value_word(entry.value)]
 
 
-def fault_text(text: str) -> str:
-    """An error's text without what Python's JSON reader says, as that differs between its versions."""
-    head, mark, _ = text.partition("no JSON")
-    return head + mark
+def portable_error_text(text: str) -> str:
+    """Return an error's text without the message of Python's JSON reader, which differs between versions."""
+    head, separator, _ = text.partition("no JSON")
+    return head + separator
 
 
-def make_entry(key: str, epoch: int, count: int, value: bytes | None) -> Entry:
-    """An entry of plain values."""
+def build_entry(key: str, epoch: int, count: int, value: bytes | None) -> Entry:
+    """Build an entry."""
     return Entry(key=key, version=Version(epoch=epoch, number=count), value=value)
 
 
@@ -131,34 +133,34 @@
 
 
 def reply_word(deployment: str, data: bytes) -> Neutral:
-    """The fields of an encoded reply, or why it is refused."""
+    """Return the fields of an encoded reply, or the reason for its rejection."""
     try:
         reply = decode_reply(deployment, data)
-    except WireError as refused:
-        return ["refused", str(refused)]
+    except WireError as error:
+        return ["refused", str(error)]
     parts = [
         [
             part.since,
             part.up_to,
             part.compacted_up_to,
-            [entry_word(entry) for entry in part.changes],
+            [plain_entry(entry) for entry in part.changes],
             part.restarts,
             part.page_after,
             part.page_to,
-            [entry_word(entry) for entry in part.page],
+            [plain_entry(entry) for entry in part.page],
         ]
         for part in reply.lanes
     ]
-    head = [reply.poll_id, reply.source, reply.epoch, number(reply.age), REFUSAL_WORDS[reply.rejection]]
+    head = [reply.poll_id, reply.source, reply.epoch, number(reply.age), REJECTION_NAMES[reply.rejection]]
     return [*head, reply.has_more, parts]
 
 
 def poll_word(deployment: str, data: bytes) -> Neutral:
-    """The fields of an encoded poll, or why it is refused."""
+    """Return the fields of an encoded poll, or the reason for its rejection."""
     try:
         poll = decode_poll(deployment, data)
-    except WireError as refused:
-        return ["refused", str(refused)]
+    except WireError as error:
+        return ["refused", str(error)]
     positions = [[position.number, position.cursor] for position in poll.positions]
     return [poll.subscriber, poll.poll_id, poll.epoch, positions, poll.max_bytes, poll.wants_tombstones]
 
@@ -173,7 +175,7 @@
     most: int,
     removals: bool,
 ) -> bytes:
-    """An encoded poll."""
+    """Return an encoded poll; ``form`` is added to the format version."""
     poll = Poll(
         deployment=deployment,
         format_version=FORMAT_VERSION + form,
@@ -198,17 +200,17 @@
     parts: Sequence[Mapping[str, Any]],
     more: bool,
 ) -> bytes:
-    """An encoded reply; ``form`` is added to the usual one."""
-    made = [
+    """Return an encoded reply; ``form`` is added to the format version."""
+    lanes = [
         LaneChanges(
             since=part["first"],
             up_to=part["last"],
             compacted_up_to=part["floor"],
-            changes=[make_entry(*one) for one in part["changes"]],
+            changes=[build_entry(*one) for one in part["changes"]],
             restarts=part["restart"],
             page_after=part["page_after"],
             page_to=part["page_to"],
-            page=[make_entry(*one) for one in part["page"]],
+            page=[build_entry(*one) for one in part["page"]],
         )
         for part in parts
     ]
@@ -219,83 +221,83 @@
         source=source,
         epoch=epoch,
         age=age,
-        rejection=REFUSALS[refusal],
-        lanes=made,
+        rejection=REJECTIONS[refusal],
+        lanes=lanes,
         has_more=more,
     )
     return encode(reply)
 
 
-def action_word(action: Any) -> Neutral:
-    """An output of a subscriber or relay."""
+def plain_action(action: Any) -> Neutral:
+    """Return an output of a subscriber or relay in recorded form."""
     match action:
         case SendPoll():
             return ["poll", action.relay, action.poll_id, action.data.hex()]
         case EpochRestarted():
-            return ["anew", LANE_WORDS[action.lane], action.epoch]
+            return ["anew", LANE_NAMES[action.lane], action.epoch]
         case DeliverChanges():
-            return ["entries", LANE_WORDS[action.lane], [entry_word(entry) for entry in action.entries]]
+            return ["entries", LANE_NAMES[action.lane], [plain_entry(entry) for entry in action.entries]]
         case LaneComplete():
-            return ["whole", LANE_WORDS[action.lane], action.number, action.compacted_up_to]
+            return ["whole", LANE_NAMES[action.lane], action.number, action.compacted_up_to]
         case RelayChanged():
             return ["other relay", action.relay, action.reason]
     raise TypeError(f"unknown output {action}")
 
 
-def make_timing(values: Mapping[str, float]) -> SubscriberTiming:
-    """Timing with the defaults for what is not given."""
-    plain = SubscriberTiming()
+def build_timing(values: Mapping[str, float]) -> SubscriberTiming:
+    """Build timing, with defaults for absent values."""
+    defaults = SubscriberTiming()
     return SubscriberTiming(
-        poll_interval=values.get("poll", plain.poll_interval),
-        answer_timeout=values.get("answer", plain.answer_timeout),
-        jitter=values.get("jitter", plain.jitter),
-        bytes_per_second=values.get("rate", plain.bytes_per_second),
-        burst_bytes=values.get("burst", plain.burst_bytes),
-        own_region_interval=values.get("home", plain.own_region_interval),
-        retry_spread=plain.retry_spread,
-        avoid_duration=plain.avoid_duration,
-        failover_spread=plain.failover_spread,
-        max_failover_spread=plain.max_failover_spread,
-        overhead_bytes=plain.overhead_bytes,
+        poll_interval=values.get("poll", defaults.poll_interval),
+        answer_timeout=values.get("answer", defaults.answer_timeout),
+        jitter=values.get("jitter", defaults.jitter),
+        bytes_per_second=values.get("rate", defaults.bytes_per_second),
+        burst_bytes=values.get("burst", defaults.burst_bytes),
+        own_region_interval=values.get("home", defaults.own_region_interval),
+        retry_spread=defaults.retry_spread,
+        avoid_duration=defaults.avoid_duration,
+        failover_spread=defaults.failover_spread,
+        max_failover_spread=defaults.max_failover_spread,
+        overhead_bytes=defaults.overhead_bytes,
     )
 
 
 class Sender:
-    """Sends polls: a subscriber, or a relay by its own subscription."""
+    """The polling side of a subscriber, or of a relay with its own subscription."""
 
     def __init__(self, machine: Subscriber | Relay, subscriber: Subscriber) -> None:
         self.machine, self.subscriber = machine, subscriber
 
     def step(self, now: float, answers: Sequence[tuple[int, bytes | None]]) -> list[Neutral]:
-        """One step; its outputs."""
+        """Run one step and return its outputs."""
         events = [PollAnswered(poll_id=count, data=data) for count, data in answers]
-        return [action_word(action) for action in self.machine.step(now, events)]
+        return [plain_action(action) for action in self.machine.step(now, events)]
 
     def due(self) -> float:
-        """When the next step is due."""
+        """Return when the next step is due."""
         return self.machine.due()
 
     def summary(self, now: float) -> Neutral:
-        """Age, counts and position."""
-        known = self.subscriber
+        """Return the age, counters and positions."""
+        subscriber = self.subscriber
         lanes = [
             [lane.position.number, lane.position.cursor, lane.compacted_up_to]
-            for lane in known.lanes.values()
+            for lane in subscriber.lanes.values()
         ]
-        turned = [[why, count] for why, count in sorted(known.rejected.items())]
+        rejected = [[reason, count] for reason, count in sorted(subscriber.rejected.items())]
         return [
-            number(known.age(now)),
-            known.source_name,
-            known.epoch,
-            known.poll_count,
-            known.bytes_exchanged,
+            number(subscriber.age(now)),
+            subscriber.source_name,
+            subscriber.epoch,
+            subscriber.poll_count,
+            subscriber.bytes_exchanged,
             lanes,
-            turned,
+            rejected,
         ]
 
 
 class PlainSubscriber(Sender):
-    """A subscriber and the status that is shown of it."""
+    """A subscriber and its status for operators."""
 
     def __init__(
         self,
@@ -306,50 +308,50 @@
         timing: Mapping[str, float],
         whole: bool = False,
     ) -> None:
-        made = Subscriber(
+        subscriber = Subscriber(
             deployment=deployment,
             name=name,
             tiers=tiers,
             rng=random.Random(seed),
-            timing=make_timing(timing),
+            timing=build_timing(timing),
             wants_tombstones=whole,
         )
-        super().__init__(made, made)
-        self.status = SubscriptionStatus(subscriber=made)
+        super().__init__(subscriber, subscriber)
+        self.status = SubscriptionStatus(subscriber=subscriber)
 
     def took(self, epoch: int, count: int, keys: Sequence[str]) -> None:
-        """These keys are in force."""
+        """Report that the settings of these keys were applied."""
         self.status.settings_applied(version=Version(epoch=epoch, number=count), keys=keys)
 
     def turned_down(self, key: str, epoch: int, count: int, why: str) -> None:
-        """This change is not valid."""
+        """Report that this change was rejected as invalid."""
         self.status.settings_rejected(key=key, version=Version(epoch=epoch, number=count), reason=why)
 
     def shown(self, now: float) -> Neutral:
-        """The lines and figures that operators see, and whether the age crossed its bound."""
-        old = self.status.check_staleness(now)
-        figures = [[name, number(value)] for name, value in sorted(self.status.gauges(now).items())]
-        return [old, self.status.lines(now), figures]
+        """Return whether the age newly exceeded its limit, the status lines and the gauges."""
+        became_stale = self.status.check_staleness(now)
+        gauges = [[name, number(value)] for name, value in sorted(self.status.gauges(now).items())]
+        return [became_stale, self.status.lines(now), gauges]
 
 
 class Answering:
-    """Answers polls: a source or a relay."""
+    """The answering side of a source or a relay."""
 
     def __init__(self, server: ChangeServer) -> None:
         self.server = server
 
     def answer(self, now: float, data: bytes) -> bytes | None:
-        """The reply's bytes."""
+        """Return the encoded reply."""
         return self.server.answer(now, data)
 
     def counts(self) -> Neutral:
-        """Bytes sent and messages that were refused."""
-        turned = [[why, count] for why, count in sorted(self.server.rejected.items())]
-        return [self.server.bytes_out, turned]
+        """Return the bytes sent, and the rejected messages by reason."""
+        rejected = [[reason, count] for reason, count in sorted(self.server.rejected.items())]
+        return [self.server.bytes_out, rejected]
 
 
 class PlainSource(Answering):
-    """A source."""
+    """A source, driven with recorded values."""
 
     def __init__(self, deployment: str, name: str, epoch: int, most: int | None) -> None:
         if most is None:
@@ -359,7 +361,7 @@
         super().__init__(self.source)
 
     def put(self, now: float, lane: str, key: str, value: bytes | None) -> Neutral:
-        """A change's version, or why it is not taken."""
+        """Return a change's version, or the reason for its rejection."""
         try:
             version = self.source.put(now, LANES[lane], key, value)
         except InvalidChangeError as error:
@@ -368,60 +370,60 @@
 
 
 class PlainRelay(Answering, Sender):
-    """A relay."""
+    """A relay, driven with recorded values."""
 
     def __init__(
         self, deployment: str, name: str, upstream: Sequence[Sequence[str]], seed: int, most: int | None
     ) -> None:
         rng = random.Random(seed)
         if most is None:
-            made = Relay(deployment=deployment, name=name, upstream=upstream, rng=rng)
+            relay = Relay(deployment=deployment, name=name, upstream=upstream, rng=rng)
         else:
-            made = Relay(deployment=deployment, name=name, upstream=upstream, rng=rng, max_subscribers=most)
-        Answering.__init__(self, made)
-        Sender.__init__(self, made, made.subscriber)
-        self.relay = made
+            relay = Relay(deployment=deployment, name=name, upstream=upstream, rng=rng, max_subscribers=most)
+        Answering.__init__(self, relay)
+        Sender.__init__(self, relay, relay.subscriber)
+        self.relay = relay
 
     def served(self, now: float) -> Neutral:
-        """Age and content of the copy that is served."""
+        """Return the age and content of the served copy."""
         store = self.relay.store
         if store is None:
             return [number(self.relay.age(now)), None]
         lanes = [
-            [lane.last_number, lane.compacted_up_to, [entry_word(lane.entries[key]) for key in lane.keys]]
+            [lane.last_number, lane.compacted_up_to, [plain_entry(lane.entries[key]) for key in lane.keys]]
             for lane in store.lanes.values()
         ]
         return [number(self.relay.age(now)), store.epoch, lanes]
 
 
 class PlainStore:
-    """The entries of one lane."""
+    """The store of one lane, driven with recorded values."""
 
     def __init__(self) -> None:
         self.store = LaneStore()
 
     def put(self, now: float, key: str, epoch: int, count: int, value: bytes | None) -> bool:
-        """Whether the entry was newer."""
-        return self.store.put(now, make_entry(key, epoch, count, value))
+        """Store an entry and return whether it was newer."""
+        return self.store.put(now, build_entry(key, epoch, count, value))
 
     def load(
         self, now: float, entries: Sequence[tuple[str, int, int, bytes | None]], last: int, floor: int
     ) -> None:
-        """Take a whole copy."""
-        self.store.load(now, [make_entry(*one) for one in entries], last_number=last, compacted_up_to=floor)
+        """Replace the content with a complete copy."""
+        self.store.load(now, [build_entry(*one) for one in entries], last_number=last, compacted_up_to=floor)
 
     def changes(self, since: int, most: int) -> Neutral:
-        """What is newer, and up to which number."""
-        found, last = self.store.changes_since(since, most)
-        return [[entry_word(one) for one in found], last]
+        """Return the changes after a number, and the last number covered."""
+        entries, last = self.store.changes_since(since, most)
+        return [[plain_entry(one) for one in entries], last]
 
     def page(self, after: str, most: int, removals: bool) -> Neutral:
-        """A page of keys, and up to which key."""
-        found, end = self.store.page_after(after, most, with_tombstones=removals)
-        return [[entry_word(one) for one in found], end]
+        """Return a page of entries, and its last key."""
+        entries, end = self.store.page_after(after, most, with_tombstones=removals)
+        return [[plain_entry(one) for one in entries], end]
 
     def state(self) -> Neutral:
-        """Bounds and size."""
+        """Return the numbers that bound the store, and its sizes."""
         return [
             self.store.last_number,
             self.store.compacted_up_to,
@@ -433,40 +435,47 @@
 def settings_word(
     base: dict[str, Any], batches: Sequence[Sequence[tuple[str, int, int, bytes | None]]]
 ) -> list[Neutral]:
-    """For each batch of entries: the merged settings or their fault, the version, and the listed nodes."""
-    held, out = contents.DistributedSettings(), []
+    """Return for each batch of entries the merged settings or their error, their version, and the nodes."""
+    settings, out = contents.DistributedSettings(), []
     for batch in batches:
-        made = [make_entry(*one) for one in batch]
-        ours = contents.settings_entries(made)
-        held = held.with_entries(ours)
+        entries = [build_entry(*one) for one in batch]
+        settings_entries = contents.settings_entries(entries)
+        settings = settings.with_entries(settings_entries)
         try:
-            merged: Neutral = json.dumps(held.merged(base), sort_keys=True)
+            merged: Neutral = json.dumps(settings.merged(base), sort_keys=True)
         except contents.InvalidValueError as error:
-            merged = ["bad", fault_text(str(error))]
-        nodes, bad = contents.listed_nodes(made)
-        lanes = [LANE_WORDS[contents.lane_of(one.key)] for one in made]
-        version = [held.version.epoch, held.version.number]
+            merged = ["bad", portable_error_text(str(error))]
+        nodes, unreadable = contents.listed_nodes(entries)
+        lanes = [LANE_NAMES[contents.lane_of(one.key)] for one in entries]
+        version = [settings.version.epoch, settings.version.number]
         out.append(
-            [[one.key for one in ours], version, merged, json.dumps(nodes, sort_keys=True), bad, lanes]
+            [
+                [one.key for one in settings_entries],
+                version,
+                merged,
+                json.dumps(nodes, sort_keys=True),
+                unreadable,
+                lanes,
+            ]
         )
     return out
 
 
 class PlainFolder:
-    """A source's folder."""
+    """A source's folder of configuration files."""
 
     def __init__(self, path: Path) -> None:
         self.folder = folder.ConfigFolder(path)
 
     def look(self) -> Neutral:
-        """Changes since the last look, and faults."""
-        found = self.folder.scan()
-        changes = [[key, value_word(value)] for key, value in sorted(found.changes.items())]
-        return [changes, [fault_text(text) for text in found.rejected]]
+        """Scan the folder; return the changes since the previous scan, and the rejected files."""
+        scan = self.folder.scan()
+        changes = [[key, value_word(value)] for key, value in sorted(scan.changes.items())]
+        return [changes, [portable_error_text(text) for text in scan.rejected]]
 
 
 def next_epoch(path: Path, unix: float) -> Neutral:
-    """The next epoch of a file, or why it can't be used."""
+    """Return the next epoch of a file, or the reason why the file is invalid."""
     try:
         return folder.next_epoch(path, unix)
     except folder.EpochError as error:
@@ -483,52 +492,59 @@
 
 
 def advertisement_bytes(router: int, priority: int, interval: float, addresses: Sequence[str]) -> bytes:
-    """An encoded advertisement."""
-    said = Advertisement(router=router, priority=priority, interval=interval, addresses=tuple(addresses))
-    return encode_advertisement(said)
+    """Return an encoded advertisement."""
+    advertisement = Advertisement(
+        router=router, priority=priority, interval=interval, addresses=tuple(addresses)
+    )
+    return encode_advertisement(advertisement)
 
 
 def advertisement_word(data: bytes) -> Neutral:
-    """The fields of an advertisement, or why it is refused."""
+    """Return the fields of an advertisement, or the reason for its rejection."""
     try:
-        heard = decode_advertisement(data)
+        advertisement = decode_advertisement(data)
     except AdvertisementError as error:
         return ["bad", str(error)]
-    return [heard.router, heard.priority, number(heard.interval), list(heard.addresses)]
+    return [
+        advertisement.router,
+        advertisement.priority,
+        number(advertisement.interval),
+        list(advertisement.addresses),
+    ]
 
 
 class PlainRouter:
-    """A virtual router's state machine."""
+    """A virtual router's state machine, driven with recorded values."""
 
     def __init__(self, priority: int, interval: float, preempt: bool, address: str) -> None:
         self.router = VirtualRouter(priority=priority, interval=interval, preempt=preempt, address=address)
 
     def startup(self, now: float) -> list[int]:
-        """Priorities to advertise."""
+        """Return the priorities to advertise."""
         return self.router.startup(now)
 
     def shutdown(self) -> list[int]:
-        """Priorities to advertise."""
+        """Return the priorities to advertise."""
         return self.router.shutdown()
 
     def timer(self, now: float) -> list[int]:
-        """Priorities to advertise."""
+        """Return the priorities to advertise."""
         return self.router.on_timer(now)
 
     def received(self, data: bytes, source: str, now: float) -> list[int]:
-        """Priorities to advertise after a message."""
+        """Return the priorities to advertise after a message."""
         try:
-            heard = decode_advertisement(data)
+            advertisement = decode_advertisement(data)
         except AdvertisementError:
             return []
-        return self.router.receive(heard, source, now)
+        return self.router.receive(advertisement, source, now)
 
     def due(self) -> float:
-        """When the timer is due."""
+        """Return when the timer is due."""
         return math.inf if self.router.timer_at is None else self.router.timer_at
 
     def state(self) -> Neutral:
-        """State, due time, and the intervals that follow from it."""
+        """Return the state, the due time and the intervals derived from the master's."""
         router = self.router
         times = [self.due(), router.master_interval, router.skew_time, router.master_down_interval]
         return [VRRP_STATES[router.state], *(number(value) for value in times)]
@@ -544,75 +560,76 @@
     Stage.CLOSING: "closing",
     Stage.ENDED: "ended",
 }
-ORDERS = {
+SHUTDOWN_STEPS = {
     ShutdownStep.CLOSE_FILE_SERVICE: "end file front",
     ShutdownStep.STOP_ACCEPTING: "end accepting",
     ShutdownStep.REPORT_UNANSWERED: "give up open ones",
     ShutdownStep.RELEASE_RESOURCES: "give back",
 }
-EXITS = {ExitStatus.STOPPED: 0, ExitStatus.FAULT: 1, ExitStatus.START_FAILED: 2}
+EXIT_CODES = {ExitStatus.STOPPED: 0, ExitStatus.FAULT: 1, ExitStatus.START_FAILED: 2}
 
 
-def make_notice(seconds: float, aims: Sequence[float]) -> ShutdownDeadlines:
-    """The times after SIGTERM."""
-    return ShutdownDeadlines.from_grace_period(seconds, aims)
+def build_deadlines(seconds: float, latency_objectives: Sequence[float]) -> ShutdownDeadlines:
+    """Build the deadlines that follow SIGTERM."""
+    return ShutdownDeadlines.from_grace_period(seconds, latency_objectives)
 
 
 class PlainLife:
-    """The life of the process."""
+    """The process's lifecycle, driven with recorded values."""
 
-    def __init__(self, seconds: float, aims: Sequence[float]) -> None:
-        self.life = Lifecycle(deadlines=make_notice(seconds, aims))
+    def __init__(self, seconds: float, latency_objectives: Sequence[float]) -> None:
+        self.lifecycle = Lifecycle(deadlines=build_deadlines(seconds, latency_objectives))
 
     def serves(self) -> None:
-        """The start is over."""
-        self.life.start_serving()
+        """Report that the startup is complete."""
+        self.lifecycle.start_serving()
 
     def signal(self, now: float) -> bool:
-        """SIGTERM came."""
-        return self.life.request_shutdown(now)
+        """Report SIGTERM."""
+        return self.lifecycle.request_shutdown(now)
 
-    def retime(self, seconds: float, aims: Sequence[float]) -> None:
-        """Settings changed."""
-        self.life.set_deadlines(make_notice(seconds, aims))
+    def retime(self, seconds: float, latency_objectives: Sequence[float]) -> None:
+        """Change the deadlines after a change of settings."""
+        self.lifecycle.set_deadlines(build_deadlines(seconds, latency_objectives))
 
     def step(self, now: float, connections: int, files: int) -> Neutral:
-        """What is to be done."""
+        """Run one step and return the shutdown steps to take."""
         return [
-            ORDERS[order] for order in self.life.step(now, connections, file_service_is_closing=bool(files))
+            SHUTDOWN_STEPS[step]
+            for step in self.lifecycle.step(now, connections, file_service_is_closing=bool(files))
         ]
 
     def released(self) -> None:
-        """Everything is given back."""
-        self.life.finish()
+        """Report that all resources are released."""
+        self.lifecycle.finish()
 
     def next_at(self) -> float:
-        """When a step is due."""
-        return self.life.next_step_at()
+        """Return when the next step is due."""
+        return self.lifecycle.next_step_at()
 
     def state(self) -> Neutral:
-        """Stage, exit status, and times."""
-        life, notice = self.life, self.life.deadlines
-        assert int(life.status.value) == EXITS[life.status]
+        """Return the stage, exit code, due times and deadlines."""
+        lifecycle, deadlines = self.lifecycle, self.lifecycle.deadlines
+        assert int(lifecycle.status.value) == EXIT_CODES[lifecycle.status]
         times = [
-            life.next_step_at(),
-            life.answers_due_at(),
-            notice.file_service_closes,
-            notice.accepting_ends,
-            notice.answers_due,
+            lifecycle.next_step_at(),
+            lifecycle.answers_due_at(),
+            deadlines.file_service_closes,
+            deadlines.accepting_ends,
+            deadlines.answers_due,
         ]
-        return [STAGES[life.stage], EXITS[life.status], *(number(value) for value in times)]
+        return [STAGES[lifecycle.stage], EXIT_CODES[lifecycle.status], *(number(value) for value in times)]
 
 
 # Backoff
 
 
 class PlainBackoff:
-    """Waits before calls to a shared service."""
+    """Delays before calls to a shared service."""
 
     def __init__(self, seed: int, hosts: float, each: float, most: int, least: float, period: float) -> None:
         rng = random.Random(seed)
-        self.pace = Backoff(
+        self.backoff = Backoff(
             rng=rng,
             clients=hosts,
             seconds_per_call=each,
@@ -622,41 +639,43 @@
         )
 
     def failed(self, spent: float | None) -> str:
-        """The wait after a failure."""
+        """Return the delay after a failure."""
         return number(
-            self.pace.delay_after_failure() if spent is None else self.pace.delay_after_failure(elapsed=spent)
+            self.backoff.delay_after_failure()
+            if spent is None
+            else self.backoff.delay_after_failure(elapsed=spent)
         )
 
     def ended(self, within: float | None) -> str:
-        """The wait after an answer that came ended."""
+        """Return the delay after a streamed answer ended."""
         return number(
-            self.pace.delay_after_disconnect()
+            self.backoff.delay_after_disconnect()
             if within is None
-            else self.pace.delay_after_disconnect(max_delay=within)
+            else self.backoff.delay_after_disconnect(max_delay=within)
         )
 
 
-# Settings that change
+# Reloaded settings
 
-REPEATS = {"free": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "once": Idempotency.NOT_IDEMPOTENT}
-REPEAT_WORDS = {repeat: word for word, repeat in REPEATS.items()}
+IDEMPOTENCY = {"free": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "once": Idempotency.NOT_IDEMPOTENT}
+IDEMPOTENCY_NAMES = {repeat: word for word, repeat in IDEMPOTENCY.items()}
 SCOPES = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.SHARD}
-SCOPE_WORDS = {scope: word for word, scope in SCOPES.items()}
+SCOPE_NAMES = {scope: word for word, scope in SCOPES.items()}
 
 
-def make_settings(plain: Mapping[str, Any]) -> SchedulerSettings:
-    """Settings of plain values."""
+def build_settings(plain: Mapping[str, Any]) -> SchedulerSettings:
+    """Build the scheduler's settings."""
     classes = [
         RequestClass(
-            latency_objective=aim,
+            latency_objective=latency_objective,
             priority_weight=weight,
             late_value=late,
-            idempotency=REPEATS[repeat],
+            idempotency=IDEMPOTENCY[repeat],
             idempotency_scope=SCOPES[scope],
-            idempotency_window=memory,
+            idempotency_window=window,
             ordered=ordered,
         )
-        for aim, weight, late, repeat, scope, memory, ordered in plain["classes"]
+        for latency_objective, weight, late, repeat, scope, window, ordered in plain["classes"]
     ]
     plans = [
         VolumePlan(
@@ -703,19 +722,19 @@
     )
 
 
-def settings_form(one: SchedulerSettings) -> Neutral:
-    """Settings as lists."""
+def plain_settings(settings: SchedulerSettings) -> Neutral:
+    """Return the scheduler's settings in recorded form."""
     classes = [
         [
-            number(kind.latency_objective),
-            number(kind.priority_weight),
-            number(kind.late_value),
-            REPEAT_WORDS[kind.idempotency],
-            SCOPE_WORDS[kind.idempotency_scope],
-            number(kind.idempotency_window),
-            kind.ordered,
+            number(request_class.latency_objective),
+            number(request_class.priority_weight),
+            number(request_class.late_value),
+            IDEMPOTENCY_NAMES[request_class.idempotency],
+            SCOPE_NAMES[request_class.idempotency_scope],
+            number(request_class.idempotency_window),
+            request_class.ordered,
         ]
-        for kind in one.classes
+        for request_class in settings.classes
     ]
     plans = [
         [
@@ -727,37 +746,37 @@
             number(plan.rate_limit_burst),
             number(plan.rate_limit_slack),
         ]
-        for plan in one.plans
+        for plan in settings.plans
     ]
-    quiet = None if one.idle_since is None else number(one.idle_since)
-    counts = [one.seed, one.front_count, one.max_attempts]
+    idle_since = None if settings.idle_since is None else number(settings.idle_since)
+    counts = [settings.seed, settings.front_count, settings.max_attempts]
     flags = [
-        one.watches_endpoints,
-        one.can_cancel,
-        one.reports_usage_by_others,
-        one.replaces_process,
-        one.load_by_probes,
+        settings.watches_endpoints,
+        settings.can_cancel,
+        settings.reports_usage_by_others,
+        settings.replaces_process,
+        settings.load_by_probes,
     ]
     sizes = [
-        one.slow_start_units,
-        one.max_request_units,
-        one.mean_request_units,
-        one.unreserved_value,
-        one.initial_quota_share,
-        one.max_retry_after,
+        settings.slow_start_units,
+        settings.max_request_units,
+        settings.mean_request_units,
+        settings.unreserved_value,
+        settings.initial_quota_share,
+        settings.max_retry_after,
     ]
-    safety = [one.safety.slow_start_initial_fraction, one.safety.slow_start_duration]
+    safety = [settings.safety.slow_start_initial_fraction, settings.safety.slow_start_duration]
     floats = [number(value) for value in [*sizes, *safety]]
-    return [classes, plans, counts, flags, floats, quiet]
+    return [classes, plans, counts, flags, floats, idle_since]
 
 
 class PlainRetune:
-    """Settings in force and the places of their names."""
+    """The settings in force, and the indexes of class and plan names."""
 
     def __init__(
         self, plain: Mapping[str, Any], class_names: Sequence[str], plan_names: Sequence[str]
     ) -> None:
-        self.settings = make_settings(plain)
+        self.settings = build_settings(plain)
         self.classes, self.plans = IndexAllocator.for_names(class_names), IndexAllocator.for_names(plan_names)
         self.writes: list[bool | None] = []
 
@@ -768,29 +787,31 @@
         plan_names: Sequence[str],
         writes: Sequence[bool | None],
     ) -> Neutral:
-        """New settings; what holds from now on."""
-        had = self.classes.indexes
+        """Reload the settings; return those in force, the indexes by name and the retired indexes."""
+        old_indexes = self.classes.indexes
         self.classes, self.plans = self.classes.with_names(class_names), self.plans.with_names(plan_names)
         self.settings = merge_settings(
             old=self.settings,
-            new=make_settings(plain),
+            new=build_settings(plain),
             classes=self.classes,
             plans=self.plans,
         )
-        self.writes = merge_changes_data(old=self.writes, old_indexes=had, classes=self.classes, new=writes)
-        places = [[name, place] for name, place in self.classes.indexes.items()]
-        plans = [[name, place] for name, place in self.plans.indexes.items()]
-        gone = [sorted(self.classes.retired_indexes()), sorted(self.plans.retired_indexes())]
-        return [settings_form(self.settings), list(self.writes), places, plans, gone]
+        self.writes = merge_changes_data(
+            old=self.writes, old_indexes=old_indexes, classes=self.classes, new=writes
+        )
+        classes = [[name, index] for name, index in self.classes.indexes.items()]
+        plans = [[name, index] for name, index in self.plans.indexes.items()]
+        retired = [sorted(self.classes.retired_indexes()), sorted(self.plans.retired_indexes())]
+        return [plain_settings(self.settings), list(self.writes), classes, plans, retired]
 
 
 def shape_word(value: Any) -> Neutral:
-    """The paths of a file's keys, in order."""
+    """Return the sorted paths of a file's keys."""
     return sorted(key_paths(value))
 
 
 def missing_word(old: Any, new: Any) -> Neutral:
-    """The first key that the new file lacks."""
+    """Return the first key that the new file lacks."""
     return first_missing_key(key_paths(old), key_paths(new))
 
 
@@ -801,72 +822,72 @@
     "draining": EndpointState.DRAINING,
     "gone": EndpointState.REMOVED,
 }
-NODE_STATE_WORDS = {state: word for word, state in NODE_STATES.items()}
+NODE_STATE_NAMES = {state: word for word, state in NODE_STATES.items()}
 
 
 class PlainDirectory:
-    """Which nodes there are."""
+    """The directory of nodes, driven with recorded values."""
 
     def __init__(self, zones: Mapping[str, int]) -> None:
         self.directory = Directory(zones=dict(zones))
-        self.heard: list[int] = []
-        self.directory.listeners.append(self.heard.append)
+        self.changed_nodes: list[int] = []
+        self.directory.listeners.append(self.changed_nodes.append)
 
-    def entries(self, found: Sequence[Endpoint]) -> Neutral:
-        """Node events, and who was reported as changed meanwhile."""
-        made = [
+    def entries(self, endpoints: Sequence[Endpoint]) -> Neutral:
+        """Return node updates in recorded form, and the nodes reported as changed since the last call."""
+        entries = [
             [
                 one.node_id,
                 shard_number(one.shard),
                 one.zone,
-                NODE_STATE_WORDS[one.state],
+                NODE_STATE_NAMES[one.state],
                 number(one.started_at),
             ]
-            for one in found
+            for one in endpoints
         ]
-        heard = list(self.heard)
-        self.heard.clear()
-        return [made, heard]
+        changed = list(self.changed_nodes)
+        self.changed_nodes.clear()
+        return [entries, changed]
 
     def apply(
         self, version: int, whole: bool, rows: Sequence[tuple[str, str, int, str, int, str, float]]
     ) -> Neutral:
-        """A list, or changes; the node events."""
+        """Apply a complete list or changes; return the node updates."""
         instances = [
             Instance(
                 name=name,
                 address=Address(host=host, port=port),
                 zone=zone,
-                shard=cell,
+                shard=shard,
                 state=NODE_STATES[state],
                 started_at=started,
             )
-            for name, host, port, zone, cell, state, started in rows
+            for name, host, port, zone, shard, state, started in rows
         ]
         listing = EndpointList(version=version, is_complete=whole, instances=instances)
         return self.entries(self.directory.apply(listing))
 
     def hold(self, name: str) -> Neutral:
-        """Hold a node by hand."""
-        done = self.directory.holds.disable(name, self.directory.has_seen(name))
-        return [done, *self.entries(self.directory.refresh([name]))]
+        """Hold a node as an operator."""
+        succeeded = self.directory.holds.disable(name, self.directory.has_seen(name))
+        return [succeeded, *self.entries(self.directory.refresh([name]))]
 
     def release(self, name: str, now: float) -> Neutral:
-        """Release a node."""
-        done = self.directory.holds.enable(name, self.directory.has_seen(name), now)
-        return [done, *self.entries(self.directory.refresh([name]))]
+        """Release a node as an operator."""
+        succeeded = self.directory.holds.enable(name, self.directory.has_seen(name), now)
+        return [succeeded, *self.entries(self.directory.refresh([name]))]
 
     def seen(self, names: Sequence[str]) -> Neutral:
-        """What is known of these names."""
+        """Return what the directory knows of these names."""
         directory, out = self.directory, []
         for name in names:
             latest = directory.find(name)
             node = directory.node_ids.get(name)
-            where = (
-                None if latest is None else [str(latest.address), latest.zone, NODE_STATE_WORDS[latest.state]]
+            location = (
+                None if latest is None else [str(latest.address), latest.zone, NODE_STATE_NAMES[latest.state]]
             )
             served = node is not None and directory.is_serving(node)
-            out.append([name, directory.has_seen(name), node, served, where])
+            out.append([name, directory.has_seen(name), node, served, location])
         return [
             directory.version,
             directory.count_unavailable(),
@@ -876,36 +897,36 @@
 
 
 class PlainHolds:
-    """Nodes held by hand, and a front that drains."""
+    """Operators' holds of nodes, and the drain of a front."""
 
     def __init__(self) -> None:
         self.holds, self.front = OperatorHolds(), FrontDrain()
 
     def hold(self, name: str, known: bool) -> bool:
-        """Whether the call succeeds."""
+        """Return whether the call succeeds."""
         return self.holds.disable(name, known)
 
     def release(self, name: str, known: bool, now: float) -> bool:
-        """Whether the call succeeds."""
+        """Return whether the call succeeds."""
         return self.holds.enable(name, known, now)
 
     def adopt(self, text: str, now: float) -> Neutral:
-        """Take the holds of another process."""
-        taken, freed = self.holds.merge(text, now)
-        return [taken, freed]
+        """Merge the holds of another process; return the nodes newly held and released."""
+        held, released = self.holds.merge(text, now)
+        return [held, released]
 
     def encode(self) -> str:
-        """The file's text."""
+        """Return the text of the hold file."""
         return self.holds.encode()
 
     def state(self, names: Sequence[str], started: float) -> Neutral:
-        """Of each name: whether it is held, and when it counts as started."""
+        """Return for each name whether it is held, and its effective start time."""
         return [
             [self.holds.is_held(name), number(self.holds.effective_start(name, started))] for name in names
         ]
 
     def drain(self, begins: bool) -> Neutral:
-        """Drain or resume; what is said when ready and when not."""
+        """Drain or resume; return the health of the front while it is ready and while it is not."""
         if begins:
             self.front.start()
         else:
@@ -913,28 +934,28 @@
         return [self.front.is_up(True), self.front.is_up(False)]
 
 
-# Bodies
+# Request bodies
 
 
 class PlainRoom:
-    """The memory that bodies share."""
+    """The memory shared by request bodies."""
 
     def __init__(self, total: int, most: int | None) -> None:
-        self.room = BodyMemory(total=total) if most is None else BodyMemory(total=total, max_body=most)
+        self.memory = BodyMemory(total=total) if most is None else BodyMemory(total=total, max_body=most)
 
     def take(self, body: str, size: int) -> bool:
-        """Whether the body may hold so many bytes."""
-        return self.room.reserve(body, size)
+        """Reserve bytes for a body; return whether they are granted."""
+        return self.memory.reserve(body, size)
 
     def leave(self, body: str) -> None:
-        """The body is over."""
-        self.room.release(body)
+        """Release the body's memory."""
+        self.memory.release(body)
 
     def state(self) -> Neutral:
-        """What is held, and who waits."""
-        return [[[body, size] for body, size in self.room.reserved.items()], list(self.room.waiting)]
+        """Return the reservations and the waiting bodies."""
+        return [[[body, size] for body, size in self.memory.reserved.items()], list(self.memory.waiting)]
 
 
 def body_patience(size: int, grace: float | None) -> str:
-    """Seconds for so many bytes."""
+    """Return the time limit for a body of this size."""
     return number(body_timeout(size) if grace is None else body_timeout(size, grace=grace))
--- a/tests/recorded/fleet_adapter.py
+++ b/tests/recorded/fleet_adapter.py
@@ -1,6 +1,6 @@
-"""The only place where the recorded fleet cases touch the project's types: plain values in, plain values out.
+"""The only module of the fleet recording that uses the project: converts recorded values to its types.
 
-A rename of the project's modules, classes or fields changes this file and nothing else of the recording.
+After a rename in the project only this module changes; the words in the recorded data stay.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
     "lent": StartStage.OLD_LEASES,
     "open": StartStage.OPEN,
 }
-STAGE_WORDS = {stage: word for word, stage in STAGES.items()}
+STAGE_NAMES = {stage: word for word, stage in STAGES.items()}
 LISTS = {
     "changes": UpdateKind.DELTA,
     "full": UpdateKind.SNAPSHOT,
@@ -95,26 +95,26 @@
 }
 
 
-def life_id(word: str) -> MemberId:
-    """A life from ``name/boot``."""
+def parse_member_id(word: str) -> MemberId:
+    """Parse a member id from ``name/boot``."""
     name, _, boot = word.rpartition("/")
     return MemberId(name=name, boot=int(boot))
 
 
-def life_word(life: MemberId) -> str:
-    """A life as ``name/boot``."""
-    return f"{life.name}/{life.boot}"
+def format_member_id(member: MemberId) -> str:
+    """Return a member id as ``name/boot``."""
+    return f"{member.name}/{member.boot}"
 
 
-def lease_message(plain: Plain) -> LeaseRequest | LeaseGrant:
-    """A message on leases from its plain form."""
-    if plain[0] == "want":
-        return LeaseRequest(resource=plain[1], number=plain[2], parts=plain[3])
-    return LeaseGrant(resource=plain[1], number=plain[2], parts=plain[3], surplus=plain[4])
+def build_lease_message(neutral: Plain) -> LeaseRequest | LeaseGrant:
+    """Build a lease message from its recorded form."""
+    if neutral[0] == "want":
+        return LeaseRequest(resource=neutral[1], number=neutral[2], parts=neutral[3])
+    return LeaseGrant(resource=neutral[1], number=neutral[2], parts=neutral[3], surplus=neutral[4])
 
 
-def lease_plain(message: LeaseRequest | LeaseGrant) -> Plain:
-    """A message on leases in plain form."""
+def plain_lease_message(message: LeaseRequest | LeaseGrant) -> Plain:
+    """Return a lease message in recorded form."""
     if isinstance(message, LeaseRequest):
         return "want", message.resource, message.number, message.parts
     return "grant", message.resource, message.number, message.parts, message.surplus
@@ -123,9 +123,9 @@
 # Membership
 
 
-def member_event(plain: Plain) -> MembershipEvent:
-    """An event of the membership from its plain form."""
-    match plain:
+def build_member_event(neutral: Plain) -> MembershipEvent:
+    """Build a membership event from its recorded form."""
+    match neutral:
         case ("heard", data):
             return DatagramReceived(data=data)
         case ("asked", token, data):
@@ -136,11 +136,11 @@
             return LeaveRequested()
         case ("remembered", boot):
             return BootNumberRecovered(boot=boot)
-    raise ValueError(plain)
+    raise ValueError(neutral)
 
 
-def member_action(action: MembershipAction) -> Plain:
-    """An action of the membership in plain form; messages stay bytes."""
+def plain_member_action(action: MembershipAction) -> Plain:
+    """Return a membership action in recorded form; messages remain bytes."""
     if isinstance(action, SendDatagram):
         return "send", action.address, action.data
     if isinstance(action, StartExchange):
@@ -148,37 +148,44 @@
     if isinstance(action, ReplyExchange):
         return "reply", action.token, action.data
     if isinstance(action, MembershipChanged):
-        return "change", CHANGES[action.change], life_word(action.id), action.suspected_by
+        return "change", CHANGES[action.change], format_member_id(action.id), action.suspected_by
     assert isinstance(action, DeliverLeaseMessage)
-    return "deliver", life_word(action.sender), lease_plain(action.message)
+    return "deliver", format_member_id(action.sender), plain_lease_message(action.message)
 
 
-def conclusion_plain(conclusion: Conclusion) -> Plain:
-    """Who is certainly up, perhaps up and certainly stopped, and the count."""
+def plain_conclusion(conclusion: Conclusion) -> Plain:
+    """Return who is certainly up, perhaps up and certainly stopped; the front count; 100 over the count."""
     return (
-        sorted(map(life_word, conclusion.certainly_up)),
-        sorted(map(life_word, conclusion.perhaps_up)),
-        sorted(map(life_word, conclusion.certainly_stopped)),
+        sorted(map(format_member_id, conclusion.certainly_up)),
+        sorted(map(format_member_id, conclusion.perhaps_up)),
+        sorted(map(format_member_id, conclusion.certainly_stopped)),
         conclusion.front_count,
         100.0 / conclusion.front_count,
     )
 
 
 def conclude_from(me: Plain, known: Iterable[tuple[Plain, float]], hosts: int, now: float) -> Plain:
-    """A conclusion from plain rumours: life, address, state, count, alone; and when each was heard."""
+    """Return the conclusion from updates, each with its reception time.
 
-    def rumour(plain: Plain) -> Update:
-        life, address, state, count, alone = plain
+    An update is (id, address, state, incarnation, whether it owns its address).
+    """
+
+    def build_update(neutral: Plain) -> Update:
+        member, address, state, count, alone = neutral
         return Update(
-            id=life_id(life), address=address, state=STATES[state], incarnation=count, owns_address=alone
+            id=parse_member_id(member),
+            address=address,
+            state=STATES[state],
+            incarnation=count,
+            owns_address=alone,
         )
 
-    lives = [ObservedMember(update=rumour(one), last_heard=heard) for one, heard in known]
-    return conclusion_plain(conclude(rumour(me), lives, hosts, now))
+    observed = [ObservedMember(update=build_update(one), last_heard=at) for one, at in known]
+    return plain_conclusion(conclude(build_update(me), observed, hosts, now))
 
 
 class Member:
-    """One member of the fleet."""
+    """One member of the fleet, driven with recorded values."""
 
     def __init__(
         self,
@@ -197,163 +204,166 @@
             address=address,
             seeds=seeds,
             rng=random.Random(seed),
-            timing=timing_of(timing) if timing else None,
+            timing=build_timing(timing) if timing else None,
             owns_address=alone,
         )
 
     def step(self, now: float, events: Iterable[Plain]) -> list[Plain]:
-        """Run one step."""
-        return [member_action(one) for one in self.inner.step(now, [member_event(one) for one in events])]
+        """Run one step and return its actions."""
+        return [
+            plain_member_action(one)
+            for one in self.inner.step(now, [build_member_event(one) for one in events])
+        ]
 
     def post(self, receiver: str, message: Plain) -> list[Plain]:
-        """Send a message on leases to a life."""
+        """Send a lease message to a member."""
         return [
-            member_action(one)
-            for one in self.inner.send_lease_message(life_id(receiver), lease_message(message))
+            plain_member_action(one)
+            for one in self.inner.send_lease_message(parse_member_id(receiver), build_lease_message(message))
         ]
 
     def move(self, address: str, alone: bool) -> None:
-        """This member is reached elsewhere from now on."""
+        """Change the address of this member."""
         self.inner.change_address(address, owns_address=alone)
 
     def set_settings(self, number: int) -> None:
-        """This member goes by other settings."""
+        """Announce the checksum of this member's settings."""
         self.inner.announce_settings(number)
 
     def share(self, shared: SharedHolds) -> None:
-        """Take this copy along with each exchange of views."""
+        """Include these holds in each exchange of views."""
         self.inner.store = shared.inner
 
     def changed_here(self) -> None:
-        """The copy was changed here."""
+        """Report a local change of the shared holds."""
         self.inner.push_local_change()
 
     def next_at(self) -> float:
-        """When the next step is due."""
+        """Return when the next step is due."""
         return self.inner.next_step_at()
 
     def has_left(self) -> bool:
-        """Whether it has left, and said so."""
+        """Whether the member has left the fleet."""
         return self.inner.has_left
 
     def life(self) -> str:
-        """Its own life."""
-        return life_word(self.inner.id)
+        """Return the member's own id."""
+        return format_member_id(self.inner.id)
 
     def other_settings(self) -> list[str]:
-        """Members that go by other settings."""
+        """Return the members with other settings."""
         return self.inner.fronts_with_other_settings()
 
     def same_view(self, other: Member) -> bool:
-        """Whether both believe the same; the number itself is not recorded."""
+        """Whether both members have the same view; the checksum itself is not recorded."""
         return self.inner.operator_view_checksum() == other.inner.operator_view_checksum()
 
     def conclusion(self, hosts: int, now: float) -> Plain:
-        """What may be concluded from its view."""
+        """Return the conclusion from the member's view."""
         known = [ObservedMember(record.update, record.last_heard) for record in self.inner.records.values()]
-        return conclusion_plain(conclude(self.inner.own_update(), known, hosts, now))
+        return plain_conclusion(conclude(self.inner.own_update(), known, hosts, now))
 
     def counted(self) -> Plain:
-        """What it has counted."""
-        figures = self.inner.counters
+        """Return the counters."""
+        counters = self.inner.counters
         return (
-            ("datagrams", figures.datagrams_out, figures.datagrams_in),
-            ("suspicions", figures.suspicions),
-            ("deaths", figures.deaths),
-            ("refutations", figures.refutations),
-            ("false deaths", figures.false_deaths),
-            ("refused", sorted(figures.rejected.items())),
+            ("datagrams", counters.datagrams_out, counters.datagrams_in),
+            ("suspicions", counters.suspicions),
+            ("deaths", counters.deaths),
+            ("refutations", counters.refutations),
+            ("false deaths", counters.false_deaths),
+            ("refused", sorted(counters.rejected.items())),
             ("health", self.inner.health_score),
         )
 
 
-def timing_of(plain: Mapping[str, float]) -> MembershipTiming:
-    """Times of the membership that differ from the usual ones."""
-    usual = MembershipTiming()
+def build_timing(neutral: Mapping[str, float]) -> MembershipTiming:
+    """Build the membership's timing, with defaults for absent values."""
+    defaults = MembershipTiming()
     return MembershipTiming(
-        probe_interval=plain.get("period", usual.probe_interval),
-        ack_timeout=plain.get("answer", usual.ack_timeout),
-        indirect_probes=int(plain.get("helpers", usual.indirect_probes)),
-        gossip_interval=plain.get("gossip", usual.gossip_interval),
-        gossip_fanout=int(plain.get("fanout", usual.gossip_fanout)),
-        exchange_interval=plain.get("sync", usual.exchange_interval),
+        probe_interval=neutral.get("period", defaults.probe_interval),
+        ack_timeout=neutral.get("answer", defaults.ack_timeout),
+        indirect_probes=int(neutral.get("helpers", defaults.indirect_probes)),
+        gossip_interval=neutral.get("gossip", defaults.gossip_interval),
+        gossip_fanout=int(neutral.get("fanout", defaults.gossip_fanout)),
+        exchange_interval=neutral.get("sync", defaults.exchange_interval),
     )
 
 
 # Leases
 
 
-def lease_event(plain: Plain) -> LeaseEvent:
-    """An event of the leases from its plain form."""
-    match plain:
+def build_lease_event(neutral: Plain) -> LeaseEvent:
+    """Build a lease event from its recorded form."""
+    match neutral:
         case ("came", sender, message):
-            return LeaseMessageReceived(sender=life_id(sender), message=lease_message(message))
+            return LeaseMessageReceived(sender=parse_member_id(sender), message=build_lease_message(message))
         case ("need", parts):
             return DemandChanged(demand=dict(parts))
         case ("peers", ids):
-            return PeersChanged(peers=tuple(map(life_id, ids)))
+            return PeersChanged(peers=tuple(map(parse_member_id, ids)))
         case ("part", part):
             return QuotaFractionChanged(fraction=part)
-    raise ValueError(plain)
+    raise ValueError(neutral)
 
 
 class Leases:
-    """One life's quota leases."""
+    """The quota leases of one member."""
 
     def __init__(self, began: float, seed: str) -> None:
         self.inner = QuotaLeases(began=began, rng=random.Random(seed))
 
     def step(self, now: float, events: Iterable[Plain]) -> list[Plain]:
-        """Run one step: the messages to send, each with its receiver."""
-        posts = self.inner.step(now, [lease_event(one) for one in events])
-        return [(life_word(post.receiver), lease_plain(post.message)) for post in posts]
+        """Run one step; return the messages to send, each with its receiver."""
+        messages = self.inner.step(now, [build_lease_event(one) for one in events])
+        return [(format_member_id(one.receiver), plain_lease_message(one.message)) for one in messages]
 
     def usable(self, resource: str, now: float) -> int:
-        """Parts that may be used now."""
+        """Return the number of parts that may be used now."""
         return self.inner.usable_parts(resource, now)
 
     def next_change(self, now: float) -> float:
-        """When that changes next by time alone."""
+        """Return when the usable parts next change by the passing of time."""
         unused = ResourceAccount("", self.inner.home_available_at)
         return min(account.next_expiry(now) for account in (unused, *self.inner.accounts.values()))
 
     def refused(self) -> int:
-        """Messages on more resources than are kept account of."""
+        """Return the number of messages rejected because the number of accounts was at its limit."""
         return self.inner.refused_resources
 
 
 class Demand:
-    """What is asked for, by key."""
+    """Demand meters by key."""
 
     def __init__(self) -> None:
         self.inner: DemandMeters[str] = DemandMeters()
 
     def note(self, now: float, key: str, units: float, home: float) -> None:
-        """Something was asked for."""
+        """Record demand for a key."""
         self.inner.record(now, key, units, home)
 
     def needs(self, now: float) -> dict[str, float]:
-        """Needs by key."""
+        """Return the demand by key."""
         return self.inner.demand(now)
 
 
-def arrival(cell: int, units: float, plan: int = 0, volume: int = 0, hosts: int = 1) -> RequestArrived:
-    """A request that came."""
+def build_arrival(shard: int, units: float, plan: int = 0, volume: int = 0, hosts: int = 1) -> RequestArrived:
+    """Build the arrival of a request."""
     return RequestArrived(
         request_id="r",
         class_index=0,
         plan_index=plan,
         volume_id=volume,
         item=None,
-        shard=cell,
+        shard=shard,
         units=units,
         deadline=0.0,
         front_count=hosts,
     )
 
 
-def plan(limit: float) -> VolumePlan:
-    """A plan with this limit."""
+def build_plan(limit: float) -> VolumePlan:
+    """Build a plan with this rate limit."""
     return VolumePlan(
         priority_weight=1.0,
         base_rate=1.0,
@@ -364,8 +374,8 @@
     )
 
 
-def lent(event: SchedulerEvent) -> Plain:
-    """What the policy hears of lent parts."""
+def plain_lease_change(event: SchedulerEvent) -> Plain:
+    """Return a lease change event for the scheduler in recorded form."""
     if isinstance(event, QuotaLeaseChanged):
         return "volume", event.volume_id, event.multiplier
     assert isinstance(event, SlowStartLeaseChanged)
@@ -373,33 +383,33 @@
 
 
 class VolumeLimits:
-    """Limits of volumes by leases. ``limits``: units a second by plan."""
+    """Rate limits of volumes by leases. ``limits``: units per second by plan."""
 
     def __init__(self, leases: Leases, limits: list[float]) -> None:
         self.limits = limits
         self.inner = RateLimitLeases(
-            leases=leases.inner, plans=lambda: [plan(limit) for limit in self.limits]
+            leases=leases.inner, plans=lambda: [build_plan(limit) for limit in self.limits]
         )
 
     def heard(self, now: float, arrivals: Iterable[tuple[int, int, float, int]]) -> None:
-        """Requests that came: plan, volume, units, hosts."""
+        """Observe arrivals: plan, volume, units, front count."""
         events: list[SchedulerEvent] = [
-            arrival(0, units, plan=index, volume=volume, hosts=hosts)
+            build_arrival(0, units, plan=index, volume=volume, hosts=hosts)
             for index, volume, units, hosts in arrivals
         ]
         self.inner.observe(now, events)
 
     def needs(self, now: float) -> dict[str, float]:
-        """Needs by resource."""
+        """Return the demand by resource."""
         return self.inner.demand(now)
 
     def changes(self, now: float) -> list[Plain]:
-        """What the policy hears, in order of the volumes."""
-        return sorted(lent(one) for one in self.inner.quota_changes(now))
+        """Return the events for the scheduler, in order of the volumes."""
+        return sorted(plain_lease_change(one) for one in self.inner.quota_changes(now))
 
 
 class ColdNodes:
-    """Parts of cold nodes by leases. ``names``: by node, None where it is not listed."""
+    """Slow-start shares of nodes by leases. ``names``: by node; None for a node that is not listed."""
 
     def __init__(
         self, leases: Leases, names: dict[int, str], hosts: int, cold_units: float, ramp: float, after: float
@@ -434,112 +444,114 @@
     def listed(
         self, now: float, unix: float, kind: str, nodes: Iterable[tuple[int, int, str, float]]
     ) -> None:
-        """News of nodes: each with its cell, state and start."""
+        """Observe an update of nodes, each with its shard, state and start time."""
         entries = [
-            Endpoint(node_id=node, shard=cell, zone=0, state=NODE_STATES[state], started_at=since)
-            for node, cell, state, since in nodes
+            Endpoint(node_id=node, shard=shard, zone=0, state=NODE_STATES[state], started_at=since)
+            for node, shard, state, since in nodes
         ]
         self.inner.observe(now, unix, [EndpointUpdate(kind=LISTS[kind], endpoints=entries)])
 
     def heard(self, now: float, unix: float, arrivals: Iterable[tuple[int, float]]) -> None:
-        """Requests that came: cell, units."""
-        self.inner.observe(now, unix, [arrival(cell, units) for cell, units in arrivals])
+        """Observe arrivals: shard, units."""
+        self.inner.observe(now, unix, [build_arrival(shard, units) for shard, units in arrivals])
 
     def needs(self, now: float) -> dict[str, float]:
-        """Needs by resource."""
+        """Return the demand by resource."""
         return self.inner.demand(now)
 
     def changes(self, now: float) -> list[Plain]:
-        """What the policy hears, in order of the nodes."""
-        return sorted(lent(one) for one in self.inner.quota_changes(now))
+        """Return the events for the scheduler, in order of the nodes."""
+        return sorted(plain_lease_change(one) for one in self.inner.quota_changes(now))
 
 
 # Shared holds
 
 
 class HoldSet:
-    """A copy of the holds alone."""
+    """A replicated set of holds."""
 
     def __init__(self, inner: replicas.HoldSet | None = None) -> None:
         self.inner = inner if inner is not None else replicas.HoldSet()
 
-    def hold(self, life: str, box: str) -> HoldSet:
-        """With this one held."""
-        return HoldSet(self.inner.hold(life_id(life), box))
+    def hold(self, member: str, node: str) -> HoldSet:
+        """Return a copy in which the node is held."""
+        return HoldSet(self.inner.hold(parse_member_id(member), node))
 
-    def release(self, box: str) -> HoldSet:
-        """With this one released."""
-        return HoldSet(self.inner.release(box))
+    def release(self, node: str) -> HoldSet:
+        """Return a copy in which the node is released."""
+        return HoldSet(self.inner.release(node))
 
     def merge(self, other: HoldSet) -> HoldSet:
-        """Both in one."""
+        """Return the merge of both."""
         return HoldSet(replicas.merge("holds", self.inner, other.inner))
 
     def includes(self, other: HoldSet) -> bool:
-        """Whether all that the other knows is known here."""
+        """Whether this set includes all that the other set knows."""
         return self.inner.includes(other.inner)
 
     def forget_actors(self, stopped: Iterable[str], everywhere: Iterable[HoldSet]) -> HoldSet:
-        """Without the numbers of lives that are over."""
+        """Return a copy without the clock entries of stopped members."""
         return HoldSet(
-            self.inner.forget_actors([life_id(one) for one in stopped], [copy.inner for copy in everywhere])
+            self.inner.forget_actors(
+                [parse_member_id(one) for one in stopped], [copy.inner for copy in everywhere]
+            )
         )
 
     def state(self) -> Plain:
-        """What is known, and what is held."""
-        clock = sorted((life_word(life), number) for life, number in self.inner.clock.items())
+        """Return the clock, the dots by node and the held nodes."""
+        clock = sorted((format_member_id(member), number) for member, number in self.inner.clock.items())
         held = sorted(
-            (box, sorted((life_word(life), number) for life, number in dots))
-            for box, dots in self.inner.dots_by_node.items()
+            (node, sorted((format_member_id(member), number) for member, number in dots))
+            for node, dots in self.inner.dots_by_node.items()
         )
         return clock, held, sorted(self.inner.held_nodes())
 
 
 class Sayings:
-    """A copy of the newest words by origin."""
+    """The replicated latest value of each member."""
 
     def __init__(self, inner: replicas.LatestValues | None = None) -> None:
         self.inner = inner if inner is not None else replicas.LatestValues()
 
-    def say(self, life: str, value: str, at: float) -> Sayings:
-        """With a new word of this origin."""
-        return Sayings(self.inner.assign(life_id(life), value, at))
+    def say(self, member: str, value: str, at: float) -> Sayings:
+        """Return a copy with a new value of this member."""
+        return Sayings(self.inner.assign(parse_member_id(member), value, at))
 
     def merge(self, other: Sayings) -> Sayings:
-        """Both in one."""
+        """Return the merge of both."""
         return Sayings(replicas.merge("latest", self.inner, other.inner))
 
     def state(self) -> Plain:
-        """The words by origin."""
+        """Return the values by member."""
         return tuple(
             sorted(
-                (life_word(life), word.number, word.value, word.at)
-                for life, word in self.inner.values.items()
+                (format_member_id(member), latest.number, latest.value, latest.at)
+                for member, latest in self.inner.values.items()
             )
         )
 
 
 class Heights:
-    """A copy of the greatest number by key."""
+    """The replicated maximum of each key."""
 
     def __init__(self, inner: replicas.MaximumValues | None = None) -> None:
         self.inner = inner if inner is not None else replicas.MaximumValues()
 
     def raised(self, key: str, number: int) -> Heights:
-        """With this number told."""
+        """Return a copy in which the key's value is at least this number."""
         return Heights(self.inner.raise_to(key, number))
 
     def merge(self, other: Heights) -> Heights:
-        """Both in one."""
+        """Return the merge of both."""
         return Heights(replicas.merge("highest", self.inner, other.inner))
 
     def state(self) -> Plain:
-        """The numbers by key."""
+        """Return the maxima by key."""
         return tuple(sorted(self.inner.values.items()))
 
 
 def decoded(kind: str, data: bytes) -> Plain:
-    """The state in an encoded copy, or why it is refused."""
+    """Return the state of an encoded replica, or the reason for its rejection."""
     try:
         copy = replicas.decode(kind, data)
     except ValueError as error:
@@ -550,81 +562,81 @@
 
 
 class SharedHolds:
-    """The holds that one front keeps and shares. ``heard`` gets what others hold and release."""
+    """The replicated holds of one front. ``on_change`` gets the nodes that others hold and release."""
 
-    def __init__(self, life: Callable[[], str], heard: Callable[[list[str], list[str]], None]) -> None:
+    def __init__(self, member: Callable[[], str], on_change: Callable[[list[str], list[str]], None]) -> None:
         self.inner = HoldReplication(
-            self_id=lambda: life_id(life()),
-            on_change=lambda held, released: heard(sorted(held), sorted(released)),
+            self_id=lambda: parse_member_id(member()),
+            on_change=lambda held, released: on_change(sorted(held), sorted(released)),
         )
 
-    def hold(self, box: str) -> None:
-        """Hold one here."""
-        self.inner.hold(box)
+    def hold(self, node: str) -> None:
+        """Hold a node locally."""
+        self.inner.hold(node)
 
-    def release(self, box: str) -> None:
-        """Release one here."""
-        self.inner.release(box)
+    def release(self, node: str) -> None:
+        """Release a node locally."""
+        self.inner.release(node)
 
     def digest(self) -> int:
-        """The sum that goes along with each probe."""
+        """Return the checksum that each probe carries."""
         return self.inner.digest()
 
     def dump(self) -> bytes:
-        """The encoded copy; the order in it varies."""
+        """Return the encoded replica, whose order of elements varies."""
         return self.inner.dump()
 
     def load(self, sender: str, data: bytes) -> Plain:
-        """Merge a copy: whether it brought news, or why it was refused."""
+        """Merge a replica; return whether it changed anything, or the reason for its rejection."""
         try:
-            return "news", self.inner.load(life_id(sender), data)
+            return "news", self.inner.load(parse_member_id(sender), data)
         except ValueError as error:
             return "refused", str(error)
 
     def restore(self, data: bytes, held: Iterable[str]) -> None:
-        """Begin with what the life before kept."""
+        """Restore the state saved by the previous incarnation."""
         self.inner.restore(data, frozenset(held))
 
-    def lacks(self, life: str) -> bool:
-        """Whether this life is not known to have all of it."""
-        return self.inner.is_behind(life_id(life))
+    def lacks(self, member: str) -> bool:
+        """Whether this member is not known to have all the holds."""
+        return self.inner.is_behind(parse_member_id(member))
 
     def merged(self) -> int:
-        """Copies that differed."""
+        """Return the number of merged replicas that differed."""
         return self.inner.merges
 
     def state(self) -> Plain:
-        """What is known, and what is held."""
+        """Return the clock, the dots by node and the held nodes."""
         return HoldSet(self.inner.holds).state()
 
 
-# The start after a power loss
+# Staged start after a power loss
 
 
 class Start:
-    """One start, by its stages."""
+    """One staged start."""
 
     def __init__(self, began: float, lent_until: float) -> None:
         self.inner = StagedStart(began=began, old_leases_end=lent_until)
 
     def step(self, now: float, evidence: Iterable[tuple[str, str]]) -> list[Plain]:
-        """Run one step: the stages passed, by what, after how long."""
+        """Run one step; return the stages passed, by which evidence, after how long."""
         events = [Evidence(stage=STAGES[stage], description=what) for stage, what in evidence]
         return [self.passed(one) for one in self.inner.step(now, events)]
 
     @staticmethod
     def passed(one: StagePassed) -> Plain:
-        """A stage that was passed."""
-        return STAGE_WORDS[one.stage], one.passed_by, one.waited_seconds
+        """Return a passed stage in recorded form."""
+        return STAGE_NAMES[one.stage], one.passed_by, one.waited_seconds
 
     def state(self) -> Plain:
-        """The stage, whether requests are taken, and when the stage ends by itself."""
+        """Return the stage, whether requests are accepted, and when the stage times out."""
         return (
-            STAGE_WORDS[self.inner.stage],
+            STAGE_NAMES[self.inner.stage],
             self.inner.stage in (StartStage.OLD_LEASES, StartStage.OPEN),
             self.inner.stage_ends_at(),
         )
 
     def lines(self, now: float) -> list[str]:
-        """The lines for operators."""
+        """Return the status lines for operators."""
         return self.inner.status_lines(now)
--- a/tests/recorded/make_fleet.py
+++ b/tests/recorded/make_fleet.py
@@ -17,18 +17,18 @@
 
 def record() -> dict[str, Any]:
     """Return the entry count, digests and kind counts of each case, and the entries of the readable cases."""
-    records = {name: run_case(name) for name in CASES}
+    results = {name: run_case(name) for name in CASES}
     return {
         "cases": {
             name: {
-                "entries": len(record.entries),
-                "sha256": record.digest(),
-                "blocks": record.blocks(),
-                "kinds": dict(sorted(record.kinds.items())),
+                "entries": len(result.entries),
+                "sha256": result.digest(),
+                "blocks": result.blocks(),
+                "kinds": dict(sorted(result.kinds.items())),
             }
-            for name, record in records.items()
+            for name, result in results.items()
         },
-        "readable": {name: records[name].entries for name in READABLE},
+        "readable": {name: results[name].entries for name in READABLE},
     }
 
 
--- a/tests/recorded/make_settings.py
+++ b/tests/recorded/make_settings.py
@@ -488,7 +488,7 @@
 def recording(folder: Path) -> dict[str, Any]:
     """Return the whole recording."""
     deployment = Deployment(folder)
-    deployment.write_odd_files()
+    deployment.write_invalid_files()
     fronts = shipped_fronts()
     shipped = tomllib.loads(adapter.SHIPPED_FRONTS.read_text())
     out: dict[str, Any] = {
--- a/tests/recorded/scheduler_adapter.py
+++ b/tests/recorded/scheduler_adapter.py
@@ -1,6 +1,6 @@
-"""The only access of the scheduler recording to the project's types: plain values in, plain values out.
+"""The only module of the scheduler recording that uses the project: converts recorded values to its types.
 
-After a rename only this module changes. Its words are those of the recording and stay as they are.
+After a rename in the project only this module changes; the words in the recorded data stay.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from cleatyoke import simulator as simhost
+from cleatyoke import simulator
 from cleatyoke.scheduling.actions import (
     CancelAttempt,
     FailRequest,
@@ -52,7 +52,7 @@
     VolumePlan,
 )
 
-Row = list[Any]  # one recorded line: a word, then ids and numbers
+Row = list[Any]  # one recorded line: the kind of action, then ids and numbers
 Plain = dict[str, Any]
 
 REPEATS = {"free": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "once": Idempotency.NOT_IDEMPOTENT}
@@ -81,7 +81,7 @@
 
 
 def every_member_is_named() -> bool:
-    """Whether the words above stand for every member of the project's enumerations."""
+    """Whether the words above cover every member of the project's enumerations."""
     return (
         set(REPEATS.values()) == set(Idempotency)
         and set(SCOPES.values()) == set(IdempotencyScope)
@@ -91,33 +91,33 @@
     )
 
 
-def build_settings(plain: Plain) -> SchedulerSettings:
+def build_settings(neutral: Plain) -> SchedulerSettings:
     """Build the scheduler's settings."""
-    guards = plain["guards"]
+    guards = neutral["guards"]
     return SchedulerSettings(
         classes=[
             RequestClass(
-                latency_objective=one["target"],
-                priority_weight=one["value"],
-                late_value=one["late value"],
-                idempotency=REPEATS[one["repeat"]],
-                idempotency_scope=SCOPES[one["scope"]],
-                idempotency_window=one["memory"],
-                ordered=one["ordered"],
+                latency_objective=request_class["target"],
+                priority_weight=request_class["value"],
+                late_value=request_class["late value"],
+                idempotency=REPEATS[request_class["repeat"]],
+                idempotency_scope=SCOPES[request_class["scope"]],
+                idempotency_window=request_class["memory"],
+                ordered=request_class["ordered"],
             )
-            for one in plain["classes"]
+            for request_class in neutral["classes"]
         ],
         plans=[
             VolumePlan(
-                priority_weight=one["value"],
-                base_rate=one["rate"],
-                reserved_rate=one["reserve"],
-                fair_share_weight=one["weight"],
-                rate_limit=one["limit"],
-                rate_limit_burst=one["burst"],
-                rate_limit_slack=one["slack"],
+                priority_weight=plan["value"],
+                base_rate=plan["rate"],
+                reserved_rate=plan["reserve"],
+                fair_share_weight=plan["weight"],
+                rate_limit=plan["limit"],
+                rate_limit_burst=plan["burst"],
+                rate_limit_slack=plan["slack"],
             )
-            for one in plain["plans"]
+            for plan in neutral["plans"]
         ],
         safety=SafetyLimits(
             slow_start_initial_fraction=guards["cold from"],
@@ -130,83 +130,84 @@
             retry_budget_ratio=guards["extra ratio"],
             retry_budget_window=guards["extra window"],
         ),
-        seed=plain["seed"],
-        front_count=plain["hosts"],
-        watches_endpoints=plain["watch"],
-        max_attempts=plain["attempts"],
-        can_cancel=plain["cancel"],
-        slow_start_units=plain["cold units"],
-        max_request_units=plain["largest"],
-        mean_request_units=plain["mean"],
-        unreserved_value=plain["value beyond reserve"],
-        reports_usage_by_others=plain["nodes report others"],
-        idle_since=plain["quiet since"],
-        initial_quota_share=plain["limit part"],
-        replaces_process=plain["taken over"],
-        max_retry_after=plain["retry after"],
-        load_by_probes=plain["probes"],
+        seed=neutral["seed"],
+        front_count=neutral["hosts"],
+        watches_endpoints=neutral["watch"],
+        max_attempts=neutral["attempts"],
+        can_cancel=neutral["cancel"],
+        slow_start_units=neutral["cold units"],
+        max_request_units=neutral["largest"],
+        mean_request_units=neutral["mean"],
+        unreserved_value=neutral["value beyond reserve"],
+        reports_usage_by_others=neutral["nodes report others"],
+        idle_since=neutral["quiet since"],
+        initial_quota_share=neutral["limit part"],
+        replaces_process=neutral["taken over"],
+        max_retry_after=neutral["retry after"],
+        load_by_probes=neutral["probes"],
     )
 
 
 def build_node_list(kind: str, nodes: Sequence[Plain]) -> EndpointUpdate:
-    """Build news of the nodes."""
+    """Build an update of the endpoint list."""
     entries = [
         Endpoint(
-            node_id=one["node"],
-            shard=decode_shard(one["cell"]),
-            zone=one["zone"],
-            state=NODE_STATES[one["state"]],
-            started_at=one["since"],
+            node_id=node["node"],
+            shard=decode_shard(node["cell"]),
+            zone=node["zone"],
+            state=NODE_STATES[node["state"]],
+            started_at=node["since"],
         )
-        for one in nodes
+        for node in nodes
     ]
     return EndpointUpdate(kind=LIST_KINDS[kind], endpoints=entries)
 
 
-def build_event(kind: str, plain: Plain) -> SchedulerEvent:
+def build_event(kind: str, neutral: Plain) -> SchedulerEvent:
     """Build one event of the scheduler."""
     if kind == "nodes":
-        return build_node_list(plain["list"], plain["nodes"])
+        return build_node_list(neutral["list"], neutral["nodes"])
     if kind == "arrival":
         return RequestArrived(
-            request_id=plain["request"],
-            class_index=plain["class"],
-            plan_index=plain["plan"],
-            volume_id=plain["volume"],
-            item=plain["item"],
-            shard=decode_shard(plain["cell"]),
-            units=plain["units"],
-            deadline=plain["deadline"],
-            front_count=plain["hosts"],
+            request_id=neutral["request"],
+            class_index=neutral["class"],
+            plan_index=neutral["plan"],
+            volume_id=neutral["volume"],
+            item=neutral["item"],
+            shard=decode_shard(neutral["cell"]),
+            units=neutral["units"],
+            deadline=neutral["deadline"],
+            front_count=neutral["hosts"],
         )
     if kind == "ended":
         return AttemptFinished(
-            request_id=plain["request"],
-            attempt=plain["attempt"],
-            node_id=plain["node"],
-            outcome=OUTCOMES[plain["outcome"]],
-            elapsed=plain["spent"],
-            settled=plain["settled"],
-            units_by_others=plain["elsewhere"],
-            utilization=plain["busy"],
+            request_id=neutral["request"],
+            attempt=neutral["attempt"],
+            node_id=neutral["node"],
+            outcome=OUTCOMES[neutral["outcome"]],
+            elapsed=neutral["spent"],
+            settled=neutral["settled"],
+            units_by_others=neutral["elsewhere"],
+            utilization=neutral["busy"],
         )
     if kind == "busy":
-        return UtilizationReported(utilization=plain["part"])
+        return UtilizationReported(utilization=neutral["part"])
     if kind == "withdrawn":
-        return ClientDisconnected(request_id=plain["request"])
+        return ClientDisconnected(request_id=neutral["request"])
     if kind == "timer":
-        return TimerFired(token=plain["token"])
+        return TimerFired(token=neutral["token"])
     if kind == "limit part":
-        return QuotaShareChanged(fraction=plain["part"])
+        return QuotaShareChanged(fraction=neutral["part"])
     if kind == "volume part":
-        return QuotaLeaseChanged(volume_id=plain["volume"], multiplier=plain["part"])
+        return QuotaLeaseChanged(volume_id=neutral["volume"], multiplier=neutral["part"])
     if kind == "node part":
-        return SlowStartLeaseChanged(node_id=plain["node"], multiplier=plain["part"])
+        return SlowStartLeaseChanged(node_id=neutral["node"], multiplier=neutral["part"])
     if kind == "settings":
         return SettingsReloaded(
-            settings=build_settings(plain["settings"]), retired_classes=frozenset(plain["retired classes"])
+            settings=build_settings(neutral["settings"]),
+            retired_classes=frozenset(neutral["retired classes"]),
         )
-    raise ValueError(f"no such event: {kind}")
+    raise ValueError(f"unknown kind of event: {kind}")
 
 
 def number(value: float) -> float | None:
@@ -215,7 +216,7 @@
 
 
 def describe(now: float, action: SchedulerAction) -> Row:
-    """Translate one action of the scheduler."""
+    """Return the recorded form of one action of the scheduler."""
     if isinstance(action, SendAttempt):
         return ["send", now, action.request_id, action.node_id, number(action.not_after)]
     if isinstance(action, Reject):
@@ -228,33 +229,33 @@
         return ["timer", now, action.delay, action.token]
     if isinstance(action, WatchEndpoints):
         return ["watch", now]
-    raise TypeError("an action that the recording has no word for")
+    raise TypeError(f"no recorded word for action {action}")
 
 
 class RecordedScheduler:
-    """One scheduler of the project, driven with plain values."""
+    """A scheduler, driven with recorded values."""
 
     def __init__(self, settings: Plain) -> None:
-        self.policy = Scheduler(build_settings(settings))
+        self.scheduler = Scheduler(build_settings(settings))
 
     def step(self, now: float, events: Sequence[tuple[str, Plain]]) -> list[Row]:
-        """Pass one batch of events and return the translated actions."""
-        actions = self.policy.step(now, [build_event(kind, plain) for kind, plain in events])
+        """Process one batch of events and return the actions in recorded form."""
+        actions = self.scheduler.step(now, [build_event(kind, neutral) for kind, neutral in events])
         return [describe(now, action) for action in actions]
 
 
 class Probes:
-    """One state machine of the load probes, driven with plain values."""
+    """The load prober, driven with recorded values."""
 
     def __init__(self, hosts: int, ramp: float, seed: int) -> None:
         self.prober = LoadProber(front_count=hosts, slow_start_duration=ramp, seed=seed)
 
     def nodes(self, kind: str, nodes: Sequence[Plain]) -> None:
-        """Pass news of the nodes."""
+        """Pass an update of the endpoint list."""
         self.prober.on_endpoints(build_node_list(kind, nodes))
 
     def report(self, node: int, now: float, part: float | None) -> None:
-        """Pass what a probe brought."""
+        """Pass the utilization reported by a probe; None without a report."""
         self.prober.on_report(node, now, part)
 
     def next_node(self, now: float) -> int | None:
@@ -262,58 +263,58 @@
         return self.prober.step(now)
 
     def next_time(self, now: float) -> float | None:
-        """Return when there is something to do, or None."""
+        """Return the time of the next step, or None."""
         return number(self.prober.next_at(now))
 
     def load(self, now: float) -> float:
-        """Return the mean load by the reports."""
+        """Return the mean utilization by the reports."""
         return self.prober.utilization(now)
 
 
 class Means:
-    """The fading means by cell, driven with plain values."""
+    """The decaying rates by shard, driven with recorded values."""
 
     def __init__(self) -> None:
-        self.means = DecayingRates()
+        self.rates = DecayingRates()
 
     def change(self, what: str, cell: int, value: float) -> None:
-        """Apply one change: all fade, or one cell is added to, kept or resumed."""
+        """Decay all rates, or add to, freeze or resume the rate of one shard."""
         if what == "fade":
-            self.means.decay(value)
+            self.rates.decay(value)
         elif what == "add":
-            self.means.add(cell, value)
+            self.rates.add(cell, value)
         elif what == "keep":
-            self.means.freeze(cell)
+            self.rates.freeze(cell)
         else:
-            self.means.resume(cell)
+            self.rates.resume(cell)
 
     def values(self, cell: int) -> list[float]:
-        """Return the cell's mean, the same with the common mean as default, and the common mean."""
-        return [self.means.get(cell), self.means.get_or_mean(cell), self.means.mean()]
+        """Return the shard's rate, its rate or by default the mean rate, and the mean rate."""
+        return [self.rates.get(cell), self.rates.get_or_mean(cell), self.rates.mean()]
 
 
 class Simulated:
-    """The simulator's adapter, driven with lines of its wire."""
+    """The simulator's adapter, driven with lines of its protocol."""
 
     def __init__(self) -> None:
-        self.gateway = simhost.SimulatorAdapter()
+        self.adapter = simulator.SimulatorAdapter()
 
     def reply(self, line: str) -> Plain | None:
-        """Return the reply to one batch, or None where the line is rejected as malformed."""
+        """Return the reply to one batch, or None if the line is rejected as malformed."""
         try:
-            reply: Plain = json.loads(json.dumps(self.gateway.reply(line)))
-        except simhost.MalformedBatchError:
+            reply: Plain = json.loads(json.dumps(self.adapter.reply(line)))
+        except simulator.MalformedBatchError:
             return None
         return reply
 
 
 def fitted_slope(history: list[tuple[float, float]]) -> float | None:
-    """Return the slope of performance over bounds."""
+    """Return the slope of performance over concurrency limits."""
     return fit_slope(history)
 
 
 def running_mean(mean: float, value: float) -> float:
-    """Return the mean that follows short answers faster."""
+    """Return the updated mean, which follows short values faster."""
     return mean_of_short_values(mean, value)
 
 
@@ -324,5 +325,5 @@
     slopes: list[float | None],
     values: list[float],
 ) -> list[float]:
-    """Return the bounds of the next interval."""
+    """Return the concurrency limits of the next interval."""
     return arbitrate(bounds, wanted, performance, slopes, values)
--- a/tests/recorded/settings_adapter.py
+++ b/tests/recorded/settings_adapter.py
@@ -1,4 +1,7 @@
-"""The one place where the settings' tests touch the project: reading, in neutral words, and its commands."""
+"""The only module of the settings recording that uses the project: reads settings into recorded words.
+
+After a rename in the project only this module changes; the words in the recorded data stay.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
     "distribution": "cleatyoke.distribution",
 }
 RECORDED_PROGRAMS = {"python -m cleatyoke.testbed": "python -m cleatyoke.standin"}
-"""Programs renamed since the recording, as the changelog says; all their other texts are compared."""
+"""Programs renamed since the recording, with their recorded names, which replace them in compared texts."""
 
 REPETITION = {
     Idempotency.IDEMPOTENT: "repeatable",
@@ -48,68 +51,68 @@
     return -1 if shard is None else shard
 
 
-class Refused(Exception):
-    """The settings cannot be used; the text is the project's own."""
+class InvalidSettingsError(Exception):
+    """The project rejected the settings; the text is that of its own error."""
 
 
 def read_deployment(environment: Mapping[str, str], fronts: Path) -> dict[str, Any]:
-    """All that the daemon reads at its start, in neutral words. Raises ``Refused``."""
+    """Return everything the daemon reads at startup. Raises ``InvalidSettingsError``."""
     return neutral_deployment(load(environment, fronts))
 
 
 def reload_deployment(
     environment: Mapping[str, str], fronts: Path, later: Mapping[str, str], later_fronts: Path
 ) -> dict[str, Any]:
-    """Read one environment, reload with another: what was taken, and what holds. Raises ``Refused``."""
+    """Read one environment, reload with another, and return the outcome. Raises ``InvalidSettingsError``."""
     config, new = load(environment, fronts), load(later, later_fronts)
     try:
-        taken = config.reload(new)
+        changes = config.reload(new)
     except ConfigError as error:
-        raise Refused(str(error)) from error
+        raise InvalidSettingsError(str(error)) from error
     return {
-        "discovery moved": taken.discovery_moved,
-        "the log names as waiting for a restart": list(taken.needs_restart),
-        "classes gone": None if taken.retired_classes is None else sorted(taken.retired_classes),
+        "discovery moved": changes.discovery_moved,
+        "the log names as waiting for a restart": list(changes.needs_restart),
+        "classes gone": None if changes.retired_classes is None else sorted(changes.retired_classes),
         "holds": neutral_deployment(config),
     }
 
 
 def load(environment: Mapping[str, str], fronts: Path) -> Config:
-    """The project's own object. Raises ``Refused``."""
+    """Return the project's own object. Raises ``InvalidSettingsError``."""
     try:
         return read_config(environment, fronts)
     except ConfigError as error:
-        raise Refused(str(error)) from error
+        raise InvalidSettingsError(str(error)) from error
 
 
 def read_test_scenario(path: Path) -> tuple[dict[str, Any], dict[str, Any]]:
-    """A scenario file in neutral words, and the JSON settings it gives its fronts. Raises ``Refused``."""
+    """Return a scenario and the JSON settings generated from it. Raises ``InvalidSettingsError``."""
     scenario = load_scenario(path)
     return neutral_scenario(scenario), settings_of(scenario)
 
 
 def load_scenario(path: Path) -> Scenario:
-    """The project's own object. Raises ``Refused``."""
+    """Return the project's own object. Raises ``InvalidSettingsError``."""
     try:
         return read_scenario(path)
     except ConfigError as error:
-        raise Refused(str(error)) from error
+        raise InvalidSettingsError(str(error)) from error
 
 
 def number(value: float) -> float | str:
-    """Infinity has no place in JSON."""
+    """Return the number, or ``infinite``, as JSON has no infinity."""
     return "infinite" if math.isinf(value) else value
 
 
 def neutral_address(address: Address | None) -> dict[str, Any] | None:
-    """A host and a port, and the text of both."""
+    """Return the host, the port and the text of an address."""
     if address is None:
         return None
     return {"machine": address.host, "port": address.port, "text": str(address)}
 
 
 def neutral_deployment(config: Config) -> dict[str, Any]:
-    """Each fact that was read."""
+    """Return every value that was read."""
     return {
         "front name": config.name,
         "listens at": neutral_address(config.listen),
@@ -134,9 +137,9 @@
         "connect timeout": config.connect_timeout,
         "idle timeout": config.idle_timeout,
         "drain seconds": config.drain_grace,
-        "file front": neutral_file_front(config.sftp),
-        "address takeover": neutral_takeover(config.vrrp),
-        "peers": neutral_peers(config.fleet),
+        "file front": neutral_sftp(config.sftp),
+        "address takeover": neutral_vrrp(config.vrrp),
+        "peers": neutral_fleet(config.fleet),
         "distributed settings": neutral_distribution(config.distribution),
         "metrics at": neutral_address(config.metrics_address),
         "inherited descriptor": config.accept_fd,
@@ -148,32 +151,32 @@
 
 
 def neutral_policy(settings: SchedulerSettings) -> dict[str, Any]:
-    """The settings of the decisions."""
+    """Return the scheduler's settings."""
     safety = settings.safety
     return {
         "classes": [
             {
-                "target seconds": one.latency_objective,
-                "value": one.priority_weight,
-                "late part": one.late_value,
-                "repetition": REPETITION[one.idempotency],
-                "duplicates dropped": DUPLICATES_DROPPED[one.idempotency_scope],
-                "duplicates remembered": one.idempotency_window,
-                "in order": one.ordered,
+                "target seconds": request_class.latency_objective,
+                "value": request_class.priority_weight,
+                "late part": request_class.late_value,
+                "repetition": REPETITION[request_class.idempotency],
+                "duplicates dropped": DUPLICATES_DROPPED[request_class.idempotency_scope],
+                "duplicates remembered": request_class.idempotency_window,
+                "in order": request_class.ordered,
             }
-            for one in settings.classes
+            for request_class in settings.classes
         ],
         "plans": [
             {
-                "value factor": one.priority_weight,
-                "base units a second": one.base_rate,
-                "reserved units a second": one.reserved_rate,
-                "proportion": one.fair_share_weight,
-                "limit": one.rate_limit,
-                "limit store": one.rate_limit_burst,
-                "limit overdraft": one.rate_limit_slack,
+                "value factor": plan.priority_weight,
+                "base units a second": plan.base_rate,
+                "reserved units a second": plan.reserved_rate,
+                "proportion": plan.fair_share_weight,
+                "limit": plan.rate_limit,
+                "limit store": plan.rate_limit_burst,
+                "limit overdraft": plan.rate_limit_slack,
             }
-            for one in settings.plans
+            for plan in settings.plans
         ],
         "cold part": safety.slow_start_initial_fraction,
         "warming seconds": safety.slow_start_duration,
@@ -202,21 +205,21 @@
     }
 
 
-def neutral_file_front(front: SftpSettings | None) -> dict[str, Any] | None:
-    """The front for files."""
+def neutral_sftp(front: SftpSettings | None) -> dict[str, Any] | None:
+    """Return the settings of the SFTP server."""
     if front is None:
         return None
     return {
         "listens at": neutral_address(front.listen),
         "volumes": [
             {
-                "path": one.prefix,
-                "id": one.volume,
-                "plan place": one.plan,
-                "shard": shard_number(one.shard),
-                "fronts": one.front_count,
+                "path": volume.prefix,
+                "id": volume.volume,
+                "plan place": volume.plan,
+                "shard": shard_number(volume.shard),
+                "fronts": volume.front_count,
             }
-            for one in front.volumes
+            for volume in front.volumes
         ],
         "class of reads": front.read_class,
         "class of writes": front.write_class,
@@ -229,8 +232,8 @@
     }
 
 
-def neutral_takeover(peers: VrrpSettings | None) -> dict[str, Any] | None:
-    """The takeover of addresses."""
+def neutral_vrrp(peers: VrrpSettings | None) -> dict[str, Any] | None:
+    """Return the settings of VRRP."""
     if peers is None:
         return None
     return {
@@ -244,8 +247,8 @@
     }
 
 
-def neutral_peers(peers: FleetSettings | None) -> dict[str, Any] | None:
-    """The view that fronts keep of one another."""
+def neutral_fleet(peers: FleetSettings | None) -> dict[str, Any] | None:
+    """Return the settings of fleet membership."""
     if peers is None:
         return None
     return {
@@ -267,7 +270,7 @@
 
 
 def neutral_distribution(relays: DistributionSettings | None) -> dict[str, Any] | None:
-    """Where distributed settings come from."""
+    """Return the settings of the subscription to distributed configuration."""
     if relays is None:
         return None
     return {
@@ -281,7 +284,7 @@
 
 
 def neutral_scenario(scenario: Scenario) -> dict[str, Any]:
-    """Each fact of a scenario."""
+    """Return every value of a scenario."""
     load, power, terms, view = scenario.load, scenario.backend_capacity, scenario.terms, scenario.view
     return {
         "title": scenario.name,
@@ -295,31 +298,31 @@
         "notice before a kill": scenario.termination_timeout() if scenario.request_classes else None,
         "classes": [
             {
-                "title": one.name,
-                "part": one.share,
-                "target seconds": one.latency_objective,
-                "deadline seconds": one.deadline,
-                "value": one.value,
-                "late part": one.late_value_share,
-                "repetition": REPETITION[one.idempotency],
-                "duplicates dropped": DUPLICATES_DROPPED[one.scope],
-                "duplicates remembered": one.key_memory,
-                "changes data": one.write,
+                "title": request_class.name,
+                "part": request_class.share,
+                "target seconds": request_class.latency_objective,
+                "deadline seconds": request_class.deadline,
+                "value": request_class.value,
+                "late part": request_class.late_value_share,
+                "repetition": REPETITION[request_class.idempotency],
+                "duplicates dropped": DUPLICATES_DROPPED[request_class.scope],
+                "duplicates remembered": request_class.key_memory,
+                "changes data": request_class.write,
             }
-            for one in scenario.request_classes
+            for request_class in scenario.request_classes
         ],
         "plans": [
             {
-                "title": one.name,
-                "base units a second": one.rate,
-                "reserved units a second": one.reserve,
-                "proportion": one.weight,
-                "value factor": one.value_factor,
-                "limit": one.limit,
-                "limit store": one.burst,
-                "limit overdraft": one.slack,
+                "title": plan.name,
+                "base units a second": plan.rate,
+                "reserved units a second": plan.reserve,
+                "proportion": plan.weight,
+                "value factor": plan.value_factor,
+                "limit": plan.limit,
+                "limit store": plan.burst,
+                "limit overdraft": plan.slack,
             }
-            for one in scenario.plans
+            for plan in scenario.plans
         ],
         "allowed": {
             "most attempts": terms.max_attempts,
@@ -359,27 +362,27 @@
         },
         "troubles": [
             {
-                "begins": one.at,
-                "sort": one.kind,
-                "numbers": one.targets,
-                "spread seconds": one.spread,
-                "duration": one.duration,
-                "part": one.share,
-                "node": one.held_backend,
+                "begins": fault.at,
+                "sort": fault.kind,
+                "numbers": fault.targets,
+                "spread seconds": fault.spread,
+                "duration": fault.duration,
+                "part": fault.share,
+                "node": fault.held_backend,
                 "links": None
-                if one.links is None
+                if fault.links is None
                 else {
-                    "towards": one.links.to,
-                    "one direction": one.links.one_way,
-                    "broken": one.links.cut,
-                    "lost part": one.links.loss,
-                    "doubled part": one.links.duplicates,
-                    "garbled part": one.links.corruption,
-                    "delay seconds": one.links.delay,
-                    "jitter seconds": one.links.jitter,
+                    "towards": fault.links.to,
+                    "one direction": fault.links.one_way,
+                    "broken": fault.links.cut,
+                    "lost part": fault.links.loss,
+                    "doubled part": fault.links.duplicates,
+                    "garbled part": fault.links.corruption,
+                    "delay seconds": fault.links.delay,
+                    "jitter seconds": fault.links.jitter,
                 },
             }
-            for one in scenario.faults
+            for fault in scenario.faults
         ],
         "view": None
         if view is None
--- a/tests/recorded/settings_files.py
+++ b/tests/recorded/settings_files.py
@@ -1,4 +1,4 @@
-"""Files of settings with some values changed, and what reading them gives: no project names here."""
+"""Writes settings files with changed values and reads them through the adapter: no project names here."""
 
 from __future__ import annotations
 
@@ -16,77 +16,77 @@
 ROOT = Path(__file__).resolve().parents[2]
 DATA = Path(__file__).resolve().parent / "data" / "settings.json"
 RECURSION = r"(maximum recursion depth exceeded).*"
-FOLDER = "FOLDER"  # stands for the temporary folder in recorded texts
+FOLDER = "FOLDER"  # replaces the path of the temporary folder in recorded texts
 
-Change = dict[str, Any]  # ``path``: keys and places; ``value``: the new value, absent to delete the key
+Change = dict[str, Any]  # ``path``: keys and list indexes; ``value``: the new value, absent to delete the key
 
 
 def changed(base: dict[str, Any], changes: list[Change]) -> dict[str, Any]:
-    """A copy of ``base`` with the changes made."""
+    """Return a copy of ``base`` with the changes applied."""
     out = copy.deepcopy(base)
     for change in changes:
-        *way, last = change["path"]
-        place: Any = out
-        for key in way:
-            place = place[key]
+        *parents, last = change["path"]
+        container: Any = out
+        for key in parents:
+            container = container[key]
         if "value" in change:
-            place[last] = change["value"]
+            container[last] = change["value"]
         else:
-            del place[last]
+            del container[last]
     return out
 
 
 def toml_text(values: dict[str, Any]) -> str:
-    """``values`` as a TOML file, each top-level key on a line of its own."""
+    """Return ``values`` as the text of a TOML file, with one line per top-level key."""
     return "".join(f"{json.dumps(key)} = {toml_value(value)}\n" for key, value in values.items())
 
 
 def toml_value(value: Any) -> str:
-    """One value as TOML writes it; tables are written inline."""
+    """Return one value in TOML syntax; tables are written inline."""
     if isinstance(value, dict):
-        return "{" + ", ".join(f"{json.dumps(key)} = {toml_value(one)}" for key, one in value.items()) + "}"
+        return "{" + ", ".join(f"{json.dumps(key)} = {toml_value(item)}" for key, item in value.items()) + "}"
     if isinstance(value, list):
-        return "[" + ", ".join(toml_value(one) for one in value) + "]"
+        return "[" + ", ".join(toml_value(item) for item in value) + "]"
     if isinstance(value, bool | str):
         return json.dumps(value)
     return repr(value)
 
 
-def flat(value: Any, path: str = "") -> dict[str, Any]:
-    """The leaves of nested dicts and lists, by their paths."""
+def flatten(value: Any, path: str = "") -> dict[str, Any]:
+    """Return the leaves of nested dicts and lists by their paths."""
     if isinstance(value, dict) and value:
         items = [(str(key), one) for key, one in value.items()]
     elif isinstance(value, list) and value:
-        items = [(str(place), one) for place, one in enumerate(value)]
+        items = [(str(index), one) for index, one in enumerate(value)]
     else:
         return {path: value}
     out: dict[str, Any] = {}
     for key, one in items:
-        out |= flat(one, f"{path}/{key}" if path else key)
+        out |= flatten(one, f"{path}/{key}" if path else key)
     return out
 
 
-def difference(base: Any, found: Any) -> dict[str, Any]:
-    """What ``found`` has otherwise than ``base``: new values by path, and the paths that are gone."""
-    old, new = flat(base), flat(found)
+def difference(base: Any, actual: Any) -> dict[str, Any]:
+    """Return the values that differ from ``base`` by path, and under ``gone`` the missing paths."""
+    old, new = flatten(base), flatten(actual)
     out: dict[str, Any] = {
         path: value
         for path, value in sorted(new.items())
         if path not in old or (type(value), value) != (type(old[path]), old[path])
     }
-    if gone := sorted(old.keys() - new.keys()):
-        out["gone"] = gone
+    if missing := sorted(old.keys() - new.keys()):
+        out["gone"] = missing
     return out
 
 
 def write(path: Path, text: str) -> None:
-    """Make the file anew: where an old one is cut short and filled again, some systems wait for the disk."""
+    """Create the file anew: truncating and rewriting a file waits for the disk on some systems."""
     path.unlink(missing_ok=True)
     path.write_text(text)
 
 
 class Deployment:
-    """The files of one deployment in a folder, and what reading them gives."""
+    """The settings files of one deployment in a folder, and the results of reading them."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -95,13 +95,13 @@
     def environment(
         self, settings: dict[str, Any], variables: dict[str, str] | None = None
     ) -> dict[str, str]:
-        """Write the settings; the variables that lead to them. ``FOLDER`` in a value is the real one."""
+        """Write the settings; return the environment for them, with ``FOLDER`` in values replaced."""
         write(self.settings, json.dumps(settings))
         given = {"RELAY_CONFIG": str(self.settings), **(variables or {})}
         return {name: text.replace(FOLDER, str(self.folder)) for name, text in given.items()}
 
     def neutral(self, text: str) -> str:
-        """The text without the folder's own name, and without what Python versions word differently."""
+        """Return the text without the folder's path and wording that varies by Python version."""
         for program, recorded in adapter.RECORDED_PROGRAMS.items():
             text = text.replace(program, recorded)
         return re.sub(RECURSION, r"\1", text.replace(str(self.folder), FOLDER))
@@ -112,42 +112,42 @@
         fronts: dict[str, Any] | None = None,
         variables: dict[str, str] | None = None,
     ) -> dict[str, Any]:
-        """What is read, or the error's whole text. ``fronts``: None where there is no such file."""
+        """Return the values read, or the error's whole text. ``fronts``: None for no fronts file."""
         if fronts is None:
             self.fronts.unlink(missing_ok=True)
         else:
             write(self.fronts, toml_text(fronts))
         try:
             return {"read": adapter.read_deployment(self.environment(settings, variables), self.fronts)}
-        except adapter.Refused as error:
+        except adapter.InvalidSettingsError as error:
             return {"error": self.neutral(str(error))}
 
     def reload(self, settings: dict[str, Any], case: dict[str, Any]) -> dict[str, Any]:
-        """What a reload takes, and what holds otherwise than before, or the error's whole text."""
+        """Return the result of a reload and the settings that it changed, or the error's whole text."""
         before = self.environment(settings)
-        other = Deployment(self.folder / "later")
-        other.folder.mkdir(exist_ok=True)
-        after = other.environment(changed(settings, case["changes"]), case.get("variables"))
+        later = Deployment(self.folder / "later")
+        later.folder.mkdir(exist_ok=True)
+        after = later.environment(changed(settings, case["changes"]), case.get("variables"))
         if "fronts" in case:
-            write(other.fronts, toml_text(case["fronts"]))
+            write(later.fronts, toml_text(case["fronts"]))
         try:
-            found = adapter.reload_deployment(before, self.fronts, after, other.fronts)
+            result = adapter.reload_deployment(before, self.fronts, after, later.fronts)
             base = adapter.read_deployment(before, self.fronts)
-        except adapter.Refused as error:
-            return {"error": other.neutral(str(error))}
-        return {**found, "holds": difference(base, found["holds"])}
+        except adapter.InvalidSettingsError as error:
+            return {"error": later.neutral(str(error))}
+        return {**result, "holds": difference(base, result["holds"])}
 
     def fronts_text(self, settings: dict[str, Any], text: str) -> str:
-        """The error that this text as a fronts file gives, or ``accepted``."""
+        """Return the error for a fronts file with this text, or ``accepted``."""
         write(self.fronts, text)
         try:
             adapter.read_deployment(self.environment(settings), self.fronts)
-        except adapter.Refused as error:
+        except adapter.InvalidSettingsError as error:
             return self.neutral(str(error))
         return "accepted"
 
-    def write_odd_files(self) -> None:
-        """Files beside the settings that are no settings."""
+    def write_invalid_files(self) -> None:
+        """Write files that are no valid settings or epoch files."""
         (self.folder / "text.json").write_text("{'name'}")
         (self.folder / "list.json").write_text("[1]")
         (self.folder / "epoch").write_text("yesterday")
@@ -166,36 +166,41 @@
         return run_module(adapter.MODULES[command["program"]], command["arguments"], variables, self)
 
     def read_scenario(self, values: dict[str, Any]) -> dict[str, Any]:
-        """What a scenario file says, or the error's whole text."""
+        """Return the values of a scenario file and the settings it generates, or the error's whole text."""
         path = self.folder / "drill.toml"
         write(path, toml_text(values))
         try:
-            found, settings = adapter.read_test_scenario(path)
-        except adapter.Refused as error:
+            scenario, settings = adapter.read_test_scenario(path)
+        except adapter.InvalidSettingsError as error:
             return {"error": self.neutral(str(error))}
-        return {"read": found, "settings": settings}
+        return {"read": scenario, "settings": settings}
 
 
-def outcome(base: dict[str, Any], found: dict[str, Any]) -> Any:
-    """The error's text, or ``accepted`` with what is read otherwise than in ``base``, which was read too."""
-    return found["error"] if "error" in found else {"accepted": difference(base["read"], found["read"])}
+def outcome(base: dict[str, Any], result: dict[str, Any]) -> Any:
+    """Return the error's text, or ``accepted`` with the values that differ from the result for ``base``."""
+    return result["error"] if "error" in result else {"accepted": difference(base["read"], result["read"])}
 
 
 def run_module(
     module: str, arguments: list[str], variables: dict[str, str], deployment: Deployment
 ) -> dict[str, Any]:
-    """Exit status and output of ``python -m module``."""
-    kept = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-    ended = subprocess.run(
-        [sys.executable, "-m", module, *(word.replace(FOLDER, str(deployment.folder)) for word in arguments)],
+    """Run ``python -m module`` and return its exit status and output."""
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+    process = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            module,
+            *(argument.replace(FOLDER, str(deployment.folder)) for argument in arguments),
+        ],
         cwd=ROOT,
-        env={**kept, "TMPDIR": str(deployment.folder), **variables},
+        env={**inherited, "TMPDIR": str(deployment.folder), **variables},
         capture_output=True,
         text=True,
         timeout=60,
     )
     return {
-        "status": ended.returncode,
-        "output": deployment.neutral(ended.stdout).splitlines(),
-        "errors": deployment.neutral(ended.stderr).splitlines(),
+        "status": process.returncode,
+        "output": deployment.neutral(process.stdout).splitlines(),
+        "errors": deployment.neutral(process.stderr).splitlines(),
     }
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -1,4 +1,7 @@
-"""The one place where the tests of stored data touch the project: writing and reading, in neutral words."""
+"""The only module of the stored-data recording that uses the project: writes and reads in recorded words.
+
+After a rename in the project only this module changes; the words in the recorded data stay.
+"""
 
 from __future__ import annotations
 
@@ -34,29 +37,29 @@
 CHECK_MODULE = "cleatyoke.durability"
 DURABLE_FILES = FILE_NAMES
 COPIES_FILE = REPLICATED_HOLDS_FILE
-LANE_TITLES = {Lane.NODES: "nodes first", Lane.SETTINGS: "settings"}
+LANE_NAMES = {Lane.NODES: "nodes first", Lane.SETTINGS: "settings"}
 
 Neutral = dict[str, Any]
 
 
-def life(name: str, boot: int) -> MemberId:
-    """A life of a front."""
+def member_id(name: str, boot: int) -> MemberId:
+    """Return the member id of a front's incarnation."""
     return MemberId(name, boot)
 
 
 def make_holds(facts: Neutral) -> HoldSet:
-    """Holds of neutral form: ``known`` numbers by life, and ``held`` nodes with the marks that hold them."""
+    """Build holds from the clock by member id (``known``) and the dots of each held node (``held``)."""
     return HoldSet(
-        clock={life(name, boot): number for name, boot, number in facts["known"]},
+        clock={member_id(name, boot): number for name, boot, number in facts["known"]},
         dots_by_node={
-            node: frozenset((life(name, boot), number) for name, boot, number in marks)
+            node: frozenset((member_id(name, boot), number) for name, boot, number in marks)
             for node, marks in facts["held"].items()
         },
     )
 
 
 def neutral_holds(holds: HoldSet) -> Neutral:
-    """The holds in neutral form, sorted, as sets have no order."""
+    """Return the holds in recorded form, sorted, as sets have no order."""
     return {
         "known": sorted([one.name, one.boot, number] for one, number in holds.clock.items()),
         "held": {
@@ -67,38 +70,38 @@
 
 
 def save_durable(folder: Path, front: str, facts: Neutral) -> list[list[str]]:
-    """Write both files as a front does; what failed, by file."""
-    memory = records.FrontState(
+    """Write both database files as a front does; return the failures by file."""
+    state = records.FrontState(
         holds=make_holds(facts["holds"]), boot_number=facts["boot"], peers=tuple(facts["peers"])
     )
-    return [[one.source, one.reason] for one in StateDatabase(folder=folder, front=front).save(memory)]
+    return [[one.source, one.reason] for one in StateDatabase(folder=folder, front=front).save(state)]
 
 
 def load_durable(folder: Path, front: str) -> Neutral:
-    """What a start believes, and what it does not."""
-    memory, doubts = StateDatabase(folder=folder, front=front).load()
+    """Return the state that a start loads from the files, and the faults found in them."""
+    state, findings = StateDatabase(folder=folder, front=front).load()
     return {
-        "holds": neutral_holds(memory.holds),
-        "boot": memory.boot_number,
-        "peers": list(memory.peers),
-        "doubts": [[one.source, one.reason] for one in doubts],
+        "holds": neutral_holds(state.holds),
+        "boot": state.boot_number,
+        "peers": list(state.peers),
+        "doubts": [[one.source, one.reason] for one in findings],
         "files": sorted(path.name for path in folder.iterdir()),
     }
 
 
 def sealed_row(kind: str, front: str, data: bytes, form: int) -> tuple[str, int, str, bytes, int]:
-    """A row with a sum that fits it."""
+    """Return a database row with a valid checksum."""
     row = records.make_row(kind=kind, front=front, data=data, schema_version=form)
     return row.kind, row.schema_version, row.front, row.data, row.checksum
 
 
 def next_boot(remembered: int, unix: float) -> int:
-    """The boot number of a new life."""
+    """Return the boot number of a new incarnation."""
     return records.next_boot_number(remembered, unix)
 
 
 def with_hold_file(folder: Path, act: Callable[[HoldFile, Directory], None]) -> Neutral:
-    """Act on the hold file of a running loop; what is held then, and the folder's files."""
+    """Run ``act`` on a hold file in an event loop; return the resulting holds and the folder's files."""
 
     async def run() -> Neutral:
         directory = Directory({})
@@ -115,7 +118,7 @@
 
 
 def write_hold_file(folder: Path, held: list[str], released: dict[str, float]) -> Neutral:
-    """Write what one process of a front holds."""
+    """Write the holds of one process of a front."""
 
     def act(file: HoldFile, directory: Directory) -> None:
         for name in [*held, *released]:
@@ -128,12 +131,12 @@
 
 
 def read_hold_file(folder: Path) -> Neutral:
-    """What another process of the front takes from the file."""
+    """Return the holds that another process of the front reads from the file."""
     return with_hold_file(folder, lambda file, directory: file.poll())
 
 
 def hold_again(folder: Path, name: str) -> Neutral:
-    """An operator holds a node that the file holds already: all is written anew, under the lock."""
+    """Hold a node that the file already holds: the file is written again, under the lock."""
 
     def act(file: HoldFile, directory: Directory) -> None:
         file.poll()
@@ -143,13 +146,13 @@
 
 
 def mark_process(folder: Path) -> Neutral:
-    """What a new process leaves in the folder, and what it may use of limits beside others."""
+    """Return the marker files of a new process, and its part of the limits next to sibling processes."""
 
     async def run() -> Neutral:
         settings = driven_front.settings()
-        lives = SiblingProcesses(folder, settings, Faults(Metrics()), 50.0)
+        processes = SiblingProcesses(folder, settings, Faults(Metrics()), 50.0)
         files = [path.name for path in folder.iterdir()]
-        lives.stop()
+        processes.stop()
         return {
             "files": sorted(name_of_mark(name) for name in files),
             "part of limits": settings.initial_quota_share,
@@ -161,45 +164,45 @@
 
 
 def name_of_mark(name: str) -> str:
-    """The name of a file that marks a process, with a word for this process and for its parent."""
+    """Return the name of a process's marker file, with the ids of this process and its parent replaced."""
     *words, last = name.split("-")
     return "-".join([*words, {str(os.getpid()): "OWN", str(os.getppid()): "PARENT"}.get(last, last)])
 
 
 def dump_copies(facts: Neutral) -> bytes:
-    """The file by which a front remembers holds, with what it knows of other fronts' releases."""
-    return HoldReplication(self_id=lambda: life("n1", 1), holds=make_holds(facts)).dump()
+    """Return the file by which a front remembers holds and the releases by other fronts that it knows."""
+    return HoldReplication(self_id=lambda: member_id("n1", 1), holds=make_holds(facts)).dump()
 
 
 def restore_copies(data: bytes, held: list[str]) -> Neutral:
-    """What the next life ``n1``, boot 99, makes of that file and of the nodes that its hold file holds."""
-    sharing = HoldReplication(self_id=lambda: life("n1", 99))
+    """Return the holds after the next incarnation, ``n1`` boot 99, restored that file and its hold file."""
+    sharing = HoldReplication(self_id=lambda: member_id("n1", 99))
     sharing.restore(data, frozenset(held))
     return neutral_holds(sharing.holds)
 
 
 class SourceFolder:
-    """A source of distributed settings over its folder."""
+    """A source of distributed settings that reads a folder."""
 
     def __init__(self, folder: Path, epoch: int) -> None:
         self.folder = ConfigFolder(folder)
         self.source = Source("d", "source", epoch)
 
     def look(self, base: dict[str, Any]) -> Neutral:
-        """Take what changed in the folder; all that the source has then. ``base``: a front's own settings."""
-        found = self.folder.scan()
-        for key, value in found.changes.items():
+        """Apply changes in the folder; return the content of the source. ``base``: a front's own settings."""
+        scan = self.folder.scan()
+        for key, value in scan.changes.items():
             self.source.put(0.0, lane_of_key(key), key, value)
         entries = [entry for lane in Lane for entry in self.source.store.lanes[lane].entries.values()]
         nodes, unreadable = listed_nodes(entries)
         return {
             "changes": {
-                key: None if value is None else value.decode() for key, value in found.changes.items()
+                key: None if value is None else value.decode() for key, value in scan.changes.items()
             },
-            "refused": list(found.rejected),
+            "refused": list(scan.rejected),
             "last number": self.source.last_number,
             "kept": {
-                LANE_TITLES[lane]: [
+                LANE_NAMES[lane]: [
                     neutral_entry(one) for one in self.source.store.lanes[lane].entries.values()
                 ]
                 for lane in Lane
@@ -211,13 +214,13 @@
 
 
 def neutral_entry(entry: Entry) -> list[Any]:
-    """Key, epoch, number and text of an entry."""
+    """Return the key, epoch, number and text of an entry."""
     text = None if entry.value is None else entry.value.decode()
     return [entry.key, entry.version.epoch, entry.version.number, text]
 
 
 def begin_epoch(path: Path, unix: float) -> int | str:
-    """The epoch that a source's life begins, or why it cannot."""
+    """Return the epoch that a source begins at startup, or the error's text."""
     try:
         return next_epoch(path, unix)
     except EpochError as error:
--- a/tests/recorded/test_recorded_settings.py
+++ b/tests/recorded/test_recorded_settings.py
@@ -93,7 +93,7 @@
 def test_environment_variables_have_recorded_outcome(name: str, deployment: Deployment) -> None:
     """A variable overrides the file or is invalid."""
     case, base = RECORDED["environments"][name], BASES["settings"]
-    deployment.write_odd_files()
+    deployment.write_invalid_files()
     found = deployment.read(base, None, case["variables"])
     assert as_recorded(outcome(deployment.read(base), found)) == case["gives"]
 
@@ -123,7 +123,7 @@
 def test_command_exits_with_recorded_error(name: str, deployment: Deployment) -> None:
     """Exit status and output of a process whose settings are invalid."""
     case = RECORDED["commands"][name]
-    deployment.write_odd_files()
+    deployment.write_invalid_files()
     assert deployment.run(case["command"], BASES["settings"], BASES["scenario"]) == case["gives"]
 
 
