--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -1,6 +1,6 @@
-"""The one module of this recording that knows the program: messages from plain values, and back.
+"""The only module of the bytes recording that uses the project: converts recorded values and messages.
 
-When the program is renamed, only this file follows; the recorded data has words of its own.
+After a rename in the project only this module changes; the words in the recorded data stay.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     SchedulerSettings,
     VolumePlan,
 )
-from cleatyoke import simulator as simhost
+from cleatyoke import simulator
 from cleatyoke.vrrp import messages as vrrp
 from cleatyoke.config.addresses import Address
 from cleatyoke.config.deployment import Config
@@ -55,8 +55,8 @@
 from cleatyoke.core import Core, Failed, Rejected, Served
 from cleatyoke.discovery.directory import Directory, Instance, EndpointList
 from cleatyoke.distribution import contents, records
-from cleatyoke.distribution.server import answer_poll as answer_poll
-from cleatyoke.distribution.status import SubscriptionStatus as ConfigStatus
+from cleatyoke.distribution.server import answer_poll
+from cleatyoke.distribution.status import SubscriptionStatus
 from cleatyoke.distribution.store import ChangeStore
 from cleatyoke.distribution.subscriber_messages import SendPoll
 from cleatyoke.distribution.subscriber import Subscriber
@@ -87,7 +87,7 @@
 
 DEPLOYMENT = "recorded"
 LOCAL = "127.0.0.1"
-PATIENCE = 30.0  # seconds for one exchange; only a fault takes so long
+EXCHANGE_TIMEOUT = 30.0  # seconds; only a faulty exchange takes this long
 
 # Messages among fronts
 
@@ -104,29 +104,29 @@
     return -1 if shard is None else shard
 
 
-def life_of(value: Plain) -> wire.MemberId:
-    """A life of a front from ``[name, boot number]``."""
+def member_id_of(value: Plain) -> wire.MemberId:
+    """Build a member id from ``[name, boot number]``."""
     return wire.MemberId(name=value[0], boot=value[1])
 
 
-def plain_life(life: wire.MemberId) -> Plain:
-    """``[name, boot number]``."""
-    return [life.name, life.boot]
+def plain_member_id(member: wire.MemberId) -> Plain:
+    """Return a member id as ``[name, boot number]``."""
+    return [member.name, member.boot]
 
 
-def rumour_of(value: Plain) -> wire.Update:
-    """What is said of a life; absent fields have their defaults."""
+def update_of(value: Plain) -> wire.Update:
+    """Build a membership update; absent fields have their defaults."""
     optional = {
-        ours: value[plain]
-        for plain, ours in (
+        field: value[key]
+        for key, field in (
             ("sole", "owns_address"),
             ("accuser", "suspected_by"),
             ("settings sum", "settings_checksum"),
         )
-        if plain in value
+        if key in value
     }
     return wire.Update(
-        id=life_of(value["life"]),
+        id=member_id_of(value["life"]),
         address=value["address"],
         state=STATES[value["state"]],
         incarnation=value["count"],
@@ -134,33 +134,33 @@
     )
 
 
-def plain_rumour(rumour: wire.Update) -> Plain:
-    """Every field of what is said of a life."""
+def plain_update(update: wire.Update) -> Plain:
+    """Return every field of a membership update."""
     return {
-        "life": plain_life(rumour.id),
-        "address": rumour.address,
-        "state": next(word for word, state in STATES.items() if state is rumour.state),
-        "count": rumour.incarnation,
-        "sole": rumour.owns_address,
-        "accuser": rumour.suspected_by,
-        "settings sum": rumour.settings_checksum,
+        "life": plain_member_id(update.id),
+        "address": update.address,
+        "state": next(word for word, state in STATES.items() if state is update.state),
+        "count": update.incarnation,
+        "sole": update.owns_address,
+        "accuser": update.suspected_by,
+        "settings sum": update.settings_checksum,
     }
 
 
 def body_of(value: Plain) -> wire.Body:
-    """The body of a datagram."""
+    """Build the body of a datagram."""
     match value["type"]:
         case "ping":
             return wire.Ping(
                 sequence=value["number"],
-                target=life_of(value["target"]),
+                target=member_id_of(value["target"]),
                 membership_checksum=value["members sum"],
             )
         case "ack":
             return wire.Ack(sequence=value["number"])
         case "indirect ping":
             return wire.PingRequest(
-                sequence=value["number"], target=life_of(value["target"]), address=value["address"]
+                sequence=value["number"], target=member_id_of(value["target"]), address=value["address"]
             )
         case "nack":
             return wire.Nack(sequence=value["number"])
@@ -179,10 +179,10 @@
 
 
 def plain_body(body: wire.Body) -> Plain:
-    """Every field of a datagram's body."""
+    """Return every field of a datagram's body."""
     match body:
         case wire.Ping():
-            target = plain_life(body.target)
+            target = plain_member_id(body.target)
             return {
                 "type": "ping",
                 "number": body.sequence,
@@ -192,7 +192,7 @@
         case wire.Ack():
             return {"type": "ack", "number": body.sequence}
         case wire.PingRequest():
-            target = plain_life(body.target)
+            target = plain_member_id(body.target)
             return {
                 "type": "indirect ping",
                 "number": body.sequence,
@@ -221,57 +221,57 @@
 
 
 def encode_fleet_datagram(value: Plain) -> bytes:
-    """A datagram with the rumours that find room in it."""
+    """Encode a datagram with as many updates as fit into it."""
     data, _ = wire.encode_datagram(
         value.get("deployment", DEPLOYMENT),
-        rumour_of(value["sender"]),
+        update_of(value["sender"]),
         body_of(value["body"]),
-        [rumour_of(one) for one in value["rumours"]],
+        [update_of(one) for one in value["rumours"]],
     )
     return data
 
 
 def decode_fleet_datagram(data: bytes) -> Plain:
-    """The fields of a datagram, or why it is refused."""
+    """Return the fields of a datagram, or the reason for its rejection."""
     try:
         message = wire.decode_datagram(DEPLOYMENT, data)
-    except wire.WireError as refused:
-        return {"refused": str(refused)}
+    except wire.WireError as error:
+        return {"refused": str(error)}
     return {
         "deployment": message.deployment,
         "version": message.version,
-        "sender": plain_rumour(message.sender),
+        "sender": plain_update(message.sender),
         "body": plain_body(message.body),
-        "rumours": [plain_rumour(one) for one in message.updates],
+        "rumours": [plain_update(one) for one in message.updates],
     }
 
 
 def encode_fleet_view(value: Plain) -> bytes:
-    """A whole view, as it goes by stream."""
-    lives = [rumour_of(one) for one in value["lives"]]
-    deployment, sender = value.get("deployment", DEPLOYMENT), rumour_of(value["sender"])
+    """Encode a full state, as it is sent by stream."""
+    members = [update_of(one) for one in value["lives"]]
+    deployment, sender = value.get("deployment", DEPLOYMENT), update_of(value["sender"])
     if "copies" in value:
-        return wire.encode_full_state(deployment, sender, lives, unpack(value["copies"]))
-    return wire.encode_full_state(deployment, sender, lives)
+        return wire.encode_full_state(deployment, sender, members, unpack(value["copies"]))
+    return wire.encode_full_state(deployment, sender, members)
 
 
 def decode_fleet_view(data: bytes) -> Plain:
-    """The fields of a whole view, or why it is refused."""
+    """Return the fields of a full state, or the reason for its rejection."""
     try:
         message = wire.decode_full_state(DEPLOYMENT, data)
-    except wire.WireError as refused:
-        return {"refused": str(refused)}
+    except wire.WireError as error:
+        return {"refused": str(error)}
     return {
         "deployment": message.deployment,
         "version": message.version,
-        "sender": plain_rumour(message.sender),
-        "lives": [plain_rumour(one) for one in message.members],
+        "sender": plain_update(message.sender),
+        "lives": [plain_update(one) for one in message.members],
         "copies": pack(message.replicas),
     }
 
 
 def holds_of(value: Plain) -> replicas.HoldSet:
-    """Nodes held out of service, each with the ``[name, boot, number]`` of its holds."""
+    """Build holds from the clock (``known``) and the ``[name, boot, number]`` dots of each held node."""
     return replicas.HoldSet(
         clock={wire.MemberId(name=name, boot=boot): number for name, boot, number in value["known"]},
         dots_by_node={
@@ -282,60 +282,61 @@
 
 
 def encode_holds(value: Plain) -> bytes:
-    """The shared holds as they go along with a view."""
+    """Encode the shared holds as they are sent with a full state."""
     return HoldReplication(self_id=lambda: wire.MemberId(name="n0", boot=1), holds=holds_of(value)).dump()
 
 
 def decode_holds(data: bytes) -> Plain:
-    """The shared holds, sorted, or why they are refused."""
+    """Return the shared holds, sorted, or the reason for their rejection."""
     try:
         copy = replicas.decode("holds", data)
     except ValueError as error:
         return {"refused": str(error)}
     return {
-        "known": sorted([life.name, life.boot, number] for life, number in copy.clock.items()),
+        "known": sorted([member.name, member.boot, number] for member, number in copy.clock.items()),
         "held": {
-            node: sorted([life.name, life.boot, number] for life, number in dots)
+            node: sorted([member.name, member.boot, number] for member, number in dots)
             for node, dots in sorted(copy.dots_by_node.items())
         },
     }
 
 
-def encode_latest_words(value: Plain) -> bytes:
-    """The latest word of each origin."""
-    words = {
+def encode_latest_values(value: Plain) -> bytes:
+    """Encode the latest value of each member."""
+    values = {
         wire.MemberId(name=name, boot=boot): replicas.TimestampedValue(number=number, value=text, at=at)
         for name, boot, number, text, at in value
     }
-    return msgspec.msgpack.encode(replicas.LatestValues(values=words))
+    return msgspec.msgpack.encode(replicas.LatestValues(values=values))
 
 
-def decode_latest_words(data: bytes) -> Plain:
-    """The latest word of each origin, sorted, or why they are refused."""
+def decode_latest_values(data: bytes) -> Plain:
+    """Return the latest value of each member, sorted, or the reason for their rejection."""
     try:
         copy = replicas.decode("latest", data)
     except ValueError as error:
         return {"refused": str(error)}
     return sorted(
-        [life.name, life.boot, word.number, word.value, word.at] for life, word in copy.values.items()
+        [member.name, member.boot, latest.number, latest.value, latest.at]
+        for member, latest in copy.values.items()
     )
 
 
 def encode_highest_numbers(value: Plain) -> bytes:
-    """The highest number of each key."""
+    """Encode the highest number of each key."""
     return msgspec.msgpack.encode(replicas.MaximumValues(values=value))
 
 
 def decode_highest_numbers(data: bytes) -> Plain:
-    """The highest number of each key, or why they are refused."""
+    """Return the highest number of each key, or the reason for their rejection."""
     try:
         return dict(replicas.decode("highest", data).values)
     except ValueError as error:
         return {"refused": str(error)}
 
 
-def fleet_peers() -> FleetSettings:
-    """A front's part in a fleet, on an address that is never opened."""
+def sample_fleet_settings() -> FleetSettings:
+    """Return fleet settings with an address on which nothing listens."""
     timing = {"period": 0.5, "answer": 0.15, "gossip": 0.1, "sync": 10.0, "departed": 1.0, "join": 1.0}
     address = Address(LOCAL, 7001)
     return FleetSettings(
@@ -344,8 +345,8 @@
 
 
 async def fleet_view(value: Plain) -> FleetView:
-    """A front's view of its fleet after some datagrams, without sockets."""
-    view = FleetView(fleet_peers(), "n0", 2, 1, Faults(Metrics()))
+    """Return a front's fleet view after some datagrams, without sockets."""
+    view = FleetView(sample_fleet_settings(), "n0", 2, 1, Faults(Metrics()))
     view.membership.step(100.0, [])
     view.membership.step(100.05, [DatagramReceived(unpack(one)) for one in value.get("datagrams", [])])
     for node in value.get("held", []):
@@ -353,8 +354,8 @@
     return view
 
 
-async def capture_sums(value: Plain) -> Plain:
-    """Sums that travel among fronts and have to be equal in all versions of the program."""
+async def capture_checksums(value: Plain) -> Plain:
+    """Return the checksums that fronts exchange, which must be equal in all versions of the program."""
     view = await fleet_view(value)
     view.announce_settings(all_settings())
     return {
@@ -366,7 +367,7 @@
 
 
 async def capture_view_exchange(value: Plain) -> Plain:
-    """The answer to a peer's whole view: this front's own."""
+    """Return the answer to a peer's full state: this front's own."""
     view = await fleet_view(value)
     actions = view.membership.step(100.1, [ExchangeRequested(1, unpack(value["view"]))])
     return [pack(action.data) for action in actions if isinstance(action, ReplyExchange)]
@@ -376,20 +377,20 @@
 
 
 def entry_of(value: Plain) -> records.Entry:
-    """``[key, epoch, number, value]``; without a value the key is gone."""
+    """Build an entry from ``[key, epoch, number, value]``; value None is a tombstone."""
     key, epoch, number, content = value
     version = records.Version(epoch=epoch, number=number)
     return records.Entry(key=key, version=version, value=None if content is None else unpack(content))
 
 
 def plain_entry(entry: records.Entry) -> Plain:
-    """``[key, epoch, number, value]``."""
+    """Return an entry as ``[key, epoch, number, value]``."""
     content = None if entry.value is None else pack(entry.value)
     return [entry.key, entry.version.epoch, entry.version.number, content]
 
 
 def encode_poll(value: Plain) -> bytes:
-    """A subscriber's poll."""
+    """Encode a subscriber's poll."""
     positions = [
         records.Position(number=one[0], cursor=one[1]) if one else records.Position()
         for one in value["positions"]
@@ -410,11 +411,11 @@
 
 
 def decode_poll(data: bytes) -> Plain:
-    """The fields of a poll, or why it is refused."""
+    """Return the fields of a poll, or the reason for its rejection."""
     try:
         poll = records.decode_poll(DEPLOYMENT, data)
-    except wire.WireError as refused:
-        return {"refused": str(refused)}
+    except wire.WireError as error:
+        return {"refused": str(error)}
     return {
         "deployment": poll.deployment,
         "form": poll.format_version,
@@ -427,7 +428,7 @@
     }
 
 
-REFUSALS = {
+REJECTIONS = {
     "none": records.Rejection.NONE,
     "too many subscribers": records.Rejection.FULL,
     "no whole copy": records.Rejection.NOT_READY,
@@ -437,7 +438,7 @@
 
 
 def part_of(value: Plain) -> records.LaneChanges:
-    """One lane's part of a reply; absent fields have their defaults."""
+    """Build one lane's part of a reply; absent fields have their defaults."""
     optional: dict[str, Any] = {}
     if "changes" in value:
         optional["changes"] = [entry_of(one) for one in value["changes"]]
@@ -452,10 +453,10 @@
 
 
 def encode_reply(value: Plain) -> bytes:
-    """A relay's reply."""
+    """Encode a relay's reply."""
     optional: dict[str, Any] = {}
     if "refusal" in value:
-        optional["rejection"] = REFUSALS[value["refusal"]]
+        optional["rejection"] = REJECTIONS[value["refusal"]]
     if "parts" in value:
         optional["lanes"] = [part_of(one) for one in value["parts"]]
     if "more" in value:
@@ -474,11 +475,11 @@
 
 
 def decode_reply(data: bytes) -> Plain:
-    """The fields of a reply, or why it is refused."""
+    """Return the fields of a reply, or the reason for its rejection."""
     try:
         reply = records.decode_reply(DEPLOYMENT, data)
-    except wire.WireError as refused:
-        return {"refused": str(refused)}
+    except wire.WireError as error:
+        return {"refused": str(error)}
     return {
         "deployment": reply.deployment,
         "form": reply.format_version,
@@ -486,7 +487,7 @@
         "source": reply.source,
         "epoch": reply.epoch,
         "age": reply.age,
-        "refusal": next(word for word, one in REFUSALS.items() if one is reply.rejection),
+        "refusal": next(word for word, one in REJECTIONS.items() if one is reply.rejection),
         "parts": [
             {
                 "first": part.since,
@@ -504,7 +505,7 @@
 
 
 def capture_contents(value: Plain) -> Plain:
-    """What a front makes of distributed entries: settings over a base, and nodes."""
+    """Return what a front derives from distributed entries: merged settings and listed nodes."""
     entries = [entry_of(one) for one in value["entries"]]
     settings = contents.DistributedSettings().with_entries(contents.settings_entries(entries))
     nodes, unreadable = contents.listed_nodes(entries)
@@ -523,15 +524,15 @@
 
 
 def capture_first_poll(value: Plain) -> Plain:
-    """The first poll of a subscriber that knows nothing."""
-    one = Subscriber(DEPLOYMENT, value["subscriber"], [["192.0.2.1:1"]], random.Random(1))
-    one.step(0.0)
-    actions = one.step(60.0)
+    """Return the first poll of a subscriber without any entries."""
+    subscriber = Subscriber(DEPLOYMENT, value["subscriber"], [["192.0.2.1:1"]], random.Random(1))
+    subscriber.step(0.0)
+    actions = subscriber.step(60.0)
     return [pack(action.data) for action in actions if isinstance(action, SendPoll)]
 
 
 def capture_answer_to_poll(value: Plain) -> Plain:
-    """A relay's answer to a poll, from a store with these entries: each lane has its place in both."""
+    """Return a relay's answer to a poll, from a store with the given entries."""
     store = ChangeStore(value["epoch"])
     for one in value["entries"]:
         store.lanes[contents.lane_of(one[0])].put(0.0, entry_of(one))
@@ -543,7 +544,7 @@
 
 
 async def capture_framing(value: Plain) -> Plain:
-    """A message written to a stream by one side and read from it by the other."""
+    """Write a message to a stream and read it on the other side; return the bytes and the message."""
     data, out = unpack(value["message"]), asyncio.Queue[bytes]()
 
     async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -557,10 +558,10 @@
     sent = await out.get()
     writer.close()
     server.close()
-    again = asyncio.StreamReader()
-    again.feed_data(sent)
+    replayed = asyncio.StreamReader()
+    replayed.feed_data(sent)
     try:
-        read: Plain = pack(await read_message(again, value["most"]))
+        read: Plain = pack(await read_message(replayed, value["most"]))
     except MessageTooLongError as error:
         read = {"refused": str(error)}
     return {"written": pack(sent), "read": read}
@@ -570,7 +571,7 @@
 
 
 def encode_vrrp(value: Plain) -> bytes:
-    """An advertisement."""
+    """Encode an advertisement."""
     return vrrp.encode_advertisement(
         vrrp.Advertisement(
             router=value["router"],
@@ -582,7 +583,7 @@
 
 
 def decode_vrrp(data: bytes) -> Plain:
-    """The fields of an advertisement, or why it is none."""
+    """Return the fields of an advertisement, or the reason for its rejection."""
     try:
         message = vrrp.decode_advertisement(data)
     except vrrp.AdvertisementError as error:
@@ -599,7 +600,7 @@
 
 
 def attributes_of(value: Plain) -> sftp.Attrs:
-    """File attributes; those that are absent are not stated."""
+    """Build file attributes; absent ones are left unset."""
     return sftp.Attrs(
         size=value.get("size"),
         owner=tuple(value["owner"]) if "owner" in value else None,
@@ -610,19 +611,19 @@
 
 
 def plain_attributes(attrs: sftp.Attrs) -> Plain:
-    """The attributes that are stated."""
-    stated = {
+    """Return the attributes that are set."""
+    attributes = {
         "size": attrs.size,
         "owner": list(attrs.owner) if attrs.owner else None,
         "permissions": attrs.permissions,
         "times": list(attrs.times) if attrs.times else None,
         "extended": [[pack(name), pack(content)] for name, content in attrs.extended] or None,
     }
-    return {name: one for name, one in stated.items() if one is not None}
+    return {name: one for name, one in attributes.items() if one is not None}
 
 
 def sftp_packet_of(value: Plain) -> sftp.Packet:
-    """A packet of the type that the draft names."""
+    """Build a packet from the draft's name of its type."""
     number = value["id"]
     match value["type"]:
         case "INIT":
@@ -684,7 +685,7 @@
 
 
 def plain_sftp_packet(packet: sftp.Packet) -> Plain:
-    """Every field of a packet, by the draft's name of its type."""
+    """Return every field of a packet, with the draft's name of its type."""
     out: dict[str, Plain] = {"id": packet.id}
     match packet:
         case sftp.Init():
@@ -754,12 +755,12 @@
 
 
 def encode_sftp_packet(value: Plain) -> bytes:
-    """A packet with its length."""
+    """Encode a packet with its length."""
     return sftp_codec.encode(sftp_packet_of(value))
 
 
 def decode_sftp_packet(data: bytes) -> Plain:
-    """The fields of a packet that comes with its length, or why it is none."""
+    """Return the fields of a packet with its length, or the reason for its rejection."""
     try:
         return plain_sftp_packet(sftp_codec.decode(data[4:]))
     except sftp.PacketError as error:
@@ -770,7 +771,7 @@
 
 
 def all_settings() -> SchedulerSettings:
-    """Settings with a value in every field."""
+    """Return settings with a value in every field."""
     safety = SafetyLimits(
         slow_start_initial_fraction=0.2,
         slow_start_duration=10.0,
@@ -782,7 +783,7 @@
         retry_budget_ratio=0.1,
         retry_budget_window=10.0,
     )
-    kinds = [
+    idempotency = [
         (Idempotency.IDEMPOTENT, IdempotencyScope.ALL, False),
         (Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL, False),
         (Idempotency.KEYED, IdempotencyScope.ALL, True),
@@ -792,12 +793,12 @@
             latency_objective=0.5,
             priority_weight=2.0,
             late_value=0.2,
-            idempotency=repeat,
+            idempotency=kind,
             idempotency_scope=scope,
             idempotency_window=5.0,
             ordered=ordered,
         )
-        for repeat, scope, ordered in kinds
+        for kind, scope, ordered in idempotency
     ]
     plan = VolumePlan(
         priority_weight=1.0,
@@ -830,7 +831,7 @@
 
 
 def front_config() -> Config:
-    """A front with three classes: a read, a write, and a write that carries a key."""
+    """Return a configuration with three classes: a read, a write, and a write that carries a key."""
     return Config(
         name="n0",
         listen=Address(LOCAL, 0),
@@ -847,14 +848,14 @@
         body_memory_bytes=36 << 20,
         shard_count=9,
         zones={"basement": 0},
-        connect_timeout=PATIENCE,
+        connect_timeout=EXCHANGE_TIMEOUT,
         idle_timeout=30.0,
         drain_grace=1.0,
     )
 
 
-def capture_understood_request(value: Plain) -> Plain:
-    """What is understood of a client's request, or why it is answered 400."""
+def capture_client_request(value: Plain) -> Plain:
+    """Return the decoded request of a client, or the reason why it is answered 400."""
     headers = CIMultiDictProxy(CIMultiDict([(name, text) for name, text in value["headers"]]))
     body = [unpack(one) for one in value.get("body", [])]
     try:
@@ -879,7 +880,7 @@
 
 
 def encode_node_request(value: Plain) -> bytes:
-    """An attempt as it is written to a node."""
+    """Encode an attempt as it is written to a node."""
     request = requests.ClientRequest(
         trace_id=value["trace"],
         method=value["method"],
@@ -900,7 +901,7 @@
 
 
 def encode_node_probe(value: Plain) -> bytes:
-    """A probe of a node's load as it is written."""
+    """Encode a probe of a node's load."""
     return requests.encode_load_probe(Address(value["node"][0], value["node"][1]))
 
 
@@ -912,56 +913,56 @@
 
 
 async def capture_node_answer(value: Plain) -> Plain:
-    """What is understood of a node's answer, which comes in pieces; ``closed``: then its connection ends."""
-    reader, answer_poll = answers.AnswerReader(), None
+    """Return the decoded answer of a node from its pieces; ``closed``: the connection ends after them."""
+    reader, answer = answers.AnswerReader(), None
     rest: list[Plain] = []
     try:
         for piece in value["pieces"]:
-            if answer_poll is None:
-                answer_poll = reader.feed(unpack(piece))
+            if answer is None:
+                answer = reader.feed(unpack(piece))
             else:
                 rest.append(pack(reader.feed_body(unpack(piece))))
-        if answer_poll is None and value.get("closed"):
-            answer_poll = reader.feed_eof()
+        if answer is None and value.get("closed"):
+            answer = reader.feed_eof()
     except messages.MalformedAnswerError as error:
         return {"spoilt": str(error)}
-    if answer_poll is None:
+    if answer is None:
         return {"more is to come": True}
     return {
-        "status": answer_poll.status,
-        "headers": [[name, text] for name, text in answer_poll.headers.items()],
-        "body": pack(answer_poll.body),
-        "reusable": answer_poll.connection_reusable,
-        "length": answer_poll.length,
-        "long": answer_poll.is_streamed,
+        "status": answer.status,
+        "headers": [[name, text] for name, text in answer.headers.items()],
+        "body": pack(answer.body),
+        "reusable": answer.connection_reusable,
+        "length": answer.length,
+        "long": answer.is_streamed,
         "rest": rest,
         "whole": reader.is_complete,
-        "means": OUTCOMES[answers.decode_outcome(answer_poll.status, answer_poll.headers)],
-        "served by other fronts": answers.decode_served_elsewhere(answer_poll.headers),
-        "load in the head": answers.decode_utilization(answer_poll.headers),
-        "load in the body": answers.decode_load_probe(answer_poll),
+        "means": OUTCOMES[answers.decode_outcome(answer.status, answer.headers)],
+        "served by other fronts": answers.decode_served_elsewhere(answer.headers),
+        "load in the head": answers.decode_utilization(answer.headers),
+        "load in the body": answers.decode_load_probe(answer),
     }
 
 
 class ScriptedCore(Core):
-    """A core without a policy: each request has the next of the scripted fates."""
+    """A core without a scheduler: each request gets the next scripted outcome."""
 
-    fates: list[Plain]
+    outcomes: list[Plain]
 
     async def serve(self, arrival: RequestArrived, attempt: Callable[..., Awaitable[Any]]) -> Any:
-        """``["refuse", seconds]``, ``["fail"]`` or ``["attempt"]``, which serves what the node answers."""
-        fate = self.fates.pop(0)
-        if fate[0] == "refuse":
-            return Rejected(fate[1])
-        if fate[0] == "attempt":
-            ending = await attempt(1, lambda: True)
-            if ending.outcome is AttemptOutcome.SERVED:
-                return Served(ending.value)
+        """Apply ``["refuse", seconds]``, ``["fail"]`` or ``["attempt"]``, which serves the node's answer."""
+        outcome = self.outcomes.pop(0)
+        if outcome[0] == "refuse":
+            return Rejected(outcome[1])
+        if outcome[0] == "attempt":
+            result = await attempt(1, lambda: True)
+            if result.outcome is AttemptOutcome.SERVED:
+                return Served(result.value)
         return Failed()
 
 
 def node_instance(port: int) -> Instance:
-    """A live node on loopback."""
+    """Return a live node on loopback."""
     return Instance(
         name="s-a",
         address=Address(LOCAL, port),
@@ -972,14 +973,16 @@
     )
 
 
-async def read_http(reader: asyncio.StreamReader, passed: asyncio.Event | None = None) -> bytes:
-    """A whole message with a length or in chunks, which come joined to one, as their sizes differ from run to
-    run; or all up to the end of the stream. ``passed`` is set after the head."""
+async def read_http(reader: asyncio.StreamReader, head_read: asyncio.Event | None = None) -> bytes:
+    """Read one whole message with a length or in chunks, or everything up to the end of the stream.
+
+    Chunks are joined to one, as their sizes differ from run to run. ``head_read`` is set after the head.
+    """
     head = b""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
-        if passed:
-            passed.set()
+        if head_read:
+            head_read.set()
         lower = head.lower()
         if lower.startswith(b"http/1.1 100"):
             return head + await read_http(reader)
@@ -988,7 +991,7 @@
             while size := int(await reader.readuntil(b"\r\n"), 16):
                 body += await reader.readexactly(size)
                 if await reader.readexactly(2) != b"\r\n":
-                    raise ValueError("a chunk does not end where it says")
+                    raise ValueError("the chunk's data is not followed by CRLF")
             end = b"0\r\n" + await reader.readuntil(b"\r\n")
             return head + b"%x\r\n%b\r\n" % (len(body), body) + end
         for line in lower.split(b"\r\n"):
@@ -1004,7 +1007,7 @@
 
 @asynccontextmanager
 async def listening(converse: Conversation) -> AsyncIterator[int]:
-    """A peer on loopback; yields its port. Its conversations are over at the end."""
+    """Listen on loopback and yield the port; all connections are closed at the end."""
     writers: list[asyncio.StreamWriter] = []
     tasks: list[asyncio.Task[Any] | None] = []
 
@@ -1026,19 +1029,21 @@
 
 @asynccontextmanager
 async def scripted_node(
-    answers: list[Plain], heard: list[bytes], passed: asyncio.Event | None = None
+    answers: list[Plain], received: list[bytes], head_read: asyncio.Event | None = None
 ) -> AsyncIterator[int]:
-    """A node on loopback that notes each request and gives the next answer; yields its port. An answer of two
-    parts goes on once the client has the head of its own (``passed``)."""
+    """Run a node on loopback that records each request and gives the next answer; yield its port.
+
+    The second part of an answer in two parts is sent once the client has read the head (``head_read``).
+    """
 
     async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while (request := await read_http(reader)) and answers:
-            heard.append(request)
+            received.append(request)
             match answers.pop(0):
                 case [first, second]:
                     writer.write(unpack(first))
-                    if passed:
-                        await passed.wait()
+                    if head_read:
+                        await head_read.wait()
                     writer.write(unpack(second))
                 case whole:
                     writer.write(unpack(whole))
@@ -1048,16 +1053,16 @@
 
 
 async def capture_http(value: Plain) -> Plain:
-    """Clients' requests, each on a connection of its own: what they are answered, and what nodes are sent."""
-    heard: list[bytes] = []
+    """Send requests, each on a connection of its own; return the answers and the requests to nodes."""
+    received: list[bytes] = []
     answered: list[Plain] = []
-    passed = asyncio.Event()
-    async with scripted_node(list(value.get("node answers", [])), heard, passed) as port:
+    head_read = asyncio.Event()
+    async with scripted_node(list(value.get("node answers", [])), received, head_read) as port:
         config = front_config()
         core, directory = ScriptedCore(config.settings), Directory({"basement": 0})
-        core.fates = list(value.get("fates", []))
+        core.outcomes = list(value.get("fates", []))
         directory.apply(EndpointList(version=1, is_complete=True, instances=[node_instance(port)]))
-        nodes, drain = BackendPools(directory, PATIENCE, 30.0, 32), FrontDrain()
+        nodes, drain = BackendPools(directory, EXCHANGE_TIMEOUT, 30.0, 32), FrontDrain()
         front = HttpServer(config, core, nodes, lambda: value.get("ready", True), drain)
         if value.get("draining"):
             drain.start()
@@ -1066,24 +1071,24 @@
             for request in value["requests"]:
                 reader, writer = await asyncio.open_connection(LOCAL, front.address.port)
                 writer.write(unpack(request))
-                answered.append(blank(await read_http(reader, passed)))
+                answered.append(blank(await read_http(reader, head_read)))
                 writer.close()
         finally:
             await front.close()
             nodes.close()
-    return {"answers": answered, "to nodes": [blank(one) for one in heard]}
+    return {"answers": answered, "to nodes": [blank(one) for one in received]}
 
 
 async def capture_probe(value: Plain) -> Plain:
-    """A probe over loopback: what the node is sent, and the load that is understood."""
-    heard: list[bytes] = []
-    async with scripted_node([value["node answer"]], heard) as port:
+    """Probe a node over loopback; return the request to it and the decoded load."""
+    received: list[bytes] = []
+    async with scripted_node([value["node answer"]], received) as port:
         directory = Directory({"basement": 0})
         directory.apply(EndpointList(version=1, is_complete=True, instances=[node_instance(port)]))
-        nodes = BackendPools(directory, PATIENCE, 30.0, 32)
-        load = await nodes.probe_load(1, PATIENCE)
+        nodes = BackendPools(directory, EXCHANGE_TIMEOUT, 30.0, 32)
+        load = await nodes.probe_load(1, EXCHANGE_TIMEOUT)
         nodes.close()
-    return {"to nodes": [blank(one) for one in heard], "load": load}
+    return {"to nodes": [blank(one) for one in received], "load": load}
 
 
 # Discovery
@@ -1096,7 +1101,7 @@
 
 
 def plain_listing(listing: EndpointList) -> Plain:
-    """Every field of a list."""
+    """Return every field of a node list."""
     return {
         "version": listing.version,
         "whole": listing.is_complete,
@@ -1115,7 +1120,7 @@
 
 
 async def decode_node_list(data: bytes) -> Plain:
-    """A list as it is read in one go and in parts, which come to the same, or why it is refused."""
+    """Return a list decoded in one go and in parts, with equal results, or the reasons for its rejection."""
     both: list[Plain] = []
     try:
         both.append(plain_listing(decode_endpoint_list(data)))
@@ -1137,11 +1142,13 @@
 
 
 async def capture_discovery(value: Plain) -> Plain:
-    """The calls of a watch over loopback, each once, and the events that come of the answers. Calls that a
-    slow machine makes it repeat are left out."""
+    """Return the calls of a watch over loopback and the events that its answers cause.
+
+    Each call is listed once: repetitions, which occur on a slow machine, are left out.
+    """
     calls: list[Plain] = []
     events: list[Plain] = []
-    enough = asyncio.Event()
+    all_received = asyncio.Event()
 
     async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while call := await read_http(reader):
@@ -1149,7 +1156,7 @@
                 calls.append(one)
             writer.write(unpack(value["watch" if b"watch=" in call else "list"]))
 
-    def heard(event: SchedulerEvent) -> None:
+    def on_event(event: SchedulerEvent) -> None:
         assert isinstance(event, EndpointUpdate)
         entries = [
             [one.node_id, shard_number(one.shard), one.zone, NODE_STATES[one.state], one.started_at]
@@ -1157,16 +1164,16 @@
         ]
         events.append({"kind": LIST_KINDS[event.kind], "nodes": entries})
         if len(events) == value["events"]:
-            enough.set()
+            all_received.set()
 
     async with listening(converse) as port:
         directory = Directory({"basement": 0})
         directory.version = value.get("known version")
-        watch = Discovery(Address(LOCAL, port), directory, heard, own_agent=value["own agent"])
+        watch = Discovery(Address(LOCAL, port), directory, on_event, own_agent=value["own agent"])
         watch.start()
         try:
-            async with asyncio.timeout(PATIENCE):
-                await enough.wait()
+            async with asyncio.timeout(EXCHANGE_TIMEOUT):
+                await all_received.wait()
         finally:
             watch.stop()
     return {"calls": calls[: value["calls"]], "events": events[: value["events"]]}
@@ -1175,9 +1182,9 @@
 # Administration
 
 
-def counted_figures() -> Metrics:
-    """Counters of which each has another value."""
-    figures = Metrics()
+def sample_metrics() -> Metrics:
+    """Return metrics in which each counter has a different value."""
+    metrics = Metrics()
     for name, status, times in (
         ("tile-read", 200, 5),
         ("tile-read", 503, 3),
@@ -1187,47 +1194,50 @@
         ("retired", 200, 1),
     ):
         for _ in range(times):
-            figures.count_answer(name, status)
-    figures.backend_calls, figures.in_flight = 17, 4
-    figures.reloads_applied, figures.reloads_rejected, figures.faults = 7, 8, 9
-    return figures
-
-
-def config_status() -> ConfigStatus:
-    """What of distributed configuration is in force, with one change that is not valid."""
-    one = Subscriber(DEPLOYMENT, "n0", [["192.0.2.1:1"]], random.Random(1))
-    one.epoch, one.source_name, one.poll_count, one.bytes_exchanged = 3, "source-1", 11, 4096
-    one.current_as_of = 90.0
-    one.rejected["unreadable"], one.rejected["older epoch"] = 2, 1
-    one.lanes[records.Lane.SETTINGS].position = records.Position(number=25, cursor=None)
-    one.lanes[records.Lane.NODES].position = records.Position(number=24, cursor=None)
-    status = ConfigStatus(one)
+            metrics.count_answer(name, status)
+    metrics.backend_calls, metrics.in_flight = 17, 4
+    metrics.reloads_applied, metrics.reloads_rejected, metrics.faults = 7, 8, 9
+    return metrics
+
+
+def config_status() -> SubscriptionStatus:
+    """Return the status of a subscription to distributed configuration, with one invalid change."""
+    subscriber = Subscriber(DEPLOYMENT, "n0", [["192.0.2.1:1"]], random.Random(1))
+    subscriber.epoch, subscriber.source_name, subscriber.poll_count, subscriber.bytes_exchanged = (
+        3,
+        "source-1",
+        11,
+        4096,
+    )
+    subscriber.current_as_of = 90.0
+    subscriber.rejected["unreadable"], subscriber.rejected["older epoch"] = 2, 1
+    subscriber.lanes[records.Lane.SETTINGS].position = records.Position(number=25, cursor=None)
+    subscriber.lanes[records.Lane.NODES].position = records.Position(number=24, cursor=None)
+    status = SubscriptionStatus(subscriber)
     status.settings_applied(records.Version(epoch=3, number=25), ["settings"])
     status.settings_rejected("settings/Limits", records.Version(epoch=3, number=23), "Limits: want an object")
     return status
 
 
 def recovery_lines(value: Plain) -> list[str]:
-    """``show-recovery`` of a start: at its begin, amid it, and at its end."""
-    recovery = StagedStart(100.0, 105.0)
+    """Return the lines of ``show-recovery`` at the beginning of a start, in the middle and at its end."""
+    start = StagedStart(100.0, 105.0)
     if value["stage"] != "begin":
-        recovery.step(
-            100.25, [Evidence(StartStage.DISK, "nothing found"), Evidence(StartStage.PEERS, "a peer")]
-        )
+        start.step(100.25, [Evidence(StartStage.DISK, "nothing found"), Evidence(StartStage.PEERS, "a peer")])
     if value["stage"] == "end":
-        recovery.step(101.5)
-        recovery.step(106.0)
-    return recovery.status_lines({"begin": 100.125, "amid": 100.5, "end": 107.0}[value["stage"]])
+        start.step(101.5)
+        start.step(106.0)
+    return start.status_lines({"begin": 100.125, "amid": 100.5, "end": 107.0}[value["stage"]])
 
 
 async def capture_control(value: Plain) -> Plain:
-    """Control calls over loopback, each on a connection of its own, and their answers."""
+    """Make control calls over loopback, each on a connection of its own; return them with their answers."""
     view = await fleet_view(value)
     view.announce_settings(all_settings())
-    figures = counted_figures()
+    metrics = sample_metrics()
 
     def stat() -> list[str]:
-        lines = figures.stat_lines(["tile-read", "record-write"], 6, 2)
+        lines = metrics.stat_lines(["tile-read", "record-write"], 6, 2)
         return [*lines, *(view.metric_lines() if value["fleet"] else []), *config_status().lines(100.0)]
 
     commands = ControlCommands(
@@ -1255,19 +1265,19 @@
 
 
 def control_call(port: int, call: bytes) -> Plain:
-    """One call and its answer, up to the end of the connection."""
-    with socket.create_connection((LOCAL, port), timeout=PATIENCE) as connection:
+    """Make one call and read its answer up to the end of the connection; return both."""
+    with socket.create_connection((LOCAL, port), timeout=EXCHANGE_TIMEOUT) as connection:
         connection.sendall(call)
-        got = b""
+        answer = b""
         while piece := connection.recv(4096):
-            got += piece
-    return [pack(call), pack(got)]
+            answer += piece
+    return [pack(call), pack(answer)]
 
 
 async def capture_metrics(value: Plain) -> Plain:
-    """Calls to the exporter over loopback, and their answers."""
+    """Make calls to the metrics listener over loopback; return their answers."""
     gauges = (lambda: config_status().gauges(100.0)) if value["gauges"] else dict
-    listener = MetricsListener(Address(LOCAL, 0), counted_figures(), lambda: (6, 2), gauges)
+    listener = MetricsListener(Address(LOCAL, 0), sample_metrics(), lambda: (6, 2), gauges)
     out = []
     try:
         for call in value["calls"]:
@@ -1281,19 +1291,19 @@
     return out
 
 
-# Files over SFTP
+# SFTP sessions
 
 
 async def capture_sftp(value: Plain) -> Plain:
-    """A client's session over loopback: its answers, and what the node is sent on each connection."""
+    """Run a client's session over loopback; return its answers and the packets to the node by connection."""
     to_node: list[list[Plain]] = []
     replies = [list(one) for one in value["node connections"]]
 
     async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        mine, script = list[Plain](), replies.pop(0)
-        to_node.append(mine)
+        packets, script = list[Plain](), replies.pop(0)
+        to_node.append(packets)
         while True:
-            mine.append(pack(await read_sized(reader)))
+            packets.append(pack(await read_packet(reader)))
             if script:
                 writer.write(unpack(script.pop(0)))
 
@@ -1302,18 +1312,18 @@
     return {"to client": answers, "to node": to_node}
 
 
-async def read_sized(reader: asyncio.StreamReader) -> bytes:
-    """A packet with its length."""
+async def read_packet(reader: asyncio.StreamReader) -> bytes:
+    """Read a packet with its length."""
     size = await reader.readexactly(4)
     return size + await reader.readexactly(int.from_bytes(size, "big"))
 
 
 async def sftp_answers(value: Plain, port: int) -> list[Plain]:
-    """What a front for files answers its client, where its node is at this port."""
+    """Return the SFTP server's answers to its client, with the node at this port."""
     core, directory = ScriptedCore(all_settings()), Directory({"basement": 0})
-    core.fates = list(value["fates"])
+    core.outcomes = list(value["fates"])
     directory.apply(EndpointList(version=1, is_complete=True, instances=[node_instance(port)]))
-    nodes = SftpBackends(directory, 0, PATIENCE, 2 * PATIENCE, 32)
+    nodes = SftpBackends(directory, 0, EXCHANGE_TIMEOUT, 2 * EXCHANGE_TIMEOUT, 32)
     config = SftpSettings(
         listen=Address(LOCAL, 0),
         volumes=[VolumePath("/plats", 7, 0, 0, 1)],
@@ -1323,8 +1333,8 @@
         max_upload_bytes=65536,
         unit_bytes=8192,
         max_open_files=4,
-        idle_timeout=PATIENCE,
-        command_timeout=PATIENCE,
+        idle_timeout=EXCHANGE_TIMEOUT,
+        command_timeout=EXCHANGE_TIMEOUT,
     )
     front = SftpServer(config, core, nodes, 32)
     await front.open()
@@ -1332,10 +1342,10 @@
     reader, writer = await asyncio.open_connection(LOCAL, front.listener.sockets[0].getsockname()[1])
     answers = []
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(EXCHANGE_TIMEOUT):
             for packet in value["client"]:
                 writer.write(unpack(packet))
-                answers.append(pack(await read_sized(reader)))
+                answers.append(pack(await read_packet(reader)))
     finally:
         writer.close()
         await front.close(1.0)
@@ -1343,11 +1353,11 @@
     return answers
 
 
-# The simulator's wire
+# The simulator's protocol
 
 
 def encode_simulator_step(value: Plain) -> bytes:
-    """A step as the simulator is sent it."""
+    """Encode an action as it is sent to the simulator."""
     action: SchedulerAction
     match value["step"]:
         case "send":
@@ -1362,11 +1372,11 @@
             action = SetTimer(delay=value["seconds"], token=value["token"])
         case _:
             action = WatchEndpoints()
-    return json.dumps(simhost.write_action(value["instance"], action)).encode()
+    return json.dumps(simulator.write_action(value["instance"], action)).encode()
 
 
 def plain_event(event: SchedulerEvent) -> Plain:
-    """Every field of an event of the simulator's."""
+    """Return every field of an event from the simulator."""
     match event:
         case RequestArrived():
             return {
@@ -1418,7 +1428,7 @@
 
 
 def decode_simulator_event(data: bytes) -> Plain:
-    """What is understood of an event; the list of slot 0 has three nodes."""
+    """Return a decoded event; the list of slot 0 has three nodes."""
     nodes: list[dict[str, Any]] = [
         {"Shelf": 1, "Pack": 3, "Area": 2, "StageState": "live", "UpSinceS": 4.5},
         {"Shelf": 2, "StageState": "quiescing"},
@@ -1426,18 +1436,18 @@
     ]
     value = json.loads(data)
     try:
-        event = simhost.read_event(value["type"], value, {0: [simhost.read_entry(one) for one in nodes]})
-    except simhost.MalformedBatchError as error:
+        event = simulator.read_event(value["type"], value, {0: [simulator.read_entry(one) for one in nodes]})
+    except simulator.MalformedBatchError as error:
         return {"refused": str(error)}
     return plain_event(event)
 
 
 def capture_simulator(value: Plain) -> Plain:
-    """A whole conversation with the simulator, line by line."""
+    """Run a whole session with the simulator; return the lines sent."""
     sink = io.StringIO()
     try:
-        simhost.serve(io.StringIO("".join(f"{json.dumps(line)}\n" for line in value["lines"])), sink)
-    except simhost.MalformedBatchError as error:
+        simulator.serve(io.StringIO("".join(f"{json.dumps(line)}\n" for line in value["lines"])), sink)
+    except simulator.MalformedBatchError as error:
         return {"sent": sink.getvalue(), "refused": str(error)}
     return {"sent": sink.getvalue()}
 
@@ -1446,7 +1456,7 @@
     "fleet datagram": encode_fleet_datagram,
     "fleet view": encode_fleet_view,
     "shared holds": encode_holds,
-    "latest words": encode_latest_words,
+    "latest words": encode_latest_values,
     "highest numbers": encode_highest_numbers,
     "distribution poll": encode_poll,
     "distribution reply": encode_reply,
@@ -1461,7 +1471,7 @@
     "fleet datagram": decode_fleet_datagram,
     "fleet view": decode_fleet_view,
     "shared holds": decode_holds,
-    "latest words": decode_latest_words,
+    "latest words": decode_latest_values,
     "highest numbers": decode_highest_numbers,
     "distribution poll": decode_poll,
     "distribution reply": decode_reply,
@@ -1472,13 +1482,13 @@
 }
 
 CAPTURES: dict[str, Callable[[Plain], Plain]] = {
-    "sums among fronts": lambda given: asyncio.run(capture_sums(given)),
+    "sums among fronts": lambda given: asyncio.run(capture_checksums(given)),
     "answer to a view": lambda given: asyncio.run(capture_view_exchange(given)),
     "distributed contents": capture_contents,
     "first poll": capture_first_poll,
     "answer to a poll": capture_answer_to_poll,
     "framing": lambda given: asyncio.run(capture_framing(given)),
-    "understood request": capture_understood_request,
+    "understood request": capture_client_request,
     "node answer": lambda given: asyncio.run(capture_node_answer(given)),
     "http exchange": lambda given: asyncio.run(capture_http(given)),
     "probe exchange": lambda given: asyncio.run(capture_probe(given)),
@@ -1491,15 +1501,15 @@
 
 
 def encode(kind: str, given: Plain) -> bytes:
-    """The bytes of a message of this kind from plain values."""
+    """Return the bytes of a message of this kind from recorded values."""
     return ENCODERS[kind](given)
 
 
 def decode(kind: str, data: bytes) -> Plain:
-    """The plain values of a message of this kind."""
+    """Return the values of a message of this kind in recorded form."""
     return DECODERS[kind](data)
 
 
 def capture(kind: str, given: Plain) -> Plain:
-    """What running code sends and understands where it is given this."""
+    """Return what the running code sends and receives for this input."""
     return CAPTURES[kind](given)
