--- a/tests/recorded/bytes_samples.py
+++ b/tests/recorded/bytes_samples.py
@@ -49,8 +49,13 @@
 
 def fleet() -> dict[str, Plain]:
     """Datagrams and full states of every type, and rejected ones."""
-    me = {"life": ["n1", 41], "address": "192.0.2.1:7001", "state": "alive", "count": 3}
-    full = me | {"state": "suspected", "sole": True, "accuser": "n7", "settings sum": 3735928559}
+    sender_update = {"life": ["n1", 41], "address": "192.0.2.1:7001", "state": "alive", "count": 3}
+    full_update = sender_update | {
+        "state": "suspected",
+        "sole": True,
+        "accuser": "n7",
+        "settings sum": 3735928559,
+    }
     bodies: dict[str, Plain] = {
         "ping": {"number": 70000, "target": ["n2", 1 << 40], "members sum": 4294967295},
         "ack": {"number": 1},
@@ -62,24 +67,24 @@
     }
     out: dict[str, Plain] = {}
     for name, body in bodies.items():
-        given = {"sender": me, "body": {"type": name} | body, "rumours": []}
+        given = {"sender": sender_update, "body": {"type": name} | body, "rumours": []}
         out[f"fleet datagram: {name}"] = {"kind": "fleet datagram", "given": given}
     states = [
-        full | {"life": [f"n{place}", place], "state": state, "count": place}
-        for place, state in enumerate(["alive", "suspected", "dead", "left"])
+        full_update | {"life": [f"n{index}", index], "state": state, "count": index}
+        for index, state in enumerate(["alive", "suspected", "dead", "left"])
     ]
-    given = {"sender": full, "body": {"type": "gossip"}, "rumours": states}
+    given = {"sender": full_update, "body": {"type": "gossip"}, "rumours": states}
     out["fleet datagram: all states, every field"] = {"kind": "fleet datagram", "given": given}
-    many = [me | {"life": [f"front-{place:02}", place]} for place in range(64)]
-    given = {"sender": me, "body": {"type": "gossip"}, "rumours": many}
+    many_updates = [sender_update | {"life": [f"front-{index:02}", index]} for index in range(64)]
+    given = {"sender": sender_update, "body": {"type": "gossip"}, "rumours": many_updates}
     out["fleet datagram: more rumours than it holds"] = {"kind": "fleet datagram", "given": given}
-    given = {"deployment": "other", "sender": me, "body": {"type": "gossip"}, "rumours": []}
+    given = {"deployment": "other", "sender": sender_update, "body": {"type": "gossip"}, "rumours": []}
     out["fleet datagram: foreign"] = {"kind": "fleet datagram", "given": given}
     copies = {"hex": "82a5636c6f636b80a468656c6480"}
-    view: Plain = {"sender": full, "lives": [me, *states], "copies": copies}
+    view: Plain = {"sender": full_update, "lives": [sender_update, *states], "copies": copies}
     out["fleet view: every field"] = {"kind": "fleet view", "given": view}
-    out["fleet view: least"] = {"kind": "fleet view", "given": {"sender": me, "lives": []}}
-    given = {"deployment": "other", "sender": me, "lives": []}
+    out["fleet view: least"] = {"kind": "fleet view", "given": {"sender": sender_update, "lives": []}}
+    given = {"deployment": "other", "sender": sender_update, "lives": []}
     out["fleet view: foreign"] = {"kind": "fleet view", "given": given}
     sender = bytes([0x97, 0x92, 0xA2, 0x6E, 0x31, 41, 0xA1, 0x78, 0, 3, 0xC2, 0xA0, 0])
     short = bytes([0x94, 0x92, 0xA2, 0x6E, 0x31, 41, 0xA1, 0x78, 0, 3])
@@ -153,7 +158,7 @@
 def distribution() -> dict[str, Plain]:
     """Polls, replies, and the settings and nodes that a front derives from entries."""
     poll = {"subscriber": "n1", "number": 7, "epoch": 3, "bytes": 262144}
-    every = poll | {"positions": [[24, None], [25, "settings/Limits"]], "with removals": True}
+    full_poll = poll | {"positions": [[24, None], [25, "settings/Limits"]], "with removals": True}
     entries = [
         ["settings", 3, 1, text('{"Lanes": [], "Siblings": 2}')],
         ["settings/Siblings", 3, 9, text("3")],
@@ -177,17 +182,17 @@
     ]
     reply = {"number": 7, "source": "source-1", "epoch": 3, "age": 0.25}
     given: dict[str, Plain] = {
-        "distribution poll: every field": every,
+        "distribution poll: every field": full_poll,
         "distribution poll: least": poll | {"positions": [None, None]},
-        "distribution poll: foreign": every | {"deployment": "other"},
-        "distribution poll: another form": every | {"form": 2},
+        "distribution poll: foreign": full_poll | {"deployment": "other"},
+        "distribution poll: another form": full_poll | {"form": 2},
         "distribution reply: every field": reply | {"refusal": "none", "parts": parts, "more": True},
         "distribution reply: least": reply,
         "distribution reply: foreign": reply | {"deployment": "other"},
         "distribution reply: another form": reply | {"form": 2},
     }
-    for word in ("too many subscribers", "no whole copy", "newer epoch known", "newer changes known"):
-        given[f"distribution reply: {word}"] = reply | {"refusal": word}
+    for label in ("too many subscribers", "no whole copy", "newer epoch known", "newer changes known"):
+        given[f"distribution reply: {label}"] = reply | {"refusal": label}
     out: dict[str, Plain] = {
         name: {"kind": name.partition(":")[0], "given": value} for name, value in given.items()
     }
@@ -213,7 +218,7 @@
     return out
 
 
-def poll_answers(every: Plain, least: Plain) -> dict[str, Plain]:
+def poll_answers(full_poll: Plain, minimal_poll: Plain) -> dict[str, Plain]:
     """A relay's answers to recorded polls."""
     entries = [
         ["nodes/s-a", 3, 1, text("{}")],
@@ -225,10 +230,10 @@
     return {
         f"answer to a poll: {name}": {"kind": "answer to a poll", "given": given | changes}
         for name, changes in {
-            "changes": {"poll": every},
-            "pages": {"poll": least},
-            "behind": {"poll": every, "entries": entries[:1]},
-            "older epoch": {"poll": every, "epoch": 2},
+            "changes": {"poll": full_poll},
+            "pages": {"poll": minimal_poll},
+            "behind": {"poll": full_poll, "entries": entries[:1]},
+            "older epoch": {"poll": full_poll, "epoch": 2},
         }.items()
     }
 
@@ -403,7 +408,7 @@
         (18, (b"/plats/t1", b"/plats/t2")),
     ]
     changes = {
-        "client": [init, *[packet(kind, place, *fields) for place, (kind, fields) in enumerate(names, 1)]],
+        "client": [init, *[packet(kind, index, *fields) for index, (kind, fields) in enumerate(names, 1)]],
         "fates": [["attempt"]] * 5,
         "node connections": [[version, done(1)]] * 5,
     }
@@ -627,12 +632,12 @@
         "lifecycle": "SERVING",
         "startedAtMs": 1700000000250,
     }
-    bare = {"instanceId": "s-b", "hostPort": "[2001:db8::9]:8080", "lifecycle": "DRAINING"}
-    gone = node | {"instanceId": "s-c", "lifecycle": "DELETED", "cell": 0, "startedAtMs": 12.5}
-    whole = {"generation": 7, "reset": True, "instances": [node, bare, gone]}
+    minimal_node = {"instanceId": "s-b", "hostPort": "[2001:db8::9]:8080", "lifecycle": "DRAINING"}
+    removed_node = node | {"instanceId": "s-c", "lifecycle": "DELETED", "cell": 0, "startedAtMs": 12.5}
+    complete_list = {"generation": 7, "reset": True, "instances": [node, minimal_node, removed_node]}
     lists: dict[str, Any] = {
-        "whole": whole,
-        "changes": {"generation": 8, "instances": [gone], "extra": 1},
+        "whole": complete_list,
+        "changes": {"generation": 8, "instances": [removed_node], "extra": 1},
         "empty": {"generation": 0, "reset": False, "instances": []},
         "no object": [],
         "no generation": {"instances": []},
@@ -649,8 +654,8 @@
         f"node list: {name}": {"kind": "node list", "bytes": text(json.dumps(value))}
         for name, value in lists.items()
     }
-    listed = answer(200, json.dumps(whole))
-    first, second = json.dumps(lists["changes"]), json.dumps(whole | {"generation": 9})
+    listed = answer(200, json.dumps(complete_list))
+    first, second = json.dumps(lists["changes"]), json.dumps(complete_list | {"generation": 9})
     lines = f"{first}\n", "\n", f"{second}\n"
     chunks = "".join(f"{len(one):x}\r\n{one}\r\n" for one in lines)
     watched = text("HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks)
@@ -672,7 +677,7 @@
 
 def administration(datagrams: list[Plain]) -> dict[str, Plain]:
     """Calls to the control listener and the metrics listener."""
-    words = [
+    commands = [
         "ready",
         "show-stat",
         "disable-server s-a",
@@ -697,9 +702,9 @@
         "",
         " ready ",
     ]
-    calls = [text(f"{one}\n") for one in words]
-    odd = [text("ready\r\n"), pack(b"\xff\xfe\n"), text("x" * 513), text("x" * 511 + "\n")]
-    few = [text("show-recovery\n"), text("show-fleet\n"), text("show-replica\n")]
+    calls = [text(f"{one}\n") for one in commands]
+    invalid_lines = [text("ready\r\n"), pack(b"\xff\xfe\n"), text("x" * 513), text("x" * 511 + "\n")]
+    status_calls = [text("show-recovery\n"), text("show-fleet\n"), text("show-replica\n")]
     peers: Plain = {"fleet": True, "datagrams": datagrams, "held": ["s-a", "s-b"]}
     metrics = [http("GET", "/metrics", []), http("POST", "/metrics", []), http("GET", "/", [])]
     return {
@@ -717,15 +722,15 @@
         },
         "control calls: odd lines": {
             "kind": "control calls",
-            "given": {"fleet": False, "stage": "end", "calls": odd},
+            "given": {"fleet": False, "stage": "end", "calls": invalid_lines},
         },
         "control calls: begin of a start": {
             "kind": "control calls",
-            "given": {"fleet": True, "stage": "begin", "calls": few},
+            "given": {"fleet": True, "stage": "begin", "calls": status_calls},
         },
         "control calls: amid a start": {
             "kind": "control calls",
-            "given": {"fleet": True, "stage": "amid", "calls": few[:1]},
+            "given": {"fleet": True, "stage": "amid", "calls": status_calls[:1]},
         },
         "metrics: with distributed configuration": {
             "kind": "metrics",
@@ -778,8 +783,8 @@
         "client left": {"type": "ABORTED", "Req": "r1"},
         "unknown": {"type": "ODD"},
     }
-    for word in ends:
-        events[f"end, {word}"] = ended | {"Disposition": word, "Settled": True, "OthersGot": 2.5}
+    for label in ends:
+        events[f"end, {label}"] = ended | {"Disposition": label, "Settled": True, "OthersGot": 2.5}
     events["end without optional fields"] = ended | {"Disposition": "completed"}
     for mode in ("incr", "total", "warm_copy", "lost"):
         events[f"nodes, {mode}"] = {"type": "ROSTER_CHANGE", "Slot": 0, "Revision": 1, "Mode": mode}
@@ -799,7 +804,7 @@
         "Siblings": 1,
     }
     node = {"Shelf": 1, "Pack": 0, "Area": 0, "StageState": "live"}
-    news: list[list[Plain]] = [
+    batches: list[list[Plain]] = [
         [
             {"type": "CATALOG", "Slot": 0, "Elements": [node]},
             {"type": "BORN", "Head": 0, "RngSeed": 1, "Facts": facts},
@@ -809,7 +814,9 @@
         [ended | {"Head": 0, "Shot": 0, "Shelf": 1, "Disposition": "completed", "Settled": True}],
         [{"type": "SHUTDOWN", "Head": 0}],
     ]
-    lines: list[Plain] = [{"TsS": 5.0 + place, "round": place, "news": one} for place, one in enumerate(news)]
+    lines: list[Plain] = [
+        {"TsS": 5.0 + index, "round": index, "news": one} for index, one in enumerate(batches)
+    ]
     for name, value in {"whole": lines, "malformed": [*lines[:1], {"round": 1}]}.items():
         out[f"simulator session: {name}"] = {"kind": "simulator session", "given": {"lines": value}}
     return out
--- a/tests/recorded/scheduler_adapter.py
+++ b/tests/recorded/scheduler_adapter.py
@@ -80,7 +80,7 @@
 }
 
 
-def every_member_is_named() -> bool:
+def every_enum_member_has_word() -> bool:
     """Whether the words above cover every member of the project's enumerations."""
     return (
         set(REPEATS.values()) == set(Idempotency)
--- a/tests/recorded/stored_adapter.py
+++ b/tests/recorded/stored_adapter.py
@@ -165,8 +165,8 @@
 
 def name_of_mark(name: str) -> str:
     """Return the name of a process's marker file, with the ids of this process and its parent replaced."""
-    *words, last = name.split("-")
-    return "-".join([*words, {str(os.getpid()): "OWN", str(os.getppid()): "PARENT"}.get(last, last)])
+    *parts, last = name.split("-")
+    return "-".join([*parts, {str(os.getpid()): "OWN", str(os.getppid()): "PARENT"}.get(last, last)])
 
 
 def dump_copies(facts: Neutral) -> bytes:
--- a/tests/recorded/test_recorded_scheduler.py
+++ b/tests/recorded/test_recorded_scheduler.py
@@ -10,7 +10,7 @@
 
 from tests.recorded import make_scheduler
 from tests.recorded.make_scheduler import INTERVAL, RECORDING, digest, encode
-from tests.recorded.scheduler_adapter import LIST_KINDS, OUTCOMES, Row, every_member_is_named
+from tests.recorded.scheduler_adapter import LIST_KINDS, OUTCOMES, Row, every_enum_member_has_word
 from tests.recorded.scheduler_cases import all_cases
 
 RECORDED: dict[str, Any] = json.loads(RECORDING.read_text())
@@ -101,7 +101,7 @@
 
 def test_every_enum_member_has_a_recorded_word() -> None:
     """An enum member that is added later fails this test until the recording has a word for it."""
-    assert every_member_is_named()
+    assert every_enum_member_has_word()
 
 
 def test_recording_is_not_overwritten(capsys: pytest.CaptureFixture[str]) -> None:
