--- a/tests/recorded/bytes_adapter.py
+++ b/tests/recorded/bytes_adapter.py
@@ -914,7 +914,7 @@
 
 async def capture_node_answer(value: Plain) -> Plain:
     """Return the decoded answer of a node from its pieces; ``closed``: the connection ends after them."""
-    reader, answer = answers.AnswerReader(), None
+    reader, answer = answers.ResponseReader(), None
     rest: list[Plain] = []
     try:
         for piece in value["pieces"]:
@@ -924,7 +924,7 @@
                 rest.append(pack(reader.feed_body(unpack(piece))))
         if answer is None and value.get("closed"):
             answer = reader.feed_eof()
-    except messages.MalformedAnswerError as error:
+    except messages.MalformedResponseError as error:
         return {"spoilt": str(error)}
     if answer is None:
         return {"more is to come": True}
@@ -1006,7 +1006,7 @@
 
 
 @asynccontextmanager
-async def listening(converse: Conversation) -> AsyncIterator[int]:
+async def listening(serve_connection: Conversation) -> AsyncIterator[int]:
     """Listen on loopback and yield the port; all connections are closed at the end."""
     writers: list[asyncio.StreamWriter] = []
     tasks: list[asyncio.Task[Any] | None] = []
@@ -1015,7 +1015,7 @@
         writers.append(writer)
         tasks.append(asyncio.current_task())
         with contextlib.suppress(OSError, EOFError):
-            await converse(reader, writer)
+            await serve_connection(reader, writer)
 
     server = await asyncio.start_server(accept, LOCAL, 0)
     try:
@@ -1036,7 +1036,7 @@
     The second part of an answer in two parts is sent once the client has read the head (``head_read``).
     """
 
-    async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while (request := await read_http(reader)) and answers:
             received.append(request)
             match answers.pop(0):
@@ -1048,7 +1048,7 @@
                 case whole:
                     writer.write(unpack(whole))
 
-    async with listening(converse) as port:
+    async with listening(serve_connection) as port:
         yield port
 
 
@@ -1150,7 +1150,7 @@
     events: list[Plain] = []
     all_received = asyncio.Event()
 
-    async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while call := await read_http(reader):
             if (one := blank(call)) not in calls:
                 calls.append(one)
@@ -1166,10 +1166,10 @@
         if len(events) == value["events"]:
             all_received.set()
 
-    async with listening(converse) as port:
+    async with listening(serve_connection) as port:
         directory = Directory({"basement": 0})
         directory.version = value.get("known version")
-        watch = Discovery(Address(LOCAL, port), directory, on_event, own_agent=value["own agent"])
+        watch = Discovery(Address(LOCAL, port), directory, on_event, dedicated_agent=value["own agent"])
         watch.start()
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT):
@@ -1248,7 +1248,7 @@
         drain=lambda: None,
         resume=lambda: None,
         show_fleet=view.status_lines if value["fleet"] else None,
-        fronts_holding=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
+        wait_for_fronts=(lambda name, disable: (2, 3) if disable else (3, 3)) if value["fleet"] else None,
         show_replica=view.replica_lines if value["fleet"] else None,
         show_recovery=(lambda: recovery_lines(value)) if value["fleet"] else None,
         show_config=(lambda: config_status().lines(100.0)) if value["fleet"] else None,
@@ -1299,7 +1299,7 @@
     to_node: list[list[Plain]] = []
     replies = [list(one) for one in value["node connections"]]
 
-    async def converse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         packets, script = list[Plain](), replies.pop(0)
         to_node.append(packets)
         while True:
@@ -1307,7 +1307,7 @@
             if script:
                 writer.write(unpack(script.pop(0)))
 
-    async with listening(converse) as port:
+    async with listening(serve_connection) as port:
         answers = await sftp_answers(value, port)
     return {"to client": answers, "to node": to_node}
 
--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -50,8 +50,8 @@
 from cleatyoke.distribution.subscriber import Subscriber
 from cleatyoke.distribution.subscriber_messages import (
     DeliverChanges,
-    EpochRestarted,
     LaneComplete,
+    LaneRestarted,
     PollAnswered,
     RelayChanged,
     SendPoll,
@@ -233,7 +233,7 @@
     match action:
         case SendPoll():
             return ["poll", action.relay, action.poll_id, action.data.hex()]
-        case EpochRestarted():
+        case LaneRestarted():
             return ["anew", LANE_NAMES[action.lane], action.epoch]
         case DeliverChanges():
             return ["entries", LANE_NAMES[action.lane], [plain_entry(entry) for entry in action.entries]]
--- a/tests/recorded/settings_adapter.py
+++ b/tests/recorded/settings_adapter.py
@@ -70,7 +70,7 @@
     except ConfigError as error:
         raise InvalidSettingsError(str(error)) from error
     return {
-        "discovery moved": changes.discovery_moved,
+        "discovery moved": changes.discovery_address_changed,
         "the log names as waiting for a restart": list(changes.needs_restart),
         "classes gone": None if changes.retired_classes is None else sorted(changes.retired_classes),
         "holds": neutral_deployment(config),
