--- a/tests/recorded/control_adapter.py
+++ b/tests/recorded/control_adapter.py
@@ -106,7 +106,7 @@
     return hashlib.sha256(data).hexdigest()
 
 
-def value_word(value: bytes | None) -> Neutral:
+def plain_value(value: bytes | None) -> Neutral:
     """Return a value as hex digits if it is short, otherwise its length and digest."""
     if value is None:
         return None
@@ -115,7 +115,7 @@
 
 def plain_entry(entry: Entry) -> Neutral:
     """Return the key, version and value of an entry."""
-    return [entry.key, entry.version.epoch, entry.version.number, value_word(entry.value)]
+    return [entry.key, entry.version.epoch, entry.version.number, plain_value(entry.value)]
 
 
 def portable_error_text(text: str) -> str:
@@ -132,7 +132,7 @@
 # Distribution
 
 
-def reply_word(deployment: str, data: bytes) -> Neutral:
+def plain_reply(deployment: str, data: bytes) -> Neutral:
     """Return the fields of an encoded reply, or the reason for its rejection."""
     try:
         reply = decode_reply(deployment, data)
@@ -155,7 +155,7 @@
     return [*head, reply.has_more, parts]
 
 
-def poll_word(deployment: str, data: bytes) -> Neutral:
+def plain_poll(deployment: str, data: bytes) -> Neutral:
     """Return the fields of an encoded poll, or the reason for its rejection."""
     try:
         poll = decode_poll(deployment, data)
@@ -432,7 +432,7 @@
         ]
 
 
-def settings_word(
+def plain_distributed_settings(
     base: dict[str, Any], batches: Sequence[Sequence[tuple[str, int, int, bytes | None]]]
 ) -> list[Neutral]:
     """Return for each batch of entries the merged settings or their error, their version, and the nodes."""
@@ -470,7 +470,7 @@
     def look(self) -> Neutral:
         """Scan the folder; return the changes since the previous scan, and the rejected files."""
         scan = self.folder.scan()
-        changes = [[key, value_word(value)] for key, value in sorted(scan.changes.items())]
+        changes = [[key, plain_value(value)] for key, value in sorted(scan.changes.items())]
         return [changes, [portable_error_text(text) for text in scan.rejected]]
 
 
@@ -499,7 +499,7 @@
     return encode_advertisement(advertisement)
 
 
-def advertisement_word(data: bytes) -> Neutral:
+def plain_advertisement(data: bytes) -> Neutral:
     """Return the fields of an advertisement, or the reason for its rejection."""
     try:
         advertisement = decode_advertisement(data)
@@ -574,7 +574,7 @@
     return ShutdownDeadlines.from_grace_period(seconds, latency_objectives)
 
 
-class PlainLife:
+class PlainLifecycle:
     """The process's lifecycle, driven with recorded values."""
 
     def __init__(self, seconds: float, latency_objectives: Sequence[float]) -> None:
@@ -770,7 +770,7 @@
     return [classes, plans, counts, flags, floats, idle_since]
 
 
-class PlainRetune:
+class PlainSettingsReload:
     """The settings in force, and the indexes of class and plan names."""
 
     def __init__(
@@ -805,12 +805,12 @@
         return [plain_settings(self.settings), list(self.writes), classes, plans, retired]
 
 
-def shape_word(value: Any) -> Neutral:
+def plain_key_paths(value: Any) -> Neutral:
     """Return the sorted paths of a file's keys."""
     return sorted(key_paths(value))
 
 
-def missing_word(old: Any, new: Any) -> Neutral:
+def plain_missing_key(old: Any, new: Any) -> Neutral:
     """Return the first key that the new file lacks."""
     return first_missing_key(key_paths(old), key_paths(new))
 
@@ -937,7 +937,7 @@
 # Request bodies
 
 
-class PlainRoom:
+class PlainBodyMemory:
     """The memory shared by request bodies."""
 
     def __init__(self, total: int, most: int | None) -> None:
@@ -956,6 +956,6 @@
         return [[[body, size] for body, size in self.memory.reserved.items()], list(self.memory.waiting)]
 
 
-def body_patience(size: int, grace: float | None) -> str:
+def plain_body_timeout(size: int, grace: float | None) -> str:
     """Return the time limit for a body of this size."""
     return number(body_timeout(size) if grace is None else body_timeout(size, grace=grace))
--- a/tests/recorded/control_cases.py
+++ b/tests/recorded/control_cases.py
@@ -96,7 +96,7 @@
             key = self.rng.choice(self.keys)
             lane = "nodes" if key.startswith("nodes/") else "settings"
             value = self.draw_value(key)
-            self.note("change", key, adapter.value_word(value), self.source.put(self.now, lane, key, value))
+            self.note("change", key, adapter.plain_value(value), self.source.put(self.now, lane, key, value))
 
     def fault(self) -> None:
         """One drawn fault or change."""
@@ -152,7 +152,7 @@
         if rng.random() < self.loss / 2:
             answers = answers * 2
         self.wake(at + up + down, name, answers)
-        self.note("reply", relay, name, adapter.reply_word(DEPLOYMENT, reply))
+        self.note("reply", relay, name, adapter.plain_reply(DEPLOYMENT, reply))
 
     def damage(self, data: bytes) -> bytes:
         """A message that is cut off or has a bit changed."""
@@ -237,7 +237,7 @@
             if not polls:
                 continue
             _, _, count, data = polls[-1]
-            poll = adapter.poll_word(DEPLOYMENT, bytes.fromhex(data))
+            poll = adapter.plain_poll(DEPLOYMENT, bytes.fromhex(data))
             log.append([number(now), "asks", poll])
             now += rng.uniform(0.0, 1.1)
             drawn = rng.random()
@@ -336,7 +336,7 @@
             if rng.random() < 0.03:
                 data = data[:-1]
             reply = source.answer(now, data)
-            word = None if reply is None else adapter.reply_word(DEPLOYMENT, reply)
+            word = None if reply is None else adapter.plain_reply(DEPLOYMENT, reply)
             code = None if reply is None else adapter.digest(reply)
             log.append([number(now), "reply", word, code, source.counts()])
         return log
@@ -426,7 +426,7 @@
                 if action[0] != "poll":
                     continue
                 data = servers[action[1]].answer(now, bytes.fromhex(action[3]))
-                log.append([number(now), "reply", adapter.reply_word(DEPLOYMENT, data or b"")])
+                log.append([number(now), "reply", adapter.plain_reply(DEPLOYMENT, data or b"")])
                 now += rng.uniform(0.001, 0.1)
                 log.append([number(now), name, relay.step(now, [(action[2], data)])])
                 log.append([relay.summary(now), relay.served(now)])
@@ -450,7 +450,7 @@
         now = max(now, relay.due())
         for action in relay.step(now, []):
             data = source.answer(now, bytes.fromhex(action[3])) if action[0] == "poll" else None
-            log.append([number(now), action, adapter.reply_word(DEPLOYMENT, data or b"")])
+            log.append([number(now), action, adapter.plain_reply(DEPLOYMENT, data or b"")])
             log.append([relay.step(now, [(action[2], data)]), relay.summary(now), relay.served(now)])
         if step == 1:
             source.put(now, "nodes", keys[-1], b"small")
@@ -459,7 +459,7 @@
             source.put(now, "nodes", "nodes/z", b"new")
     for late in (0.0, 0.5, 5.0):
         log.append(
-            [number(late), adapter.reply_word(DEPLOYMENT, first_poll(relay, now - late, "front") or b"")]
+            [number(late), adapter.plain_reply(DEPLOYMENT, first_poll(relay, now - late, "front") or b"")]
         )
     return log
 
@@ -489,7 +489,7 @@
         server = adapter.PlainSource(DEPLOYMENT, name, 9, most)
         log.append(["most subscribers", most, fill_server(server)])
     relay = adapter.PlainRelay(DEPLOYMENT, "relay", [["source"]], 4, None)
-    log.append(["not ready", adapter.reply_word(DEPLOYMENT, first_poll(relay, 0.0, "front") or b"")])
+    log.append(["not ready", adapter.plain_reply(DEPLOYMENT, first_poll(relay, 0.0, "front") or b"")])
     now = 0.0
     for _ in range(8):
         now = max(now, relay.due())
@@ -511,12 +511,12 @@
     """How many subscribers are taken, and after which time one more is."""
     refused = []
     for count in range(260):
-        word = adapter.reply_word(DEPLOYMENT, first_poll(server, 100.0, f"front{count}") or b"")
+        word = adapter.plain_reply(DEPLOYMENT, first_poll(server, 100.0, f"front{count}") or b"")
         if word[4]:
             refused.append([count, word[4]])
     late = []
     for now in (114.5, 115.0, 115.25, 116.0):
-        late.append([number(now), adapter.reply_word(DEPLOYMENT, first_poll(server, now, "late") or b"")[4]])
+        late.append([number(now), adapter.plain_reply(DEPLOYMENT, first_poll(server, now, "late") or b"")[4]])
     return [len(refused), refused[:1], late]
 
 
@@ -539,7 +539,7 @@
             batches.append(batch)
         if not ordered:
             rng.shuffle(batches)
-        return adapter.settings_word({"a": 0, "base": True}, batches)
+        return adapter.plain_distributed_settings({"a": 0, "base": True}, batches)
 
     return run
 
@@ -653,12 +653,12 @@
             chosen = rng.sample(pool, rng.randrange(4))
             interval = rng.choice([0.01, 0.25, 1.0, 40.95, 41.0, 0.005])
             data = adapter.advertisement_bytes(rng.randrange(256), rng.randrange(256), interval, chosen)
-            log.append([data.hex(), adapter.advertisement_word(data)])
+            log.append([data.hex(), adapter.plain_advertisement(data)])
             if data:
                 place = rng.randrange(len(data))
                 damaged = data[:place] + bytes([rng.randrange(256)]) + data[place + 1 :]
-                log.append([damaged.hex(), adapter.advertisement_word(damaged)])
-                log.append([place, adapter.advertisement_word(data[:place])])
+                log.append([damaged.hex(), adapter.plain_advertisement(damaged)])
+                log.append([place, adapter.plain_advertisement(data[:place])])
         return log
 
     return run
@@ -675,7 +675,7 @@
             while total >> 16:
                 total = (total & 0xFFFF) + (total >> 16)
             data = head + (~total & 0xFFFF).to_bytes(2, "big") + tail
-            log.append([data.hex(), adapter.advertisement_word(data)])
+            log.append([data.hex(), adapter.plain_advertisement(data)])
     return log
 
 
@@ -690,7 +690,7 @@
         for life_number in range(12):
             aims = [rng.choice([0.05, 0.25, 0.5, 1.0, 4.0]) for _ in range(rng.randrange(4))]
             seconds = rng.choice([0.3, 0.9, 1.5, 3.0, 10.0, 30.0])
-            life = adapter.PlainLife(seconds, aims)
+            life = adapter.PlainLifecycle(seconds, aims)
             now, connections, files = rng.uniform(0.0, 1000.0), rng.randrange(6), rng.randrange(3)
             leaving = False
             log.append([life_number, number(seconds), [number(aim) for aim in aims], life.state()])
@@ -822,7 +822,7 @@
         rng, log = random.Random(seed), []
         names, plans = ["read", "write", "scan", "copy"], ["gold", "basic", "trial"]
         kinds, tiers = rng.sample(names, 2), rng.sample(plans, 2)
-        held = adapter.PlainRetune(draw_settings(rng, len(kinds), len(tiers)), kinds, tiers)
+        held = adapter.PlainSettingsReload(draw_settings(rng, len(kinds), len(tiers)), kinds, tiers)
         for _ in range(25):
             kinds = rng.sample(names, rng.randrange(1, 5))
             tiers = rng.sample(plans, rng.randrange(1, 4))
@@ -834,7 +834,13 @@
         for _ in range(40):
             old = {"a": draw_file(rng), "b": draw_file(rng), "c": draw_file(rng)}
             new = thin(rng, old)
-            log.append([adapter.shape_word(old), adapter.shape_word(new), adapter.missing_word(old, new)])
+            log.append(
+                [
+                    adapter.plain_key_paths(old),
+                    adapter.plain_key_paths(new),
+                    adapter.plain_missing_key(old, new),
+                ]
+            )
         return log
 
     return run
@@ -934,7 +940,7 @@
 
     def run() -> Log:
         rng, log = random.Random(seed), []
-        room = adapter.PlainRoom(total, most)
+        room = adapter.PlainBodyMemory(total, most)
         sizes: dict[str, int] = {}
         for step in range(500):
             name = f"body{rng.randrange(12)}"
@@ -952,7 +958,7 @@
             log.append([step, name, wanted, taken, room.state()])
         for _ in range(20):
             size, grace = rng.randrange(1 << 26), rng.choice([None, 0.0, 1.5])
-            log.append([size, adapter.body_patience(size, grace)])
+            log.append([size, adapter.plain_body_timeout(size, grace)])
         return log
 
     return run
--- a/tests/recorded/fleet_adapter.py
+++ b/tests/recorded/fleet_adapter.py
@@ -382,7 +382,7 @@
     return "node", event.node_id, event.multiplier
 
 
-class VolumeLimits:
+class VolumeRateLimits:
     """Rate limits of volumes by leases. ``limits``: units per second by plan."""
 
     def __init__(self, leases: Leases, limits: list[float]) -> None:
@@ -408,7 +408,7 @@
         return sorted(plain_lease_change(one) for one in self.inner.quota_changes(now))
 
 
-class ColdNodes:
+class SlowStartNodes:
     """Slow-start shares of nodes by leases. ``names``: by node; None for a node that is not listed."""
 
     def __init__(
@@ -507,19 +507,19 @@
         return clock, held, sorted(self.inner.held_nodes())
 
 
-class Sayings:
+class LatestValueSet:
     """The replicated latest value of each member."""
 
     def __init__(self, inner: replicas.LatestValues | None = None) -> None:
         self.inner = inner if inner is not None else replicas.LatestValues()
 
-    def say(self, member: str, value: str, at: float) -> Sayings:
+    def say(self, member: str, value: str, at: float) -> LatestValueSet:
         """Return a copy with a new value of this member."""
-        return Sayings(self.inner.assign(parse_member_id(member), value, at))
+        return LatestValueSet(self.inner.assign(parse_member_id(member), value, at))
 
-    def merge(self, other: Sayings) -> Sayings:
+    def merge(self, other: LatestValueSet) -> LatestValueSet:
         """Return the merge of both."""
-        return Sayings(replicas.merge("latest", self.inner, other.inner))
+        return LatestValueSet(replicas.merge("latest", self.inner, other.inner))
 
     def state(self) -> Plain:
         """Return the values by member."""
@@ -531,19 +531,19 @@
         )
 
 
-class Heights:
+class MaximumValueSet:
     """The replicated maximum of each key."""
 
     def __init__(self, inner: replicas.MaximumValues | None = None) -> None:
         self.inner = inner if inner is not None else replicas.MaximumValues()
 
-    def raised(self, key: str, number: int) -> Heights:
+    def raised(self, key: str, number: int) -> MaximumValueSet:
         """Return a copy in which the key's value is at least this number."""
-        return Heights(self.inner.raise_to(key, number))
+        return MaximumValueSet(self.inner.raise_to(key, number))
 
-    def merge(self, other: Heights) -> Heights:
+    def merge(self, other: MaximumValueSet) -> MaximumValueSet:
         """Return the merge of both."""
-        return Heights(replicas.merge("highest", self.inner, other.inner))
+        return MaximumValueSet(replicas.merge("highest", self.inner, other.inner))
 
     def state(self) -> Plain:
         """Return the maxima by key."""
@@ -558,7 +558,7 @@
         return "refused", str(error)
     if kind == "holds":
         return HoldSet(copy).state()
-    return Sayings(copy).state() if kind == "latest" else Heights(copy).state()
+    return LatestValueSet(copy).state() if kind == "latest" else MaximumValueSet(copy).state()
 
 
 class SharedHolds:
--- a/tests/recorded/fleet_cases.py
+++ b/tests/recorded/fleet_cases.py
@@ -16,17 +16,17 @@
 import msgspec
 
 from tests.recorded.fleet_adapter import (
-    ColdNodes,
     Demand,
-    Heights,
     HoldSet,
+    LatestValueSet,
     Leases,
+    MaximumValueSet,
     Member,
     Plain,
-    Sayings,
     SharedHolds,
+    SlowStartNodes,
     Start,
-    VolumeLimits,
+    VolumeRateLimits,
     conclude_from,
     decoded,
 )
@@ -661,8 +661,8 @@
     life: str
     leases: Leases
     pace: float
-    limits: VolumeLimits | None = None
-    cold: ColdNodes | None = None
+    limits: VolumeRateLimits | None = None
+    cold: SlowStartNodes | None = None
     stopped_until: float = -math.inf
     last: dict[str, int] = field(default_factory=dict)
 
@@ -714,10 +714,10 @@
         leases = Leases(since, f"{self.seed}:{front}:{boot}")
         holder = self.holders[front] = Holder(f"f{front}/{boot}", leases, pace)
         if self.kind == "limits":
-            holder.limits = VolumeLimits(leases, [0.0, 40.0, 100.0])
+            holder.limits = VolumeRateLimits(leases, [0.0, 40.0, 100.0])
         elif self.kind == "cold":
             names = {node: f"n-{node}" for node in range(5)}
-            holder.cold = ColdNodes(leases, names, self.size, cold_units=8.0, ramp=20.0, after=0.5)
+            holder.cold = SlowStartNodes(leases, names, self.size, cold_units=8.0, ramp=20.0, after=0.5)
         self.meet()
 
     def meet(self) -> None:
@@ -939,7 +939,7 @@
 def limit_edges(record: Record, seed: str, number: int) -> None:
     """What is asked for of a limit, by the number of hosts that it is shared among, and with no limit."""
     for hosts in (0, 1, 2, 3):
-        limits = VolumeLimits(Leases(-100.0, seed), [0.0, 40.0])
+        limits = VolumeRateLimits(Leases(-100.0, seed), [0.0, 40.0])
         for quarter in range(6):
             limits.heard(0.25 * quarter, [(0, 5, 1.0, hosts), (1, 6, 2.0, hosts), (1, 300, 0.5, hosts)])
             record.add(0.25 * quarter, hosts, limits.needs(0.25 * quarter), limits.changes(0.25 * quarter))
@@ -950,7 +950,7 @@
     for hosts, units in ((1, 8.0), (4, 8.0), (0, 2.0), (3, 0.0)):
         leases = Leases(-100.0, "cold")
         names = {node: f"n-{node}" for node in range(6)}
-        cold = ColdNodes(leases, names, hosts, units, ramp=10.0, after=0.5)
+        cold = SlowStartNodes(leases, names, hosts, units, ramp=10.0, after=0.5)
         nodes = [
             (0, 0, "live", 100.0),
             (1, 1, "live", 100.0004),
@@ -987,9 +987,9 @@
     rng, size = random.Random(seed), 2 + number % 4
     lives = [f"f{one}/1" for one in range(size)]
     holds = [HoldSet() for _ in lives]
-    words = [Sayings() for _ in lives]
-    heights = [Heights() for _ in lives]
-    sent: list[tuple[HoldSet, Sayings, Heights]] = []
+    words = [LatestValueSet() for _ in lives]
+    heights = [MaximumValueSet() for _ in lives]
+    sent: list[tuple[HoldSet, LatestValueSet, MaximumValueSet]] = []
     for turn in range(60 if number else 25):
         one, box = rng.randrange(size), f"b{rng.randrange(5)}"
         what = rng.choice(
@@ -1099,9 +1099,9 @@
     for kind in ("holds", "latest", "highest", "unheard-of"):
         for data in (b"", b"\x80", b"\xc1", odd_copy(), strange, b"\x91" * 5000):
             record.add(0, kind, summary(decoded(kind, data)))
-    one, other = Sayings().say("f0/1", "a", 1.0), Sayings().say("f0/1", "b", 0.5)
+    one, other = LatestValueSet().say("f0/1", "a", 1.0), LatestValueSet().say("f0/1", "b", 0.5)
     record.add(0, one.merge(other).state(), other.merge(one).state())
-    later = Sayings().say("f0/1", "b", 0.75)
+    later = LatestValueSet().say("f0/1", "b", 0.75)
     record.add(0, later.merge(other).state(), other.merge(later).state())
 
 
