--- a/cleatyoke/testbed/fault_relay.py
+++ b/cleatyoke/testbed/fault_relay.py
@@ -44,7 +44,6 @@
         self.sockets: list[asyncio.DatagramTransport] = []
         self.servers: list[asyncio.Server] = []
         self.streams: set[asyncio.Task[Any]] = set()
-        self.forwarded_count = 0  # datagrams
 
     @staticmethod
     def host(front: int) -> str:
@@ -98,7 +97,6 @@
     def forward_datagram(self, source: int, target: int, data: bytes) -> None:
         """Forward a datagram as the link's faults have it: delayed, duplicated, corrupted or dropped."""
         copies = self.network.datagram(str(source), str(target), data)
-        self.forwarded_count += len(copies)
         for delay, copy in copies:
             self.loop.call_later(delay, self.sockets[target].sendto, copy, (self.host(target), self.port))
 
